--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -13,10 +13,25 @@
     println!("engines  us a request  us a tick");
     for engines in [6u16, 80, 300, 1024] {
         let classes = vec![class(1, 1000.0, 1.0), class(3, 3000.0, 20.0)];
-        let mut rig = Rig::new(Settings { instances: 100, ..settings(classes) }, 0);
-        let at = |n: u16| EngineId { addr: [10, 0, (n >> 8) as u8, n as u8], port: 8000 };
-        let line = |n| EngineEntry { engine: at(n), ..entry(n as u8, ListState::Ready, 0.0) };
-        rig.event(Event::List { kind: ListKind::Full, entries: (0..engines).map(line).collect() });
+        let mut rig = Rig::new(
+            Settings {
+                instances: 100,
+                ..settings(classes)
+            },
+            0,
+        );
+        let at = |n: u16| EngineId {
+            addr: [10, 0, (n >> 8) as u8, n as u8],
+            port: 8000,
+        };
+        let line = |n| EngineEntry {
+            engine: at(n),
+            ..entry(n as u8, ListState::Ready, 0.0)
+        };
+        rig.event(Event::List {
+            kind: ListKind::Full,
+            entries: (0..engines).map(line).collect(),
+        });
         let (mut ticks, mut in_ticks) = (0u32, 0.0);
         let begun = Instant::now();
         for id in 0..REQUESTS {
@@ -27,11 +42,17 @@
                 (ticks, in_ticks) = (ticks + 1, in_ticks + from.elapsed().as_secs_f64());
             }
             let actions = rig.request_with(id, 0, 0, 9000.0, Some(50.0));
-            let report = LoadReport { inflight: Some(4.0), ..LoadReport::default() };
+            let report = LoadReport {
+                inflight: Some(4.0),
+                ..LoadReport::default()
+            };
             let to = sent(&actions, id).expect("an engine");
             rig.event(served(id, to, 60.0, Some((50.0, 8.0)), report));
         }
         let each = begun.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
-        println!("{engines:7}  {each:12.1}  {:9.1}", in_ticks * 1e6 / f64::from(ticks));
+        println!(
+            "{engines:7}  {each:12.1}  {:9.1}",
+            in_ticks * 1e6 / f64::from(ticks)
+        );
     }
 }
--- a/benches/scale/churn.rs
+++ b/benches/scale/churn.rs
@@ -34,7 +34,10 @@
     /// Ten ordinary days in one.
     pub fn ten_days() -> Rate {
         let replaced = TIMES * ORDINARY_DAY.iter().sum::<u32>();
-        Rate { interval: Duration::from_secs_f64(SECONDS_PER_DAY / f64::from(replaced)), most: None }
+        Rate {
+            interval: Duration::from_secs_f64(SECONDS_PER_DAY / f64::from(replaced)),
+            most: None,
+        }
     }
 
     /// Engines that would be replaced in a day.
@@ -63,7 +66,9 @@
         let mut list = Replaced::new(listed.to_vec(), port);
         let thread = thread::spawn(move || {
             let tell = |event| {
-                feed.lock().unwrap_or_else(PoisonError::into_inner).publish(&event);
+                feed.lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .publish(&event);
                 count.fetch_add(1, Ordering::SeqCst);
             };
             let goes_on = |until: Instant| {
@@ -80,7 +85,11 @@
                 next += rate.interval;
             }
         });
-        Churn { events, stop: Some(stop), thread: Some(thread) }
+        Churn {
+            events,
+            stop: Some(stop),
+            thread: Some(thread),
+        }
     }
 
     /// Events told so far: two for each engine replaced.
@@ -121,12 +130,21 @@
 impl Replaced {
     fn new(listed: Vec<Listed>, port: u16) -> Replaced {
         let next_engine = listed.len() as u32;
-        Replaced { listed, port, place: 0, next_engine, event: FIRST_EVENT, old: None }
+        Replaced {
+            listed,
+            port,
+            place: 0,
+            next_engine,
+            event: FIRST_EVENT,
+            old: None,
+        }
     }
 
     /// The next engine drains, and its successor is ready.
     fn drain(&mut self) -> ListEvent {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let started_ms = now.as_millis() as f64;
         let mut successor = engine(self.next_engine, ListState::Ready, started_ms, self.port);
         self.next_engine += 1;
@@ -152,6 +170,11 @@
 
     fn change(&mut self, entries: Vec<Listed>) -> ListEvent {
         self.event += 1;
-        ListEvent { number: self.event, kind: ListKind::Delta, entries, unusable: Vec::new() }
+        ListEvent {
+            number: self.event,
+            kind: ListKind::Delta,
+            entries,
+            unusable: Vec::new(),
+        }
     }
 }
--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -20,8 +20,12 @@
 
 const CLASS: &str = "read";
 /// What a client says of a statement, besides its reference.
-const FIELDS: [(&str, &str); 4] =
-    [("allow", "2000"), ("project", "acme"), ("effort", "10.0"), ("need_mb", "8")];
+const FIELDS: [(&str, &str); 4] = [
+    ("allow", "2000"),
+    ("project", "acme"),
+    ("effort", "10.0"),
+    ("need_mb", "8"),
+];
 /// A connection that has had no call for this long asks for `health`, as the manager closes it after 30 s.
 const KEEP_ALIVE: Duration = Duration::from_secs(20);
 /// Statements on one connection at once, as the protocol has it.
@@ -108,7 +112,9 @@
 impl Clients {
     /// Opens so many connections, each of which is told that the manager is fit.
     pub fn connect(manager: SocketAddr, count: usize) -> Result<Clients, Failure> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let latencies = Histogram::new_with_bounds(LATENCIES.0, LATENCIES.1, LATENCIES.2)
             .map_err(|e| Failure::Broken(format!("latencies: {e}")))?;
         let tally = Arc::new(Tally::new(latencies));
@@ -116,7 +122,12 @@
         for _ in 0..count {
             connections.push(runtime.block_on(open(manager, tally.clone()))?);
         }
-        Ok(Clients { runtime, connections, tally, turn: 0 })
+        Ok(Clients {
+            runtime,
+            connections,
+            tally,
+            turn: 0,
+        })
     }
 
     /// Offers statements at this rate for so long, and waits for their answers.
@@ -130,8 +141,17 @@
     }
 
     /// Offers what is due by the seconds elapsed, the statements due before and those open.
-    fn round(&mut self, lasts: Duration, due: impl Fn(f64, u64, u64) -> u64) -> Result<Offered, Failure> {
-        let Clients { runtime, connections, tally, turn } = self;
+    fn round(
+        &mut self,
+        lasts: Duration,
+        due: impl Fn(f64, u64, u64) -> u64,
+    ) -> Result<Offered, Failure> {
+        let Clients {
+            runtime,
+            connections,
+            tally,
+            turn,
+        } = self;
         tally.clear();
         let begun = Instant::now();
         let (mut asked, mut held_back) = (0_u64, 0_u64);
@@ -173,7 +193,9 @@
     for _ in 0..connections.len() {
         let connection = &connections[*turn % connections.len()];
         *turn = (*turn + 1) % connections.len();
-        if connection.open.load(Ordering::Relaxed) < MOST_ON_CONNECTION && connection.calls.send(()).is_ok() {
+        if connection.open.load(Ordering::Relaxed) < MOST_ON_CONNECTION
+            && connection.calls.send(()).is_ok()
+        {
             connection.open.fetch_add(1, Ordering::Relaxed);
             return true;
         }
@@ -199,14 +221,39 @@
     }
 
     fn all(&self) -> [&AtomicU64; 9] {
-        let Tally { sent, served, refused, failed, lost, stray, health, bytes_sent, bytes_received, .. } =
-            self;
-        [sent, served, refused, failed, lost, stray, health, bytes_sent, bytes_received]
+        let Tally {
+            sent,
+            served,
+            refused,
+            failed,
+            lost,
+            stray,
+            health,
+            bytes_sent,
+            bytes_received,
+            ..
+        } = self;
+        [
+            sent,
+            served,
+            refused,
+            failed,
+            lost,
+            stray,
+            health,
+            bytes_sent,
+            bytes_received,
+        ]
     }
 
     fn clear(&self) {
-        self.all().iter().for_each(|count| count.store(0, Ordering::Relaxed));
-        self.latencies.lock().unwrap_or_else(PoisonError::into_inner).reset();
+        self.all()
+            .iter()
+            .for_each(|count| count.store(0, Ordering::Relaxed));
+        self.latencies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .reset();
     }
 
     /// Statements that are answered, or never will be.
@@ -224,14 +271,29 @@
             Verdict::Failed | Verdict::Health(_) => &self.failed,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        let mut latencies = self.latencies.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut latencies = self
+            .latencies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         latencies.saturating_record(latency.as_micros() as u64);
     }
 
     fn offered(&self) -> Offered {
-        let [sent, served, refused, failed, _, stray, health, bytes_sent, bytes_received] =
-            self.all().map(|count| count.load(Ordering::Relaxed));
-        let latencies = self.latencies.lock().unwrap_or_else(PoisonError::into_inner);
+        let [
+            sent,
+            served,
+            refused,
+            failed,
+            _,
+            stray,
+            health,
+            bytes_sent,
+            bytes_received,
+        ] = self.all().map(|count| count.load(Ordering::Relaxed));
+        let latencies = self
+            .latencies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let within_ms = |share: f64| latencies.value_at_quantile(share) as f64 / 1000.0;
         Offered {
             offered: sent,
@@ -259,12 +321,16 @@
 /// Opens a connection whose first call is answered, and starts its task.
 async fn open(manager: SocketAddr, tally: Arc<Tally>) -> Result<Connection, Failure> {
     let late = |_| Failure::Broken("a client connection was not answered in time".to_owned());
-    let stream = timeout(READY_WITHIN, TcpStream::connect(manager)).await.map_err(late)??;
+    let stream = timeout(READY_WITHIN, TcpStream::connect(manager))
+        .await
+        .map_err(late)??;
     stream.set_nodelay(true)?;
     let open = Arc::<AtomicUsize>::default();
     let mut session = Session::new(stream, open.clone(), tally);
     session.ask_health().await?;
-    timeout(READY_WITHIN, session.hear()).await.map_err(late)??;
+    timeout(READY_WITHIN, session.hear())
+        .await
+        .map_err(late)??;
     let (calls, called) = mpsc::unbounded_channel();
     tokio::spawn(session.run(called));
     Ok(Connection { calls, open })
@@ -288,7 +354,16 @@
     fn new(stream: TcpStream, open: Arc<AtomicUsize>, tally: Arc<Tally>) -> Session {
         let (written, health_asked) = Default::default();
         let (input, spoke) = (BytesMut::new(), Instant::now());
-        Session { stream, input, last: 0, spoke, written, health_asked, open, tally }
+        Session {
+            stream,
+            input,
+            last: 0,
+            spoke,
+            written,
+            health_asked,
+            open,
+            tally,
+        }
     }
 
     async fn run(mut self, mut called: mpsc::UnboundedReceiver<()>) {
@@ -311,7 +386,9 @@
         while called.recv().await.is_some() {
             self.tally.lost.fetch_add(1, Ordering::Relaxed);
         }
-        self.tally.lost.fetch_add(self.written.len() as u64, Ordering::Relaxed);
+        self.tally
+            .lost
+            .fetch_add(self.written.len() as u64, Ordering::Relaxed);
     }
 
     async fn ask(&mut self) -> Result<(), Failure> {
@@ -319,7 +396,10 @@
         static REFERENCE: AtomicU64 = AtomicU64::new(1);
         let number = REFERENCE.fetch_add(1, Ordering::Relaxed);
         let reference = format!("{number:016x}");
-        let statement = format!("SELECT a, b, c FROM sales_{}.orders WHERE a = 1", data_set(number));
+        let statement = format!(
+            "SELECT a, b, c FROM sales_{}.orders WHERE a = 1",
+            data_set(number)
+        );
         let mut fields = vec![("ref", reference.as_str())];
         fields.extend(FIELDS);
         self.last += 1;
@@ -339,7 +419,9 @@
     async fn write(&mut self, text: &[u8]) -> Result<(), Failure> {
         self.spoke = Instant::now();
         self.stream.write_all(text).await?;
-        self.tally.bytes_sent.fetch_add(text.len() as u64, Ordering::Relaxed);
+        self.tally
+            .bytes_sent
+            .fetch_add(text.len() as u64, Ordering::Relaxed);
         Ok(())
     }
 
@@ -347,9 +429,13 @@
     async fn hear(&mut self) -> Result<(), Failure> {
         let length = self.stream.read_buf(&mut self.input).await?;
         if length == 0 {
-            return Err(Failure::Broken("the manager closed a connection".to_owned()));
+            return Err(Failure::Broken(
+                "the manager closed a connection".to_owned(),
+            ));
         }
-        self.tally.bytes_received.fetch_add(length as u64, Ordering::Relaxed);
+        self.tally
+            .bytes_received
+            .fetch_add(length as u64, Ordering::Relaxed);
         loop {
             match messages::answer(&self.input) {
                 Ok((answer, length)) => {
@@ -366,7 +452,11 @@
 
     fn answered(&mut self, answer: messages::Answer) {
         let health = matches!(answer.verdict, Verdict::Health(_));
-        let asked = if health { &mut self.health_asked } else { &mut self.written };
+        let asked = if health {
+            &mut self.health_asked
+        } else {
+            &mut self.written
+        };
         match asked.remove(&answer.id) {
             Some(_) if health => _ = self.tally.health.fetch_add(1, Ordering::Relaxed),
             Some(written) => {
--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -71,12 +71,19 @@
 
 /// The list of so many ready engines that all listen at this port, each at an address of its own.
 pub fn listed(engines: usize, port: u16) -> Vec<Listed> {
-    (0..engines as u32).map(|place| engine(place, ListState::Ready, 0.0, port)).collect()
+    (0..engines as u32)
+        .map(|place| engine(place, ListState::Ready, 0.0, port))
+        .collect()
 }
 
 /// The event that holds this list.
 pub fn first_event(listed: &[Listed]) -> ListEvent {
-    ListEvent { number: FIRST_EVENT, kind: ListKind::Full, entries: listed.to_vec(), unusable: Vec::new() }
+    ListEvent {
+        number: FIRST_EVENT,
+        kind: ListKind::Full,
+        entries: listed.to_vec(),
+        unusable: Vec::new(),
+    }
 }
 
 /// The engine in this place. Ids start at 1, as the first address of a network may not be connected to.
--- a/benches/scale/cost.rs
+++ b/benches/scale/cost.rs
@@ -21,8 +21,16 @@
     empty_frames: u64,
 }
 
-const FULL: Effort = Effort { rounds: 5, changes: 100, empty_frames: 400 };
-const SMALL: Effort = Effort { rounds: 1, changes: 5, empty_frames: 5 };
+const FULL: Effort = Effort {
+    rounds: 5,
+    changes: 100,
+    empty_frames: 400,
+};
+const SMALL: Effort = Effort {
+    rounds: 1,
+    changes: 5,
+    empty_frames: 5,
+};
 
 #[derive(Serialize)]
 struct CostRow {
@@ -91,7 +99,11 @@
                 let points = points(&rows, figure);
                 let prediction = Prediction::write(
                     output,
-                    Figure { test: TEST, figure: name, over: "listed" },
+                    Figure {
+                        test: TEST,
+                        figure: name,
+                        over: "listed",
+                    },
                     &points,
                     listed as f64,
                 )?;
@@ -106,11 +118,15 @@
         rows.push(row);
     }
     let broken = || Failure::Broken("no line through the measured memory".to_owned());
-    Line::through(&points(&rows, |row| row.memory_bytes)).map(Memory).ok_or_else(broken)
+    Line::through(&points(&rows, |row| row.memory_bytes))
+        .map(Memory)
+        .ok_or_else(broken)
 }
 
 fn points(rows: &[CostRow], figure: Reading) -> Vec<Point> {
-    rows.iter().map(|row| (row.size.listed as f64, figure(row))).collect()
+    rows.iter()
+        .map(|row| (row.size.listed as f64, figure(row)))
+        .collect()
 }
 
 fn measure(options: &Options, listed: usize) -> Result<CostRow, Failure> {
@@ -145,8 +161,12 @@
 fn round(options: &Options, effort: &Effort, listed: usize) -> Result<Round, Failure> {
     let list = fleet::whole_list(1, listed);
     let feed = Feed::start(&list, BUSY_IDLE)?;
-    let plan =
-        Plan { instances: options.managers, memory_mb: options.memory_mb, feed: feed.address, ticks: false };
+    let plan = Plan {
+        instances: options.managers,
+        memory_mb: options.memory_mb,
+        feed: feed.address,
+        ticks: false,
+    };
     let crowd = Crowd::start(&plan, 1)?;
     let whole = crowd.gather(1)?[0];
     let before = crowd.usage()?;
@@ -174,7 +194,9 @@
     let (frames, before) = (feed.totals().frames, crowd.usage()?);
     while feed.totals().frames < frames + effort.empty_frames {
         if Instant::now() > until {
-            return Err(Failure::Broken("the feed does not write empty frames".to_owned()));
+            return Err(Failure::Broken(
+                "the feed does not write empty frames".to_owned(),
+            ));
         }
         std::thread::sleep(BUSY_IDLE);
     }
--- a/benches/scale/crowd.rs
+++ b/benches/scale/crowd.rs
@@ -45,19 +45,35 @@
         let began = Instant::now();
         let mut threads = Vec::new();
         for share in shares {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
             let (plan, tell) = (plan.clone(), tell.clone());
-            threads.push(std::thread::Builder::new().name("managers".to_owned()).spawn(move || {
-                runtime.block_on(async {
-                    let mut running = JoinSet::new();
-                    for (ordinal, orders) in share {
-                        running.spawn(Manager::run(plan.clone(), ordinal, tell.clone(), orders));
-                    }
-                    while running.join_next().await.is_some() {}
-                });
-            })?);
+            threads.push(
+                std::thread::Builder::new()
+                    .name("managers".to_owned())
+                    .spawn(move || {
+                        runtime.block_on(async {
+                            let mut running = JoinSet::new();
+                            for (ordinal, orders) in share {
+                                running.spawn(Manager::run(
+                                    plan.clone(),
+                                    ordinal,
+                                    tell.clone(),
+                                    orders,
+                                ));
+                            }
+                            while running.join_next().await.is_some() {}
+                        });
+                    })?,
+            );
         }
-        Ok(Crowd { orders: senders, news, threads, began })
+        Ok(Crowd {
+            orders: senders,
+            news,
+            threads,
+            began,
+        })
     }
 
     /// How many there are.
@@ -77,11 +93,20 @@
     pub fn serve(&self, requests: u32) -> Result<Service, Failure> {
         self.order(Order::Serve(requests));
         let all = self.collect(|news| match news {
-            News::Served { asked, asked_of_ended } => Some(Service { asked, asked_of_ended }),
+            News::Served {
+                asked,
+                asked_of_ended,
+            } => Some(Service {
+                asked,
+                asked_of_ended,
+            }),
             _ => None,
         })?;
         let sum = |of: fn(&Service) -> usize| all.iter().map(of).sum();
-        Ok(Service { asked: sum(|s| s.asked), asked_of_ended: sum(|s| s.asked_of_ended) })
+        Ok(Service {
+            asked: sum(|s| s.asked),
+            asked_of_ended: sum(|s| s.asked_of_ended),
+        })
     }
 
     /// Processor time of the thread of the first manager.
@@ -106,7 +131,13 @@
         let mut all = Vec::with_capacity(self.size());
         while all.len() < self.size() {
             let left = until.saturating_duration_since(Instant::now());
-            let late = |_| Failure::Broken(format!("{} of {} managers told in time", all.len(), self.size()));
+            let late = |_| {
+                Failure::Broken(format!(
+                    "{} of {} managers told in time",
+                    all.len(),
+                    self.size()
+                ))
+            };
             let news = self.news.recv_timeout(left).map_err(late)?;
             all.extend(wanted(news));
         }
--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -29,8 +29,18 @@
     longest: Duration,
 }
 
-const FULL: Effort = Effort { rounds: 5, warm_up: 500, requests: 4_000, longest: Duration::from_secs(15) };
-const SMALL: Effort = Effort { rounds: 1, warm_up: 50, requests: 500, longest: Duration::from_secs(15) };
+const FULL: Effort = Effort {
+    rounds: 5,
+    warm_up: 500,
+    requests: 4_000,
+    longest: Duration::from_secs(15),
+};
+const SMALL: Effort = Effort {
+    rounds: 1,
+    warm_up: 50,
+    requests: 500,
+    longest: Duration::from_secs(15),
+};
 
 #[derive(Serialize)]
 struct DecisionRow {
@@ -62,7 +72,11 @@
     let effort = if options.small { &SMALL } else { &FULL };
     let sizes = options.listed();
     let (mut requests, mut ticks): (Vec<Point>, Vec<Point>) = (Vec::new(), Vec::new());
-    let figure = |figure| Figure { test: TEST, figure, over: "listed" };
+    let figure = |figure| Figure {
+        test: TEST,
+        figure,
+        over: "listed",
+    };
     let mut predictions = None;
     for (at, listed) in sizes.iter().copied().enumerate() {
         let size = listed as f64;
@@ -134,7 +148,11 @@
         let mut figures: Vec<f64> = figures.map(rounded).collect();
         figures.sort_by(f64::total_cmp);
         let (least, most) = (figures[0], figures[figures.len() - 1]);
-        Spread { median: figures[figures.len() / 2], least, most }
+        Spread {
+            median: figures[figures.len() / 2],
+            least,
+            most,
+        }
     }
 }
 
@@ -174,10 +192,21 @@
 impl Rig {
     fn new(options: &Options, listed: usize, seed: u64) -> Rig {
         let parsed = fleet::settings(options.managers, 0);
-        let limits = Arc::new(Limits::new(fleet::SOCKETS, options.memory_mb, true, &parsed));
+        let limits = Arc::new(Limits::new(
+            fleet::SOCKETS,
+            options.memory_mb,
+            true,
+            &parsed,
+        ));
         let counters: Arc<Counters> = Arc::default();
         let engines = HollowEngines::default();
-        let made = Core::new(parsed.settings.clone(), seed, engines.clone(), limits, counters.clone());
+        let made = Core::new(
+            parsed.settings.clone(),
+            seed,
+            engines.clone(),
+            limits,
+            counters.clone(),
+        );
         let mut core = made.expect("settings that were parsed");
         core.begin(0.0);
         core.handle(0.0, Input::List(fleet::whole_list(1, listed)));
@@ -224,14 +253,23 @@
     fn request(&mut self) {
         let id = self.next_id;
         self.next_id += 1;
-        self.core.handle(self.now, statement(id, self.now, &self.parsed.classes[0], &self.client));
+        self.core.handle(
+            self.now,
+            statement(id, self.now, &self.parsed.classes[0], &self.client),
+        );
         self.collect();
     }
 
     /// Answers what has been in hand for the time that an engine takes.
     fn serve(&mut self) {
-        while self.in_hand.front().is_some_and(|oldest| oldest.sent + SERVED_AFTER_MS <= self.now) {
-            let Some(InHand { asked, .. }) = self.in_hand.pop_front() else { return };
+        while self
+            .in_hand
+            .front()
+            .is_some_and(|oldest| oldest.sent + SERVED_AFTER_MS <= self.now)
+        {
+            let Some(InHand { asked, .. }) = self.in_hand.pop_front() else {
+                return;
+            };
             self.core.handle(self.now, served(asked));
             self.collect();
         }
@@ -239,6 +277,11 @@
 
     fn collect(&mut self) {
         let sent = self.now;
-        self.in_hand.extend(self.engines.asked().into_iter().map(|asked| InHand { asked, sent }));
+        self.in_hand.extend(
+            self.engines
+                .asked()
+                .into_iter()
+                .map(|asked| InHand { asked, sent }),
+        );
     }
 }
--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -59,7 +59,9 @@
 impl Engines {
     /// Starts them in a thread of their own.
     pub fn start() -> Result<Engines, Failure> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let listener = {
             let _context = runtime.enter();
             listen()?
@@ -76,7 +78,11 @@
                 }
             });
         });
-        Ok(Engines { port, seen, _running: running })
+        Ok(Engines {
+            port,
+            seen,
+            _running: running,
+        })
     }
 
     /// What they have seen so far.
@@ -87,7 +93,12 @@
             statements: read(&self.seen.statements),
             received: read(&self.seen.received),
             sent: read(&self.seen.sent),
-            used: self.seen.used.lock().unwrap_or_else(PoisonError::into_inner).len(),
+            used: self
+                .seen
+                .used
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .len(),
         }
     }
 }
@@ -127,11 +138,15 @@
         if !matches!(read.read_line(&mut line).await, Ok(length) if length > 0) {
             return;
         }
-        seen.received.fetch_add(line.len() as u64, Ordering::Relaxed);
+        seen.received
+            .fetch_add(line.len() as u64, Ordering::Relaxed);
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
             ["ASK", name, _, length] => {
-                let Some(length) = length.parse().ok().filter(|length: &usize| *length < LONGEST_STATEMENT)
+                let Some(length) = length
+                    .parse()
+                    .ok()
+                    .filter(|length: &usize| *length < LONGEST_STATEMENT)
                 else {
                     return;
                 };
@@ -139,10 +154,14 @@
                 if read.read_exact(&mut statement).await.is_err() {
                     return;
                 }
-                seen.received.fetch_add(statement.len() as u64, Ordering::Relaxed);
+                seen.received
+                    .fetch_add(statement.len() as u64, Ordering::Relaxed);
                 seen.statements.fetch_add(1, Ordering::Relaxed);
                 if let Ok(engine) = engine {
-                    seen.used.lock().unwrap_or_else(PoisonError::into_inner).insert(engine);
+                    seen.used
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .insert(engine);
                 }
                 let (answers, text) = (answers.clone(), format!("{name}{SERVED}"));
                 tokio::spawn(async move {
@@ -158,7 +177,11 @@
     }
 }
 
-async fn answer(mut write: OwnedWriteHalf, mut answered: mpsc::UnboundedReceiver<String>, seen: Arc<Seen>) {
+async fn answer(
+    mut write: OwnedWriteHalf,
+    mut answered: mpsc::UnboundedReceiver<String>,
+    seen: Arc<Seen>,
+) {
     while let Some(text) = answered.recv().await {
         if write.write_all(text.as_bytes()).await.is_err() {
             return;
--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -40,7 +40,10 @@
         _ => KIND_WHOLE,
     };
     let mut payload = Vec::with_capacity(event.entries.len() * RECORD_BYTES);
-    event.entries.iter().for_each(|line| record(line, &mut payload));
+    event
+        .entries
+        .iter()
+        .for_each(|line| record(line, &mut payload));
     frame_of(event.number, kind, &payload)
 }
 
@@ -54,7 +57,9 @@
 }
 
 fn record(line: &Listed, into: &mut Vec<u8>) {
-    let SocketAddr::V4(address) = line.address else { return };
+    let SocketAddr::V4(address) = line.address else {
+        return;
+    };
     let entry = &line.entry;
     into.extend(entry.engine.addr);
     into.extend(address.ip().octets());
@@ -113,19 +118,33 @@
 
 impl Shared {
     fn totals(&self) -> Totals {
-        let Counted { connections, frames, bytes } = &self.counted;
+        let Counted {
+            connections,
+            frames,
+            bytes,
+        } = &self.counted;
         let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Totals { connections: get(connections), frames: get(frames), bytes: get(bytes) }
+        Totals {
+            connections: get(connections),
+            frames: get(frames),
+            bytes: get(bytes),
+        }
     }
 
     fn wrote(&self, bytes: usize) {
         self.counted.frames.fetch_add(1, Ordering::Relaxed);
-        self.counted.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.counted
+            .bytes
+            .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// The frames behind the first `told` ones.
     fn since(&self, told: usize) -> Vec<Bytes> {
-        lock(&self.log).iter().skip(told).map(|(_, frame)| frame.clone()).collect()
+        lock(&self.log)
+            .iter()
+            .skip(told)
+            .map(|(_, frame)| frame.clone())
+            .collect()
     }
 }
 
@@ -153,19 +172,29 @@
         let (settle, settled) = mpsc::channel();
         let (bound, address) = mpsc::channel();
         let serving = shared.clone();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let thread = std::thread::Builder::new().name("feed".to_owned()).spawn(move || {
-            runtime.block_on(async {
-                let sampler = tokio::spawn(sample(serving.clone()));
-                if let Err(e) = serve(serving, present, bound, settle).await {
-                    eprintln!("scale: feed: {e}");
-                }
-                sampler.abort();
-            });
-        })?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let thread = std::thread::Builder::new()
+            .name("feed".to_owned())
+            .spawn(move || {
+                runtime.block_on(async {
+                    let sampler = tokio::spawn(sample(serving.clone()));
+                    if let Err(e) = serve(serving, present, bound, settle).await {
+                        eprintln!("scale: feed: {e}");
+                    }
+                    sampler.abort();
+                });
+            })?;
         let gone = |_| Failure::Broken("the feed did not start".to_owned());
         let address = address.recv().map_err(gone)?;
-        Ok(Feed { address, shared, presence, settled, thread: Some(thread) })
+        Ok(Feed {
+            address,
+            shared,
+            presence,
+            settled,
+            thread: Some(thread),
+        })
     }
 
     /// Tells one more event to whoever follows, now or later; returns when it was told.
@@ -192,7 +221,11 @@
         self.presence.send_replace(presence);
         let settled = self.settled.recv_timeout(PATIENCE);
         let broken = || Failure::Broken(format!("the feed did not become {presence:?}"));
-        settled.ok().filter(|now| *now == presence).map(|_| ()).ok_or_else(broken)
+        settled
+            .ok()
+            .filter(|now| *now == presence)
+            .map(|_| ())
+            .ok_or_else(broken)
     }
 
     /// What it has done so far.
@@ -258,7 +291,11 @@
         if now == Presence::Ended {
             return Ok(());
         }
-        let Ok(back) = presence.wait_for(|now| *now != Presence::Away).await.map(|now| *now) else {
+        let Ok(back) = presence
+            .wait_for(|now| *now != Presence::Away)
+            .await
+            .map(|now| *now)
+        else {
             return Ok(());
         };
         if back == Presence::Ended {
--- a/benches/scale/fit.rs
+++ b/benches/scale/fit.rs
@@ -21,11 +21,19 @@
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_figure = points.iter().map(|(_, figure)| figure).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(size, _)| (size - mean_size).powi(2)).sum();
-        let along: f64 =
-            points.iter().map(|(size, figure)| (size - mean_size) * (figure - mean_figure)).sum();
+        let spread: f64 = points
+            .iter()
+            .map(|(size, _)| (size - mean_size).powi(2))
+            .sum();
+        let along: f64 = points
+            .iter()
+            .map(|(size, figure)| (size - mean_size) * (figure - mean_figure))
+            .sum();
         let slope = (points.len() >= 2 && spread > 0.0).then(|| along / spread)?;
-        Some(Line { intercept: mean_figure - slope * mean_size, slope })
+        Some(Line {
+            intercept: mean_figure - slope * mean_size,
+            slope,
+        })
     }
 
     /// The figure at a size.
@@ -92,15 +100,33 @@
         let broken = || Failure::Broken(format!("no line through the points of {figure:?}"));
         let line = Line::through(points).ok_or_else(broken)?;
         let (slope, intercept) = (line.slope, rounded(line.intercept));
-        output.row(&FitRow { kind: Kind::Fit, figure, points: points.len(), slope, intercept })?;
-        let prediction = Prediction { figure, size, predicted: rounded(line.at(size)) };
-        output.row(&PredictionRow { kind: Kind::Prediction, prediction })?;
+        output.row(&FitRow {
+            kind: Kind::Fit,
+            figure,
+            points: points.len(),
+            slope,
+            intercept,
+        })?;
+        let prediction = Prediction {
+            figure,
+            size,
+            predicted: rounded(line.at(size)),
+        };
+        output.row(&PredictionRow {
+            kind: Kind::Prediction,
+            prediction,
+        })?;
         Ok(prediction)
     }
 
     /// Writes the prediction beside the measurement, and its error.
     pub fn check(&self, output: &mut Output, measured: f64) -> Result<(), Failure> {
         let error_percent = rounded((self.predicted - measured) / measured * 100.0);
-        output.row(&ErrorRow { kind: Kind::Error, prediction: *self, measured, error_percent })
+        output.row(&ErrorRow {
+            kind: Kind::Error,
+            prediction: *self,
+            measured,
+            error_percent,
+        })
     }
 }
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -49,7 +49,8 @@
 
 /// The settings of one manager.
 pub fn settings(managers: u32, ordinal: u32) -> Parsed {
-    settings::parse(settings_text(managers, ordinal).as_bytes()).expect("settings of the scale tests")
+    settings::parse(settings_text(managers, ordinal).as_bytes())
+        .expect("settings of the scale tests")
 }
 
 /// An engine of the list; each has an address of its own.
@@ -65,13 +66,23 @@
         started_ms,
         holders: None,
     };
-    Listed { entry, address: address([127, middle, low, last], ENGINE_PORT + u16::from(high)) }
+    Listed {
+        entry,
+        address: address([127, middle, low, last], ENGINE_PORT + u16::from(high)),
+    }
 }
 
 /// The whole list of so many engines, long started and ready.
 pub fn whole_list(number: u64, engines: usize) -> ListEvent {
-    let entries = (0..engines as u32).map(|id| engine(id, ListState::Ready, 0.0)).collect();
-    ListEvent { number, kind: ListKind::Full, entries, unusable: Vec::new() }
+    let entries = (0..engines as u32)
+        .map(|id| engine(id, ListState::Ready, 0.0))
+        .collect();
+    ListEvent {
+        number,
+        kind: ListKind::Full,
+        entries,
+        unusable: Vec::new(),
+    }
 }
 
 /// Managers of one zone, which a zone's loss starts elsewhere at once.
@@ -79,6 +90,14 @@
 
 /// A change: this engine is gone, and its successor, started now, is ready in its place.
 pub fn replacement(number: u64, gone: u32, successor: u32, started_ms: f64) -> ListEvent {
-    let entries = vec![engine(gone, ListState::Gone, 0.0), engine(successor, ListState::Ready, started_ms)];
-    ListEvent { number, kind: ListKind::Delta, entries, unusable: Vec::new() }
+    let entries = vec![
+        engine(gone, ListState::Gone, 0.0),
+        engine(successor, ListState::Ready, started_ms),
+    ];
+    ListEvent {
+        number,
+        kind: ListKind::Delta,
+        entries,
+        unusable: Vec::new(),
+    }
 }
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -7,8 +7,8 @@
 use magpiechute::attempts::Front;
 use magpiechute::config::{ListEvent, Listed};
 use magpiechute::core::{
-    Answer, Ask, Body, ClientPort, Clock, Core, EngineNews, EnginePort, Form, Handle, Input, Inputs, Kind,
-    Taken,
+    Answer, Ask, Body, ClientPort, Clock, Core, EngineNews, EnginePort, Form, Handle, Input,
+    Inputs, Kind, Taken,
 };
 use magpiechute::counters::Counters;
 use magpiechute::limits::Limits;
@@ -71,7 +71,11 @@
     fn ask(&mut self, engine: EngineId, ask: Ask) -> bool {
         let mut port = self.port();
         port.asked_of_ended += usize::from(port.ended.contains(&engine));
-        port.asked.push(Asked { engine, id: ask.id, attempt: ask.attempt });
+        port.asked.push(Asked {
+            engine,
+            id: ask.id,
+            attempt: ask.attempt,
+        });
         true
     }
     fn quit(&mut self, _: EngineId, _: RequestId, _: u16, _: bool) {}
@@ -103,7 +107,12 @@
 }
 
 /// A statement of this class.
-pub fn statement(id: RequestId, now: Millis, class: &Arc<Named>, client: &Arc<dyn ClientPort>) -> Input {
+pub fn statement(
+    id: RequestId,
+    now: Millis,
+    class: &Arc<Named>,
+    client: &Arc<dyn ClientPort>,
+) -> Input {
     Input::Take(Taken {
         id,
         name: id.to_be_bytes().to_vec().into(),
@@ -123,12 +132,33 @@
 }
 
 /// The good end of an attempt, with the load report of its engine.
-pub fn served(Asked { engine, id, attempt }: Asked) -> Input {
-    let report = LoadReport { inflight: Some(OTHERS_IN_HAND), busy: Some(BUSY), ..LoadReport::default() };
+pub fn served(
+    Asked {
+        engine,
+        id,
+        attempt,
+    }: Asked,
+) -> Input {
+    let report = LoadReport {
+        inflight: Some(OTHERS_IN_HAND),
+        busy: Some(BUSY),
+        ..LoadReport::default()
+    };
     let body = Some(Body::whole(Form::Text, Vec::new()));
     let (billed_ms, billed_mb) = (Some(WORK_MS), None);
-    let news = EngineNews::Ended { outcome: Outcome::Ok, billed_ms, billed_mb, body };
-    Input::Engine { engine, id, attempt, report, news }
+    let news = EngineNews::Ended {
+        outcome: Outcome::Ok,
+        billed_ms,
+        billed_mb,
+        body,
+    };
+    Input::Engine {
+        engine,
+        id,
+        attempt,
+        report,
+        news,
+    }
 }
 
 /// What a hollow manager is made of.
@@ -198,7 +228,10 @@
 impl TakenUp {
     /// Of this core, which counts here.
     pub fn of(core: &Core<HollowEngines>, counters: &Counters) -> TakenUp {
-        TakenUp { known: counters.engines.get() as usize, heard: core.held().1[3] }
+        TakenUp {
+            known: counters.engines.get() as usize,
+            heard: core.held().1[3],
+        }
     }
 }
 
@@ -250,7 +283,13 @@
     ) -> Manager {
         let engines = HollowEngines::default();
         let (settings, seed) = (parsed.settings.clone(), u64::from(ordinal));
-        let core = Core::new(settings, seed, engines.clone(), limits.clone(), counters.clone());
+        let core = Core::new(
+            settings,
+            seed,
+            engines.clone(),
+            limits.clone(),
+            counters.clone(),
+        );
         Manager {
             core: core.expect("settings that were parsed"),
             engines,
@@ -271,7 +310,10 @@
         }
         loop {
             let now = self.clock.now();
-            let due = self.core.next_alarm().map_or(NO_ALARM_MS, |at| (at - now).max(0.0));
+            let due = self
+                .core
+                .next_alarm()
+                .map_or(NO_ALARM_MS, |at| (at - now).max(0.0));
             tokio::select! {
                 biased;
                 order = orders.recv() => match order {
@@ -290,14 +332,19 @@
     }
 
     fn take(&mut self, input: Input) {
-        let Input::List(event) = input else { return self.core.handle(self.clock.now(), input) };
+        let Input::List(event) = input else {
+            return self.core.handle(self.clock.now(), input);
+        };
         let (number, changes) = (event.number, changes(&event));
         self.engines.port().ready.clear();
         self.core.handle(self.clock.now(), Input::List(event));
         let at = Instant::now();
         let port = self.engines.port();
         let in_force = |of: &BTreeSet<EngineId>, state: ListState| {
-            changes.iter().filter(|(engine, told)| *told == state && of.contains(engine)).count()
+            changes
+                .iter()
+                .filter(|(engine, told)| *told == state && of.contains(engine))
+                .count()
         };
         let sighting = Sighting {
             number,
@@ -323,20 +370,28 @@
         for _ in 0..requests {
             let (id, now) = (self.next_id, self.clock.now());
             self.next_id += 1;
-            self.core.handle(now, statement(id, now, &self.class, &self.client));
+            self.core
+                .handle(now, statement(id, now, &self.class, &self.client));
             for asked in self.engines.asked() {
                 all += 1;
                 self.core.handle(now, served(asked));
             }
         }
-        News::Served { asked: all, asked_of_ended: self.engines.port().asked_of_ended }
+        News::Served {
+            asked: all,
+            asked_of_ended: self.engines.port().asked_of_ended,
+        }
     }
 }
 
 /// The engines that a change names; none of a whole list, which names all.
 fn changes(event: &ListEvent) -> Vec<(EngineId, ListState)> {
     match event.kind {
-        ListKind::Delta => event.entries.iter().map(|l| (l.entry.engine, l.entry.state)).collect(),
+        ListKind::Delta => event
+            .entries
+            .iter()
+            .map(|l| (l.entry.engine, l.entry.state))
+            .collect(),
         _ => Vec::new(),
     }
 }
--- a/benches/scale/load.rs
+++ b/benches/scale/load.rs
@@ -44,7 +44,13 @@
 
     /// How many times each figure is the other's; 0 where that is 0.
     fn against(&self, other: &Stretch) -> Stretch {
-        let times = |of: f64, other: f64| if other > 0.0 { rounded(of / other) } else { 0.0 };
+        let times = |of: f64, other: f64| {
+            if other > 0.0 {
+                rounded(of / other)
+            } else {
+                0.0
+            }
+        };
         Stretch {
             connections: times(self.connections, other.connections),
             bytes: times(self.bytes, other.bytes),
@@ -72,7 +78,11 @@
 
 impl Load {
     fn new(mean: Stretch, worst: Stretch) -> Load {
-        Load { mean, worst, worst_to_mean: worst.against(&mean) }
+        Load {
+            mean,
+            worst,
+            worst_to_mean: worst.against(&mean),
+        }
     }
 
     /// Its worst stretch against the mean of another time.
@@ -88,7 +98,11 @@
 impl Timeline {
     /// Samples now, on the thread whose processor time counts.
     pub fn see(&mut self, totals: Totals) {
-        self.0.push(Sample { at: Instant::now(), totals, processor: usage::thread_time() });
+        self.0.push(Sample {
+            at: Instant::now(),
+            totals,
+            processor: usage::thread_time(),
+        });
     }
 
     /// Whether a sample is this late.
@@ -98,12 +112,17 @@
 
     /// Processor time by the last sample.
     pub fn processor(&self) -> Duration {
-        self.0.last().map_or(Duration::ZERO, |sample| sample.processor)
+        self.0
+            .last()
+            .map_or(Duration::ZERO, |sample| sample.processor)
     }
 
     /// The load from the last sample before `from` to the first one after `until`; none where there are no two samples.
     pub fn load(&self, from: Instant, until: Instant) -> Option<Load> {
-        let first = self.0.partition_point(|sample| sample.at <= from).saturating_sub(1);
+        let first = self
+            .0
+            .partition_point(|sample| sample.at <= from)
+            .saturating_sub(1);
         let end = (self.0.partition_point(|sample| sample.at < until) + 1).min(self.0.len());
         let samples = self.0.get(first..end)?;
         let (oldest, newest) = (samples.first()?, samples.last()?);
@@ -112,7 +131,9 @@
         }
         let mut worst = Stretch::default();
         for (at, start) in samples.iter().enumerate() {
-            let later = samples[at..].iter().find(|sample| sample.at - start.at >= STRETCH);
+            let later = samples[at..]
+                .iter()
+                .find(|sample| sample.at - start.at >= STRETCH);
             let Some(later) = later else { break };
             worst = worst.or(Stretch::between(start, later));
         }
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -108,7 +108,11 @@
 
     /// Hollow managers that one process holds at most.
     pub fn most_managers(&self) -> usize {
-        if self.small { fleet::HOLLOW_SMALL } else { fleet::HOLLOW }
+        if self.small {
+            fleet::HOLLOW_SMALL
+        } else {
+            fleet::HOLLOW
+        }
     }
 
     fn runs(&self, test: Test) -> bool {
@@ -140,8 +144,12 @@
 }
 
 fn main() -> ExitCode {
-    let options = Options { program: std::env::current_exe().ok(), ..Options::parse() };
-    let done = Output::new(options.out.as_deref()).and_then(|mut output| run(&options, &mut output));
+    let options = Options {
+        program: std::env::current_exe().ok(),
+        ..Options::parse()
+    };
+    let done =
+        Output::new(options.out.as_deref()).and_then(|mut output| run(&options, &mut output));
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -10,8 +10,8 @@
 use super::fit::{Figure, Point, Prediction};
 use super::fleet;
 use super::manager_rows::{
-    ConnectionsRow, ControlRow, Cost, Deployment, Measured, Phase, Round, Rounds, Seen, StatementsRow,
-    SummaryRow, megabytes,
+    ConnectionsRow, ControlRow, Cost, Deployment, Measured, Phase, Round, Rounds, Seen,
+    StatementsRow, SummaryRow, megabytes,
 };
 use super::process::Manager;
 use super::row::{Failure, Output};
@@ -79,22 +79,35 @@
 const SMALL: Effort = Effort {
     rest: Duration::from_millis(100),
     churn: Duration::from_millis(200),
-    replaced: Some(churn::Rate { interval: Duration::from_millis(100), most: Some(3) }),
+    replaced: Some(churn::Rate {
+        interval: Duration::from_millis(100),
+        most: Some(3),
+    }),
     saturated: None,
     round: Duration::from_millis(100),
     rounds_at: &[8],
     connections: &[8],
     settled: Duration::from_millis(10),
 };
-const SMALL_LARGEST: Effort = Effort { rounds_at: &[2, 8], connections: &[2, 4, 6, 8], ..SMALL };
+const SMALL_LARGEST: Effort = Effort {
+    rounds_at: &[2, 8],
+    connections: &[2, 4, 6, 8],
+    ..SMALL
+};
 /// What a core is taken to give in the small case, where it is not found out.
 const SMALL_RATE: f64 = 200.0;
 
 /// Plays all sizes but the largest, predicts that one once it is known how many engines it takes up, and plays it.
 pub fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
     let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
-    let Some((largest, smaller)) = sizes.split_last() else { return Ok(()) };
-    let (of_smaller, of_largest) = if options.small { (SMALL, SMALL_LARGEST) } else { (SMALLER, LARGEST) };
+    let Some((largest, smaller)) = sizes.split_last() else {
+        return Ok(());
+    };
+    let (of_smaller, of_largest) = if options.small {
+        (SMALL, SMALL_LARGEST)
+    } else {
+        (SMALLER, LARGEST)
+    };
     let mut rows = Vec::new();
     for listed in smaller {
         rows.push(Scene::start(options, *listed, of_smaller)?.play(output)?);
@@ -125,9 +138,19 @@
 ) -> Result<Vec<(Reading, Prediction)>, Failure> {
     let mut predictions = Vec::new();
     for (figure, reading) in FIGURES {
-        let points: Vec<Point> = rows.iter().map(|row| (row.known() as f64, reading(row))).collect();
-        let figure = Figure { test: TEST, figure, over: "known" };
-        predictions.push((reading, Prediction::write(output, figure, &points, known as f64)?));
+        let points: Vec<Point> = rows
+            .iter()
+            .map(|row| (row.known() as f64, reading(row)))
+            .collect();
+        let figure = Figure {
+            test: TEST,
+            figure,
+            over: "known",
+        };
+        predictions.push((
+            reading,
+            Prediction::write(output, figure, &points, known as f64)?,
+        ));
     }
     Ok(predictions)
 }
@@ -172,10 +195,19 @@
             memory_mb: options.memory_mb,
         };
         if deployment.known + deployment.waiting != listed as u64 {
-            return Err(Failure::Broken(format!("{TEST}: of {listed} engines it knows {deployment:?}")));
+            return Err(Failure::Broken(format!(
+                "{TEST}: of {listed} engines it knows {deployment:?}"
+            )));
         }
         let feed = Arc::new(Mutex::new(feed));
-        Ok(Scene { manager, feed, engines, list, deployment, effort })
+        Ok(Scene {
+            manager,
+            feed,
+            engines,
+            list,
+            deployment,
+            effort,
+        })
     }
 
     /// All phases, those of control first.
@@ -200,7 +232,11 @@
         phase: Phase,
         churn: Option<(&Churn, churn::Rate)>,
     ) -> Result<ControlRow, Failure> {
-        let lasts = if churn.is_some() { self.effort.churn } else { self.effort.rest };
+        let lasts = if churn.is_some() {
+            self.effort.churn
+        } else {
+            self.effort.rest
+        };
         let replaced_a_day = churn.map_or(0.0, |(_, rate)| rate.replaced_a_day());
         let ((), cost) = self.measured(churn.map(|(churn, _)| churn), || {
             thread::sleep(lasts);
@@ -215,7 +251,9 @@
     /// Memory by idle connections; fitted on all numbers but the largest.
     fn connections(&self, output: &mut Output) -> Result<(), Failure> {
         let before = self.manager.memory()?.resident;
-        let Some((largest, smaller)) = self.effort.connections.split_last() else { return Ok(()) };
+        let Some((largest, smaller)) = self.effort.connections.split_last() else {
+            return Ok(());
+        };
         let mut points: Vec<Point> = Vec::new();
         for connections in smaller {
             points.push(self.idle_connections(output, *connections, before)?);
@@ -223,7 +261,11 @@
         let prediction = match points.len() {
             0 => None,
             _ => {
-                let figure = Figure { test: TEST, figure: "mb_with_clients", over: "connections" };
+                let figure = Figure {
+                    test: TEST,
+                    figure: "mb_with_clients",
+                    over: "connections",
+                };
                 Some(Prediction::write(output, figure, &points, *largest as f64)?)
             }
         };
@@ -231,12 +273,22 @@
         prediction.map_or(Ok(()), |prediction| prediction.check(output, measured))
     }
 
-    fn idle_connections(&self, output: &mut Output, count: usize, before: u64) -> Result<Point, Failure> {
+    fn idle_connections(
+        &self,
+        output: &mut Output,
+        count: usize,
+        before: u64,
+    ) -> Result<Point, Failure> {
         let clients = Clients::connect(self.manager.listen, count)?;
-        self.manager.await_counter("client_conns_open", count as u64)?;
+        self.manager
+            .await_counter("client_conns_open", count as u64)?;
         thread::sleep(self.effort.settled);
         let resident = self.manager.memory()?.resident;
-        output.row(&ConnectionsRow::new(&self.deployment, count, (before, resident)))?;
+        output.row(&ConnectionsRow::new(
+            &self.deployment,
+            count,
+            (before, resident),
+        ))?;
         drop(clients);
         self.manager.await_counter("client_conns_open", 0)?;
         Ok((count as f64, megabytes(resident)))
@@ -252,8 +304,14 @@
             };
             for part in RATES {
                 let (rate, lasts) = (part * most, self.effort.round);
-                let of = Round { phase: Phase::Statements, connections: *connections, rate };
-                let row = self.round(output, churn, of, control, |clients| clients.offer(rate, lasts))?;
+                let of = Round {
+                    phase: Phase::Statements,
+                    connections: *connections,
+                    rate,
+                };
+                let row = self.round(output, churn, of, control, |clients| {
+                    clients.offer(rate, lasts)
+                })?;
                 usual = if part == USUAL_RATE { Some(row) } else { usual };
             }
         }
@@ -270,10 +328,18 @@
         control: f64,
         row: &mut Option<StatementsRow>,
     ) -> Result<f64, Failure> {
-        let Some(lasts) = self.effort.saturated else { return Ok(SMALL_RATE) };
-        let of = Round { phase: Phase::Saturated, connections, rate: fleet::STATEMENTS };
+        let Some(lasts) = self.effort.saturated else {
+            return Ok(SMALL_RATE);
+        };
+        let of = Round {
+            phase: Phase::Saturated,
+            connections,
+            rate: fleet::STATEMENTS,
+        };
         let keep_open = |clients: &mut Clients| clients.keep_open(OPEN_AT_ONCE, lasts);
-        Ok(most(row.insert(self.round(output, churn, of, control, keep_open)?)))
+        Ok(most(row.insert(
+            self.round(output, churn, of, control, keep_open)?,
+        )))
     }
 
     /// One round of statements, over connections of its own.
@@ -286,7 +352,8 @@
         offer: impl FnOnce(&mut Clients) -> Result<Offered, Failure>,
     ) -> Result<StatementsRow, Failure> {
         let mut clients = Clients::connect(self.manager.listen, of.connections)?;
-        self.manager.await_counter("client_conns_open", of.connections as u64)?;
+        self.manager
+            .await_counter("client_conns_open", of.connections as u64)?;
         self.manager.reset_peak()?;
         let (engines, taken) = (self.engines.totals(), self.taken()?);
         let (offered, cost) = self.measured(Some(churn), || offer(&mut clients))?;
@@ -305,12 +372,19 @@
             resident: memory.resident,
             peak: memory.peak,
         };
-        let measured = Measured { taken, offered, cost, seen };
+        let measured = Measured {
+            taken,
+            offered,
+            cost,
+            seen,
+        };
         let row = StatementsRow::new(&self.deployment, of, measured, control);
         output.row(&row)?;
         match row.offered.stray {
             0 => Ok(row),
-            stray => Err(Failure::Broken(format!("{TEST}: {stray} answers to what was not asked, or again"))),
+            stray => Err(Failure::Broken(format!(
+                "{TEST}: {stray} answers to what was not asked, or again"
+            ))),
         }
     }
 
@@ -339,18 +413,28 @@
     }
 
     fn fed(&self) -> Totals {
-        self.feed.lock().unwrap_or_else(PoisonError::into_inner).totals()
+        self.feed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .totals()
     }
 
     fn taken(&self) -> Result<u64, Failure> {
-        Ok(self.manager.counters()?.get("taken").copied().unwrap_or_default())
+        Ok(self
+            .manager
+            .counters()?
+            .get("taken")
+            .copied()
+            .unwrap_or_default())
     }
 
     /// Every event was applied once, and as many engines are listed as at the start.
     fn check_list(&self, events: u64) -> Result<(), Failure> {
         self.manager.await_counter("feed_events", events)?;
-        self.manager.await_counter("engines", self.deployment.known)?;
-        self.manager.await_counter("engines_waiting", self.deployment.waiting)?;
+        self.manager
+            .await_counter("engines", self.deployment.known)?;
+        self.manager
+            .await_counter("engines_waiting", self.deployment.waiting)?;
         Ok(())
     }
 }
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -268,8 +268,17 @@
     /// What a round comes to, where control alone takes this share of a core.
     pub fn new(
         deployment: &Deployment,
-        Round { phase, connections, rate }: Round,
-        Measured { taken, offered, cost, seen }: Measured,
+        Round {
+            phase,
+            connections,
+            rate,
+        }: Round,
+        Measured {
+            taken,
+            offered,
+            cost,
+            seen,
+        }: Measured,
         control_core: f64,
     ) -> StatementsRow {
         let control = control_core * cost.lasted.as_secs_f64();
--- a/benches/scale/memory.rs
+++ b/benches/scale/memory.rs
@@ -27,13 +27,22 @@
 /// Resident bytes of a manager with a list of this size, from several together, and the most of one alone. Each is
 /// measured in a process of its own where the options name the program.
 pub fn of(options: &Options, listed: usize) -> Result<Held, Failure> {
-    let together = measured(options, listed, ENTRIES.div_ceil(listed).min(options.most_managers()))?;
+    let together = measured(
+        options,
+        listed,
+        ENTRIES.div_ceil(listed).min(options.most_managers()),
+    )?;
     let alone = measured(options, listed, 1)?;
-    Ok(Held { peak_bytes: alone.peak_bytes, ..together })
+    Ok(Held {
+        peak_bytes: alone.peak_bytes,
+        ..together
+    })
 }
 
 fn measured(options: &Options, listed: usize, managers: usize) -> Result<Held, Failure> {
-    let Some(program) = &options.program else { return here(options, listed, managers) };
+    let Some(program) = &options.program else {
+        return here(options, listed, managers);
+    };
     let child = Command::new(program)
         .args(["--memory-of", &listed.to_string()])
         .args(["--memory-managers", &managers.to_string()])
@@ -49,13 +58,21 @@
     let list = fleet::whole_list(1, listed);
     let feed = Feed::start(&list, IDLE)?;
     drop(list);
-    let plan =
-        Plan { instances: options.managers, memory_mb: options.memory_mb, feed: feed.address, ticks: false };
+    let plan = Plan {
+        instances: options.managers,
+        memory_mb: options.memory_mb,
+        feed: feed.address,
+        ticks: false,
+    };
     let before = usage::resident_bytes()?;
     let crowd = Crowd::start(&plan, managers)?;
     crowd.gather(1)?;
     let each = |bytes: usize| bytes.saturating_sub(before) as f64 / managers as f64;
-    Ok(Held { managers, bytes: each(usage::resident_bytes()?), peak_bytes: each(usage::peak_bytes()?) })
+    Ok(Held {
+        managers,
+        bytes: each(usage::resident_bytes()?),
+        peak_bytes: each(usage::peak_bytes()?),
+    })
 }
 
 /// What the process of its own does: one line, for its parent.
--- a/benches/scale/messages.rs
+++ b/benches/scale/messages.rs
@@ -66,7 +66,10 @@
 /// The first answer of these bytes and its length.
 pub fn answer(bytes: &[u8]) -> Result<(Answer, usize), Unread> {
     let mut at = Cursor::new(bytes);
-    let head = (whole(decode::read_array_len(&mut at))?, whole(decode::read_int::<u8, _>(&mut at))?);
+    let head = (
+        whole(decode::read_array_len(&mut at))?,
+        whole(decode::read_int::<u8, _>(&mut at))?,
+    );
     if head != (4, ANSWER) {
         return Err(Unread::Malformed);
     }
@@ -78,7 +81,11 @@
         result(&mut at)?
     } else {
         whole(decode::read_array_len(&mut at))?;
-        if text(&mut at)? == b"Overloaded" { Verdict::Refused } else { Verdict::Failed }
+        if text(&mut at)? == b"Overloaded" {
+            Verdict::Refused
+        } else {
+            Verdict::Failed
+        }
     };
     for _ in 0..whole(decode::read_map_len(&mut at))? {
         text(&mut at)?;
@@ -117,12 +124,21 @@
 }
 
 fn next(at: &Cursor<&[u8]>) -> Result<u8, Unread> {
-    at.get_ref().get(at.position() as usize).copied().ok_or(Unread::Partial)
+    at.get_ref()
+        .get(at.position() as usize)
+        .copied()
+        .ok_or(Unread::Partial)
 }
 
 /// Tells input that ends early from input of another form.
 fn whole<T, E: Ended>(read: Result<T, E>) -> Result<T, Unread> {
-    read.map_err(|error| if error.ended() { Unread::Partial } else { Unread::Malformed })
+    read.map_err(|error| {
+        if error.ended() {
+            Unread::Partial
+        } else {
+            Unread::Malformed
+        }
+    })
 }
 
 /// An error of decoding that may be the end of the input.
--- a/benches/scale/process.rs
+++ b/benches/scale/process.rs
@@ -79,7 +79,8 @@
 impl Manager {
     /// Starts the program with this configuration, and returns once it serves.
     pub fn start(name: &str, configuration: &str) -> Result<Manager, ProcessError> {
-        let folder = std::env::temp_dir().join(format!("magpiechute-scale-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("magpiechute-scale-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| ProcessError::Io("create a folder", e))?;
         write_configuration(&folder, configuration)?;
         let mut child = Command::new(PROGRAM)
@@ -105,14 +106,23 @@
             None => mpsc::channel().1,
         };
         let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut manager = Manager { child, watchdog, folder, lines, listen: unknown };
+        let mut manager = Manager {
+            child,
+            watchdog,
+            folder,
+            lines,
+            listen: unknown,
+        };
         manager.listen = manager.await_serving()?;
         Ok(manager)
     }
 
     fn await_serving(&self) -> Result<SocketAddr, ProcessError> {
         let line = self.await_line("serves", |line| line.contains(SERVES))?;
-        let address = line.split(SERVES).nth(1).and_then(|rest| rest.split([',', ' ']).next());
+        let address = line
+            .split(SERVES)
+            .nth(1)
+            .and_then(|rest| rest.split([',', ' ']).next());
         let address = address.and_then(|text| text.parse().ok());
         address.ok_or(ProcessError::Silent("the address that it serves on"))
     }
@@ -126,8 +136,9 @@
     pub fn reload(&self) -> Result<Duration, ProcessError> {
         let begun = Instant::now();
         self.signal("HUP")?;
-        let over =
-            |line: &str| line.contains("follows the control feed") || line.contains("goes on with the old");
+        let over = |line: &str| {
+            line.contains("follows the control feed") || line.contains("goes on with the old")
+        };
         self.await_line("a reload's end", over)?;
         Ok(begun.elapsed())
     }
@@ -135,14 +146,20 @@
     /// Its counters, as SIGUSR1 prints them.
     pub fn counters(&self) -> Result<HashMap<String, u64>, ProcessError> {
         let line = self.print_counters()?;
-        let pairs = line[COUNTERS.len()..].split_whitespace().filter_map(|word| word.split_once('='));
-        Ok(pairs.filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?))).collect())
+        let pairs = line[COUNTERS.len()..]
+            .split_whitespace()
+            .filter_map(|word| word.split_once('='));
+        Ok(pairs
+            .filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?)))
+            .collect())
     }
 
     /// Whether its counters name this class of requests.
     pub fn knows_class(&self, name: &str) -> Result<bool, ProcessError> {
         let line = self.print_counters()?;
-        Ok(line.split_whitespace().any(|word| word.starts_with(&format!("{name}=passed:"))))
+        Ok(line
+            .split_whitespace()
+            .any(|word| word.starts_with(&format!("{name}=passed:"))))
     }
 
     fn print_counters(&self) -> Result<String, ProcessError> {
@@ -172,7 +189,8 @@
 
     /// Time so far in which its threads could run and had no processor; zero where the kernel keeps no such figure.
     pub fn waited(&self) -> Duration {
-        self.scheduled().map_or(Duration::ZERO, |(_, waited)| waited)
+        self.scheduled()
+            .map_or(Duration::ZERO, |(_, waited)| waited)
     }
 
     /// The scheduler's figures, to the nanosecond: time on a processor, and time in wait of one.
@@ -193,8 +211,12 @@
         let text = self.read("stat")?;
         // The name of the program stands in parentheses and may hold spaces.
         let fields = text.rsplit(')').next().unwrap_or_default();
-        let ticks: Vec<f64> =
-            fields.split_whitespace().skip(11).take(2).filter_map(|f| f.parse().ok()).collect();
+        let ticks: Vec<f64> = fields
+            .split_whitespace()
+            .skip(11)
+            .take(2)
+            .filter_map(|f| f.parse().ok())
+            .collect();
         match ticks[..] {
             [user, system] => Ok(Duration::from_secs_f64((user + system) / TICKS_PER_SECOND)),
             _ => Err(ProcessError::NoFigure("processor time")),
@@ -206,7 +228,11 @@
         let text = self.read("status")?;
         let figure = |name: &str| {
             let line = text.lines().find(|line| line.starts_with(name))?;
-            line.split_whitespace().nth(1)?.parse::<u64>().ok().map(|kilobytes| kilobytes * 1024)
+            line.split_whitespace()
+                .nth(1)?
+                .parse::<u64>()
+                .ok()
+                .map(|kilobytes| kilobytes * 1024)
         };
         match (figure("VmRSS:"), figure("VmHWM:")) {
             (Some(resident), Some(peak)) => Ok(Memory { resident, peak }),
@@ -218,7 +244,8 @@
     pub fn reset_peak(&self) -> Result<(), ProcessError> {
         /// What `/proc/PID/clear_refs` takes for that.
         const RESET_PEAK: &str = "5";
-        std::fs::write(self.proc("clear_refs"), RESET_PEAK).map_err(|e| ProcessError::Io("reset the peak", e))
+        std::fs::write(self.proc("clear_refs"), RESET_PEAK)
+            .map_err(|e| ProcessError::Io("reset the peak", e))
     }
 
     fn read(&self, file: &str) -> Result<String, ProcessError> {
@@ -226,18 +253,27 @@
     }
 
     fn proc(&self, file: &str) -> PathBuf {
-        Path::new("/proc").join(self.child.id().to_string()).join(file)
+        Path::new("/proc")
+            .join(self.child.id().to_string())
+            .join(file)
     }
 
     fn signal(&self, name: &'static str) -> Result<(), ProcessError> {
-        let sent = Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status();
+        let sent = Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(self.child.id().to_string())
+            .status();
         match sent {
             Ok(status) if status.success() => Ok(()),
             _ => Err(ProcessError::Signal(name)),
         }
     }
 
-    fn await_line(&self, what: &'static str, wanted: impl Fn(&str) -> bool) -> Result<String, ProcessError> {
+    fn await_line(
+        &self,
+        what: &'static str,
+        wanted: impl Fn(&str) -> bool,
+    ) -> Result<String, ProcessError> {
         let until = Instant::now() + PATIENCE;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -267,7 +303,11 @@
     let process = child.id().to_string();
     let mut watchdog = Command::new("sh");
     watchdog.args(["-c", "read end; kill -KILL \"$1\"", "watchdog", &process]);
-    watchdog.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()
+    watchdog
+        .stdin(Stdio::piped())
+        .stdout(Stdio::null())
+        .stderr(Stdio::null())
+        .spawn()
 }
 
 fn configuration_path(folder: &Path) -> PathBuf {
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -111,7 +111,9 @@
 /// Plays all sizes but the largest, predicts that one, and plays it.
 pub fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
     let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
-    let Some((largest, smaller)) = sizes.split_last() else { return Ok(()) };
+    let Some((largest, smaller)) = sizes.split_last() else {
+        return Ok(());
+    };
     let mut rows = Vec::new();
     for listed in smaller {
         rows.extend(play(options, output, *listed)?);
@@ -131,19 +133,35 @@
 type Predicted = (Form, Reading, Prediction);
 
 /// The figures that are fitted, of each form.
-fn predict(output: &mut Output, rows: &[ReloadRow], size: usize) -> Result<Vec<Predicted>, Failure> {
+fn predict(
+    output: &mut Output,
+    rows: &[ReloadRow],
+    size: usize,
+) -> Result<Vec<Predicted>, Failure> {
     let figures: [(Form, &'static str, Reading); 4] = [
         (Form::Whole, "ms_reload_whole", |row| row.ms_reload),
         (Form::Whole, "mb_peak_above_whole", |row| row.mb_peak_above),
         (Form::Whole, "bytes_whole", |row| row.bytes as f64),
-        (Form::SettingsOnly, "ms_reload_settings_only", |row| row.ms_reload),
+        (Form::SettingsOnly, "ms_reload_settings_only", |row| {
+            row.ms_reload
+        }),
     ];
     let mut predictions = Vec::new();
     for (form, figure, reading) in figures {
         let of_form = rows.iter().filter(|row| row.form == form);
-        let points: Vec<Point> = of_form.map(|row| (row.size.listed as f64, reading(row))).collect();
-        let figure = Figure { test: TEST, figure, over: "listed" };
-        predictions.push((form, reading, Prediction::write(output, figure, &points, size as f64)?));
+        let points: Vec<Point> = of_form
+            .map(|row| (row.size.listed as f64, reading(row)))
+            .collect();
+        let figure = Figure {
+            test: TEST,
+            figure,
+            over: "listed",
+        };
+        predictions.push((
+            form,
+            reading,
+            Prediction::write(output, figure, &points, size as f64)?,
+        ));
     }
     Ok(predictions)
 }
@@ -160,8 +178,14 @@
         listed: &list,
     };
     let manager = Manager::start(TEST, &usual.value().to_string())?;
-    let settings_only = Configuration { listed: &[], ..usual };
-    let forms = [(Form::SettingsOnly, settings_only.value()), (Form::Whole, usual.value())];
+    let settings_only = Configuration {
+        listed: &[],
+        ..usual
+    };
+    let forms = [
+        (Form::SettingsOnly, settings_only.value()),
+        (Form::Whole, usual.value()),
+    ];
     let mut rows = Vec::new();
     for (form, value) in forms {
         let row = series(options, &manager, listed, form, &value)?;
@@ -216,7 +240,10 @@
         blocks.push(Block::play(manager, &files, &effort)?);
     }
     let after = manager.memory()?;
-    let mut in_force: Vec<Duration> = blocks.iter().flat_map(|block| block.in_force.clone()).collect();
+    let mut in_force: Vec<Duration> = blocks
+        .iter()
+        .flat_map(|block| block.in_force.clone())
+        .collect();
     check_in_force(manager, &files, form, (counted, in_force.len()))?;
 
     let each: Vec<f64> = blocks.iter().map(Block::seconds_each).collect();
@@ -271,7 +298,12 @@
             thread::sleep(effort.pause);
         }
         let processor = manager.processor_time()? - processor;
-        Ok(Block { rest, lasted: begun.elapsed(), processor, in_force })
+        Ok(Block {
+            rest,
+            lasted: begun.elapsed(),
+            processor,
+            in_force,
+        })
     }
 
     /// Processor time of one reload. While it reloads nothing else runs in the process, so what the process spends at
@@ -300,13 +332,17 @@
 ) -> Result<(), Failure> {
     let now = reloads(manager)?;
     if now.used != before.used + played as u64 || now.turned_down != before.turned_down {
-        return Err(Failure::Broken(format!("{TEST}: {played} reloads took {before:?} to {now:?}")));
+        return Err(Failure::Broken(format!(
+            "{TEST}: {played} reloads took {before:?} to {now:?}"
+        )));
     }
     let known_before = manager.knows_class(form.last_class())?;
     manager.configure(files.last())?;
     manager.reload()?;
     if known_before || !manager.knows_class(form.last_class())? {
-        return Err(Failure::Broken(format!("{TEST}: the last configuration of {form:?} is not in force")));
+        return Err(Failure::Broken(format!(
+            "{TEST}: the last configuration of {form:?} is not in force"
+        )));
     }
     Ok(())
 }
@@ -321,7 +357,10 @@
 fn reloads(manager: &Manager) -> Result<Reloads, Failure> {
     let counters = manager.counters()?;
     let count = |name| counters.get(name).copied().unwrap_or_default();
-    Ok(Reloads { used: count("reloads"), turned_down: count("reloads_bad") })
+    Ok(Reloads {
+        used: count("reloads"),
+        turned_down: count("reloads_bad"),
+    })
 }
 
 /// The share of a core that the process takes by itself.
--- a/benches/scale/returning.rs
+++ b/benches/scale/returning.rs
@@ -40,12 +40,18 @@
 
 /// All managers with the short list come back after the feed was away.
 pub fn run(options: &Options, output: &mut Output, memory: Memory) -> Result<(), Failure> {
-    let Some(listed) = options.listed().first().copied() else { return Ok(()) };
+    let Some(listed) = options.listed().first().copied() else {
+        return Ok(());
+    };
     let managers = options.most_managers();
     if !fits(output, memory, (listed, managers))? {
         return Ok(());
     }
-    let (away, at_rest) = if options.small { (AWAY_SMALL, AT_REST_SMALL) } else { (AWAY, AT_REST) };
+    let (away, at_rest) = if options.small {
+        (AWAY_SMALL, AT_REST_SMALL)
+    } else {
+        (AWAY, AT_REST)
+    };
     let feed = Feed::start(&fleet::whole_list(1, listed), IDLE)?;
     let plan = Ticks::of(options, listed, managers).plan(options, &feed);
     let crowd = Crowd::start(&plan, managers)?;
@@ -59,8 +65,14 @@
     std::thread::sleep(away);
     let back = feed.come_back()?;
     let sightings = crowd.gather(MISSED)?;
-    let over = sightings.iter().map(|sighting| sighting.at).max().unwrap_or_else(Instant::now);
-    let times = sightings.iter().map(|sighting| sighting.at.saturating_duration_since(back));
+    let over = sightings
+        .iter()
+        .map(|sighting| sighting.at)
+        .max()
+        .unwrap_or_else(Instant::now);
+    let times = sightings
+        .iter()
+        .map(|sighting| sighting.at.saturating_duration_since(back));
     let times = Times::of(times.collect());
     let load = feed.load(back, over)?;
     let totals = feed.totals();
--- a/benches/scale/row.rs
+++ b/benches/scale/row.rs
@@ -69,13 +69,32 @@
 
 impl Size {
     /// Of a part that is measured.
-    pub fn measured(test: &'static str, part: &'static str, listed: usize, managers: usize) -> Size {
-        Size { test, part, kind: Kind::Measured, listed, managers }
+    pub fn measured(
+        test: &'static str,
+        part: &'static str,
+        listed: usize,
+        managers: usize,
+    ) -> Size {
+        Size {
+            test,
+            part,
+            kind: Kind::Measured,
+            listed,
+            managers,
+        }
     }
 
     /// Of a part that is left out at this size.
-    pub fn left_out(test: &'static str, part: &'static str, listed: usize, managers: usize) -> Size {
-        Size { kind: Kind::LeftOut, ..Size::measured(test, part, listed, managers) }
+    pub fn left_out(
+        test: &'static str,
+        part: &'static str,
+        listed: usize,
+        managers: usize,
+    ) -> Size {
+        Size {
+            kind: Kind::LeftOut,
+            ..Size::measured(test, part, listed, managers)
+        }
     }
 }
 
@@ -99,7 +118,10 @@
     /// Standard output, and this file anew where one is named.
     pub fn new(path: Option<&Path>) -> Result<Output, Failure> {
         let file = path.map(File::create).transpose()?;
-        Ok(Output { file, lines: Vec::new() })
+        Ok(Output {
+            file,
+            lines: Vec::new(),
+        })
     }
 
     /// Writes one row at once, so that a run that is cut off leaves what it measured.
--- a/benches/scale/spread.rs
+++ b/benches/scale/spread.rs
@@ -70,22 +70,33 @@
 /// Plays the fleets that fit the memory; the others are said.
 pub fn run(options: &Options, output: &mut Output, memory: Memory) -> Result<(), Failure> {
     let (sizes, managers) = (options.listed(), managers(options));
-    let (Some(short), Some(long)) = (sizes.first().copied(), sizes.last().copied()) else { return Ok(()) };
+    let (Some(short), Some(long)) = (sizes.first().copied(), sizes.last().copied()) else {
+        return Ok(());
+    };
     let ticks = Ticks::of(options, short, fitting(memory, short, &managers));
     let mut points: [Vec<Point>; 2] = Default::default();
     let mut predictions = Vec::new();
     for (at, count) in managers.iter().copied().enumerate() {
         if at + 1 == managers.len() {
             for (name, points) in ["ms_p99", "ms_most"].into_iter().zip(&points) {
-                let of = Figure { test: TEST, figure: name, over: "managers" };
+                let of = Figure {
+                    test: TEST,
+                    figure: name,
+                    over: "managers",
+                };
                 predictions.push(Prediction::write(output, of, points, count as f64)?);
             }
         }
-        let Some(row) = changes(options, output, (memory, ticks), (short, count))? else { continue };
+        let Some(row) = changes(options, output, (memory, ticks), (short, count))? else {
+            continue;
+        };
         for (points, figure) in points.iter_mut().zip([row.times.ms_p99, row.times.ms_most]) {
             points.push((count as f64, figure));
         }
-        for (prediction, figure) in predictions.iter().zip([row.times.ms_p99, row.times.ms_most]) {
+        for (prediction, figure) in predictions
+            .iter()
+            .zip([row.times.ms_p99, row.times.ms_most])
+        {
             prediction.check(output, figure)?;
         }
     }
@@ -98,7 +109,11 @@
 
 /// The numbers of managers, ascending.
 fn managers(options: &Options) -> [usize; 4] {
-    if options.small { MANAGERS_SMALL } else { MANAGERS }
+    if options.small {
+        MANAGERS_SMALL
+    } else {
+        MANAGERS
+    }
 }
 
 /// Whether so many managers with such a list fit; where they do not, a row says so.
@@ -112,15 +127,24 @@
         return Ok(true);
     }
     let gigabytes = bytes / 1e9;
-    let why = format!("takes {gigabytes:.1} GB by the measured memory of a manager; this test has 9");
-    output.row(&LeftOut { size: Size::left_out(TEST, "change", listed, managers), why: &why })?;
+    let why =
+        format!("takes {gigabytes:.1} GB by the measured memory of a manager; this test has 9");
+    output.row(&LeftOut {
+        size: Size::left_out(TEST, "change", listed, managers),
+        why: &why,
+    })?;
     Ok(false)
 }
 
 /// Whether so many managers fit without a word on those that do not.
 fn fitting(memory: Memory, listed: usize, managers: &[usize]) -> usize {
     let fits = |managers: &&usize| memory.bytes(**managers, listed) <= MEMORY_BYTES;
-    managers.iter().filter(fits).max().copied().unwrap_or_default()
+    managers
+        .iter()
+        .filter(fits)
+        .max()
+        .copied()
+        .unwrap_or_default()
 }
 
 /// Ticks of managers with one list, alike for all numbers of them: whether they run beside each other here.
@@ -135,7 +159,10 @@
     /// cores together.
     pub fn of(options: &Options, listed: usize, managers: usize) -> Ticks {
         let us_tick = decision::tick_us(options, listed);
-        Ticks { us_tick, run: us_tick * managers as f64 / TICK_US <= TICK_CORES }
+        Ticks {
+            us_tick,
+            run: us_tick * managers as f64 / TICK_US <= TICK_CORES,
+        }
     }
 
     /// The cores that so many managers take.
@@ -146,7 +173,12 @@
     /// A plan that follows this feed.
     pub fn plan(&self, options: &Options, feed: &Feed) -> Plan {
         let (instances, memory_mb) = (options.managers, options.memory_mb);
-        Plan { instances, memory_mb, feed: feed.address, ticks: self.run }
+        Plan {
+            instances,
+            memory_mb,
+            feed: feed.address,
+            ticks: self.run,
+        }
     }
 }
 
@@ -163,14 +195,21 @@
     let plan = ticks.plan(options, &feed);
     let crowd = Crowd::start(&plan, managers)?;
     let listing = crowd.gather(1)?[0];
-    let changes = if options.small { CHANGES_SMALL } else { CHANGES };
+    let changes = if options.small {
+        CHANGES_SMALL
+    } else {
+        CHANGES
+    };
     let mut seen = Changes::default();
     let before = feed.processor(Instant::now())?;
     for change in 0..changes {
         seen.play(&feed, &crowd, listed as u32, change)?;
     }
     let in_feed = feed.processor(Instant::now())? - before;
-    let Service { asked, asked_of_ended } = crowd.serve(STATEMENTS)?;
+    let Service {
+        asked,
+        asked_of_ended,
+    } = crowd.serve(STATEMENTS)?;
     let times = Times::of(seen.times);
     let row = ChangeRow {
         size: Size::measured(TEST, "change", listed, managers),
@@ -199,11 +238,21 @@
 
 impl Changes {
     /// One engine goes and its successor comes; returns once that is in force everywhere.
-    fn play(&mut self, feed: &Feed, crowd: &Crowd, listed: u32, change: u32) -> Result<(), Failure> {
+    fn play(
+        &mut self,
+        feed: &Feed,
+        crowd: &Crowd,
+        listed: u32,
+        change: u32,
+    ) -> Result<(), Failure> {
         let event = fleet::replacement(u64::from(change) + 2, change, listed + change, STARTED_MS);
         let told = feed.publish(&event);
         let sightings = crowd.gather(event.number)?;
-        self.times.extend(sightings.iter().map(|sighting| sighting.at.saturating_duration_since(told)));
+        self.times.extend(
+            sightings
+                .iter()
+                .map(|sighting| sighting.at.saturating_duration_since(told)),
+        );
         let least = |of: fn(&Sighting) -> usize, so_far: Option<usize>| {
             let now = sightings.iter().map(of).sum::<usize>();
             Some(so_far.map_or(now, |so_far| so_far.min(now)))
@@ -215,7 +264,12 @@
 }
 
 /// A zone's managers start at once, each without a list.
-fn starts(options: &Options, output: &mut Output, memory: Memory, listed: usize) -> Result<(), Failure> {
+fn starts(
+    options: &Options,
+    output: &mut Output,
+    memory: Memory,
+    listed: usize,
+) -> Result<(), Failure> {
     let managers = fleet::MANAGERS_OF_A_ZONE.min(options.most_managers());
     if !fits(output, memory, (listed, managers))? {
         return Ok(());
@@ -224,8 +278,14 @@
     let plan = Ticks::of(options, listed, managers).plan(options, &feed);
     let crowd = Crowd::start(&plan, managers)?;
     let sightings = crowd.gather(1)?;
-    let over = sightings.iter().map(|sighting| sighting.at).max().unwrap_or_else(Instant::now);
-    let times = sightings.iter().map(|sighting| sighting.at.saturating_duration_since(crowd.began));
+    let over = sightings
+        .iter()
+        .map(|sighting| sighting.at)
+        .max()
+        .unwrap_or_else(Instant::now);
+    let times = sightings
+        .iter()
+        .map(|sighting| sighting.at.saturating_duration_since(crowd.began));
     let times = Times::of(times.collect());
     let totals = feed.totals();
     output.row(&StartRow {
@@ -259,6 +319,11 @@
             let rank = (times.len() as f64 * share).ceil() as usize;
             rounded(times[rank.clamp(1, times.len()) - 1].as_secs_f64() * 1000.0)
         };
-        Times { ms_first: at(0.0), ms_p50: at(0.5), ms_p99: at(0.99), ms_most: at(1.0) }
+        Times {
+            ms_first: at(0.0),
+            ms_p50: at(0.5),
+            ms_p99: at(0.99),
+            ms_most: at(1.0),
+        }
     }
 }
--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -106,7 +106,11 @@
     let mut prediction = None;
     for (at, listed) in sizes.iter().copied().enumerate() {
         if at + 1 == sizes.len() && points.len() >= 2 {
-            let figure = Figure { test: TEST, figure: "us_change", over: "listed" };
+            let figure = Figure {
+                test: TEST,
+                figure: "us_change",
+                over: "listed",
+            };
             prediction = Some(Prediction::write(output, figure, &points, listed as f64)?);
         }
         let row = balance(options, listed);
@@ -116,7 +120,9 @@
             prediction.check(output, row.us_change)?;
         }
     }
-    let Some(listed) = sizes.last().copied() else { return Ok(()) };
+    let Some(listed) = sizes.last().copied() else {
+        return Ok(());
+    };
     output.row(&churn(options, listed))?;
     for lacks in LACKS {
         output.row(&views(options, listed, lacks))?;
@@ -126,13 +132,31 @@
 
 impl Fleet {
     fn new(options: &Options, listed: impl Iterator<Item = usize>) -> Fleet {
-        let managers = if options.small { MANAGERS_SMALL } else { options.managers };
+        let managers = if options.small {
+            MANAGERS_SMALL
+        } else {
+            options.managers
+        };
         let parsed = fleet::settings(managers, 0);
         let limits = Limits::new(fleet::SOCKETS, options.memory_mb, true, &parsed);
-        let most_whole = if options.small { MOST_WHOLE_SMALL } else { limits.subset };
-        let mut subset = Subset::new(most_whole, Membership { instances: managers, ordinal: 0 });
+        let most_whole = if options.small {
+            MOST_WHOLE_SMALL
+        } else {
+            limits.subset
+        };
+        let mut subset = Subset::new(
+            most_whole,
+            Membership {
+                instances: managers,
+                ordinal: 0,
+            },
+        );
         listed.for_each(|id| subset.set(engine_id(id as u32), Some(zone(id))));
-        let mut fleet = Fleet { subset, managers, held: Vec::new() };
+        let mut fleet = Fleet {
+            subset,
+            managers,
+            held: Vec::new(),
+        };
         fleet.held = fleet.all();
         fleet
     }
@@ -141,7 +165,10 @@
     fn all(&self) -> Vec<Members> {
         let mut own = self.subset.clone();
         let held = |ordinal| {
-            own.set_membership(Membership { instances: self.managers, ordinal });
+            own.set_membership(Membership {
+                instances: self.managers,
+                ordinal,
+            });
             own.members().unwrap_or_default()
         };
         (0..self.managers).map(held).collect()
@@ -159,8 +186,13 @@
 fn balance(options: &Options, listed: usize) -> BalanceRow {
     let fleet = Fleet::new(options, 0..listed);
     let sizes: Vec<usize> = fleet.held.iter().map(Members::len).collect();
-    let mut holders: HashMap<EngineId, usize> = (0..listed as u32).map(|id| (engine_id(id), 0)).collect();
-    fleet.held.iter().flat_map(Members::keys).for_each(|id| *holders.entry(*id).or_default() += 1);
+    let mut holders: HashMap<EngineId, usize> =
+        (0..listed as u32).map(|id| (engine_id(id), 0)).collect();
+    fleet
+        .held
+        .iter()
+        .flat_map(Members::keys)
+        .for_each(|id| *holders.entry(*id).or_default() += 1);
     let places: usize = sizes.iter().sum();
     let holders_mean = places as f64 / listed as f64;
     let holders_most = holders.values().copied().max().unwrap_or_default();
@@ -175,7 +207,12 @@
         holders_most,
         most_to_mean: rounded(holders_most as f64 / holders_mean),
         without: holders.values().filter(|n| **n == 0).count(),
-        zone_part_p99: rounded(parts.get(parts.len() * 99 / 100).copied().unwrap_or_default()),
+        zone_part_p99: rounded(
+            parts
+                .get(parts.len() * 99 / 100)
+                .copied()
+                .unwrap_or_default(),
+        ),
         zone_part_most: rounded(parts.last().copied().unwrap_or_default()),
         us_change: rounded(change_us(&fleet, listed)),
     }
@@ -191,7 +228,10 @@
         for engine in members.keys() {
             of_subset[usize::from(zone(u32::from_be_bytes(engine.addr) as usize))] += 1.0;
         }
-        let zones = of_subset.iter().zip(&of_list).filter(|(_, of_list)| **of_list > 0.0);
+        let zones = of_subset
+            .iter()
+            .zip(&of_list)
+            .filter(|(_, of_list)| **of_list > 0.0);
         parts.extend(zones.map(|(places, of_list)| places / members.len() as f64 / of_list));
     }
     parts.sort_by(f64::total_cmp);
@@ -215,13 +255,18 @@
 
 /// Places that differ: of what a manager gained and lost, the larger number.
 fn moved(before: &Members, after: &Members) -> usize {
-    let lacks = |a: &Members, b: &Members| a.keys().filter(|engine| !b.contains_key(engine)).count();
+    let lacks =
+        |a: &Members, b: &Members| a.keys().filter(|engine| !b.contains_key(engine)).count();
     lacks(before, after).max(lacks(after, before))
 }
 
 fn churn(options: &Options, listed: usize) -> ChurnRow {
     let mut fleet = Fleet::new(options, 0..listed);
-    let engines = if options.small { REPLACED_SMALL } else { REPLACED };
+    let engines = if options.small {
+        REPLACED_SMALL
+    } else {
+        REPLACED
+    };
     let mut row = ChurnRow {
         size: fleet.size("churn", listed),
         engines,
@@ -245,12 +290,19 @@
         fleet.subset.set(new, Some(zone(id)));
         let after = fleet.all();
         for ((before, gone), after) in fleet.held.iter().zip(&gone).zip(&after) {
-            let (held, in_gone, in_all) =
-                (before.contains_key(&old), moved(before, gone), moved(before, after));
+            let (held, in_gone, in_all) = (
+                before.contains_key(&old),
+                moved(before, gone),
+                moved(before, after),
+            );
             row.held += usize::from(held);
             row.gone_moved_most = row.gone_moved_most.max(in_gone);
             row.replaced_moved_most = row.replaced_moved_most.max(in_all);
-            *(if held { &mut row.gone_moved_holders } else { &mut row.gone_moved_others }) += in_gone;
+            *(if held {
+                &mut row.gone_moved_holders
+            } else {
+                &mut row.gone_moved_others
+            }) += in_gone;
             let whose = match (held, after.contains_key(&new)) {
                 (true, _) => &mut row.replaced_moved_holders,
                 (false, true) => &mut row.replaced_moved_successors,
@@ -261,9 +313,18 @@
         fleet.held = after;
     }
     let others = |managers: u32| {
-        let other = Fleet { managers, subset: fleet.subset.clone(), held: Vec::new() };
+        let other = Fleet {
+            managers,
+            subset: fleet.subset.clone(),
+            held: Vec::new(),
+        };
         let held = other.all();
-        let moved = fleet.held.iter().zip(&held).map(|(before, after)| moved(before, after)).sum();
+        let moved = fleet
+            .held
+            .iter()
+            .zip(&held)
+            .map(|(before, after)| moved(before, after))
+            .sum();
         (moved, held)
     };
     let (more, held) = others(fleet.managers + 1);
@@ -278,7 +339,12 @@
     // What the later list lacks is spread over zones and positions alike.
     let later = Fleet::new(options, (0..listed).filter(|id| id * 7919 % listed < kept));
     let whole = Fleet::new(options, 0..listed);
-    let bound = |fleet: &Fleet| fleet.held[0].values().next().map_or(0, |holders| holders.most);
+    let bound = |fleet: &Fleet| {
+        fleet.held[0]
+            .values()
+            .next()
+            .map_or(0, |holders| holders.most)
+    };
     let mut row = ViewsRow {
         size: whole.size("views", listed),
         lacks: rounded(lacks),
@@ -293,8 +359,9 @@
     for (n, id) in engines.step_by((kept / FOLLOWED).max(1)).enumerate() {
         let engine = engine_id(id as u32);
         let managers = whole.held.iter().zip(&later.held);
-        let managers: Vec<[Option<&Holders>; 2]> =
-            managers.map(|(whole, later)| [whole.get(&engine), later.get(&engine)]).collect();
+        let managers: Vec<[Option<&Holders>; 2]> = managers
+            .map(|(whole, later)| [whole.get(&engine), later.get(&engine)])
+            .collect();
         let (worst, by_chance, in_turn) = followed(&managers, n);
         row.parts_worst = row.parts_worst.max(rounded(worst));
         row.parts_by_chance = row.parts_by_chance.max(rounded(by_chance));
@@ -306,12 +373,26 @@
 /// The sums of parts of one engine's budget, and managers in turn at once, by what each manager has under either list.
 fn followed(managers: &[[Option<&Holders>; 2]], salt: usize) -> (f64, f64, usize) {
     let part = |holders: &Option<&Holders>| holders.map_or(0.0, |h| 1.0 / f64::from(h.most));
-    let worst = managers.iter().map(|views| part(&views[0]).max(part(&views[1]))).sum();
+    let worst = managers
+        .iter()
+        .map(|views| part(&views[0]).max(part(&views[1])))
+        .sum();
     let chosen = |at: usize| (at.wrapping_mul(2_654_435_761) >> 7) + salt;
-    let by_chance = managers.iter().enumerate().map(|(at, views)| part(&views[chosen(at) % 2])).sum();
+    let by_chance = managers
+        .iter()
+        .enumerate()
+        .map(|(at, views)| part(&views[chosen(at) % 2]))
+        .sum();
     let in_turn = |turn: u32| {
         let its = |holders: &Holders| (turn + holders.place) % holders.most < IN_TURN;
-        managers.iter().filter(|views| views.iter().flatten().any(|holders| its(holders))).count()
+        managers
+            .iter()
+            .filter(|views| views.iter().flatten().any(|holders| its(holders)))
+            .count()
     };
-    (worst, by_chance, (0..TURNS).map(in_turn).max().unwrap_or_default())
+    (
+        worst,
+        by_chance,
+        (0..TURNS).map(in_turn).max().unwrap_or_default(),
+    )
 }
--- a/benches/scale/usage.rs
+++ b/benches/scale/usage.rs
@@ -6,7 +6,10 @@
 
 fn clock(id: ClockId) -> Duration {
     let time = clock_gettime(id);
-    Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec.unsigned_abs() as u32)
+    Duration::new(
+        time.tv_sec.unsigned_abs(),
+        time.tv_nsec.unsigned_abs() as u32,
+    )
 }
 
 /// Processor time of the calling thread. Other processes on the machine do not add to it.
@@ -27,7 +30,10 @@
 fn status_bytes(name: &str) -> Result<usize, Failure> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix(name));
-    let kilobytes =
-        line.and_then(|line| line.split_ascii_whitespace().next()).and_then(|n| n.parse::<usize>().ok());
-    kilobytes.map(|n| n * 1024).ok_or_else(|| Failure::Broken("no memory is told".to_owned()))
+    let kilobytes = line
+        .and_then(|line| line.split_ascii_whitespace().next())
+        .and_then(|n| n.parse::<usize>().ok());
+    kilobytes
+        .map(|n| n * 1024)
+        .ok_or_else(|| Failure::Broken("no memory is told".to_owned()))
 }
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -29,7 +29,10 @@
 
 /// Whether an outcome proves that the attempt never ran.
 pub fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::Moot | Outcome::NoRoom)
+    matches!(
+        outcome,
+        Outcome::Full | Outcome::NoConnection | Outcome::Moot | Outcome::NoRoom
+    )
 }
 
 /// Where an attempt is. A mark counts what a connection has been given to write, in whatever unit its speech has.
@@ -45,7 +48,11 @@
     Told,
     /// Its last part lies before the mark `whole`, and its cancellation ends at the mark `cancelled`; whether the engine
     /// has to confirm that it has read the cancellation.
-    GivingUp { whole: u64, cancelled: u64, confirm: bool },
+    GivingUp {
+        whole: u64,
+        cancelled: u64,
+        confirm: bool,
+    },
     /// The cancellation was sent, and the engine has not confirmed it.
     Unconfirmed,
     /// It is over.
@@ -74,7 +81,9 @@
     pub fn left(&mut self, written: u64) -> Option<End> {
         match self.0 {
             Phase::Writing(whole) if whole <= written => self.0 = Phase::Out,
-            Phase::GivingUp { cancelled, confirm, .. } if cancelled <= written => {
+            Phase::GivingUp {
+                cancelled, confirm, ..
+            } if cancelled <= written => {
                 if !confirm {
                     return self.end(End::GivenUp);
                 }
@@ -94,7 +103,10 @@
     /// each other, so an attempt that follows over another one could be read before a cancellation that was merely
     /// written.
     pub fn confirmed(&mut self) -> Option<End> {
-        if matches!(self.0, Phase::GivingUp { confirm: true, .. } | Phase::Unconfirmed) {
+        if matches!(
+            self.0,
+            Phase::GivingUp { confirm: true, .. } | Phase::Unconfirmed
+        ) {
             self.end(End::GivenUp)
         } else {
             None
@@ -118,11 +130,19 @@
                 self.end(End::Answered)
             }
             Phase::Writing(whole) => {
-                self.0 = Phase::GivingUp { whole, cancelled: cancel(), confirm: again };
+                self.0 = Phase::GivingUp {
+                    whole,
+                    cancelled: cancel(),
+                    confirm: again,
+                };
                 None
             }
             Phase::Out => {
-                self.0 = Phase::GivingUp { whole: 0, cancelled: cancel(), confirm: again };
+                self.0 = Phase::GivingUp {
+                    whole: 0,
+                    cancelled: cancel(),
+                    confirm: again,
+                };
                 None
             }
             Phase::GivingUp { .. } | Phase::Unconfirmed | Phase::Ended => None,
@@ -150,7 +170,9 @@
             Phase::Waiting => End::Unsent,
             Phase::Writing(whole) | Phase::GivingUp { whole, .. } if written < whole => End::Unsent,
             Phase::Told | Phase::Ended => End::Answered,
-            Phase::Writing(_) | Phase::Out | Phase::GivingUp { .. } | Phase::Unconfirmed => End::Broken,
+            Phase::Writing(_) | Phase::Out | Phase::GivingUp { .. } | Phase::Unconfirmed => {
+                End::Broken
+            }
         };
         self.0 = Phase::Ended;
         end
@@ -219,7 +241,9 @@
 
     /// The attempt that is out, if it is this one.
     pub fn out_as(&mut self, number: u16, engine: Option<EngineId>) -> Option<&mut Out> {
-        self.out.as_mut().filter(|o| o.number == number && engine.is_none_or(|at| at == o.engine))
+        self.out
+            .as_mut()
+            .filter(|o| o.number == number && engine.is_none_or(|at| at == o.engine))
     }
 
     /// Attempts made, those included that were barred.
@@ -267,7 +291,13 @@
 
     /// It went out.
     pub fn sent(&mut self, number: u16, engine: EngineId, sent: Sent) {
-        self.out = Some(Out { number, engine, sent, heard: sent.at, quitting: None });
+        self.out = Some(Out {
+            number,
+            engine,
+            sent,
+            heard: sent.at,
+            quitting: None,
+        });
     }
 
     /// The one that is out is given up, and counts as this once that is proven; none where none is, or it is being
--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -15,18 +15,38 @@
         assert_eq!(life.left(10), None);
         life
     };
-    assert_eq!(Life::default().give_up(false, || unreachable!()), Some(End::Unsent));
-    assert_eq!((Life::default().closed(99), writing().closed(9)), (End::Unsent, End::Unsent));
-    assert_eq!((writing().closed(10), out().closed(10)), (End::Broken, End::Broken));
+    assert_eq!(
+        Life::default().give_up(false, || unreachable!()),
+        Some(End::Unsent)
+    );
+    assert_eq!(
+        (Life::default().closed(99), writing().closed(9)),
+        (End::Unsent, End::Unsent)
+    );
+    assert_eq!(
+        (writing().closed(10), out().closed(10)),
+        (End::Broken, End::Broken)
+    );
     for mut life in [writing(), out()] {
-        assert_eq!(life.give_up(false, || 20), None, "not before the cancellation was sent");
+        assert_eq!(
+            life.give_up(false, || 20),
+            None,
+            "not before the cancellation was sent"
+        );
         assert!(life.giving_up() && life.left(19).is_none() && !life.tell());
         assert_eq!((life.left(20), life.left(20)), (Some(End::GivenUp), None));
     }
     let mut life = out();
     assert_eq!(life.give_up(true, || 20), None);
-    assert_eq!((life.left(20), life.giving_up()), (None, true), "it may be read late");
-    assert_eq!((life.confirmed(), life.confirmed()), (Some(End::GivenUp), None));
+    assert_eq!(
+        (life.left(20), life.giving_up()),
+        (None, true),
+        "it may be read late"
+    );
+    assert_eq!(
+        (life.confirmed(), life.confirmed()),
+        (Some(End::GivenUp), None)
+    );
     assert_eq!(out().confirmed(), None);
     // Half of the cancellation was sent: the engine has the attempt whole. Half of the attempt: it has not.
     for (written, end) in [(15, End::Broken), (9, End::Unsent)] {
@@ -45,19 +65,44 @@
     let at = EngineId::default();
     let mut history = AttemptHistory::default();
     assert_eq!(history.next(true, 6), Ok(0));
-    history.sent(0, at, Sent { at: 5.0, ..Sent::default() });
+    history.sent(
+        0,
+        at,
+        Sent {
+            at: 5.0,
+            ..Sent::default()
+        },
+    );
     assert!(history.may_have_run() && history.next(true, 6) == Err(Barred::Out));
     assert!(
         history.give_up(6.0, Outcome::TimedOut).is_some()
             && history.give_up(7.0, Outcome::Cancelled).is_none()
     );
-    assert_eq!(history.next(true, 6), Err(Barred::Out), "nothing is proven yet");
+    assert_eq!(
+        history.next(true, 6),
+        Err(Barred::Out),
+        "nothing is proven yet"
+    );
     assert!(history.ended(1, true).is_none() && history.ended(0, false).is_some());
     assert!(!history.may_have_run());
     assert_eq!(history.next(false, 6), Ok(3));
-    history.sent(3, at, Sent { at: 8.0, ..Sent::default() });
+    history.sent(
+        3,
+        at,
+        Sent {
+            at: 8.0,
+            ..Sent::default()
+        },
+    );
     assert!(history.ended(3, true).is_some());
     assert_eq!(history.next(false, 6), Err(Barred::Ran));
-    assert_eq!((history.next(true, 6), history.next(true, 6)), (Ok(5), Err(Barred::Spent)));
-    assert_eq!(history.first_ran().map(|sent| sent.at), Some(8.0), "the one before did not run");
+    assert_eq!(
+        (history.next(true, 6), history.next(true, 6)),
+        (Ok(5), Err(Barred::Spent))
+    );
+    assert_eq!(
+        history.first_ran().map(|sent| sent.at),
+        Some(8.0),
+        "the one before did not run"
+    );
 }
--- a/src/attempts/budget.rs
+++ b/src/attempts/budget.rs
@@ -22,14 +22,20 @@
 impl PartialEq for Budget {
     /// Two budgets agree where their figures do; what each has spent is not a setting.
     fn eq(&self, other: &Budget) -> bool {
-        (self.ratio, self.min_per_s, self.window_ms) == (other.ratio, other.min_per_s, other.window_ms)
+        (self.ratio, self.min_per_s, self.window_ms)
+            == (other.ratio, other.min_per_s, other.window_ms)
     }
 }
 
 impl Budget {
     /// A budget with nothing spent.
     pub fn new(ratio: f64, min_per_s: f64, window_ms: Millis) -> Budget {
-        Budget { ratio, min_per_s, window_ms, spent: Mutex::default() }
+        Budget {
+            ratio,
+            min_per_s,
+            window_ms,
+            spent: Mutex::default(),
+        }
     }
 
     /// A first attempt goes out.
@@ -52,7 +58,10 @@
 
     fn with<T>(&self, what: impl FnOnce(&mut Spent, &Budget) -> T) -> T {
         // Guard: a panic elsewhere while it was held leaves counts that are still counts.
-        let mut spent = self.spent.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut spent = self
+            .spent
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         what(&mut spent, self)
     }
 }
@@ -75,7 +84,10 @@
     /// A further attempt would go out: whether it may, which counts it.
     pub fn take(&mut self, budget: &Budget, now: Millis) -> bool {
         self.slide(budget, now);
-        let (first, further) = self.slots.iter().fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
+        let (first, further) = self
+            .slots
+            .iter()
+            .fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
         let free = budget.min_per_s * budget.window_ms / 1000.0;
         let may = (further + 1) as f64 <= budget.ratio * first as f64 + free;
         self.slots[SLOTS - 1].1 += u64::from(may);
--- a/src/attempts/keys.rs
+++ b/src/attempts/keys.rs
@@ -23,7 +23,8 @@
 impl Ends {
     /// All of them.
     pub fn all() -> Ends {
-        ENDS.iter().fold(Ends::default(), |all, (_, end)| all.with(*end))
+        ENDS.iter()
+            .fold(Ends::default(), |all, (_, end)| all.with(*end))
     }
 
     /// This set and one more. A called-off attempt counts as timed out: it took too long.
@@ -39,12 +40,20 @@
 
     /// Those among them after which the attempt may have run.
     pub fn that_may_have_run(self) -> impl Iterator<Item = &'static str> {
-        ENDS.iter().filter(move |(_, end)| self.has(*end) && !never_ran(*end)).map(|(name, _)| *name)
+        ENDS.iter()
+            .filter(move |(_, end)| self.has(*end) && !never_ran(*end))
+            .map(|(name, _)| *name)
     }
 
     fn bit(end: Outcome) -> u8 {
-        let end = if end == Outcome::Cancelled { Outcome::TimedOut } else { end };
-        ENDS.iter().position(|(_, e)| *e == end).map_or(0, |at| 1 << at)
+        let end = if end == Outcome::Cancelled {
+            Outcome::TimedOut
+        } else {
+            end
+        };
+        ENDS.iter()
+            .position(|(_, e)| *e == end)
+            .map_or(0, |at| 1 << at)
     }
 }
 
@@ -69,7 +78,9 @@
 
     /// All waits of so many attempts, without jitter.
     pub fn all_ms(&self, attempts: u32) -> Millis {
-        (1..attempts.min(64)).map(|made| self.wait_ms(made as u16, 0.0)).sum()
+        (1..attempts.min(64))
+            .map(|made| self.wait_ms(made as u16, 0.0))
+            .sum()
     }
 }
 
@@ -132,22 +143,35 @@
         let differ = |((key, a), (_, b)): (Shown, Shown)| {
             matches!((a, b), (Some(a), Some(b)) if a != b).then_some(key)
         };
-        self.shown().into_iter().zip(other.shown()).filter_map(differ).collect()
+        self.shown()
+            .into_iter()
+            .zip(other.shown())
+            .filter_map(differ)
+            .collect()
     }
 
     /// Each key with its value as the file writes it, none where this table leaves it out.
     pub fn shown(&self) -> [Shown; 7] {
         let ends = |ends: &Ends| {
-            let names: Vec<String> =
-                ENDS.iter().filter(|(_, e)| ends.has(*e)).map(|(n, _)| format!("{n:?}")).collect();
+            let names: Vec<String> = ENDS
+                .iter()
+                .filter(|(_, e)| ends.has(*e))
+                .map(|(n, _)| format!("{n:?}"))
+                .collect();
             format!("[{}]", names.join(", "))
         };
         let wait = |b: &BackOff| {
-            format!("{{ base_ms = {}, max_ms = {}, jitter = {} }}", b.base_ms, b.max_ms, b.jitter)
+            format!(
+                "{{ base_ms = {}, max_ms = {}, jitter = {} }}",
+                b.base_ms, b.max_ms, b.jitter
+            )
         };
         let budget = |b: &Arc<Budget>| {
             let window_s = b.window_ms / 1000.0;
-            format!("{{ ratio = {}, min_per_s = {}, window_s = {window_s} }}", b.ratio, b.min_per_s)
+            format!(
+                "{{ ratio = {}, min_per_s = {}, window_s = {window_s} }}",
+                b.ratio, b.min_per_s
+            )
         };
         let copy = |c: &SecondCopy| match c.after {
             After::Ms(ms) => format!("{{ after_ms = {ms}, ratio = {} }}", c.ratio),
@@ -155,7 +179,10 @@
         };
         [
             ("timeout_ms", self.timeout_ms.map(|ms| ms.to_string())),
-            ("attempt_timeout_ms", self.attempt_timeout_ms.map(|ms| ms.to_string())),
+            (
+                "attempt_timeout_ms",
+                self.attempt_timeout_ms.map(|ms| ms.to_string()),
+            ),
             ("max_attempts", self.max_attempts.map(|n| n.to_string())),
             ("retry_on", self.retry_on.as_ref().map(ends)),
             ("backoff", self.backoff.as_ref().map(wait)),
--- a/src/attempts/latency.rs
+++ b/src/attempts/latency.rs
@@ -30,13 +30,22 @@
 impl Latency {
     /// None seen yet; what is older than two periods is forgotten.
     pub fn new(period_ms: Millis) -> Latency {
-        Latency { period_ms: period_ms.max(1.0), since: 0.0, now: empty(), before: empty() }
+        Latency {
+            period_ms: period_ms.max(1.0),
+            since: 0.0,
+            now: empty(),
+            before: empty(),
+        }
     }
 
     /// An attempt was served after so long.
     pub fn see(&mut self, took_ms: Millis, now: Millis) {
         self.slide(now);
-        let took = if took_ms.is_finite() { took_ms.max(1.0).round() as u64 } else { LONGEST };
+        let took = if took_ms.is_finite() {
+            took_ms.max(1.0).round() as u64
+        } else {
+            LONGEST
+        };
         self.now.saturating_record(took);
     }
 
@@ -44,7 +53,9 @@
     pub fn quantile(&mut self, share: f64, now: Millis) -> Option<Millis> {
         self.slide(now);
         // The period that runs tells the present best; before it has enough, the one before stands in.
-        let from = [&self.now, &self.before].into_iter().find(|h| h.len() >= ENOUGH)?;
+        let from = [&self.now, &self.before]
+            .into_iter()
+            .find(|h| h.len() >= ENOUGH)?;
         Some(from.value_at_quantile(share.clamp(0.0, 1.0)) as f64)
     }
 
--- a/src/attempts/policy.rs
+++ b/src/attempts/policy.rs
@@ -41,18 +41,34 @@
     ) -> Result<Policy, Vec<Fault>> {
         let mut laid = Vec::new();
         for (_, once, own) in &classes {
-            let mut keys = if *once { default.for_once() } else { default.clone() };
+            let mut keys = if *once {
+                default.for_once()
+            } else {
+                default.clone()
+            };
             own.iter().for_each(|over| keys.lay(over));
             laid.push(Some(keys));
         }
         let routes_index = Routes::new(&Keys::default(), &laid, &routes)?;
-        let classes = classes.into_iter().map(|(name, _, own)| (name, own)).collect();
-        Ok(Policy { routes: routes_index, default, classes, listed: routes, members })
+        let classes = classes
+            .into_iter()
+            .map(|(name, _, own)| (name, own))
+            .collect();
+        Ok(Policy {
+            routes: routes_index,
+            default,
+            classes,
+            listed: routes,
+            members,
+        })
     }
 
     /// A member's position by its name, as routes match it; `usize::MAX` for one that no route can name.
     pub fn member(&self, name: &[u8]) -> usize {
-        self.members.iter().position(|m| m.as_bytes() == name).unwrap_or(usize::MAX)
+        self.members
+            .iter()
+            .position(|m| m.as_bytes() == name)
+            .unwrap_or(usize::MAX)
     }
 
     /// Whether the file set anything at all.
@@ -71,15 +87,24 @@
     /// the path of a request.
     pub fn explain(&self, at: &Where) -> Vec<Source> {
         let held = self.resolve(at);
-        let (name, own) =
-            self.classes.get(at.class).map_or(("", None), |(n, own)| (n.as_str(), own.as_ref()));
+        let (name, own) = self
+            .classes
+            .get(at.class)
+            .map_or(("", None), |(n, own)| (n.as_str(), own.as_ref()));
         let mut tables: Vec<(String, &Keys)> = vec![("default".to_owned(), &self.default)];
         tables.extend(own.map(|keys| (format!("class {name}"), keys)));
         let mut mine: Vec<&Route> = self.listed.iter().filter(|r| r.matches.holds(at)).collect();
         mine.sort_by_key(|r| {
-            (r.matches.pattern().count_ones(), r.matches.pattern(), Reverse(r.matches.size()))
+            (
+                r.matches.pattern().count_ones(),
+                r.matches.pattern(),
+                Reverse(r.matches.size()),
+            )
         });
-        tables.extend(mine.into_iter().map(|r| (format!("route {}", r.name), &r.keys)));
+        tables.extend(
+            mine.into_iter()
+                .map(|r| (format!("route {}", r.name), &r.keys)),
+        );
         let shown = held.shown();
         shown
             .into_iter()
@@ -88,8 +113,15 @@
                     .iter()
                     .rev()
                     .find(|(_, keys)| keys.shown().iter().any(|(k, v)| *k == key && v.is_some()));
-                let from = value.as_ref().and(from).map_or("-".to_owned(), |(table, _)| table.clone());
-                Source { key, value: value.unwrap_or_else(|| "-".to_owned()), from }
+                let from = value
+                    .as_ref()
+                    .and(from)
+                    .map_or("-".to_owned(), |(table, _)| table.clone());
+                Source {
+                    key,
+                    value: value.unwrap_or_else(|| "-".to_owned()),
+                    from,
+                }
             })
             .collect()
     }
@@ -98,7 +130,12 @@
     pub fn carry(&self, earlier: &Policy) {
         let pairs = [(&self.default, &earlier.default)].into_iter();
         let classes = self.classes.iter().filter_map(|(name, own)| {
-            let before = earlier.classes.iter().find(|(n, _)| n == name)?.1.as_ref()?;
+            let before = earlier
+                .classes
+                .iter()
+                .find(|(n, _)| n == name)?
+                .1
+                .as_ref()?;
             Some((own.as_ref()?, before))
         });
         let routes = self.listed.iter().filter_map(|r| {
@@ -118,10 +155,16 @@
     /// end at which the attempt may have run.
     pub fn for_once(&self) -> Keys {
         let never = |ends: Ends| {
-            let kept = ENDS.iter().filter(move |(_, e)| never_ran(*e) && ends.has(*e));
+            let kept = ENDS
+                .iter()
+                .filter(move |(_, e)| never_ran(*e) && ends.has(*e));
             kept.fold(Ends::default(), |all, (_, e)| all.with(*e))
         };
         let retry_on = self.retry_on.map(never);
-        Keys { second_copy: None, retry_on, ..self.clone() }
+        Keys {
+            second_copy: None,
+            retry_on,
+            ..self.clone()
+        }
     }
 }
--- a/src/attempts/routes.rs
+++ b/src/attempts/routes.rs
@@ -94,9 +94,15 @@
 
     /// Which matchers it names, as bits: class 1, member 2, front 4, data set 8.
     pub fn pattern(&self) -> u8 {
-        let bits =
-            [self.class.is_some(), self.member.is_some(), self.front.is_some(), self.data_set.is_some()];
-        bits.iter().enumerate().fold(0u8, |all, (i, set)| all | u8::from(*set) << i)
+        let bits = [
+            self.class.is_some(),
+            self.member.is_some(),
+            self.front.is_some(),
+            self.data_set.is_some(),
+        ];
+        bits.iter()
+            .enumerate()
+            .fold(0u8, |all, (i, set)| all | u8::from(*set) << i)
     }
 
     /// How many combinations of values it names: the broader, the more.
@@ -141,14 +147,20 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Empty(name) => write!(f, "route {name:?} can match no request; name what it is to match"),
+            Fault::Empty(name) => write!(
+                f,
+                "route {name:?} can match no request; name what it is to match"
+            ),
             Fault::Disagree(a, b, keys) => write!(
                 f,
                 "routes {a:?} and {b:?} match the same requests and disagree on {}; let one lie within the other",
                 keys.join(", ")
             ),
             Fault::TooMany(cells) => {
-                write!(f, "routes name {cells} combinations of matchers, more than {CELLS}; leave some out")
+                write!(
+                    f,
+                    "routes name {cells} combinations of matchers, more than {CELLS}; leave some out"
+                )
             }
         }
     }
@@ -168,7 +180,8 @@
 }
 
 fn each<T: Copy>(set: &Option<BTreeSet<T>>) -> Vec<Option<T>> {
-    set.as_ref().map_or(vec![None], |all| all.iter().copied().map(Some).collect())
+    set.as_ref()
+        .map_or(vec![None], |all| all.iter().copied().map(Some).collect())
 }
 
 /// All keys, ready to be looked up.
@@ -183,20 +196,37 @@
 
 impl Routes {
     /// An index over these tables; `classes` by position, none where the file has no table for one. All faults at once.
-    pub fn new(default: &Keys, classes: &[Option<Keys>], routes: &[Route]) -> Result<Routes, Vec<Fault>> {
-        let mut faults: Vec<Fault> =
-            routes.iter().filter(|r| r.matches.empty()).map(|r| Fault::Empty(r.name.clone())).collect();
+    pub fn new(
+        default: &Keys,
+        classes: &[Option<Keys>],
+        routes: &[Route],
+    ) -> Result<Routes, Vec<Fault>> {
+        let mut faults: Vec<Fault> = routes
+            .iter()
+            .filter(|r| r.matches.empty())
+            .map(|r| Fault::Empty(r.name.clone()))
+            .collect();
         for (i, a) in routes.iter().enumerate() {
-            for b in routes[i + 1..].iter().filter(|b| a.matches.meets(&b.matches)) {
+            for b in routes[i + 1..]
+                .iter()
+                .filter(|b| a.matches.meets(&b.matches))
+            {
                 // Two that match the same lie within each other, and neither is the narrower.
                 let (inner, outer) = (a.matches.within(&b.matches), b.matches.within(&a.matches));
-                let keys = if inner == outer { a.keys.disagree(&b.keys) } else { Vec::new() };
+                let keys = if inner == outer {
+                    a.keys.disagree(&b.keys)
+                } else {
+                    Vec::new()
+                };
                 if !keys.is_empty() {
                     faults.push(Fault::Disagree(a.name.clone(), b.name.clone(), keys));
                 }
             }
         }
-        let cells = routes.iter().map(|r| r.matches.cells()).fold(0, usize::saturating_add);
+        let cells = routes
+            .iter()
+            .map(|r| r.matches.cells())
+            .fold(0, usize::saturating_add);
         if cells > CELLS {
             faults.push(Fault::TooMany(cells));
         }
@@ -222,7 +252,11 @@
                 for member in each(&m.member) {
                     for front in each(&m.front) {
                         for data_set in each(&m.data_set) {
-                            index.cells.entry((class, member, front, data_set)).or_default().lay(&route.keys);
+                            index
+                                .cells
+                                .entry((class, member, front, data_set))
+                                .or_default()
+                                .lay(&route.keys);
                         }
                     }
                 }
--- a/src/attempts/tests.rs
+++ b/src/attempts/tests.rs
@@ -9,26 +9,51 @@
 use std::sync::Arc;
 
 fn keys(timeout_ms: Option<f64>, max_attempts: Option<u32>) -> Keys {
-    Keys { timeout_ms, max_attempts, ..Keys::default() }
+    Keys {
+        timeout_ms,
+        max_attempts,
+        ..Keys::default()
+    }
 }
 
 fn route(name: &str, class: Option<&[usize]>, member: Option<&[usize]>, keys: Keys) -> Route {
     let set = |all: &[usize]| all.iter().copied().collect::<BTreeSet<_>>();
-    let matches = Match { class: class.map(set), member: member.map(set), ..Match::default() };
-    Route { name: name.to_owned(), matches, keys }
+    let matches = Match {
+        class: class.map(set),
+        member: member.map(set),
+        ..Match::default()
+    };
+    Route {
+        name: name.to_owned(),
+        matches,
+        keys,
+    }
 }
 
-const AT: Where = Where { class: 1, member: 2, front: Front::Platform, data_set: 17 };
+const AT: Where = Where {
+    class: 1,
+    member: 2,
+    front: Front::Platform,
+    data_set: 17,
+};
 
 #[test]
 fn key_by_key_from_the_default_to_the_narrowest_route() {
-    let default = Keys { retry_on: Some(Ends::all()), ..keys(Some(9000.0), Some(6)) };
+    let default = Keys {
+        retry_on: Some(Ends::all()),
+        ..keys(Some(9000.0), Some(6))
+    };
     let classes = [None, Some(keys(Some(5000.0), None)), None];
     let routes = [
         route("narrow", Some(&[1]), Some(&[2]), keys(Some(100.0), None)),
         route("broad", Some(&[1]), None, keys(Some(700.0), Some(2))),
         route("broader", Some(&[0, 1]), None, keys(Some(800.0), Some(3))),
-        route("elsewhere", Some(&[1]), Some(&[3]), keys(Some(1.0), Some(1))),
+        route(
+            "elsewhere",
+            Some(&[1]),
+            Some(&[3]),
+            keys(Some(1.0), Some(1)),
+        ),
     ];
     let index = Routes::new(&default, &classes, &routes).expect("no fault");
     let held = index.resolve(&AT);
@@ -36,8 +61,14 @@
         (held.timeout_ms, held.max_attempts, held.retry_on),
         (Some(100.0), Some(2), Some(Ends::all()))
     );
-    assert_eq!(index.resolve(&Where { class: 0, ..AT }).max_attempts, Some(3));
-    assert_eq!(index.resolve(&Where { class: 2, ..AT }).timeout_ms, Some(9000.0));
+    assert_eq!(
+        index.resolve(&Where { class: 0, ..AT }).max_attempts,
+        Some(3)
+    );
+    assert_eq!(
+        index.resolve(&Where { class: 2, ..AT }).timeout_ms,
+        Some(9000.0)
+    );
 }
 
 #[test]
@@ -58,11 +89,17 @@
     ];
     assert_eq!(faults, wanted);
     let text = faults[1].to_string();
-    assert!(text.contains("\"by class\" and \"by member\"") && text.contains("timeout_ms"), "{text}");
+    assert!(
+        text.contains("\"by class\" and \"by member\"") && text.contains("timeout_ms"),
+        "{text}"
+    );
     // A thousand classes and members each are a million cells.
     let many: Vec<usize> = (0..1000).collect();
     let routes = [route("vast", Some(&many), Some(&many), Keys::default())];
-    assert_eq!(Routes::new(&Keys::default(), &[], &routes).expect_err("fault"), [Fault::TooMany(1_000_000)]);
+    assert_eq!(
+        Routes::new(&Keys::default(), &[], &routes).expect_err("fault"),
+        [Fault::TooMany(1_000_000)]
+    );
 }
 
 /// The index says what a plain reading of the rule says: of all routes that match, for each key, the one that sets it and
@@ -75,18 +112,44 @@
         prop::option::of(prop::collection::btree_set(of, 1..3))
     }
     let front = || prop_oneof![Just(Front::Platform), Just(Front::Flight)];
-    let matches = (some(0..3usize), some(0..3usize), some(front()), some(0..3u32))
-        .prop_map(|(class, member, front, data_set)| Match { class, member, front, data_set });
-    let route = (matches, prop::option::of(0..2u32), prop::option::of(0..2u32))
-        .prop_map(|(matches, a, b)| Route { name: String::new(), matches, keys: keys(a.map(f64::from), b) });
-    let at = (0..3usize, 0..3usize, front(), 0..3u32).prop_map(|(class, member, front, data_set)| Where {
-        class,
-        member,
-        front,
-        data_set,
-    });
-    let config = Config { cases: 3000, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
+    let matches = (
+        some(0..3usize),
+        some(0..3usize),
+        some(front()),
+        some(0..3u32),
+    )
+        .prop_map(|(class, member, front, data_set)| Match {
+            class,
+            member,
+            front,
+            data_set,
+        });
+    let route = (
+        matches,
+        prop::option::of(0..2u32),
+        prop::option::of(0..2u32),
+    )
+        .prop_map(|(matches, a, b)| Route {
+            name: String::new(),
+            matches,
+            keys: keys(a.map(f64::from), b),
+        });
+    let at =
+        (0..3usize, 0..3usize, front(), 0..3u32).prop_map(|(class, member, front, data_set)| {
+            Where {
+                class,
+                member,
+                front,
+                data_set,
+            }
+        });
+    let config = Config {
+        cases: 3000,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let (mut good, mut bad) = (0, 0);
     let tried = std::cell::RefCell::new((&mut good, &mut bad));
     let kept = runner.run(&(prop::collection::vec(route, 0..6), at), |(routes, at)| {
@@ -107,7 +170,8 @@
         let narrowest = |sets: &dyn Fn(&Route) -> bool| {
             let all: Vec<&&Route> = mine.iter().filter(|r| sets(r)).collect();
             let inner = |r: &&&Route| {
-                !all.iter().any(|o| o.matches.within(&r.matches) && !r.matches.within(&o.matches))
+                !all.iter()
+                    .any(|o| o.matches.within(&r.matches) && !r.matches.within(&o.matches))
             };
             all.iter().find(|r| inner(r)).map(|r| r.keys.clone())
         };
@@ -119,7 +183,10 @@
         Ok(())
     });
     kept.unwrap_or_else(|e| panic!("{e}"));
-    assert!(good > 500 && bad > 500, "{good} and {bad}: both are to be seen");
+    assert!(
+        good > 500 && bad > 500,
+        "{good} and {bad}: both are to be seen"
+    );
 }
 
 /// Guard: however many first attempts fail, further ones stay within the budget; and quiet times save nothing up.
@@ -140,13 +207,23 @@
     assert!(last.len() > 5_000, "and it is used: {}", last.len());
     now += 3_600_000.0;
     let free = (0..100).filter(|_| spent.take(&budget, now)).count();
-    assert_eq!(free, 30, "an hour of quiet leaves the window's own and no more");
-    assert!(!spent.take(&budget, now - 5_000.0), "a clock that goes back gives nothing");
+    assert_eq!(
+        free, 30,
+        "an hour of quiet leaves the window's own and no more"
+    );
+    assert!(
+        !spent.take(&budget, now - 5_000.0),
+        "a clock that goes back gives nothing"
+    );
 }
 
 #[test]
 fn waits_double_up_to_their_bound() {
-    let wait = BackOff { base_ms: 20.0, max_ms: 100.0, jitter: 0.5 };
+    let wait = BackOff {
+        base_ms: 20.0,
+        max_ms: 100.0,
+        jitter: 0.5,
+    };
     let all: Vec<f64> = (1..6).map(|made| wait.wait_ms(made, 0.0)).collect();
     assert_eq!(all, [20.0, 40.0, 80.0, 100.0, 100.0]);
     assert_eq!((wait.wait_ms(2, 1.0), wait.all_ms(4)), (20.0, 140.0));
@@ -158,16 +235,27 @@
     let held = Keys {
         retry_on: Some(Ends::default().with(Outcome::Full).with(Outcome::TimedOut)),
         budget: Some(Arc::new(Budget::new(0.0, 1.0, 1000.0))),
-        backoff: Some(BackOff { base_ms: 10.0, max_ms: 90.0, jitter: 0.0 }),
+        backoff: Some(BackOff {
+            base_ms: 10.0,
+            max_ms: 90.0,
+            jitter: 0.0,
+        }),
         ..keys(None, Some(3))
     };
     let next = |made, end, now| held.next(made, end, now, 0.0);
     assert_eq!(next(1, Outcome::Error, 0.0), Next::Ended);
-    assert_eq!(next(1, Outcome::Cancelled, 0.0), Next::After(10.0), "what took too long counts as timed out");
+    assert_eq!(
+        next(1, Outcome::Cancelled, 0.0),
+        Next::After(10.0),
+        "what took too long counts as timed out"
+    );
     assert_eq!(next(2, Outcome::Full, 5.0), Next::Held);
     assert_eq!(next(2, Outcome::Full, 1100.0), Next::After(20.0));
     assert_eq!(next(3, Outcome::Full, 9000.0), Next::Ended);
-    assert_eq!(Keys::default().next(9, Outcome::Reset, 0.0, 0.0), Next::After(0.0));
+    assert_eq!(
+        Keys::default().next(9, Outcome::Reset, 0.0, 0.0),
+        Next::After(0.0)
+    );
     let ran: Vec<&str> = Ends::all().that_may_have_run().collect();
     assert_eq!(ran, ["reset", "error", "timed-out"]);
 }
--- a/src/bin/magpiechute-simhost/frame.rs
+++ b/src/bin/magpiechute-simhost/frame.rs
@@ -81,7 +81,10 @@
     }
 
     pub fn engine(self, at: usize) -> magpiechute::EngineId {
-        magpiechute::EngineId { addr: self.take(at), port: self.u16(at + 4) }
+        magpiechute::EngineId {
+            addr: self.take(at),
+            port: self.u16(at + 4),
+        }
     }
 }
 
@@ -93,23 +96,37 @@
         return Ok(None);
     }
     if got < HEADER {
-        return Err(Problem(format!("input ends {got} bytes into a batch header of {HEADER}")));
+        return Err(Problem(format!(
+            "input ends {got} bytes into a batch header of {HEADER}"
+        )));
     }
     let h = Bytes(&header);
-    let (length, clock, count, number) = (h.u32(0) as usize, h.f64(4), h.u32(12) as usize, h.u32(16));
+    let (length, clock, count, number) =
+        (h.u32(0) as usize, h.f64(4), h.u32(12) as usize, h.u32(16));
     let needed = count.checked_mul(EVENT).and_then(|n| n.checked_add(HEADER));
     if needed.is_none_or(|n| n > length) {
-        return Err(Problem(format!("batch {number}: {count} records do not fit a frame of {length} bytes")));
+        return Err(Problem(format!(
+            "batch {number}: {count} records do not fit a frame of {length} bytes"
+        )));
     }
     if !clock.is_finite() {
-        return Err(Problem(format!("batch {number}: the clock is not a number")));
+        return Err(Problem(format!(
+            "batch {number}: the clock is not a number"
+        )));
     }
     // Memory grows with what has come in, not with what the header claims.
     let mut body = Vec::new();
     let wanted = length - HEADER;
     match input.take(wanted as u64).read_to_end(&mut body) {
-        Ok(n) if n == wanted => Ok(Some(Batch { clock, number, count, body })),
-        Ok(n) => Err(Problem(format!("batch {number}: input ends {n} bytes into a body of {wanted}"))),
+        Ok(n) if n == wanted => Ok(Some(Batch {
+            clock,
+            number,
+            count,
+            body,
+        })),
+        Ok(n) => Err(Problem(format!(
+            "batch {number}: input ends {n} bytes into a body of {wanted}"
+        ))),
         Err(e) => Err(Problem(format!("batch {number}: cannot read: {e}"))),
     }
 }
--- a/src/bin/magpiechute-simhost/host.rs
+++ b/src/bin/magpiechute-simhost/host.rs
@@ -3,7 +3,8 @@
 use crate::frame::{Batch, Bytes, Problem, Reply};
 use magpiechute::settings;
 use magpiechute::{
-    Action, Ended, EngineEntry, Event, Gateway, ListKind, ListState, LoadReport, Note, Outcome, Request,
+    Action, Ended, EngineEntry, Event, Gateway, ListKind, ListState, LoadReport, Note, Outcome,
+    Request,
 };
 use std::collections::BTreeMap;
 
@@ -54,16 +55,28 @@
     fn inventory(&mut self, batch: &Batch, i: usize, r: Bytes<'_>) -> Result<(), Problem> {
         let slot = r.u16(1);
         if slot >= LISTS {
-            return Err(Problem(format!("batch {}, record {i}: list number {slot}", batch.number)));
+            return Err(Problem(format!(
+                "batch {}, record {i}: list number {slot}",
+                batch.number
+            )));
         }
         let length = (r.u32(7) as usize).saturating_mul(ENTRY);
         let mut entries = Vec::new();
-        for line in batch.tail(r.u32(3), length, "an engine list")?.chunks_exact(ENTRY).map(Bytes) {
+        for line in batch
+            .tail(r.u32(3), length, "an engine list")?
+            .chunks_exact(ENTRY)
+            .map(Bytes)
+        {
             let state = match line.u8(11) {
                 0 => ListState::Gone,
                 1 => ListState::Ready,
                 2 => ListState::Draining,
-                other => return Err(Problem(format!("batch {}, record {i}: health {other}", batch.number))),
+                other => {
+                    return Err(Problem(format!(
+                        "batch {}, record {i}: health {other}",
+                        batch.number
+                    )));
+                }
             };
             entries.push(EngineEntry {
                 engine: line.engine(0),
@@ -92,7 +105,11 @@
         let text = batch.tail(r.u32(11), r.u32(15) as usize, "the settings")?;
         let made = settings::parse(text).and_then(|p| {
             let gateway = Gateway::new(p.settings, r.u64(3)).map_err(|e| e.to_string())?;
-            Ok(Instance { gateway, report_names: p.report_names, bills: p.bills })
+            Ok(Instance {
+                gateway,
+                report_names: p.report_names,
+                bills: p.bills,
+            })
         });
         match made {
             Ok(mut made) => {
@@ -107,9 +124,18 @@
         Ok(())
     }
 
-    fn event(&self, batch: &Batch, i: usize, code: u8, r: Bytes<'_>) -> Result<Option<Event>, Problem> {
+    fn event(
+        &self,
+        batch: &Batch,
+        i: usize,
+        code: u8,
+        r: Bytes<'_>,
+    ) -> Result<Option<Event>, Problem> {
         let wrong = |what: &str, value: u64| {
-            Problem(format!("batch {}, record {i}: unknown {what} {value}", batch.number))
+            Problem(format!(
+                "batch {}, record {i}: unknown {what} {value}",
+                batch.number
+            ))
         };
         let inst = self.instances.get(&r.u16(1));
         Ok(Some(match code {
@@ -139,11 +165,16 @@
                 memory_mb: Some(r.f32(34)).filter(|mb| *mb > 0.0),
                 attempts_cap: None,
             }),
-            8 => Event::Streaming { id: r.u32(3), attempt: r.u16(7) },
+            8 => Event::Streaming {
+                id: r.u32(3),
+                attempt: r.u16(7),
+            },
             4 => Event::Timer { token: r.u64(3) },
             5 => Event::ClientGone { id: r.u32(3) },
             1 => Event::PeerMessage {
-                payload: batch.tail(r.u32(7), r.u32(11) as usize, "a message")?.to_vec(),
+                payload: batch
+                    .tail(r.u32(7), r.u32(11) as usize, "a message")?
+                    .to_vec(),
             },
             10 => {
                 let level = r.f32(10);
@@ -154,7 +185,11 @@
                     (3, _) => Note::WaitsForMemory,
                     (other, _) => return Err(wrong("kind of note", other.into())),
                 };
-                Event::Note { id: r.u32(3), attempt: r.u16(7), note }
+                Event::Note {
+                    id: r.u32(3),
+                    attempt: r.u16(7),
+                    note,
+                }
             }
             9 => {
                 let code = r.u16(28);
@@ -226,24 +261,56 @@
         field
     };
     match action {
-        Action::Send { id, engine, timeout_ms } => {
+        Action::Send {
+            id,
+            engine,
+            timeout_ms,
+        } => {
             let timeout = timeout_ms.unwrap_or(0.0).to_le_bytes();
-            reply.record(65, instance, &[(3, &id.to_le_bytes()), (7, &timeout), (15, &address(engine))]);
+            reply.record(
+                65,
+                instance,
+                &[
+                    (3, &id.to_le_bytes()),
+                    (7, &timeout),
+                    (15, &address(engine)),
+                ],
+            );
         }
         Action::Refuse { id, hold_off_ms } => {
-            reply.record(66, instance, &[(3, &id.to_le_bytes()), (7, &hold_off_ms.to_le_bytes())]);
+            reply.record(
+                66,
+                instance,
+                &[(3, &id.to_le_bytes()), (7, &hold_off_ms.to_le_bytes())],
+            );
         }
         Action::Fail { id } => reply.record(67, instance, &[(3, &id.to_le_bytes())]),
         Action::Cancel { id, attempt } => {
-            reply.record(68, instance, &[(3, &id.to_le_bytes()), (7, &attempt.to_le_bytes())]);
+            reply.record(
+                68,
+                instance,
+                &[(3, &id.to_le_bytes()), (7, &attempt.to_le_bytes())],
+            );
         }
         Action::Timer { after_ms, token } => {
-            reply.record(69, instance, &[(3, &after_ms.to_le_bytes()), (11, &token.to_le_bytes())]);
+            reply.record(
+                69,
+                instance,
+                &[(3, &after_ms.to_le_bytes()), (11, &token.to_le_bytes())],
+            );
         }
         Action::Probe { engine } => reply.record(70, instance, &[(3, &address(engine))]),
-        Action::Terms { id, memory_mb, priority } => {
+        Action::Terms {
+            id,
+            memory_mb,
+            priority,
+        } => {
             let memory = (*memory_mb as f32).to_le_bytes();
-            reply.record(77, instance, &[(3, &id.to_le_bytes()), (7, &memory), (11, &[*priority])]);
+            reply.record(
+                77,
+                instance,
+                &[(3, &id.to_le_bytes()), (7, &memory), (11, &[*priority])],
+            );
         }
         Action::Log { line } => {
             let field = reply.text(line);
--- a/src/bin/magpiechute-simhost/main.rs
+++ b/src/bin/magpiechute-simhost/main.rs
@@ -27,7 +27,11 @@
                 return ExitCode::FAILURE;
             }
         };
-        if output.write_all(&reply).and_then(|()| output.flush()).is_err() {
+        if output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .is_err()
+        {
             return ExitCode::FAILURE;
         }
     }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -89,7 +89,7 @@
     cap: u32,   // attempts that it may have
     sends: u16, // handed out, those included that were none
     out: Option<Try>,
-    done: bool,                     // answered or left; kept until its attempt's outcome is in
+    done: bool, // answered or left; kept until its attempt's outcome is in
     ran: Option<(u8, u16, Millis)>, // zone, cell, time of the first send that may have run
     aside: bool,
     erred: Vec<EngineId>, // engines that answered it with an error
@@ -167,7 +167,7 @@
     line: BTreeMap<u64, RequestId>,
     keys: BTreeMap<u64, (BTreeMap<u64, RequestId>, Millis)>,
     engines: BTreeMap<EngineId, Engine>,
-    beside: f64,              // beside another process of this gateway: its part is one in so many
+    beside: f64, // beside another process of this gateway: its part is one in so many
     bans: BTreeSet<EngineId>, // taken out by hand, listed or not
     stats: Vec<ClassStat>,
     best: f64,
@@ -217,22 +217,34 @@
             Event::Beside { parts } => self.beside = parts,
             Event::Settings(new) => self.on_settings(*new),
             Event::Request(r) => self.on_request(&r, actions),
-            Event::Streaming { id, attempt: n } => {
-                self.try_of(id, n).iter_mut().for_each(|t| t.streaming = true)
-            }
+            Event::Streaming { id, attempt: n } => self
+                .try_of(id, n)
+                .iter_mut()
+                .for_each(|t| t.streaming = true),
             Event::Started | Event::Timer { token: TICK } => self.on_tick(actions),
             Event::Timer { .. } | Event::PeerMessage { .. } => {}
             Event::ClientGone { id } => self.finish(id),
             Event::Note { id, attempt, note } => self.on_note(id, attempt, note, actions),
             Event::Ended(e) => {
                 self.on_report(e.engine, e.report);
-                if self.try_of(e.id, e.attempt).is_some_and(|t| t.engine == e.engine) {
+                if self
+                    .try_of(e.id, e.attempt)
+                    .is_some_and(|t| t.engine == e.engine)
+                {
                     self.on_ended(&e, actions);
                 }
             }
-            Event::Probed { engine, outcome, report, .. } => {
+            Event::Probed {
+                engine,
+                outcome,
+                report,
+                ..
+            } => {
                 self.on_report(engine, report);
-                self.engines.get_mut(&engine).into_iter().for_each(|e| e.asking = false);
+                self.engines
+                    .get_mut(&engine)
+                    .into_iter()
+                    .for_each(|e| e.asking = false);
                 match outcome {
                     Outcome::Ok => self.answers(engine, actions),
                     Outcome::Full | Outcome::Moot => {}
@@ -245,8 +257,13 @@
 
     /// Listed engines that it sends nothing at present, by hand or by choice.
     pub fn avoided(&self) -> usize {
-        let listed = self.engines.values().filter(|e| e.line.state != ListState::Gone);
-        listed.filter(|e| e.banned || e.usable() && self.now < e.shut_until.max(e.stalled_until)).count()
+        let listed = self
+            .engines
+            .values()
+            .filter(|e| e.line.state != ListState::Gone);
+        listed
+            .filter(|e| e.banned || e.usable() && self.now < e.shut_until.max(e.stalled_until))
+            .count()
     }
 
     /// The settings in use.
@@ -262,8 +279,14 @@
     /// Guard: no list, address or start of the engine undoes a ban. It was restarted while it was out, and
     /// the list tells that late or not at all, so it is cold from the call back on.
     fn on_ban(&mut self, engine: EngineId, out: bool, at: Millis) {
-        let new = if out { self.bans.insert(engine) } else { self.bans.remove(&engine) };
-        let Some(e) = self.engines.get_mut(&engine).filter(|_| new) else { return };
+        let new = if out {
+            self.bans.insert(engine)
+        } else {
+            self.bans.remove(&engine)
+        };
+        let Some(e) = self.engines.get_mut(&engine).filter(|_| new) else {
+            return;
+        };
         e.banned = out;
         if !out {
             e.restart(at, at + self.set.cold_ms, e.fit.start, self.now);
@@ -272,7 +295,12 @@
 
     /// How many requests, waiters, keys and engines it holds.
     pub fn held(&self) -> [usize; 4] {
-        [self.reqs.len(), self.line.len(), self.keys.len(), self.engines.len()]
+        [
+            self.reqs.len(),
+            self.line.len(),
+            self.keys.len(),
+            self.engines.len(),
+        ]
     }
 
     fn on_list(&mut self, kind: ListKind, entries: Vec<EngineEntry>) {
@@ -282,11 +310,18 @@
         }
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             let named: BTreeSet<EngineId> = entries.iter().map(|e| e.engine).collect();
-            let missing = self.engines.iter_mut().filter(|(id, _)| !named.contains(id));
+            let missing = self
+                .engines
+                .iter_mut()
+                .filter(|(id, _)| !named.contains(id));
             missing.for_each(|(_, e)| e.line.state = ListState::Gone);
         }
         for line in entries {
-            let listed = if line.nominal.is_finite() { line.nominal.max(1.0) } else { 1.0 };
+            let listed = if line.nominal.is_finite() {
+                line.nominal.max(1.0)
+            } else {
+                1.0
+            };
             let named = self.set.kind_cores.get(usize::from(line.kind)).copied();
             let cores = named.filter(|c| *c > 0.0).unwrap_or(listed);
             let share = cores * START_PER_CORE / self.set.holders(&line).mean;
@@ -310,11 +345,22 @@
 
     /// What was learned of a class goes by its name, and a request's class is the one that it came with.
     fn on_settings(&mut self, new: Settings) {
-        let (set, places) = new.in_place_of(&self.set, |at| self.reqs.values().any(|r| r.class == at));
-        let known = |name| self.set.names.iter().position(|n| n == name).map(|at| self.stats[at].clone());
+        let (set, places) =
+            new.in_place_of(&self.set, |at| self.reqs.values().any(|r| r.class == at));
+        let known = |name| {
+            self.set
+                .names
+                .iter()
+                .position(|n| n == name)
+                .map(|at| self.stats[at].clone())
+        };
         let stats = set.names.iter().zip(&set.classes);
-        self.stats = stats.map(|(name, c)| known(name).unwrap_or_else(|| ClassStat::first(c))).collect();
-        self.reqs.values_mut().for_each(|r| r.class = places[r.class]);
+        self.stats = stats
+            .map(|(name, c)| known(name).unwrap_or_else(|| ClassStat::first(c)))
+            .collect();
+        self.reqs
+            .values_mut()
+            .for_each(|r| r.class = places[r.class]);
         (self.widest, self.set) = (set.widest(), set);
     }
 
@@ -329,12 +375,25 @@
         }
         self.taken.push_back(now);
         self.came.0 += 1.0;
-        let Some(c) = self.set.classes.get(class) else { return actions.push(Action::Fail { id }) };
-        let due = if q.due_ms.is_finite() { q.due_ms } else { now + c.give_up_ms };
+        let Some(c) = self.set.classes.get(class) else {
+            return actions.push(Action::Fail { id });
+        };
+        let due = if q.due_ms.is_finite() {
+            q.due_ms
+        } else {
+            now + c.give_up_ms
+        };
         let est = q.cost_ms.filter(|w| w.is_finite() && *w > 0.0 && *w < 1e9);
-        let memory = q.memory_mb.filter(|mb| mb.is_finite() && *mb > 0.0).unwrap_or(0.0);
+        let memory = q
+            .memory_mb
+            .filter(|mb| mb.is_finite() && *mb > 0.0)
+            .unwrap_or(0.0);
         self.seq += 1;
-        let (seq, key, cap) = (self.seq, q.key, q.attempts_cap.unwrap_or(self.set.attempts_cap));
+        let (seq, key, cap) = (
+            self.seq,
+            q.key,
+            q.attempts_cap.unwrap_or(self.set.attempts_cap),
+        );
         if c.ordered && key != 0 {
             self.keys.entry(key).or_default().0.insert(seq, id);
         }
@@ -343,7 +402,18 @@
         // (id20f69). Its aim runs from there. Harms where a class's clients differ in patience.
         s.window = s.window.max((due - now).min(c.give_up_ms));
         let arrived = now.min(due - s.window);
-        let r = Req { seq, class, key, cap, arrived, due, est, dataset: q.dataset, memory, ..Req::default() };
+        let r = Req {
+            seq,
+            class,
+            key,
+            cap,
+            arrived,
+            due,
+            est,
+            dataset: q.dataset,
+            memory,
+            ..Req::default()
+        };
         self.line.insert(seq, id);
         self.reqs.insert(id, r);
         self.probes = (self.probes + 1.0).min(PROBES_SAVED);
@@ -357,24 +427,45 @@
     }
 
     fn on_ended(&mut self, ended: &Ended, actions: &mut Vec<Action>) {
-        let Ended { id, outcome, took_ms: took, finished, billed_ms: billed, billed_mb, .. } = *ended;
+        let Ended {
+            id,
+            outcome,
+            took_ms: took,
+            finished,
+            billed_ms: billed,
+            billed_mb,
+            ..
+        } = *ended;
         let now = self.now;
-        let crowd = self.engines.get(&ended.engine).map_or(1.0, |e| (self.load(e) / self.cores(e)).max(1.0));
-        let Some(r) = self.reqs.get_mut(&id) else { return };
+        let crowd = self
+            .engines
+            .get(&ended.engine)
+            .map_or(1.0, |e| (self.load(e) / self.cores(e)).max(1.0));
+        let Some(r) = self.reqs.get_mut(&id) else {
+            return;
+        };
         let Some(t) = r.out.take() else { return };
-        let (class, key, seq, done, hinted) = (r.class, r.key, r.seq, r.done || finished, r.est.is_some());
+        let (class, key, seq, done, hinted) =
+            (r.class, r.key, r.seq, r.done || finished, r.est.is_some());
         if let Some(mb) = billed_mb.filter(|mb| mb.is_finite() && *mb > 0.0 && r.memory > 0.0) {
             self.stats[class].memory.see((mb / r.memory).ln());
         }
         let threads = self.set.classes[class].threads;
-        let ran = matches!(outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        let ran = matches!(
+            outcome,
+            Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
         if let Some(e) = self.engines.get_mut(&t.engine) {
             e.threads = e.threads.saturating_sub(threads);
             self.own -= f64::from(threads);
             e.running.remove(&id);
             r.ran = r.ran.or(ran.then_some((e.line.zone, e.line.cell, t.sent)));
         }
-        if let Some((_, rest)) = self.keys.get_mut(&key).filter(|_| ran && outcome != Outcome::Error) {
+        if let Some((_, rest)) = self
+            .keys
+            .get_mut(&key)
+            .filter(|_| ran && outcome != Outcome::Error)
+        {
             *rest = rest.max(now + self.set.order_pause_ms);
         }
         match outcome {
@@ -397,7 +488,10 @@
                 self.reqs.get_mut(&id).expect("ended").erred.push(t.engine);
             }
             Outcome::Full => {
-                self.engines.get_mut(&t.engine).into_iter().for_each(|e| e.stall(now));
+                self.engines
+                    .get_mut(&t.engine)
+                    .into_iter()
+                    .for_each(|e| e.stall(now));
                 self.crowded(t.engine);
             }
             Outcome::NoConnection => self.fails(t.engine, "no_connection", actions),
@@ -423,30 +517,55 @@
     /// Engines that failed what another serves are at fault. Guard: an error alone proves nothing, as engines
     /// answer so to what clients send and nobody can use; yet one that fails everything at once looks free.
     fn convict(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let erred = self.reqs.get_mut(&id).map_or(Vec::new(), |r| std::mem::take(&mut r.erred));
+        let erred = self
+            .reqs
+            .get_mut(&id)
+            .map_or(Vec::new(), |r| std::mem::take(&mut r.erred));
         for at in erred {
-            let Some(e) = self.engines.get_mut(&at) else { continue };
+            let Some(e) = self.engines.get_mut(&at) else {
+                continue;
+            };
             e.proofs = e.proofs.saturating_add(1);
             if e.proofs == ERROR_PROOFS {
                 e.stall(self.now);
-                actions.push(Action::Log { line: format!("engine={at} state=doubted why=errors") });
+                actions.push(Action::Log {
+                    line: format!("engine={at} state=doubted why=errors"),
+                });
             }
         }
     }
 
     /// What a served attempt teaches: the class's work, the engine's latency, the interval's output.
-    fn learn(&mut self, class: usize, t: &Try, hinted: bool, took: f64, bill: Option<f64>, crowd: f64) {
+    fn learn(
+        &mut self,
+        class: usize,
+        t: &Try,
+        hinted: bool,
+        took: f64,
+        bill: Option<f64>,
+        crowd: f64,
+    ) {
         let threads = self.threads(class);
-        let took = if took.is_finite() { took.max(0.1) } else { return };
+        let took = if took.is_finite() {
+            took.max(0.1)
+        } else {
+            return;
+        };
         let bill = bill.filter(|w| w.is_finite() && *w > 0.0);
         self.bills |= bill.is_some();
         // Guard: an estimate counts once its query is served: anyone may send one, engines serve no nonsense.
-        self.stats[class].see(if hinted { t.est } else { bill.unwrap_or(took * threads / crowd) });
+        self.stats[class].see(if hinted {
+            t.est
+        } else {
+            bill.unwrap_or(took * threads / crowd)
+        });
         let work = bill.unwrap_or(t.work);
         let ratio = (took * threads / work.max(0.1)).ln().clamp(-3.0, 5.0);
         if hinted {
             // A bill tells the estimate's error, else latency against all others'.
-            self.stats[class].work.see(bill.map_or(ratio - self.stretch, |w| (w / t.est).ln()));
+            self.stats[class]
+                .work
+                .see(bill.map_or(ratio - self.stretch, |w| (w / t.est).ln()));
         }
         self.rate += work / RATE_MS;
         self.samples = self.samples.saturating_add(1);
@@ -454,7 +573,9 @@
         if f64::from(self.samples) > 1.0 / LATENCY_GAIN {
             self.best = (self.best + BEST_RISE).min(self.stretch);
         }
-        let Some(e) = self.engines.get_mut(&t.engine) else { return };
+        let Some(e) = self.engines.get_mut(&t.engine) else {
+            return;
+        };
         e.samples = e.samples.saturating_add(1);
         e.slow += LATENCY_GAIN.max(1.0 / f64::from(e.samples)) * (ratio - crowd.ln() - e.slow);
         // It adds to its interval the threads while it ran and their output; what vanished leaves no
@@ -464,9 +585,19 @@
         let all = (t.seen.1 + (self.load(e) + threads) / self.cores(e)) / 2.0;
         let (now, cores) = (self.now, e.cores);
         let time = (took * threads).min(4.0 * work * self.usual_stretch()); // a giant: four usual queries
-        self.pool.pair(all / START_PER_CORE, time, work, (now, POOL_FITS, threads / START_PER_CORE / cores));
+        self.pool.pair(
+            all / START_PER_CORE,
+            time,
+            work,
+            (now, POOL_FITS, threads / START_PER_CORE / cores),
+        );
         if let Some(e) = self.engines.get_mut(&t.engine).filter(|e| e.warm(now)) {
-            e.fit.pair(own / e.fit.start, time, work, (now, FIT_PAIRS, threads / e.fit.start));
+            e.fit.pair(
+                own / e.fit.start,
+                time,
+                work,
+                (now, FIT_PAIRS, threads / e.fit.start),
+            );
         }
     }
 
@@ -475,15 +606,27 @@
         // What hangs holds memory while cores and disks idle: its engine must not look free (29742104).
         let shares = [report.busy, report.disks, report.granted];
         let busy = shares.into_iter().flatten().filter(sane).reduce(f64::max);
-        let each = if self.held.1 > 0.0 { self.held.0 / self.held.1 } else { 1.0 };
+        let each = if self.held.1 > 0.0 {
+            self.held.0 / self.held.1
+        } else {
+            1.0
+        };
         let full = START_PER_CORE * self.pool.bound;
-        let Some(e) = self.engines.get_mut(&engine) else { return };
+        let Some(e) = self.engines.get_mut(&engine) else {
+            return;
+        };
         // Busy cores or disks stand in for threads; at the ceiling, where more do not show, for all that fit.
         let by_busy = |b: f64| e.cores * if b < PRESSURE_BUSY { b } else { full };
         let waiting = report.queued.filter(sane).unwrap_or(0.0) * each;
-        let told = report.inflight.filter(sane).map(|n| (n - e.running.len() as f64) * each);
+        let told = report
+            .inflight
+            .filter(sane)
+            .map(|n| (n - e.running.len() as f64) * each);
         self.counted |= told.is_some();
-        let Some(others) = told.or(busy.map(|b| by_busy(b) - f64::from(e.threads) + waiting)) else { return };
+        let Some(others) = told.or(busy.map(|b| by_busy(b) - f64::from(e.threads) + waiting))
+        else {
+            return;
+        };
         let gain = REPORT_GAIN.max(1.0 - (-(self.now - e.reported) / PROBE_MS).exp());
         e.reported = self.now;
         if self.set.instances > 1 {
@@ -495,31 +638,44 @@
                 self.told = self.now;
             }
         }
-        let busy = if told.is_some() { report.busy.filter(sane) } else { busy }; // a count tells more
+        let busy = if told.is_some() {
+            report.busy.filter(sane)
+        } else {
+            busy
+        }; // a count tells more
         e.busy += busy.map_or(0.0, |b| gain * (b - e.busy));
     }
 
     /// What counts as a report of an engine as crowded.
     fn crowded(&mut self, at: EngineId) {
         if let Some(e) = self.engines.get_mut(&at) {
-            (e.others, e.reported) = (e.others.max(e.cores * START_PER_CORE * self.pool.bound), self.now);
+            (e.others, e.reported) = (
+                e.others.max(e.cores * START_PER_CORE * self.pool.bound),
+                self.now,
+            );
         }
     }
 
     /// A query on a bad plan is called off and sent again: the one case in which a healthy engine's query is.
     fn on_note(&mut self, id: RequestId, attempt: u16, note: Note, actions: &mut Vec<Action>) {
         // A wait for memory reports the engine as crowded, whatever its cores tell; so where nothing reports.
-        let Some(engine) = self.try_of(id, attempt).map(|t| t.engine) else { return };
+        let Some(engine) = self.try_of(id, attempt).map(|t| t.engine) else {
+            return;
+        };
         if note == Note::WaitsForMemory {
             self.crowded(engine);
         }
-        let (Note::Progress(share), Some(r)) = (note, self.reqs.get(&id)) else { return };
+        let (Note::Progress(share), Some(r)) = (note, self.reqs.get(&id)) else {
+            return;
+        };
         let Some(t) = r.out.as_ref() else { return };
         let age = self.now - t.sent;
         let lone = t.work / self.threads(r.class);
         let whole = age / share.clamp(1e-3, 1.0);
         let afresh = lone * self.usual_stretch().max(1.0);
-        let here = lone * self.engines.get(&engine).map_or(1.0, |e| self.slowness(e)) * self.usual_stretch();
+        let here = lone
+            * self.engines.get(&engine).map_or(1.0, |e| self.slowness(e))
+            * self.usual_stretch();
         let slow_plan = whole > self.plan_times(r) * here.max(afresh) && whole - age > 1.5 * afresh;
         // What may run once only is never called off: late is worth more than lost (31d1870b).
         let sure = !r.done && share.is_finite() && age >= NOTE_AGE_MS && self.repeatable(r);
@@ -530,23 +686,42 @@
     }
 
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer { after_ms: TICK_MS, token: TICK });
+        actions.push(Action::Timer {
+            after_ms: TICK_MS,
+            token: TICK,
+        });
         self.rate *= 1.0 - TICK_MS / RATE_MS;
         // Guard: a key outlives its last request by its rest, and no longer.
-        self.keys.retain(|_, (held, rest)| !held.is_empty() || *rest > self.now);
+        self.keys
+            .retain(|_, (held, rest)| !held.is_empty() || *rest > self.now);
         self.came.0 *= 1.0 - TICK_MS / TRAFFIC_MS;
         self.came.1 += TICK_MS - self.came.1 * TICK_MS / TRAFFIC_MS;
         if self.set.must_ask && !std::mem::replace(&mut self.asked, true) {
             actions.push(Action::Subscribe);
         }
-        let mut slow: Vec<f64> = self.engines.values().filter(|e| e.samples > 4).map(|e| e.slow).collect();
+        let mut slow: Vec<f64> = self
+            .engines
+            .values()
+            .filter(|e| e.samples > 4)
+            .map(|e| e.slow)
+            .collect();
         slow.sort_by(f64::total_cmp);
         self.middle_slow = slow.get(slow.len() / 2).copied();
         let usable = self.engines.values().filter(|e| e.usable());
         self.shares = usable.map(|e| e.share * self.cores(e) / e.cores).sum();
         self.watch(actions);
-        self.line.values().next().copied().into_iter().for_each(|id| self.ask(id, actions));
-        let late: Vec<RequestId> = self.line.values().copied().filter(|id| self.hopeless(*id)).collect();
+        self.line
+            .values()
+            .next()
+            .copied()
+            .into_iter()
+            .for_each(|id| self.ask(id, actions));
+        let late: Vec<RequestId> = self
+            .line
+            .values()
+            .copied()
+            .filter(|id| self.hopeless(*id))
+            .collect();
         late.into_iter().for_each(|id| self.end(id, actions));
         self.shed(actions);
     }
@@ -560,7 +735,8 @@
             if self.now < r.ask_until && r.asked.iter().any(asking) {
                 break;
             }
-            let turn = self.turn(id, r) && (r.attempts == 0 || self.may_extra() && self.may_repeat(id));
+            let turn =
+                self.turn(id, r) && (r.attempts == 0 || self.may_extra() && self.may_repeat(id));
             let open = |e: &&Engine| turn && self.takes(r, e) && self.cold_room(r, e);
             let fits = |e: &Engine| self.room(r.class, e) || !self.pressed(e);
             let homes = self.homes(r);
@@ -584,8 +760,10 @@
     fn room(&self, class: usize, e: &Engine) -> bool {
         let threads = self.threads(class);
         // Busy cores say nothing of what waits there for memory or a load.
-        let all = self.counted && self.load(e) + threads <= START_PER_CORE * self.pool.bound * self.cores(e);
-        let own = self.own + threads <= (self.shares * self.weight() * self.pool.bound).max(self.widest);
+        let all = self.counted
+            && self.load(e) + threads <= START_PER_CORE * self.pool.bound * self.cores(e);
+        let own =
+            self.own + threads <= (self.shares * self.weight() * self.pool.bound).max(self.widest);
         f64::from(e.threads) + threads <= e.fit.bound && (e.share >= self.widest || all || own)
     }
 
@@ -593,28 +771,52 @@
     fn weight(&self) -> f64 {
         let quota: f64 = self.set.tenant_quotas.iter().sum();
         let usual = quota / 1000.0 / f64::from(self.set.instances) * self.came.1;
-        if quota > 0.0 { (1.0 + self.came.0) / (1.0 + usual) } else { 1.0 }
+        if quota > 0.0 {
+            (1.0 + self.came.0) / (1.0 + usual)
+        } else {
+            1.0
+        }
     }
 
     /// The engines that their holders prefer for a request's data set, as they keep it warm: by hash.
     fn homes(&self, r: &Req) -> Vec<EngineId> {
         let rank = |e: &Engine| (mix(e.hash ^ u64::from(r.dataset)), e.line.engine);
-        let mut best: Vec<_> = self.engines.values().filter(|e| e.usable()).map(rank).collect();
+        let mut best: Vec<_> = self
+            .engines
+            .values()
+            .filter(|e| e.usable())
+            .map(rank)
+            .collect();
         best.sort_unstable_by(|a, b| b.cmp(a));
-        best.into_iter().take(HOME_RANKS as usize).map(|(_, at)| at).collect()
+        best.into_iter()
+            .take(HOME_RANKS as usize)
+            .map(|(_, at)| at)
+            .collect()
     }
 
     /// Probes what a request may be sent to and has not been heard of lately: two that prefer its data set
     /// and one by chance. Where own answers bring the news, none is due.
     fn ask(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.reqs.get(&id).filter(|r| self.set.may_probe && r.out.is_none() && !r.done) else {
+        let Some(r) = self
+            .reqs
+            .get(&id)
+            .filter(|r| self.set.may_probe && r.out.is_none() && !r.done)
+        else {
             return;
         };
-        let open: Vec<EngineId> =
-            self.engines.values().filter(|e| self.takes(r, e)).map(|e| e.line.engine).collect();
+        let open: Vec<EngineId> = self
+            .engines
+            .values()
+            .filter(|e| self.takes(r, e))
+            .map(|e| e.line.engine)
+            .collect();
         let chance = mix(self.seed ^ self.now.to_bits() ^ r.seq) as usize;
-        let mut asked: Vec<EngineId> =
-            self.homes(r).into_iter().filter(|at| open.contains(at)).take(2).collect();
+        let mut asked: Vec<EngineId> = self
+            .homes(r)
+            .into_iter()
+            .filter(|at| open.contains(at))
+            .take(2)
+            .collect();
         asked.extend(open.get(chance % open.len().max(1)));
         let now = self.now;
         let stale = |e: &Engine| now - e.reported >= PROBE_MS;
@@ -636,12 +838,15 @@
         }
         let crowd = |e| (self.load(e) + f64::from(threads)) / self.cores(e);
         let all = self.engines.get(&engine).map_or(0.0, crowd);
-        let Some(e) = self.engines.get_mut(&engine) else { return };
+        let Some(e) = self.engines.get_mut(&engine) else {
+            return;
+        };
         e.threads += threads;
         let seen = (f64::from(e.threads), all);
         self.own += f64::from(threads);
         e.running.insert(id);
-        e.cold_sends.retain(|(t, _)| now - t <= self.set.overload_for_ms);
+        e.cold_sends
+            .retain(|(t, _)| now - t <= self.set.overload_for_ms);
         e.cold_sends.push((now, (usual / 4.0).max(work)));
         if e.fails > 0 {
             e.shut_until = now + e.pause();
@@ -649,15 +854,31 @@
         let r = self.reqs.get_mut(&id).expect("waiting");
         let number = r.sends;
         let est = r.est.unwrap_or(work);
-        r.out = Some(Try { number, engine, sent: now, work, est, seen, ..Try::default() });
+        r.out = Some(Try {
+            number,
+            engine,
+            sent: now,
+            work,
+            est,
+            seen,
+            ..Try::default()
+        });
         (r.attempts, r.sends, r.aside) = (r.attempts + 1, r.sends.saturating_add(1), false);
         self.line.remove(&r.seq);
         let error = &self.stats[class].memory;
         if self.set.takes_grants && r.memory > 0.0 && error.seen > 4 {
             let memory_mb = r.memory * (error.middle + GRANT_SPREADS * error.spread).exp();
-            actions.push(Action::Terms { id, memory_mb, priority: 1 });
+            actions.push(Action::Terms {
+                id,
+                memory_mb,
+                priority: 1,
+            });
         }
-        actions.push(Action::Send { id, engine, timeout_ms: None });
+        actions.push(Action::Send {
+            id,
+            engine,
+            timeout_ms: None,
+        });
     }
 
     fn turn(&self, id: RequestId, r: &Req) -> bool {
@@ -678,7 +899,8 @@
             _ => true,
         };
         // One in doubt is tried with one query at a time that may be sent again.
-        let doubt = e.proofs >= ERROR_PROOFS && !(e.running.is_empty() && c.effect == Effect::Repeatable);
+        let doubt =
+            e.proofs >= ERROR_PROOFS && !(e.running.is_empty() && c.effect == Effect::Repeatable);
         e.usable() && placed && group && !doubt && self.now >= e.shut_until.max(e.stalled_until)
     }
 
@@ -688,15 +910,30 @@
         let c = &self.set.classes[r.class];
         let kept = mix(e.hash.rotate_left(17) ^ u64::from(r.dataset)).is_multiple_of(LOAD_PART);
         let load = c.loads && self.set.classes.iter().any(|c| c.waits);
-        let apart = if load && !kept || c.waits && kept { APART_PRICE } else { 1.0 };
-        let rank = homes.iter().position(|at| *at == e.line.engine).map_or(1.0, |k| k as f64 / HOME_RANKS);
+        let apart = if load && !kept || c.waits && kept {
+            APART_PRICE
+        } else {
+            1.0
+        };
+        let rank = homes
+            .iter()
+            .position(|at| *at == e.line.engine)
+            .map_or(1.0, |k| k as f64 / HOME_RANKS);
         // With no reports nothing tells a crowded home, and a hot data set would sink its four (04dbf6b8).
         let homeless = load || self.set.reports == ReportMode::Off;
-        let home = if homeless { 1.0 } else { WARM_PRICE + (1.0 - WARM_PRICE) * rank };
+        let home = if homeless {
+            1.0
+        } else {
+            WARM_PRICE + (1.0 - WARM_PRICE) * rank
+        };
         let near = self.set.crossing_price <= 0.0 || e.line.zone == self.set.zone;
         let crossing = if near { 1.0 } else { CROSS_PRICE };
         // It goes elsewhere after an error, where there is another engine.
-        let again = if r.erred.contains(&e.line.engine) { ERROR_PRICE } else { 0.0 };
+        let again = if r.erred.contains(&e.line.engine) {
+            ERROR_PRICE
+        } else {
+            0.0
+        };
         let errors = 1.0 + ERROR_PRICE * e.errors + again;
         let tie = 1.0 + TIE_PRICE * (mix(e.hash ^ self.seed ^ r.seq) >> 11) as f64 / 2f64.powi(53);
         let held = if c.loads { self.load_price(r, e) } else { 1.0 };
@@ -709,8 +946,13 @@
     fn load_price(&self, r: &Req, e: &Engine) -> f64 {
         let same = |other: &Req| other.dataset == r.dataset && self.set.classes[other.class].loads;
         let Holders { most, place, .. } = self.set.holders(&e.line);
-        let own = mix(e.hash.rotate_left(11) ^ u64::from(r.dataset)) % u64::from(most) == u64::from(place);
-        let held = if e.running.iter().any(|id| same(&self.reqs[id])) { HELD_PRICE } else { 1.0 };
+        let own = mix(e.hash.rotate_left(11) ^ u64::from(r.dataset)) % u64::from(most)
+            == u64::from(place);
+        let held = if e.running.iter().any(|id| same(&self.reqs[id])) {
+            HELD_PRICE
+        } else {
+            1.0
+        };
         held * if own { 1.0 } else { OTHERS_PRICE }
     }
 
@@ -721,14 +963,22 @@
 
     /// Threads on an engine: own, and others' as reported. With no reports, latency alone tells of them.
     fn load(&self, e: &Engine) -> f64 {
-        let usual = if e.warm(self.now) { self.fleet * self.cores(e) } else { 0.0 };
+        let usual = if e.warm(self.now) {
+            self.fleet * self.cores(e)
+        } else {
+            0.0
+        };
         f64::from(e.threads) + usual + (e.others - usual) * self.trust(e)
     }
 
     /// Cores an engine has to give now: while it is cold, a climb below the straight line.
     fn cores(&self, e: &Engine) -> f64 {
-        let cold = e.cold.filter(|_| !e.warm(self.now) && self.set.cold_ms > 0.0);
-        let Some((from, _)) = cold else { return e.cores };
+        let cold = e
+            .cold
+            .filter(|_| !e.warm(self.now) && self.set.cold_ms > 0.0);
+        let Some((from, _)) = cold else {
+            return e.cores;
+        };
         let age = ((self.now - from) / self.set.cold_ms).clamp(0.0, 1.0);
         let share = self.set.cold_share.clamp(0.01, 1.0);
         e.cores * (share + (1.0 - share) * age * age)
@@ -737,11 +987,17 @@
     /// How much slower than the middle engine: a common cause slows all, so none stands out.
     fn slowness(&self, e: &Engine) -> f64 {
         let middle = self.middle_slow.filter(|_| e.samples > 4);
-        middle.map_or(1.0, |m| (e.slow - m).exp().clamp(SLOW_RANGE.0, SLOW_RANGE.1))
+        middle.map_or(1.0, |m| {
+            (e.slow - m).exp().clamp(SLOW_RANGE.0, SLOW_RANGE.1)
+        })
     }
 
     fn usual_stretch(&self) -> f64 {
-        if self.samples > 4 { self.stretch.exp().clamp(0.8, 8.0) } else { 1.5 }
+        if self.samples > 4 {
+            self.stretch.exp().clamp(0.8, 8.0)
+        } else {
+            1.5
+        }
     }
 
     fn pressed(&self, e: &Engine) -> bool {
@@ -756,32 +1012,44 @@
 
     fn work_of(&self, r: &Req) -> f64 {
         let s = &self.stats[r.class];
-        let error = if self.bills && s.work.seen > 4 { s.work.middle } else { 0.0 };
+        let error = if self.bills && s.work.seen > 4 {
+            s.work.middle
+        } else {
+            0.0
+        };
         r.est.map_or(s.mean, |w| w * error.exp()).max(0.1)
     }
 
     fn answers(&mut self, at: EngineId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(e) = self.engines.get_mut(&at) else { return };
+        let Some(e) = self.engines.get_mut(&at) else {
+            return;
+        };
         e.heard = now;
         if e.fails >= DOWN_FAILS {
             // It may have restarted, and the list tells so seconds late: for that long it is taken as cold.
             let cold = e.cold.filter(|(_, until)| *until >= now);
             e.cold = cold.or(Some((now, now + RETURN_MS.min(self.set.cold_ms))));
-            actions.push(Action::Log { line: format!("engine={at} state=back why=answered") });
+            actions.push(Action::Log {
+                line: format!("engine={at} state=back why=answered"),
+            });
         }
         (e.fails, e.shut_until) = (0, 0.0);
     }
 
     fn fails(&mut self, at: EngineId, why: &str, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(e) = self.engines.get_mut(&at) else { return };
+        let Some(e) = self.engines.get_mut(&at) else {
+            return;
+        };
         let was = e.fails;
         let unheard = now - e.heard > UNHEARD_MS; // where news is rare, one failure has to tell
         e.fails = was.saturating_add(if unheard { DOWN_FAILS } else { 1 });
         e.shut_until = now + e.pause();
         if was < DOWN_FAILS && e.fails >= DOWN_FAILS {
-            actions.push(Action::Log { line: format!("engine={at} state=down why={why}") });
+            actions.push(Action::Log {
+                line: format!("engine={at} state=down why={why}"),
+            });
         }
     }
 
@@ -800,7 +1068,11 @@
             let hangs = |id: &RequestId| {
                 let r = &self.reqs[id];
                 let plan = Some(self.plan_times(r)).filter(|plan| untold && *plan < PLAN_TIMES.1);
-                let times = if e.fails >= DOWN_FAILS { HANG_TIMES.0 } else { plan.unwrap_or(HANG_TIMES.1) };
+                let times = if e.fails >= DOWN_FAILS {
+                    HANG_TIMES.0
+                } else {
+                    plan.unwrap_or(HANG_TIMES.1)
+                };
                 let due = |t: &Try| (t.work / self.threads(r.class) * slow * times).max(OVERDUE_MS);
                 let late = |t: &Try| now - t.sent > due(t);
                 !r.done && r.out.as_ref().is_some_and(late) && self.again(r)
@@ -814,7 +1086,8 @@
                 e.slow *= 1.0 - TICK_MS / FORGIVE_MS;
             }
         }
-        self.engines.retain(|_, e| e.line.state != ListState::Gone || !e.running.is_empty());
+        self.engines
+            .retain(|_, e| e.line.state != ListState::Gone || !e.running.is_empty());
     }
 
     /// Times its usual time from which an attempt is given up. Where neither notes nor bills tell of bad
@@ -822,16 +1095,23 @@
     /// Harms where latency rises faster than answers tell, as it then calls off what is crowded (0f513397).
     fn plan_times(&self, r: &Req) -> f64 {
         let error = &self.stats[r.class].work;
-        let times =
-            (error.middle * f64::from(!self.bills) + PLAN_SPREADS * error.spread).exp().max(PLAN_TIMES.0);
-        if r.est.is_some() { times.min(HANG_TIMES.1) } else { HANG_TIMES.1 }
+        let times = (error.middle * f64::from(!self.bills) + PLAN_SPREADS * error.spread)
+            .exp()
+            .max(PLAN_TIMES.0);
+        if r.est.is_some() {
+            times.min(HANG_TIMES.1)
+        } else {
+            HANG_TIMES.1
+        }
     }
 
     /// Probes an engine that was not heard of lately, if a probe is to be had.
     fn probe(&mut self, at: EngineId, actions: &mut Vec<Action>) -> bool {
         let (now, usable) = (self.now, self.set.may_probe && self.probes >= 1.0);
         let due = |e: &&mut Engine| usable && e.usable() && now - e.probed_at >= PROBE_MS;
-        let Some(e) = self.engines.get_mut(&at).filter(due) else { return false };
+        let Some(e) = self.engines.get_mut(&at).filter(due) else {
+            return false;
+        };
         self.probes -= 1.0;
         (e.probed_at, e.asking) = (now, true);
         actions.push(Action::Probe { engine: at });
@@ -842,7 +1122,10 @@
         let out = self.reqs.get_mut(&id).and_then(|r| r.out.as_mut());
         if let Some(t) = out.filter(|t| self.set.may_cancel && !t.called_off && !t.streaming) {
             t.called_off = true;
-            actions.push(Action::Cancel { id, attempt: t.number });
+            actions.push(Action::Cancel {
+                id,
+                attempt: t.number,
+            });
         }
     }
 
@@ -857,7 +1140,12 @@
         let holders = self.set.holders(&e.line);
         let all = f64::from(holders.most);
         let whole = self.set.tip_multiple * self.cores(e) * window;
-        let sent: f64 = e.cold_sends.iter().filter(|(t, _)| self.now - t <= window).map(|(_, w)| w).sum();
+        let sent: f64 = e
+            .cold_sends
+            .iter()
+            .filter(|(t, _)| self.now - t <= window)
+            .map(|(_, w)| w)
+            .sum();
         // A share of less than one query comes in turn, by a clock and a hash that all share.
         let room = whole * COLD_MARGIN / all / self.beside.max(1.0); // two processes share one part
         let at = self.now / window * COLD_TURNS + f64::from(holders.place) + (e.hash % 4096) as f64;
@@ -877,7 +1165,9 @@
 
     fn repeatable(&self, r: &Req) -> bool {
         let c = &self.set.classes[r.class];
-        let remembered = r.ran.is_none_or(|(_, _, sent)| self.now < sent + c.memory_span_ms - 1.0);
+        let remembered = r
+            .ran
+            .is_none_or(|(_, _, sent)| self.now < sent + c.memory_span_ms - 1.0);
         c.effect == Effect::Repeatable || c.effect != Effect::Once && remembered
     }
 
@@ -889,19 +1179,27 @@
     fn may_repeat(&self, id: RequestId) -> bool {
         let r = &self.reqs[&id];
         let rule = r.ran.is_none() || self.repeatable(r);
-        rule && r.erred.len() < ERROR_ENGINES && r.attempts < r.cap && self.now + END_MARGIN_MS < r.due
+        rule && r.erred.len() < ERROR_ENGINES
+            && r.attempts < r.cap
+            && self.now + END_MARGIN_MS < r.due
     }
 
     /// Whether a waiter earns no place any more: in line once it would miss its aim, aside its client.
     fn hopeless(&self, id: RequestId) -> bool {
-        let Some(r) = self.reqs.get(&id).filter(|r| r.out.is_none()) else { return false };
+        let Some(r) = self.reqs.get(&id).filter(|r| r.out.is_none()) else {
+            return false;
+        };
         let c = &self.set.classes[r.class];
         let lone = self.work_of(r) / f64::from(c.threads);
         let left = r.due - END_MARGIN_MS - self.now;
-        if left <= lone.min(self.stats[r.class].mean * 4.0) || r.attempts > 0 && !self.may_repeat(id) {
+        if left <= lone.min(self.stats[r.class].mean * 4.0)
+            || r.attempts > 0 && !self.may_repeat(id)
+        {
             return true;
         }
-        !r.aside && self.now + lone * self.usual_stretch() > r.arrived + (c.promise_ms + c.aim_stretch * lone)
+        !r.aside
+            && self.now + lone * self.usual_stretch()
+                > r.arrived + (c.promise_ms + c.aim_stretch * lone)
     }
 
     /// Past the backlog that the most urgent class stands, the least worth for its work is refused.
@@ -910,7 +1208,12 @@
             let (mut work, mut slack) = (0.0, f64::INFINITY);
             let mut worst: Option<(f64, RequestId)> = None;
             let middle = self.usual_stretch();
-            for (id, r) in self.line.values().map(|id| (*id, &self.reqs[id])).filter(|(_, r)| !r.aside) {
+            for (id, r) in self
+                .line
+                .values()
+                .map(|id| (*id, &self.reqs[id]))
+                .filter(|(_, r)| !r.aside)
+            {
                 let c = &self.set.classes[r.class];
                 let w = self.work_of(r);
                 work += w;
@@ -922,22 +1225,28 @@
                 }
             }
             let over = work / self.service_rate() > slack * BACKLOG_SHARE && self.line.len() > 1;
-            let Some((_, id)) = worst.filter(|_| over) else { return };
+            let Some((_, id)) = worst.filter(|_| over) else {
+                return;
+            };
             self.end(id, actions);
         }
     }
 
     /// Work served a millisecond, as measured, but no less than a part of what the usable cores give.
     fn service_rate(&self) -> f64 {
-        let part =
-            |e: &Engine| self.cores(e) * (f64::from(self.set.instances) / self.set.holders(&e.line).mean);
+        let part = |e: &Engine| {
+            self.cores(e) * (f64::from(self.set.instances) / self.set.holders(&e.line).mean)
+        };
         let cores: f64 = self.engines.values().filter(|e| e.usable()).map(part).sum();
-        self.rate.max(cores * 0.3 * self.weight() / f64::from(self.set.instances)).max(0.01)
+        self.rate
+            .max(cores * 0.3 * self.weight() / f64::from(self.set.instances))
+            .max(0.01)
     }
 
     fn refusable(&self, r: &Req) -> bool {
         let anywhere = Effect::Keyed(DedupScope::All);
-        r.ran.is_none() || [Effect::Repeatable, anywhere].contains(&self.set.classes[r.class].effect)
+        r.ran.is_none()
+            || [Effect::Repeatable, anywhere].contains(&self.set.classes[r.class].effect)
     }
 
     /// The final answer, at once: refused with advice where the rules allow, else failed.
@@ -947,9 +1256,18 @@
         // What several engines failed would only come back as it is.
         let useless = r.erred.len() >= ERROR_ENGINES;
         if self.refusable(r) && alive && !useless {
-            let work: f64 = self.line.values().map(|i| self.work_of(&self.reqs[i])).sum();
-            let wait = (2.0 * work / self.service_rate()).max(HOLD_OFF_MS).min(self.set.max_hold_off_ms);
-            actions.push(Action::Refuse { id, hold_off_ms: wait });
+            let work: f64 = self
+                .line
+                .values()
+                .map(|i| self.work_of(&self.reqs[i]))
+                .sum();
+            let wait = (2.0 * work / self.service_rate())
+                .max(HOLD_OFF_MS)
+                .min(self.set.max_hold_off_ms);
+            actions.push(Action::Refuse {
+                id,
+                hold_off_ms: wait,
+            });
         } else {
             actions.push(Action::Fail { id });
         }
@@ -958,7 +1276,9 @@
 
     /// The request is over; its attempt, if any is out, is still counted until its outcome.
     fn finish(&mut self, id: RequestId) {
-        let Some(r) = self.reqs.get_mut(&id) else { return };
+        let Some(r) = self.reqs.get_mut(&id) else {
+            return;
+        };
         r.done = true;
         self.line.remove(&r.seq);
         if r.out.is_some() {
@@ -972,7 +1292,11 @@
     }
 
     fn try_of(&mut self, id: RequestId, attempt: u16) -> Option<&mut Try> {
-        self.reqs.get_mut(&id)?.out.as_mut().filter(|t| t.number == attempt)
+        self.reqs
+            .get_mut(&id)?
+            .out
+            .as_mut()
+            .filter(|t| t.number == attempt)
     }
 }
 
@@ -981,7 +1305,11 @@
         self.seen = self.seen.saturating_add(1);
         let step = SCATTER_STEP.max(SCATTER_FIRST / f64::from(self.seen));
         self.middle += (ratio - self.middle).clamp(-step, step);
-        let wide = if (ratio - self.middle).abs() > self.spread { 0.5 } else { -0.5 };
+        let wide = if (ratio - self.middle).abs() > self.spread {
+            0.5
+        } else {
+            -0.5
+        };
         self.spread = (self.spread + step * wide).max(0.02);
     }
 }
@@ -989,8 +1317,16 @@
 impl ClassStat {
     fn first(c: &Class) -> Self {
         let mean = (c.promise_ms * FIRST_WORK * f64::from(c.threads)).max(1.0);
-        let error = Scatter { spread: SCATTER_FIRST, ..Scatter::default() };
-        ClassStat { mean, memory: error.clone(), work: error, ..ClassStat::default() }
+        let error = Scatter {
+            spread: SCATTER_FIRST,
+            ..Scatter::default()
+        };
+        ClassStat {
+            mean,
+            memory: error.clone(),
+            work: error,
+            ..ClassStat::default()
+        }
     }
 
     /// Takes one query's work into the mean; a rare giant counts as twenty usual ones.
@@ -1030,7 +1366,13 @@
 
 impl Fit {
     fn new(start: f64, since: Millis) -> Self {
-        Fit { start, since, bound: start, up: true, ..Fit::default() }
+        Fit {
+            start,
+            since,
+            bound: start,
+            up: true,
+            ..Fit::default()
+        }
     }
 
     /// Takes a pair of threads, against the start value, and output, weighed by the time behind it. A full
@@ -1078,7 +1420,9 @@
 
 /// A well spread hash (splitmix64's finish).
 pub(crate) fn mix(x: u64) -> u64 {
-    let x = (x ^ (x >> 30)).wrapping_add(0x9e37_79b9_7f4a_7c15).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let x = (x ^ (x >> 30))
+        .wrapping_add(0x9e37_79b9_7f4a_7c15)
+        .wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
