--- a/src/clients/flight.rs
+++ b/src/clients/flight.rs
@@ -41,16 +41,28 @@
 
 /// Serves the front until the program ends.
 pub(crate) async fn listen(listener: TcpListener, front: Front) {
-    let slots = Slots::new(front.limits.flight_conns, front.limits.clone(), front.counters.clone());
+    let slots = Slots::new(
+        front.limits.flight_conns,
+        front.limits.clone(),
+        front.counters.clone(),
+    );
     tokio::spawn(slots.clone().follow(front.lifecycle.clone()));
-    let (silence, ping, quiet) = (front.limits.client_silence, front.limits.keep_alive, front.limits.linger);
+    let (silence, ping, quiet) = (
+        front.limits.client_silence,
+        front.limits.keep_alive,
+        front.limits.linger,
+    );
     let counters = front.counters.clone();
     let streams = front.limits.open_per_client as u32;
     let message = front.limits.message_bytes;
-    let service = FlightServiceServer::new(Flight { tickets: Arc::default(), front })
-        .max_decoding_message_size(message);
-    let incoming =
-        stream::unfold((listener, slots, counters), move |(listener, slots, counters)| async move {
+    let service = FlightServiceServer::new(Flight {
+        tickets: Arc::default(),
+        front,
+    })
+    .max_decoding_message_size(message);
+    let incoming = stream::unfold(
+        (listener, slots, counters),
+        move |(listener, slots, counters)| async move {
             let item = listener.accept().await;
             let item = match item {
                 Ok((stream, _)) => {
@@ -72,7 +84,12 @@
                             }
                         }
                     });
-                    Ok(Held { stream, slot, leave, left: false })
+                    Ok(Held {
+                        stream,
+                        slot,
+                        leave,
+                        left: false,
+                    })
                 }
                 Err(e) => {
                     slots.squeeze();
@@ -81,7 +98,8 @@
                 }
             };
             Some((item, (listener, slots, counters)))
-        });
+        },
+    );
     let server = Server::builder()
         .max_concurrent_streams(streams)
         .http2_keepalive_interval(Some(ping.0))
@@ -242,14 +260,19 @@
 
 /// A command out of the bytes that a descriptor or ticket carries.
 fn command<T: ProstMessageExt + Message + Default>(any: &Any) -> Result<Option<T>, Status> {
-    any.unpack::<T>().map_err(|e| invalid(format!("a command that cannot be read: {e}")))
+    any.unpack::<T>()
+        .map_err(|e| invalid(format!("a command that cannot be read: {e}")))
 }
 
 fn any(bytes: &Bytes) -> Result<Any, Status> {
-    let any =
-        Any::decode(bytes.clone()).map_err(|e| invalid(format!("a command that cannot be read: {e}")))?;
+    let any = Any::decode(bytes.clone())
+        .map_err(|e| invalid(format!("a command that cannot be read: {e}")))?;
     // Bytes that decode by chance name no type.
-    if any.type_url.is_empty() { Err(invalid("a command without its type")) } else { Ok(any) }
+    if any.type_url.is_empty() {
+        Err(invalid("a command without its type"))
+    } else {
+        Ok(any)
+    }
 }
 
 impl Flight {
@@ -275,9 +298,14 @@
     fn call(&self, metadata: &MetadataMap, statement: String) -> Result<Call, Status> {
         let text = |key: &str| metadata.get(key).map(|v| v.as_bytes());
         let class = text(CLASS).ok_or_else(|| invalid(format!("no {CLASS}")))?;
-        let class = self.front.class(class).ok_or_else(|| invalid(format!("unknown {CLASS}")))?;
+        let class = self
+            .front
+            .class(class)
+            .ok_or_else(|| invalid(format!("unknown {CLASS}")))?;
         if class.class.ordered {
-            return Err(invalid(format!("{CLASS} keeps order by a key, which calls here cannot carry")));
+            return Err(invalid(format!(
+                "{CLASS} keeps order by a key, which calls here cannot carry"
+            )));
         }
         let member = text(TENANT).unwrap_or_default();
         if !self.front.knows_tenant(member) {
@@ -286,9 +314,11 @@
         let member = Bytes::copy_from_slice(member);
         let estimate = |key: &str| match text(key) {
             None => Ok(None),
-            Some(value) => {
-                self.front.estimate(value).map(Some).ok_or_else(|| invalid(format!("{key} is no figure")))
-            }
+            Some(value) => self
+                .front
+                .estimate(value)
+                .map(Some)
+                .ok_or_else(|| invalid(format!("{key} is no figure"))),
         };
         if statement.trim().is_empty() {
             return Err(invalid("an empty statement"));
@@ -316,16 +346,23 @@
         let (metadata, _, descriptor) = request.into_parts();
         let any = any(&descriptor.cmd)?;
         let Some(query) = command::<CommandStatementQuery>(&any)? else {
-            return Err(Status::unimplemented(format!("{} is not offered", any.type_url)));
+            return Err(Status::unimplemented(format!(
+                "{} is not offered",
+                any.type_url
+            )));
         };
         if query.transaction_id.is_some() {
             return Err(Status::unimplemented("transactions are not offered"));
         }
         let call = self.call(&metadata, query.query)?;
         let handle = call.name.clone();
-        let ticket = TicketStatementQuery { statement_handle: handle.clone() };
+        let ticket = TicketStatementQuery {
+            statement_handle: handle.clone(),
+        };
         self.keep(handle, call);
-        let ticket = Ticket { ticket: ticket.as_any().encode_to_vec().into() };
+        let ticket = Ticket {
+            ticket: ticket.as_any().encode_to_vec().into(),
+        };
         Ok(FlightInfo::new()
             .with_descriptor(descriptor)
             .with_endpoint(FlightEndpoint::new().with_ticket(ticket)))
@@ -340,8 +377,13 @@
         tickets.bytes = tickets.held.values().map(|c| c.statement.len()).sum();
         let limits = &self.front.limits;
         while tickets.order.len() > limits.tickets || tickets.bytes > limits.ticket_bytes {
-            let Some(oldest) = tickets.order.pop_front() else { break };
-            let forgotten = tickets.held.remove(&oldest).map_or(0, |c| c.statement.len());
+            let Some(oldest) = tickets.order.pop_front() else {
+                break;
+            };
+            let forgotten = tickets
+                .held
+                .remove(&oldest)
+                .map_or(0, |c| c.statement.len());
             tickets.bytes -= forgotten;
         }
     }
@@ -350,20 +392,27 @@
     fn redeem(&self, ticket: &Ticket) -> Result<(Bytes, Call), Status> {
         let any = any(&ticket.ticket)?;
         let Some(ticket) = command::<TicketStatementQuery>(&any)? else {
-            return Err(Status::unimplemented(format!("{} is not offered", any.type_url)));
+            return Err(Status::unimplemented(format!(
+                "{} is not offered",
+                any.type_url
+            )));
         };
         let handle = ticket.statement_handle;
         let mut tickets = self.tickets();
         let known = tickets.held.get(&handle).cloned();
-        let mut call = known.ok_or_else(|| invalid("a ticket that is unknown, too old or spent"))?;
+        let mut call =
+            known.ok_or_else(|| invalid("a ticket that is unknown, too old or spent"))?;
         if call.class.class.effect == Effect::Once {
             tickets.held.remove(&handle);
             tickets.order.retain(|h| *h != handle);
         } else {
             // A repeat is a request of its own to the engines.
-            call.name =
-                format!("{:08x}{:08x}", self.front.core.now() as u64 as u32, self.front.core.next_id())
-                    .into();
+            call.name = format!(
+                "{:08x}{:08x}",
+                self.front.core.now() as u64 as u32,
+                self.front.core.next_id()
+            )
+            .into();
         }
         Ok((handle, call))
     }
@@ -379,15 +428,28 @@
         let now = self.front.core.now();
         let timeout = match metadata.get("grpc-timeout") {
             None => None,
-            Some(t) => Some(t.to_str().ok().and_then(grpc_timeout).ok_or_else(|| invalid("grpc-timeout"))?),
+            Some(t) => Some(
+                t.to_str()
+                    .ok()
+                    .and_then(grpc_timeout)
+                    .ok_or_else(|| invalid("grpc-timeout"))?,
+            ),
         };
         let usual = call.class.class.give_up_ms;
         let left = timeout.map_or(usual, |t| t.as_secs_f64() * 1000.0);
-        let (id, ends) = (self.front.core.next_id(), self.front.counters.class(&call.class.name));
+        let (id, ends) = (
+            self.front.core.next_id(),
+            self.front.counters.class(&call.class.name),
+        );
         let (port, answer) = oneshot::channel();
         self.front.counters.client_conns_owing.up();
         slot.iter().for_each(|slot| slot.opened());
-        let mut owed = Owed { front: self.front.clone(), id, over: false, slot };
+        let mut owed = Owed {
+            front: self.front.clone(),
+            id,
+            over: false,
+            slot,
+        };
         let taken = Taken {
             id,
             name: call.name,
@@ -448,9 +510,12 @@
             }
         };
         let rest = body.rest.take();
-        let held = rows::arrow(&body).map_err(|_| Status::internal("a result that cannot be read"))?;
+        let held =
+            rows::arrow(&body).map_err(|_| Status::internal("a result that cannot be read"))?;
         let held = stream::iter(held.into_iter().map(Ok));
-        let Some(rest) = rest else { return Ok(held.boxed()) };
+        let Some(rest) = rest else {
+            return Ok(held.boxed());
+        };
         let rest = stream::unfold((rest, owed), |(mut rest, mut owed)| async move {
             if owed.over {
                 return None;
@@ -477,20 +542,30 @@
         let (metadata, _, mut input) = request.into_parts();
         // Guard: a call that is opened and brings no command would be held for good.
         let first = timeout(self.front.limits.client_silence, input.message()).await;
-        let first =
-            first.map_err(|_| invalid("no command in time"))??.ok_or_else(|| invalid("no command"))?;
-        let descriptor = first.flight_descriptor.ok_or_else(|| invalid("no descriptor"))?;
+        let first = first
+            .map_err(|_| invalid("no command in time"))??
+            .ok_or_else(|| invalid("no command"))?;
+        let descriptor = first
+            .flight_descriptor
+            .ok_or_else(|| invalid("no descriptor"))?;
         let any = any(&descriptor.cmd)?;
         let Some(update) = command::<CommandStatementUpdate>(&any)? else {
-            return Err(Status::unimplemented(format!("{} is not offered", any.type_url)));
+            return Err(Status::unimplemented(format!(
+                "{} is not offered",
+                any.type_url
+            )));
         };
         if update.transaction_id.is_some() {
             return Err(Status::unimplemented("transactions are not offered"));
         }
         let call = self.call(&metadata, update.query)?;
         let (body, _owed) = self.serve(call, Kind::Update, &metadata, slot).await?;
-        let result = DoPutUpdateResult { record_count: rows::count(&body) };
-        Ok(PutResult { app_metadata: result.encode_to_vec().into() })
+        let result = DoPutUpdateResult {
+            record_count: rows::count(&body),
+        };
+        Ok(PutResult {
+            app_metadata: result.encode_to_vec().into(),
+        })
     }
 }
 
@@ -498,7 +573,11 @@
 fn refused(hold_off_ms: f64) -> Status {
     let wait = Duration::from_secs_f64(hold_off_ms.max(0.0) / 1000.0);
     let details = ErrorDetails::with_retry_info(Some(wait));
-    Status::with_error_details(Code::ResourceExhausted, "refused: trying again is harmless", details)
+    Status::with_error_details(
+        Code::ResourceExhausted,
+        "refused: trying again is harmless",
+        details,
+    )
 }
 
 #[tonic::async_trait]
@@ -518,7 +597,10 @@
         self.counted(self.plan(request)).map(Response::new)
     }
 
-    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<Self::DoGetStream>, Status> {
+    async fn do_get(
+        &self,
+        request: Request<Ticket>,
+    ) -> Result<Response<Self::DoGetStream>, Status> {
         let done = self.get(request).await;
         self.counted(done).map(Response::new)
     }
@@ -528,7 +610,8 @@
         request: Request<Streaming<FlightData>>,
     ) -> Result<Response<Self::DoPutStream>, Status> {
         let done = self.put(request).await;
-        self.counted(done).map(|result| Response::new(stream::iter([Ok(result)]).boxed()))
+        self.counted(done)
+            .map(|result| Response::new(stream::iter([Ok(result)]).boxed()))
     }
 
     async fn handshake(
@@ -538,23 +621,38 @@
         self.unsupported("Handshake")
     }
 
-    async fn list_flights(&self, _: Request<Criteria>) -> Result<Response<Self::ListFlightsStream>, Status> {
+    async fn list_flights(
+        &self,
+        _: Request<Criteria>,
+    ) -> Result<Response<Self::ListFlightsStream>, Status> {
         self.unsupported("ListFlights")
     }
 
-    async fn poll_flight_info(&self, _: Request<FlightDescriptor>) -> Result<Response<PollInfo>, Status> {
+    async fn poll_flight_info(
+        &self,
+        _: Request<FlightDescriptor>,
+    ) -> Result<Response<PollInfo>, Status> {
         self.unsupported("PollFlightInfo")
     }
 
-    async fn get_schema(&self, _: Request<FlightDescriptor>) -> Result<Response<SchemaResult>, Status> {
+    async fn get_schema(
+        &self,
+        _: Request<FlightDescriptor>,
+    ) -> Result<Response<SchemaResult>, Status> {
         self.unsupported("GetSchema")
     }
 
-    async fn do_action(&self, _: Request<Action>) -> Result<Response<Self::DoActionStream>, Status> {
+    async fn do_action(
+        &self,
+        _: Request<Action>,
+    ) -> Result<Response<Self::DoActionStream>, Status> {
         self.unsupported("DoAction")
     }
 
-    async fn list_actions(&self, _: Request<Empty>) -> Result<Response<Self::ListActionsStream>, Status> {
+    async fn list_actions(
+        &self,
+        _: Request<Empty>,
+    ) -> Result<Response<Self::ListActionsStream>, Status> {
         self.unsupported("ListActions")
     }
 
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -36,12 +36,18 @@
 impl Front {
     /// A class by its name.
     pub(crate) fn class(&self, name: &[u8]) -> Option<Arc<Named>> {
-        self.parsed.borrow().classes.iter().find(|c| c.name.as_bytes() == name).cloned()
+        self.parsed
+            .borrow()
+            .classes
+            .iter()
+            .find(|c| c.name.as_bytes() == name)
+            .cloned()
     }
 
     /// Where the ends of a class's requests are counted; none where there is no such class.
     pub(crate) fn ends(&self, class: &[u8]) -> Option<Arc<Ends>> {
-        self.class(class).map(|class| self.counters.class(&class.name))
+        self.class(class)
+            .map(|class| self.counters.class(&class.name))
     }
 
     /// When a client gives up. Guard: none waits for longer than its class does, whatever it says.
--- a/src/clients/msgpack.rs
+++ b/src/clients/msgpack.rs
@@ -21,7 +21,12 @@
 #[derive(Debug)]
 pub(crate) enum Message {
     /// `[0, id, method, params]`, with the fields and the body where they are as they should be.
-    Call { id: u64, method: Bytes, fields: Option<Fields>, body: Option<Bytes> },
+    Call {
+        id: u64,
+        method: Bytes,
+        fields: Option<Fields>,
+        body: Option<Bytes>,
+    },
     /// `[2, "cancel", [id]]`.
     Cancel { id: u64 },
     /// Some other notification: to be passed over.
@@ -34,7 +39,10 @@
 
 impl Fields {
     pub(crate) fn get(&self, name: &str) -> Option<&Bytes> {
-        self.0.iter().find(|(n, _)| n.as_ref() == name.as_bytes()).map(|(_, v)| v)
+        self.0
+            .iter()
+            .find(|(n, _)| n.as_ref() == name.as_bytes())
+            .map(|(_, v)| v)
     }
 }
 
@@ -52,7 +60,9 @@
 impl From<ValueReadError> for Stop {
     fn from(e: ValueReadError) -> Stop {
         match e {
-            ValueReadError::InvalidMarkerRead(_) | ValueReadError::InvalidDataRead(_) => Stop::Short,
+            ValueReadError::InvalidMarkerRead(_) | ValueReadError::InvalidDataRead(_) => {
+                Stop::Short
+            }
             ValueReadError::TypeMismatch(_) => Stop::Bad(Malformed::Shape),
         }
     }
@@ -61,7 +71,9 @@
 impl From<NumValueReadError> for Stop {
     fn from(e: NumValueReadError) -> Stop {
         match e {
-            NumValueReadError::InvalidMarkerRead(_) | NumValueReadError::InvalidDataRead(_) => Stop::Short,
+            NumValueReadError::InvalidMarkerRead(_) | NumValueReadError::InvalidDataRead(_) => {
+                Stop::Short
+            }
             _ => Stop::Bad(Malformed::Shape),
         }
     }
@@ -73,8 +85,15 @@
 
 /// The ranges of one message's parts.
 enum Parts {
-    Call { id: u64, method: Range<usize>, fields: Option<Pairs>, body: Option<Range<usize>> },
-    Cancel { id: u64 },
+    Call {
+        id: u64,
+        method: Range<usize>,
+        fields: Option<Pairs>,
+        body: Option<Range<usize>>,
+    },
+    Cancel {
+        id: u64,
+    },
     Notice,
 }
 
@@ -89,7 +108,11 @@
     }
 
     fn peek(&self) -> Step<Marker> {
-        self.at.get_ref().get(self.pos()).map(|b| Marker::from_u8(*b)).ok_or(Stop::Short)
+        self.at
+            .get_ref()
+            .get(self.pos())
+            .map(|b| Marker::from_u8(*b))
+            .ok_or(Stop::Short)
     }
 
     /// The next `len` bytes. A length over the limit is refused before anything waits for it.
@@ -122,14 +145,21 @@
                 let id = decode::read_int(&mut self.at)?;
                 let method = self.text()?;
                 let (fields, body) = self.params()?;
-                Ok(Parts::Call { id, method, fields, body })
+                Ok(Parts::Call {
+                    id,
+                    method,
+                    fields,
+                    body,
+                })
             }
             (2, 3) => {
                 let method = self.text()?;
                 let cancel = &self.at.get_ref()[method] == b"cancel";
                 if cancel && matches!(self.peek()?, Marker::FixArray(1)) {
                     self.array()?;
-                    return Ok(Parts::Cancel { id: decode::read_int(&mut self.at)? });
+                    return Ok(Parts::Cancel {
+                        id: decode::read_int(&mut self.at)?,
+                    });
                 }
                 self.skip(self.limits.message_depth)?;
                 Ok(Parts::Notice)
@@ -169,7 +199,10 @@
     }
 
     fn fields(&mut self) -> Step<Option<Pairs>> {
-        if !matches!(self.peek()?, Marker::FixMap(_) | Marker::Map16 | Marker::Map32) {
+        if !matches!(
+            self.peek()?,
+            Marker::FixMap(_) | Marker::Map16 | Marker::Map32
+        ) {
             self.skip(self.limits.message_depth)?;
             return Ok(None);
         }
@@ -210,14 +243,20 @@
                 let count = decode::read_map_len(&mut self.at)? as usize;
                 many(self, count.saturating_mul(2))
             }
-            Marker::FixStr(_) | Marker::Str8 | Marker::Str16 | Marker::Str32 => self.text().map(|_| ()),
+            Marker::FixStr(_) | Marker::Str8 | Marker::Str16 | Marker::Str32 => {
+                self.text().map(|_| ())
+            }
             Marker::Bin8 | Marker::Bin16 | Marker::Bin32 => {
                 let len = decode::read_bin_len(&mut self.at)?;
                 self.stretch(len).map(|_| ())
             }
             marker => {
                 let bytes = match marker {
-                    Marker::Null | Marker::True | Marker::False | Marker::FixPos(_) | Marker::FixNeg(_) => 0,
+                    Marker::Null
+                    | Marker::True
+                    | Marker::False
+                    | Marker::FixPos(_)
+                    | Marker::FixNeg(_) => 0,
                     Marker::U8 | Marker::I8 => 1,
                     Marker::U16 | Marker::I16 | Marker::FixExt1 => 2,
                     Marker::U32 | Marker::I32 | Marker::F32 => 4,
@@ -247,7 +286,10 @@
 
 /// Takes one whole message off the front of the buffer, if there is one.
 pub(crate) fn take(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<Message>, Malformed> {
-    let mut reader = Reader { at: Cursor::new(&buffer[..]), limits };
+    let mut reader = Reader {
+        at: Cursor::new(&buffer[..]),
+        limits,
+    };
     let (parts, len) = match reader.message() {
         Ok(parts) => (parts, reader.pos()),
         Err(Stop::Bad(why)) => return Err(why),
@@ -256,11 +298,21 @@
     };
     let bytes = buffer.split_to(len).freeze();
     Ok(Some(match parts {
-        Parts::Call { id, method, fields, body } => Message::Call {
+        Parts::Call {
+            id,
+            method,
+            fields,
+            body,
+        } => Message::Call {
             id,
             method: bytes.slice(method),
-            fields: fields
-                .map(|all| Fields(all.into_iter().map(|(n, v)| (bytes.slice(n), bytes.slice(v))).collect())),
+            fields: fields.map(|all| {
+                Fields(
+                    all.into_iter()
+                        .map(|(n, v)| (bytes.slice(n), bytes.slice(v)))
+                        .collect(),
+                )
+            }),
             body: body.map(|b| bytes.slice(b)),
         },
         Parts::Cancel { id } => Message::Cancel { id },
@@ -272,8 +324,12 @@
 pub(crate) fn result_head(id: u64, len: usize) -> Bytes {
     let mut head = start(id);
     encode::write_nil(&mut head).unwrap_or_default();
-    encode::write_array_len(&mut head, 2).map(|_| ()).unwrap_or_default();
-    encode::write_bin_len(&mut head, len as u32).map(|_| ()).unwrap_or_default();
+    encode::write_array_len(&mut head, 2)
+        .map(|_| ())
+        .unwrap_or_default();
+    encode::write_bin_len(&mut head, len as u32)
+        .map(|_| ())
+        .unwrap_or_default();
     head.into()
 }
 
@@ -283,9 +339,13 @@
 /// An answer that is an error.
 pub(crate) fn error(id: u64, name: &str, field: Option<(&str, &str)>) -> Bytes {
     let mut text = start(id);
-    encode::write_array_len(&mut text, 2).map(|_| ()).unwrap_or_default();
+    encode::write_array_len(&mut text, 2)
+        .map(|_| ())
+        .unwrap_or_default();
     encode::write_str(&mut text, name).unwrap_or_default();
-    encode::write_map_len(&mut text, field.iter().len() as u32).map(|_| ()).unwrap_or_default();
+    encode::write_map_len(&mut text, field.iter().len() as u32)
+        .map(|_| ())
+        .unwrap_or_default();
     if let Some((name, value)) = field {
         encode::write_str(&mut text, name).unwrap_or_default();
         encode::write_str(&mut text, value).unwrap_or_default();
@@ -298,7 +358,9 @@
 pub(crate) fn health(id: u64, fit: bool) -> Bytes {
     let mut text = start(id);
     encode::write_nil(&mut text).unwrap_or_default();
-    encode::write_array_len(&mut text, 2).map(|_| ()).unwrap_or_default();
+    encode::write_array_len(&mut text, 2)
+        .map(|_| ())
+        .unwrap_or_default();
     encode::write_bool(&mut text, fit).unwrap_or_default();
     text.extend_from_slice(END);
     text.into()
@@ -307,8 +369,14 @@
 /// `[1, id, ...`; writing to memory does not fail.
 fn start(id: u64) -> Vec<u8> {
     let mut text = Vec::with_capacity(32);
-    encode::write_array_len(&mut text, 4).map(|_| ()).unwrap_or_default();
-    encode::write_uint(&mut text, 1).map(|_| ()).unwrap_or_default();
-    encode::write_uint(&mut text, id).map(|_| ()).unwrap_or_default();
+    encode::write_array_len(&mut text, 4)
+        .map(|_| ())
+        .unwrap_or_default();
+    encode::write_uint(&mut text, 1)
+        .map(|_| ())
+        .unwrap_or_default();
+    encode::write_uint(&mut text, id)
+        .map(|_| ())
+        .unwrap_or_default();
     text
 }
--- a/src/clients/platform.rs
+++ b/src/clients/platform.rs
@@ -20,7 +20,11 @@
 
 /// Accepts clients for as long as the program runs, also while it stops.
 pub(crate) async fn listen(listener: TcpListener, front: Front) {
-    let slots = Slots::new(front.limits.client_conns, front.limits.clone(), front.counters.clone());
+    let slots = Slots::new(
+        front.limits.client_conns,
+        front.limits.clone(),
+        front.counters.clone(),
+    );
     tokio::spawn(slots.clone().follow(front.lifecycle.clone()));
     let mut state = front.lifecycle.follow();
     loop {
@@ -122,7 +126,10 @@
             half_since: Some(Instant::now()),
             taken_at: Instant::now(),
             slot,
-            held: (MemoryReservation::new(&front.pools.input), MemoryReservation::new(&front.pools.output)),
+            held: (
+                MemoryReservation::new(&front.pools.input),
+                MemoryReservation::new(&front.pools.output),
+            ),
             faults: 0,
             owing: false,
             deaf: None,
@@ -138,7 +145,15 @@
             // What crosses this close goes again; an answer under way must not be lost to its being refused.
             let _ = self.stream.shutdown().await;
             let limits = &self.front.limits;
-            net::linger(&self.stream, if self.evicted { limits.linger_evicted } else { limits.linger }).await;
+            net::linger(
+                &self.stream,
+                if self.evicted {
+                    limits.linger_evicted
+                } else {
+                    limits.linger
+                },
+            )
+            .await;
         }
         self.answers.close();
         self.owes(false);
@@ -215,8 +230,13 @@
         let idle = self.idle_since + self.front.limits.client_idle;
         let limits = &self.front.limits;
         let evicted = self.evicted && !self.front.lifecycle.now().leaving();
-        let silence = if evicted { limits.client_silence_evicted } else { limits.client_silence };
-        self.half_since.map_or(idle, |since| idle.min(since + silence))
+        let silence = if evicted {
+            limits.client_silence_evicted
+        } else {
+            limits.client_silence
+        };
+        self.half_since
+            .map_or(idle, |since| idle.min(since + silence))
     }
 
     /// Reads what is there before a close. Guard: what the runtime has not asked the socket for yet counts as not there,
@@ -237,12 +257,19 @@
             // Guard: it is read on to see it leave, and not for what it sends; that has its bound too.
             *passed += self.input.len();
             self.input.clear();
-            return if *passed > most { Err(End::Closed) } else { Ok(()) };
+            return if *passed > most {
+                Err(End::Closed)
+            } else {
+                Ok(())
+            };
         }
         let heard = self.read().await;
         // Guard: half messages of many clients could fill the memory together.
         let limits = &self.front.limits;
-        let fits = self.held.0.set(self.input.len(), limits.share(limits.input_bytes));
+        let fits = self
+            .held
+            .0
+            .set(self.input.len(), limits.share(limits.input_bytes));
         match heard {
             Err(End::Closed) => Err(End::Closed),
             Ok(()) if fits => Ok(()),
@@ -260,7 +287,10 @@
 
     fn owe(&mut self) {
         let waiting = self.out.waiting() as usize;
-        self.held.1.set(waiting, self.front.limits.share(self.front.limits.output_bytes));
+        self.held.1.set(
+            waiting,
+            self.front.limits.share(self.front.limits.output_bytes),
+        );
         self.slot.busy(self.open.len() + usize::from(waiting > 0));
         // Half a request is owed its rest, and a client that is to go a close in order: each has its own bound.
         let goes = self.last > 0 && self.front.lifecycle.now().leaving();
@@ -282,7 +312,12 @@
             msgpack::take(&mut self.input, &self.front.limits).map_err(|_| End::Malformed)?
         {
             match message {
-                Message::Call { id, method, fields, body } => {
+                Message::Call {
+                    id,
+                    method,
+                    fields,
+                    body,
+                } => {
                     // Guard: ids rise, so one that comes again would get two answers. Nothing on this connection
                     // can be told apart any more.
                     if id <= self.last {
@@ -323,7 +358,11 @@
                     }
                 }
                 Message::Cancel { id } => {
-                    let found = self.open.iter().find(|(_, (m, _))| *m == id).map(|(r, _)| *r);
+                    let found = self
+                        .open
+                        .iter()
+                        .find(|(_, (m, _))| *m == id)
+                        .map(|(r, _)| *r);
                     if let Some(request) = found {
                         self.open.remove(&request);
                         self.front.core.tell(Input::Left(request)).await;
@@ -347,7 +386,11 @@
     /// Guard: a client that sends what is no use as fast as it is turned away would take the whole core.
     fn fault(&mut self) -> Result<(), End> {
         self.faults += 1;
-        if self.faults > self.front.limits.client_faults { Err(End::Malformed) } else { Ok(()) }
+        if self.faults > self.front.limits.client_faults {
+            Err(End::Malformed)
+        } else {
+            Ok(())
+        }
     }
 
     /// What a call asks for, or the error that answers it.
@@ -359,14 +402,27 @@
         body: Option<Bytes>,
     ) -> Result<Taken, &'static str> {
         let class = self.front.class(method).ok_or("NoMethodError")?;
-        let (Some(fields), Some(statement)) = (fields, body) else { return Err("ArgumentError") };
-        let name = fields.get("ref").filter(|r| is_ref(r)).ok_or("ArgumentError")?;
-        let allow = fields.get("allow").and_then(|a| figure(a)).ok_or("ArgumentError")?;
+        let (Some(fields), Some(statement)) = (fields, body) else {
+            return Err("ArgumentError");
+        };
+        let name = fields
+            .get("ref")
+            .filter(|r| is_ref(r))
+            .ok_or("ArgumentError")?;
+        let allow = fields
+            .get("allow")
+            .and_then(|a| figure(a))
+            .ok_or("ArgumentError")?;
         let due_ms = self.front.due(now, &class, allow);
-        let member = fields.get("project").filter(|p| self.front.knows_tenant(p)).ok_or("ArgumentError")?;
+        let member = fields
+            .get("project")
+            .filter(|p| self.front.knows_tenant(p))
+            .ok_or("ArgumentError")?;
         let keyed = matches!(class.class.effect, Effect::Keyed(_));
         let idempotency_key = match fields.get("replay").filter(|_| keyed) {
-            Some(key) if !is_token(key, self.front.limits.key_bytes) => return Err("ArgumentError"),
+            Some(key) if !is_token(key, self.front.limits.key_bytes) => {
+                return Err("ArgumentError");
+            }
             key => key.cloned(),
         };
         let order_key = self.order_key(&class, &fields)?;
@@ -385,7 +441,11 @@
             dataset: sql::dataset(&statement).unwrap_or(0),
             member: Bytes::copy_from_slice(member),
             front: crate::attempts::Front::Platform,
-            kind: if sql::reads(&statement) { Kind::Query } else { Kind::Update },
+            kind: if sql::reads(&statement) {
+                Kind::Query
+            } else {
+                Kind::Update
+            },
             idempotency_key,
             order_key,
             statement,
@@ -395,13 +455,19 @@
 
     /// The key by which a request takes its turn. Guard: one of a class that keeps order and names none could run
     /// beside any other.
-    fn order_key(&self, class: &Named, fields: &msgpack::Fields) -> Result<Option<OrderKey>, &'static str> {
+    fn order_key(
+        &self,
+        class: &Named,
+        fields: &msgpack::Fields,
+    ) -> Result<Option<OrderKey>, &'static str> {
         if !class.class.ordered {
             return Ok(None);
         }
         let text = fields.get("lookup").ok_or("ArgumentError")?;
         let usable = is_token(text, self.front.limits.key_bytes);
-        usable.then(|| Some(OrderKey::new(text))).ok_or("ArgumentError")
+        usable
+            .then(|| Some(OrderKey::new(text)))
+            .ok_or("ArgumentError")
     }
 
     /// Counts a request that its client marks as a retry.
@@ -416,13 +482,20 @@
 
     fn answer(&mut self, id: RequestId, answer: Answer) {
         // Gone where the client has cancelled: then no answer is owed.
-        let Some((message, ends)) = self.open.remove(&id) else { return };
+        let Some((message, ends)) = self.open.remove(&id) else {
+            return;
+        };
         self.idle_since = Instant::now();
         match answer {
             Answer::Served(body) => {
                 self.slot.known();
                 // Counted as the client is told, which may be that its result cannot be passed on.
-                if self.result(message, &body) { &ends.passed } else { &ends.bad_gateway }.up();
+                if self.result(message, &body) {
+                    &ends.passed
+                } else {
+                    &ends.bad_gateway
+                }
+                .up();
             }
             Answer::Refused { hold_off_ms } => {
                 ends.dropped.up();
@@ -432,7 +505,11 @@
             }
             Answer::Failed(why) => {
                 ends.bad_gateway.up();
-                let name = if why == Why::Deadline { "DeadlineExceeded" } else { "Internal" };
+                let name = if why == Why::Deadline {
+                    "DeadlineExceeded"
+                } else {
+                    "Internal"
+                };
                 self.out.push(msgpack::error(message, name, None));
             }
         }
@@ -449,7 +526,10 @@
         };
         // Guard: answers that nobody takes could fill the memory; this one fails and says so.
         let waiting = self.out.waiting() as usize + size(&pieces);
-        if !self.held.1.set(waiting, self.front.limits.share(self.front.limits.output_bytes)) {
+        if !self.held.1.set(
+            waiting,
+            self.front.limits.share(self.front.limits.output_bytes),
+        ) {
             self.front.counters.client_over_limit.up();
             self.out.push(msgpack::error(message, "Internal", None));
             return false;
--- a/src/clients/platform/tests.rs
+++ b/src/clients/platform/tests.rs
@@ -20,7 +20,14 @@
     let (counters, lifecycle) = (Arc::<Counters>::default(), Arc::new(Lifecycle::new()));
     let (_settings, parsed) = watch::channel(Arc::new(EngineContext::settings_for_tests()));
     let limits = Arc::new(limits);
-    let front = Front { core, parsed, limits, counters: counters.clone(), lifecycle, pools: Arc::default() };
+    let front = Front {
+        core,
+        parsed,
+        limits,
+        counters: counters.clone(),
+        lifecycle,
+        pools: Arc::default(),
+    };
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let at = listener.local_addr().expect("address");
     tokio::spawn(listen(listener, front));
@@ -40,6 +47,8 @@
             }
         }
     };
-    timeout(Duration::from_secs(20), asks).await.expect("closed");
+    timeout(Duration::from_secs(20), asks)
+        .await
+        .expect("closed");
     assert_eq!(counters.client_silent.get(), 1);
 }
--- a/src/clients/slots.rs
+++ b/src/clients/slots.rs
@@ -53,7 +53,13 @@
 impl Slots {
     pub(crate) fn new(places: usize, limits: Arc<Limits>, counters: Arc<Counters>) -> Arc<Slots> {
         let (held, freed) = (Mutex::default(), Notify::new());
-        Arc::new(Slots { places, limits, held, freed, counters })
+        Arc::new(Slots {
+            places,
+            limits,
+            held,
+            freed,
+            counters,
+        })
     }
 
     fn held(&self) -> MutexGuard<'_, Held> {
@@ -87,7 +93,9 @@
         let only_strangers = strangers >= most_strangers;
         if only_strangers || staying >= most_staying {
             let idle = held.slots.values_mut().filter(|s| s.busy == 0 && !s.asked);
-            let victim = idle.filter(|s| !(only_strangers && s.known)).min_by_key(|s| (s.known, s.since));
+            let victim = idle
+                .filter(|s| !(only_strangers && s.known))
+                .min_by_key(|s| (s.known, s.since));
             if let Some(victim) = victim {
                 victim.asked = true;
                 victim.leave.notify_one();
@@ -143,7 +151,11 @@
             leave: leave.clone(),
         };
         held.slots.insert(id, state);
-        Slot { slots: self.clone(), id, leave }
+        Slot {
+            slots: self.clone(),
+            id,
+            leave,
+        }
     }
 }
 
@@ -195,7 +207,11 @@
 
     /// Whether it has brought a call.
     pub(crate) fn heard(&self) -> bool {
-        self.slots.held().slots.get(&self.id).is_some_and(|s| s.heard)
+        self.slots
+            .held()
+            .slots
+            .get(&self.id)
+            .is_some_and(|s| s.heard)
     }
 
     /// It has been served: no stranger any more.
@@ -213,7 +229,13 @@
     pub(crate) async fn leaves(&self, quiet: Duration) {
         loop {
             self.asked_to_leave().await;
-            let state = || self.slots.held().slots.get(&self.id).map(|s| (s.busy, s.since));
+            let state = || {
+                self.slots
+                    .held()
+                    .slots
+                    .get(&self.id)
+                    .map(|s| (s.busy, s.since))
+            };
             loop {
                 let before = state();
                 sleep(quiet).await;
--- a/src/clients/slots/tests.rs
+++ b/src/clients/slots/tests.rs
@@ -7,7 +7,8 @@
 #[test]
 fn a_drain_asks_those_that_idle() {
     let limits =
-        crate::engines::EngineContext::for_tests(crate::core::Handle::new(1, Default::default()).0).limits;
+        crate::engines::EngineContext::for_tests(crate::core::Handle::new(1, Default::default()).0)
+            .limits;
     let slots = Slots::new(8, limits, Arc::default());
     let [idle, busy, stranger] = [(); 3].map(|()| slots.take());
     idle.speaks();
@@ -16,7 +17,10 @@
     slots.drain(true);
     assert!(asked(&idle) && !asked(&busy) && !asked(&stranger));
     busy.closed();
-    assert!(asked(&busy) && !asked(&busy), "once, as its last answer is out");
+    assert!(
+        asked(&busy) && !asked(&busy),
+        "once, as its last answer is out"
+    );
     busy.opened();
     busy.stays();
     slots.drain(false);
--- a/src/command.rs
+++ b/src/command.rs
@@ -19,13 +19,23 @@
 
 impl Done {
     fn refused(err: String) -> Done {
-        Done { code: 2, out: String::new(), err }
+        Done {
+            code: 2,
+            out: String::new(),
+            err,
+        }
     }
 }
 
 /// What the settings of a platform's configuration tell; without one, nothing.
 fn known(config: Option<&Path>) -> Result<Option<Known>, String> {
-    config.map(|path| Config::load(path).map(|c| Known::of(&c.parsed)).map_err(|e| e.to_string())).transpose()
+    config
+        .map(|path| {
+            Config::load(path)
+                .map(|c| Known::of(&c.parsed))
+                .map_err(|e| e.to_string())
+        })
+        .transpose()
 }
 
 fn shown(faults: &Faults, json: bool) -> String {
@@ -43,16 +53,28 @@
         Ok(known) => known,
         Err(e) => return Done::refused(format!("magpiechute: {e}\n")),
     };
-    let named = |all| Faults { file: path.display().to_string(), all };
+    let named = |all| Faults {
+        file: path.display().to_string(),
+        all,
+    };
     let source = match file::read(path) {
         Ok(Some(source)) => source,
-        Ok(None) => return Done::refused(format!("magpiechute: there is no file {}\n", path.display())),
+        Ok(None) => {
+            return Done::refused(format!(
+                "magpiechute: there is no file {}\n",
+                path.display()
+            ));
+        }
         Err(fault) => return Done::refused(shown(&named(vec![fault]), json)),
     };
     let checked = file::judge(&source, known.as_ref()).map(|_| ());
     match checked {
         Ok(()) => {
-            let against = if known.is_some() { " and the settings" } else { "; the settings were not given" };
+            let against = if known.is_some() {
+                " and the settings"
+            } else {
+                "; the settings were not given"
+            };
             Done {
                 code: 0,
                 out: format!("{}: sound in itself{against}\n", path.display()),
@@ -65,7 +87,11 @@
 
 /// `schema`: the JSON Schema of the file.
 pub fn schema() -> Done {
-    Done { code: 0, out: file::schema(), err: String::new() }
+    Done {
+        code: 0,
+        out: file::schema(),
+        err: String::new(),
+    }
 }
 
 /// What `explain` is asked about.
@@ -93,26 +119,47 @@
         Err(faults) => return Done::refused(shown(&faults, false)),
     };
     let Some(class) = known.classes.iter().position(|c| c.name == asked.class) else {
-        return Done::refused(format!("magpiechute: {:?} is no class of the settings\n", asked.class));
+        return Done::refused(format!(
+            "magpiechute: {:?} is no class of the settings\n",
+            asked.class
+        ));
     };
     let member = match &asked.member {
         None => usize::MAX,
         Some(name) => match known.members.iter().position(|m| m == name) {
             Some(at) => at,
-            None => return Done::refused(format!("magpiechute: {name:?} is no member of the settings\n")),
+            None => {
+                return Done::refused(format!(
+                    "magpiechute: {name:?} is no member of the settings\n"
+                ));
+            }
         },
     };
     let front = match asked.front.as_deref() {
         None | Some("platform") => Front::Platform,
         Some("flight") => Front::Flight,
         Some(other) => {
-            return Done::refused(format!("magpiechute: {other:?} is no front: platform or flight\n"));
+            return Done::refused(format!(
+                "magpiechute: {other:?} is no front: platform or flight\n"
+            ));
         }
     };
-    let at = Where { class, member, front, data_set: asked.data_set.unwrap_or(0) };
+    let at = Where {
+        class,
+        member,
+        front,
+        data_set: asked.data_set.unwrap_or(0),
+    };
     let mut out = String::new();
     for source in loaded.policy.explain(&at) {
-        out.push_str(&format!("{:<20} {:<60} {}\n", source.key, source.value, source.from));
+        out.push_str(&format!(
+            "{:<20} {:<60} {}\n",
+            source.key, source.value, source.from
+        ));
+    }
+    Done {
+        code: 0,
+        out,
+        err: String::new(),
     }
-    Done { code: 0, out, err: String::new() }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -102,7 +102,10 @@
 
 impl Default for Machine {
     fn default() -> Self {
-        Machine { sockets: sockets(), memory_mb: memory() }
+        Machine {
+            sockets: sockets(),
+            memory_mb: memory(),
+        }
     }
 }
 
@@ -162,7 +165,10 @@
 /// The module's name of the engine with this id. Not its address: a new engine may reuse that, and each
 /// workload manager is given other addresses, while all have to agree on which engines keep a data set warm.
 pub fn engine_id(id: u32) -> EngineId {
-    EngineId { addr: id.to_be_bytes(), port: 0 }
+    EngineId {
+        addr: id.to_be_bytes(),
+        port: 0,
+    }
 }
 
 /// An engine's id as text.
@@ -172,8 +178,9 @@
 
 /// The engine with the id that stands in text as `s-` and 8 hex digits.
 pub fn engine_named(text: &str) -> Option<EngineId> {
-    let hex =
-        text.strip_prefix("s-").filter(|hex| hex.len() == 8 && hex.bytes().all(|b| b.is_ascii_hexdigit()))?;
+    let hex = text
+        .strip_prefix("s-")
+        .filter(|hex| hex.len() == 8 && hex.bytes().all(|b| b.is_ascii_hexdigit()))?;
     u32::from_str_radix(hex, 16).ok().map(engine_id)
 }
 
@@ -193,25 +200,48 @@
         };
         // Where the settings name none, all are the same one.
         let place = |names: &[String], name: &str| {
-            if names.is_empty() { Some(0) } else { names.iter().position(|n| n == name) }
+            if names.is_empty() {
+                Some(0)
+            } else {
+                names.iter().position(|n| n == name)
+            }
         };
-        let (zone, kind) = (place(&parsed.zones, &self.zone), place(&parsed.kinds, &self.machine_type));
+        let (zone, kind) = (
+            place(&parsed.zones, &self.zone),
+            place(&parsed.kinds, &self.machine_type),
+        );
         let (zone, kind) = match state {
             ListState::Ready => (zone?, kind?),
             _ => (zone.unwrap_or_default(), kind.unwrap_or_default()),
         };
         let (zone, kind) = (zone as u8, kind as u16);
         let (cell, nominal, started_ms) = (self.cell, self.weight, self.started_at_ms);
-        let entry = EngineEntry { engine, zone, kind, cell, state, nominal, started_ms, holders: None };
-        Some(Listed { entry, address: SocketAddr::V4(self.host_port) })
+        let entry = EngineEntry {
+            engine,
+            zone,
+            kind,
+            cell,
+            state,
+            nominal,
+            started_ms,
+            holders: None,
+        };
+        Some(Listed {
+            entry,
+            address: SocketAddr::V4(self.host_port),
+        })
     }
 }
 
 impl Config {
     /// Reads the file that `NODE_CONFIG` names.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
-        let text = std::fs::read(path)
-            .map_err(|e| ConfigError(format!("cannot read the configuration {}: {e}", path.display())))?;
+        let text = std::fs::read(path).map_err(|e| {
+            ConfigError(format!(
+                "cannot read the configuration {}: {e}",
+                path.display()
+            ))
+        })?;
         Config::parse(&text)
     }
 
@@ -226,12 +256,17 @@
         let parsed = settings::parse(file.settings.get().as_bytes()).map_err(ConfigError)?;
         let seed = match file.seed.as_str() {
             "" => 0,
-            hex => u64::from_str_radix(hex, 16)
-                .map_err(|_| ConfigError(format!("configuration: seed {hex:?} is not 16 hex digits")))?,
+            hex => u64::from_str_radix(hex, 16).map_err(|_| {
+                ConfigError(format!("configuration: seed {hex:?} is not 16 hex digits"))
+            })?,
         };
         let mut events = Vec::new();
         for event in file.known.events {
-            let kind = if event.members.reset { ListKind::Full } else { ListKind::Delta };
+            let kind = if event.members.reset {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            };
             let (mut entries, mut unusable) = (Vec::new(), Vec::new());
             for member in event.members.instances {
                 let engine = member.engine()?;
@@ -240,7 +275,12 @@
                     None => unusable.push(engine),
                 }
             }
-            events.push(ListEvent { number: event.n, kind, entries, unusable });
+            events.push(ListEvent {
+                number: event.n,
+                kind,
+                entries,
+                unusable,
+            });
         }
         // The first event holds the whole list, however it is marked.
         if let Some(first) = events.first_mut() {
@@ -281,8 +321,12 @@
         (Value::Array(used), Value::Array(new)) => {
             let all: Vec<_> = used.iter().filter_map(Value::as_object).collect();
             let (first, rest) = all.split_first()?;
-            let mut shared = first.keys().filter(|key| rest.iter().all(|o| o.contains_key(*key)));
-            shared.find(|key| new.iter().any(|o| o.get(*key).is_none())).map(|key| format!("[].{key}"))
+            let mut shared = first
+                .keys()
+                .filter(|key| rest.iter().all(|o| o.contains_key(*key)));
+            shared
+                .find(|key| new.iter().any(|o| o.get(*key).is_none()))
+                .map(|key| format!("[].{key}"))
         }
         _ => None,
     }
@@ -334,9 +378,8 @@
     /// Reads the file; where there is none, both are off.
     pub fn load(path: &Path) -> Result<Fronts, ConfigError> {
         match std::fs::read_to_string(path) {
-            Ok(text) => {
-                toml::from_str(&text).map_err(|e| ConfigError(format!("{}: {}", path.display(), e.message())))
-            }
+            Ok(text) => toml::from_str(&text)
+                .map_err(|e| ConfigError(format!("{}: {}", path.display(), e.message()))),
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(Fronts::default()),
             Err(e) => Err(ConfigError(format!("cannot read {}: {e}", path.display()))),
         }
@@ -345,13 +388,17 @@
 
 /// An address in a file under `deploy/`; those fronts listen on loopback only.
 pub fn loopback(text: &str, what: &str) -> Result<SocketAddr, ConfigError> {
-    let at: SocketAddr = text
-        .parse()
-        .map_err(|_| ConfigError(format!("{what}: listen address {text:?} is not an address and port")))?;
+    let at: SocketAddr = text.parse().map_err(|_| {
+        ConfigError(format!(
+            "{what}: listen address {text:?} is not an address and port"
+        ))
+    })?;
     if at.ip().is_loopback() {
         Ok(at)
     } else {
-        Err(ConfigError(format!("{what}: listen address {text} is not a loopback address")))
+        Err(ConfigError(format!(
+            "{what}: listen address {text} is not a loopback address"
+        )))
     }
 }
 
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -18,8 +18,13 @@
 impl Clock {
     /// Reads the system's clock once.
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_ms: unix.as_secs_f64() * 1000.0, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix_ms: unix.as_secs_f64() * 1000.0,
+            start: Instant::now(),
+        }
     }
 
     /// Unix time in ms.
@@ -69,14 +74,31 @@
     pub fn new(size: usize, clock: Clock) -> (Handle, Inputs) {
         let (mailbox, inputs) = mpsc::channel(size);
         let (urgent, orders) = mpsc::channel(URGENT);
-        (Handle { mailbox, urgent, ids: Arc::new(AtomicU32::new(1)), clock }, Inputs { inputs, orders })
+        (
+            Handle {
+                mailbox,
+                urgent,
+                ids: Arc::new(AtomicU32::new(1)),
+                clock,
+            },
+            Inputs { inputs, orders },
+        )
     }
 
     /// Takes an engine out or gives it back, past all that waits in the mailbox; false where nothing is known of
     /// the engine. `told` is what need not be known, as it was said elsewhere.
     pub async fn ban(&self, engine: EngineId, out: bool, at: Millis, told: bool) -> bool {
         let (done, said) = oneshot::channel();
-        let _ = self.urgent.send(Urgent::Ban { engine, out, at, told, done }).await;
+        let _ = self
+            .urgent
+            .send(Urgent::Ban {
+                engine,
+                out,
+                at,
+                told,
+                done,
+            })
+            .await;
         said.await.unwrap_or(false)
     }
 
@@ -121,7 +143,10 @@
 
 /// Runs the core until its mailbox closes.
 pub async fn start<E: EnginePort>(mut core: Core<E>, from: Inputs, clock: Clock) {
-    let Inputs { mut inputs, mut orders } = from;
+    let Inputs {
+        mut inputs,
+        mut orders,
+    } = from;
     core.begin(clock.now());
     loop {
         let alarm = core.next_alarm().unwrap_or_else(|| clock.now() + 1000.0);
--- a/src/core/alarms.rs
+++ b/src/core/alarms.rs
@@ -50,10 +50,14 @@
             self.alarms.retain(|Reverse((.., alarm))| match alarm {
                 Alarm::Module(_) | Alarm::Leases => true,
                 Alarm::Deadline(id) => requests.contains_key(id),
-                Alarm::Quit(id, n) | Alarm::Silence(id, n) | Alarm::AttemptDue(id, n) => {
-                    requests.get(id).and_then(|r| r.history.out()).is_some_and(|out| out.number == *n)
-                }
-                Alarm::BackOff(id, n) => requests.get(id).and_then(|r| r.waiting).is_some_and(|w| w.0 == *n),
+                Alarm::Quit(id, n) | Alarm::Silence(id, n) | Alarm::AttemptDue(id, n) => requests
+                    .get(id)
+                    .and_then(|r| r.history.out())
+                    .is_some_and(|out| out.number == *n),
+                Alarm::BackOff(id, n) => requests
+                    .get(id)
+                    .and_then(|r| r.waiting)
+                    .is_some_and(|w| w.0 == *n),
             });
         }
     }
--- a/src/core/ends.rs
+++ b/src/core/ends.rs
@@ -6,7 +6,9 @@
 
 impl<E: EnginePort> Core<E> {
     pub(super) fn streaming(&mut self, now: Millis, id: RequestId, attempt: u16, body: Body) {
-        let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else { return };
+        let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
+            return;
+        };
         open.streaming = true;
         open.history.streams();
         self.counters.served.up();
@@ -24,12 +26,17 @@
         body: Option<Body>,
     ) {
         let streaming = self.requests.get(&id).is_some_and(|o| o.streaming);
-        let Some(body) = body.or_else(|| streaming.then(|| Body::whole(Form::Text, Vec::new()))) else {
+        let Some(body) = body.or_else(|| streaming.then(|| Body::whole(Form::Text, Vec::new())))
+        else {
             // A good end without a result has run, and there is nothing to pass on.
             return self.ended(now, id, attempt, (Outcome::Error, true), report, billed);
         };
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(out) = open.history.ended(attempt, true) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = open.history.ended(attempt, true) else {
+            return;
+        };
         if !open.over && !open.streaming {
             self.counters.served.up();
             open.taken.client.answer(id, Answer::Served(body));
@@ -49,8 +56,12 @@
         billed: (Option<f64>, Option<f64>),
     ) {
         self.rest_key(now, id, outcome);
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(out) = open.history.ended(attempt, ran) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = open.history.ended(attempt, ran) else {
+            return;
+        };
         match outcome {
             Outcome::NoRoom => open.history.uncount(),
             _ => open.last = Some((outcome, out.engine)),
@@ -77,7 +88,17 @@
         self.count_end(outcome).up();
         let (attempt, engine, took_ms) = (out.number, out.engine, now - out.sent.at);
         tracing::debug!(id, %engine, attempt, ?outcome, took_ms, finished, billed_ms, inflight = report.inflight, "ended");
-        let ended = Ended { id, attempt, engine, outcome, took_ms, finished, billed_ms, billed_mb, report };
+        let ended = Ended {
+            id,
+            attempt,
+            engine,
+            outcome,
+            took_ms,
+            finished,
+            billed_ms,
+            billed_mb,
+            report,
+        };
         self.tell(now, Event::Ended(ended));
     }
 
@@ -107,8 +128,12 @@
     /// An attempt on a machine that vanished says nothing and is not reset. What may be repeated is given up;
     /// what may run once only waits on, as no other attempt is allowed anyway.
     pub(super) fn silence(&mut self, now: Millis, id: RequestId, attempt: u16, armed: Millis) {
-        let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else { return };
-        let Some(heard) = open.history.out_as(attempt, None).map(|o| o.heard) else { return };
+        let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
+            return;
+        };
+        let Some(heard) = open.history.out_as(attempt, None).map(|o| o.heard) else {
+            return;
+        };
         let due = heard + self.limits.silence_ms;
         if due > armed {
             self.arm(due, Alarm::Silence(id, attempt));
@@ -120,8 +145,12 @@
     /// Gives up what is out for a request. It stays out, and the module hears nothing, until its engine's actor has
     /// proven it over: a further attempt before that would be out beside it.
     pub(super) fn give_up(&mut self, now: Millis, id: RequestId, as_what: Outcome) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(out) = open.history.give_up(now, as_what) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = open.history.give_up(now, as_what) else {
+            return;
+        };
         open.cancellation.cancel();
         self.engines.quit(out.engine, id, out.number, !open.over);
         self.arm(now + self.limits.quit_again_ms, Alarm::Quit(id, out.number));
@@ -130,10 +159,16 @@
     /// No proof so far. Guard: an order that found its mailbox full is given again. Guard: without a proof in its time
     /// nothing may follow, so the request ends.
     pub(super) fn unproven(&mut self, now: Millis, id: RequestId, attempt: u16) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (over, streaming) = (open.over, open.streaming);
-        let Some(out) = open.history.out_as(attempt, None) else { return };
-        let (engine, Some((since, _))) = (out.engine, out.quitting) else { return };
+        let Some(out) = open.history.out_as(attempt, None) else {
+            return;
+        };
+        let (engine, Some((since, _))) = (out.engine, out.quitting) else {
+            return;
+        };
         if now - since < self.limits.unproven_ms {
             self.engines.quit(engine, id, attempt, !over);
             return self.arm(now + self.limits.quit_again_ms, Alarm::Quit(id, attempt));
@@ -143,17 +178,31 @@
             self.answer(now, id, Answer::Failed(Why::Lost), Outcome::TimedOut);
             self.tell(now, Event::ClientGone { id });
         }
-        self.ended(now, id, attempt, (Outcome::TimedOut, true), LoadReport::default(), (None, None));
+        self.ended(
+            now,
+            id,
+            attempt,
+            (Outcome::TimedOut, true),
+            LoadReport::default(),
+            (None, None),
+        );
     }
 
     /// The one final answer: whoever comes second finds the request over.
     pub(super) fn answer(&mut self, now: Millis, id: RequestId, answer: Answer, as_what: Outcome) {
-        let Some(client) = self.close(now, id, as_what) else { return };
+        let Some(client) = self.close(now, id, as_what) else {
+            return;
+        };
         match answer {
             Answer::Refused { .. } => self.counters.refused.up(),
             _ => self.counters.failed.up(),
         }
-        tracing::debug!(id, ?as_what, refused = matches!(answer, Answer::Refused { .. }), "answered");
+        tracing::debug!(
+            id,
+            ?as_what,
+            refused = matches!(answer, Answer::Refused { .. }),
+            "answered"
+        );
         client.answer(id, answer);
     }
 
@@ -167,8 +216,11 @@
     ) -> Option<Arc<dyn ClientPort>> {
         let open = self.requests.get_mut(&id).filter(|o| !o.over)?;
         open.over = true;
-        let (client, out, waiting) =
-            (open.taken.client.clone(), open.history.out().is_some(), open.waiting.take());
+        let (client, out, waiting) = (
+            open.taken.client.clone(),
+            open.history.out().is_some(),
+            open.waiting.take(),
+        );
         self.counters.open.down();
         match out {
             true => self.give_up(now, id, as_what),
@@ -182,7 +234,9 @@
     }
 
     fn remove(&mut self, now: Millis, id: RequestId) {
-        let Some(open) = self.requests.remove(&id) else { return };
+        let Some(open) = self.requests.remove(&id) else {
+            return;
+        };
         self.names.remove(&open.taken.name);
         self.held_bytes -= open.taken.statement.len();
         if let Some(key) = open.taken.order_key {
--- a/src/core/interleavings.rs
+++ b/src/core/interleavings.rs
@@ -79,14 +79,21 @@
 
     /// The next order reaches the connection that it is for.
     fn order(&mut self, pick: usize) {
-        let Some((engine, key, quit)) = self.orders.pop_front() else { return };
+        let Some((engine, key, quit)) = self.orders.pop_front() else {
+            return;
+        };
         let Some(again) = quit else {
-            let mine: Vec<usize> = (0..self.conns.len()).filter(|i| self.conns[*i].0 == engine).collect();
+            let mine: Vec<usize> = (0..self.conns.len())
+                .filter(|i| self.conns[*i].0 == engine)
+                .collect();
             // A new connection now and then.
-            let at = mine.get(pick % (mine.len() + 1).min(CONNS)).copied().unwrap_or_else(|| {
-                self.conns.push((engine, Conn::default()));
-                self.conns.len() - 1
-            });
+            let at = mine
+                .get(pick % (mine.len() + 1).min(CONNS))
+                .copied()
+                .unwrap_or_else(|| {
+                    self.conns.push((engine, Conn::default()));
+                    self.conns.len() - 1
+                });
             let conn = &mut self.conns[at].1;
             let mut life = Life::default();
             life.write(conn.push(Sent::Ask(key)));
@@ -95,7 +102,9 @@
         };
         for at in 0..self.conns.len() {
             let conn = &mut self.conns[at].1;
-            let Some(mut attempt) = conn.attempts.remove(&key) else { continue };
+            let Some(mut attempt) = conn.attempts.remove(&key) else {
+                continue;
+            };
             let end = attempt.life.give_up(again, || {
                 attempt.again = again;
                 let mark = conn.push(Sent::Quit(key));
@@ -119,8 +128,10 @@
             conn.unread.push_back(what);
         }
         let written = conn.written;
-        let left =
-            conn.attempts.iter_mut().filter_map(|(key, a)| a.life.left(written).map(|end| (*key, end)));
+        let left = conn
+            .attempts
+            .iter_mut()
+            .filter_map(|(key, a)| a.life.left(written).map(|end| (*key, end)));
         for (key, end) in left.collect::<Vec<_>>() {
             self.ends(at, key, EngineNews::GivenUp(end));
         }
@@ -128,13 +139,21 @@
 
     /// The engine reads one thing that it was sent.
     fn read(&mut self, at: usize) {
-        let Some(what) = self.conns[at].1.unread.pop_front() else { return };
+        let Some(what) = self.conns[at].1.unread.pop_front() else {
+            return;
+        };
         match what {
             Sent::Ask(key) => {
                 let id = key.0;
                 let other = |c: &Conn| c.running.iter().any(|k| k.0 == id);
-                assert!(!self.conns.iter().any(|(_, c)| other(c)), "{id} has two attempts out");
-                assert!(self.ran.insert(id) || !self.once.contains(&id), "{id} ran twice");
+                assert!(
+                    !self.conns.iter().any(|(_, c)| other(c)),
+                    "{id} has two attempts out"
+                );
+                assert!(
+                    self.ran.insert(id) || !self.once.contains(&id),
+                    "{id} ran twice"
+                );
                 self.conns[at].1.running.insert(key);
             }
             Sent::Quit(key) => _ = self.conns[at].1.running.remove(&key),
@@ -145,7 +164,9 @@
     /// The engine ends something that it runs.
     fn answer(&mut self, at: usize, outcome: Outcome) {
         let conn = &mut self.conns[at].1;
-        let Some(key) = conn.running.pop_first() else { return };
+        let Some(key) = conn.running.pop_first() else {
+            return;
+        };
         if never_ran(outcome) {
             self.ran.remove(&key.0);
         }
@@ -155,16 +176,29 @@
     /// The actor reads one answer.
     fn hear(&mut self, at: usize) {
         let conn = &mut self.conns[at].1;
-        let Some((key, said)) = conn.said.pop_front() else { return };
-        let Some(attempt) = conn.attempts.get_mut(&key) else { return };
+        let Some((key, said)) = conn.said.pop_front() else {
+            return;
+        };
+        let Some(attempt) = conn.attempts.get_mut(&key) else {
+            return;
+        };
         let given_up = attempt.life.giving_up();
         let told = match said {
             None => attempt.life.confirmed().map(EngineNews::GivenUp),
             Some(outcome) => {
                 let end = attempt.life.answered(!never_ran(outcome));
                 let body = (outcome == Outcome::Ok).then(|| Body::whole(Form::Text, Vec::new()));
-                let news = EngineNews::Ended { outcome, billed_ms: None, billed_mb: None, body };
-                Some(if given_up && outcome != Outcome::Ok { EngineNews::GivenUp(end) } else { news })
+                let news = EngineNews::Ended {
+                    outcome,
+                    billed_ms: None,
+                    billed_mb: None,
+                    body,
+                };
+                Some(if given_up && outcome != Outcome::Ok {
+                    EngineNews::GivenUp(end)
+                } else {
+                    news
+                })
             }
         };
         if let Some(told) = told {
@@ -178,8 +212,16 @@
         for (key, mut attempt) in std::mem::take(&mut conn.attempts) {
             let given_up = attempt.life.giving_up();
             let end = attempt.life.closed(conn.written);
-            let outcome = if end == End::Unsent { Outcome::NoConnection } else { Outcome::Reset };
-            let news = if given_up { EngineNews::GivenUp(end) } else { EngineNews::end(outcome) };
+            let outcome = if end == End::Unsent {
+                Outcome::NoConnection
+            } else {
+                Outcome::Reset
+            };
+            let news = if given_up {
+                EngineNews::GivenUp(end)
+            } else {
+                EngineNews::end(outcome)
+            };
             self.news.push_back((engine, key, news));
         }
     }
@@ -231,7 +273,12 @@
     let entries = vec![listed(n, state)];
     core.handle(
         now,
-        Input::List(ListEvent { number: 0, kind: ListKind::Delta, entries, unusable: Vec::new() }),
+        Input::List(ListEvent {
+            number: 0,
+            kind: ListKind::Delta,
+            entries,
+            unusable: Vec::new(),
+        }),
     );
 }
 
@@ -246,7 +293,8 @@
     let counters = Arc::<Counters>::default();
     let (port, told, classes) = (Port::default(), Arc::<Told>::default(), parsed.classes);
     let usual = parsed.settings.clone();
-    let mut core = Core::new(parsed.settings, 7, port.clone(), limits, counters.clone()).expect("core");
+    let mut core =
+        Core::new(parsed.settings, 7, port.clone(), limits, counters.clone()).expect("core");
     let (mut now, mut next) = (1000.0, 1);
     core.begin(now);
     (1..=ENGINES).for_each(|n| ready(&mut core, now, n, ListState::Ready));
@@ -282,12 +330,30 @@
             19 if pick % 16 == 0 => {
                 let (done, _) = tokio::sync::oneshot::channel();
                 let (engine, out) = (engine_id(1 + pick as u32 / 64 % ENGINES), pick & 16 == 0);
-                core.urgent(now, Urgent::Ban { engine, out, at: now, told: true, done });
+                core.urgent(
+                    now,
+                    Urgent::Ban {
+                        engine,
+                        out,
+                        at: now,
+                        told: true,
+                        done,
+                    },
+                );
             }
             20 if pick % 16 == 0 => {
                 let attempts_cap = 1 + pick as u32 / 32 % 6;
-                let settings = Some(Box::new(Settings { attempts_cap, ..usual.clone() }));
-                core.handle(now, Input::Settings { settings, policy: Arc::default() });
+                let settings = Some(Box::new(Settings {
+                    attempts_cap,
+                    ..usual.clone()
+                }));
+                core.handle(
+                    now,
+                    Input::Settings {
+                        settings,
+                        policy: Arc::default(),
+                    },
+                );
             }
             7 if conns > 0 && pick % 32 == 0 => port.world().close(at),
             8 if conns > 0 && pick % 8 == 0 => {
@@ -302,7 +368,16 @@
                 let news = port.world().news.pop_front();
                 if let Some((engine, (id, attempt), news)) = news {
                     let report = LoadReport::default();
-                    core.handle(now, Input::Engine { engine, id, attempt, report, news });
+                    core.handle(
+                        now,
+                        Input::Engine {
+                            engine,
+                            id,
+                            attempt,
+                            report,
+                            news,
+                        },
+                    );
                 }
             }
         }
@@ -313,14 +388,22 @@
         core.alarms(now);
     }
     let answered = told.0.lock().unwrap_or_else(PoisonError::into_inner).len();
-    assert!(answered + left >= next as usize - 1 && core.held().0[0] == 0, "{answered} and {left} of {next}");
+    assert!(
+        answered + left >= next as usize - 1 && core.held().0[0] == 0,
+        "{answered} and {left} of {next}"
+    );
 }
 
 /// The same orders at every run.
 #[test]
 fn no_two_attempts_at_once() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let steps = prop::collection::vec((0..22u8, any::<u8>()), 200..3000);
     let kept = runner.run(&steps, |steps| {
         play(&steps);
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -66,7 +66,11 @@
     /// Leases that these locks keep apart from other processes'.
     pub(super) fn new(mut locks: Box<dyn OrderLocks>) -> Leases {
         let others = locks.others();
-        Leases { locks: Some(locks), others, ..Leases::default() }
+        Leases {
+            locks: Some(locks),
+            others,
+            ..Leases::default()
+        }
     }
 
     /// The process starts. What died a moment ago may have had attempts out, so the keys rest.
@@ -77,7 +81,13 @@
     }
 
     /// A request of this key has come: whether it may go on now, or waits until [`Leases::review`] names it.
-    pub(super) fn admit(&mut self, now: Millis, pause: Millis, key: OrderKey, id: RequestId) -> bool {
+    pub(super) fn admit(
+        &mut self,
+        now: Millis,
+        pause: Millis,
+        key: OrderKey,
+        id: RequestId,
+    ) -> bool {
         if self.locks.is_none() {
             return true;
         }
@@ -113,7 +123,9 @@
 
     /// Looks for other processes. One that died may have had attempts out, so the keys rest from now on; true then.
     pub(super) fn look(&mut self, now: Millis, pause: Millis) -> bool {
-        let Some(locks) = &mut self.locks else { return false };
+        let Some(locks) = &mut self.locks else {
+            return false;
+        };
         let others = locks.others();
         let gone = std::mem::replace(&mut self.others, others) & !others;
         let rests = gone != 0 && locks.held_at_end(gone);
@@ -130,11 +142,16 @@
         }
         let mut admitted = Vec::new();
         for key in self.waiting.keys().copied().collect::<Vec<_>>() {
-            let due = self.waiting.get(&key).is_some_and(|queue| queue.not_before <= now);
+            let due = self
+                .waiting
+                .get(&key)
+                .is_some_and(|queue| queue.not_before <= now);
             if !due || !self.acquire(now, pause, key) {
                 continue;
             }
-            let Some(queue) = self.waiting.remove(&key) else { continue };
+            let Some(queue) = self.waiting.remove(&key) else {
+                continue;
+            };
             self.add(key, queue.ids.len());
             admitted.extend(queue.ids);
         }
@@ -166,12 +183,21 @@
             self.unlock(key);
             return false;
         }
-        self.held.insert(key, Lease { open: 0, since: now, rests_until: now });
+        self.held.insert(
+            key,
+            Lease {
+                open: 0,
+                since: now,
+                rests_until: now,
+            },
+        );
         true
     }
 
     fn release_if_over(&mut self, now: Millis, key: OrderKey) {
-        let Some(lease) = self.held.get(&key).filter(|lease| lease.open == 0) else { return };
+        let Some(lease) = self.held.get(&key).filter(|lease| lease.open == 0) else {
+            return;
+        };
         if now < lease.rests_until {
             self.resting.insert(key);
             return;
--- a/src/core/leases/tests.rs
+++ b/src/core/leases/tests.rs
@@ -35,7 +35,13 @@
     }
     fn others(&mut self) -> Places {
         let me = self.1;
-        self.shared(|all| all.living.iter().filter(|p| **p != me).map(|p| 1 << p).sum())
+        self.shared(|all| {
+            all.living
+                .iter()
+                .filter(|p| **p != me)
+                .map(|p| 1 << p)
+                .sum()
+        })
     }
     fn held_at_end(&mut self, gone: Places) -> bool {
         self.shared(|all| all.unclean.iter().any(|p| gone >> p & 1 == 1))
@@ -57,7 +63,11 @@
         let shared: Arc<Mutex<Shared>> = Arc::default();
         shared.lock().expect("lock").living.extend([0, 1]);
         let leases = |n| Leases::new(Box::new(InMemory(shared.clone(), n)));
-        Two { old: leases(0), new: leases(1).into(), shared: shared.clone() }
+        Two {
+            old: leases(0),
+            new: leases(1).into(),
+            shared: shared.clone(),
+        }
     }
 
     /// The old process ends, by a kill where it holds keys.
@@ -112,8 +122,14 @@
     assert!(two.old.admit(0.0, PAUSE, key(1), 1) && !two.admit(0.0, key(1), 1));
     two.old.rest(key(1), 310.0);
     two.old.over(10.0, key(1), 1);
-    assert!(two.old.pending() && two.old.review(300.0, PAUSE).is_empty() && two.review(300.0).is_empty());
-    assert!(two.old.review(310.0, PAUSE).is_empty() && !two.old.pending() && two.old.entries() == 0);
+    assert!(
+        two.old.pending()
+            && two.old.review(300.0, PAUSE).is_empty()
+            && two.review(300.0).is_empty()
+    );
+    assert!(
+        two.old.review(310.0, PAUSE).is_empty() && !two.old.pending() && two.old.entries() == 0
+    );
     assert_eq!(two.review(311.0), [1]);
 }
 
@@ -169,11 +185,20 @@
 fn a_key_in_steady_use_goes_back_and_forth() {
     let mut two = Two::new();
     assert!(two.old.admit(0.0, PAUSE, key(1), 1) && !two.admit(0.0, key(1), 1));
-    assert!(two.old.admit(TURN_MS - 1.0, PAUSE, key(1), 2), "within its turn");
-    assert!(!two.old.admit(TURN_MS, PAUSE, key(1), 3), "its turn is over");
+    assert!(
+        two.old.admit(TURN_MS - 1.0, PAUSE, key(1), 2),
+        "within its turn"
+    );
+    assert!(
+        !two.old.admit(TURN_MS, PAUSE, key(1), 3),
+        "its turn is over"
+    );
     two.old.over(600.0, key(1), 1);
     two.old.over(610.0, key(1), 2);
-    assert!(two.old.review(650.0, PAUSE).is_empty(), "it leaves the key alone for a while");
+    assert!(
+        two.old.review(650.0, PAUSE).is_empty(),
+        "it leaves the key alone for a while"
+    );
     assert_eq!(two.review(650.0), [1]);
     two.new.borrow_mut().over(700.0, key(1), 1);
     assert_eq!(two.old.review(610.0 + YIELD_MS, PAUSE), [3]);
@@ -196,5 +221,7 @@
     two.old.over(20.0, key(1), 1);
     assert_eq!(two.review(50.0), [2]);
     two.new.borrow_mut().over(60.0, key(1), 2);
-    assert!(!two.new.borrow().pending() && two.new.borrow().entries() == 0 && two.old.entries() == 0);
+    assert!(
+        !two.new.borrow().pending() && two.new.borrow().entries() == 0 && two.old.entries() == 0
+    );
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -134,7 +134,12 @@
 
     /// How many entries are held for requests, engines and alarms: here, and in the module.
     pub fn held(&self) -> ([usize; 4], [usize; 4]) {
-        let core = [self.requests.len(), self.names.len(), self.roster.entries(), self.alarms.len()];
+        let core = [
+            self.requests.len(),
+            self.names.len(),
+            self.roster.entries(),
+            self.alarms.len(),
+        ];
         (core, self.gateway.held())
     }
 
@@ -145,8 +150,11 @@
 
     /// Runs the alarms that are due.
     pub fn alarms(&mut self, now: Millis) {
-        while let Some(Reverse((at, _, alarm))) =
-            self.alarms.peek().copied().filter(|Reverse((at, ..))| at.0 <= now)
+        while let Some(Reverse((at, _, alarm))) = self
+            .alarms
+            .peek()
+            .copied()
+            .filter(|Reverse((at, ..))| at.0 <= now)
         {
             self.alarms.pop();
             match alarm {
@@ -175,8 +183,16 @@
                 }
                 self.policy_in_force(policy);
             }
-            Input::Engine { engine, id, attempt, report, news } => {
-                let Some(open) = self.requests.get_mut(&id) else { return };
+            Input::Engine {
+                engine,
+                id,
+                attempt,
+                report,
+                news,
+            } => {
+                let Some(open) = self.requests.get_mut(&id) else {
+                    return;
+                };
                 let over = open.over;
                 let Some(out) = open.history.out_as(attempt, Some(engine)) else {
                     return; // proven over before this came
@@ -191,12 +207,27 @@
                     EngineNews::Streaming(_) if over || quitting.is_some() => {}
                     EngineNews::Streaming(body) => self.streaming(now, id, attempt, body),
                     // A good answer that crossed the cancellation is one all the same, as long as an answer is owed.
-                    EngineNews::Ended { outcome: Outcome::Ok, billed_ms, billed_mb, body } => {
-                        self.served(now, id, attempt, report, (billed_ms, billed_mb), body)
-                    }
-                    EngineNews::Ended { outcome, billed_ms, billed_mb, .. } => {
+                    EngineNews::Ended {
+                        outcome: Outcome::Ok,
+                        billed_ms,
+                        billed_mb,
+                        body,
+                    } => self.served(now, id, attempt, report, (billed_ms, billed_mb), body),
+                    EngineNews::Ended {
+                        outcome,
+                        billed_ms,
+                        billed_mb,
+                        ..
+                    } => {
                         let ran = !never_ran(outcome);
-                        self.ended(now, id, attempt, (outcome, ran), report, (billed_ms, billed_mb))
+                        self.ended(
+                            now,
+                            id,
+                            attempt,
+                            (outcome, ran),
+                            report,
+                            (billed_ms, billed_mb),
+                        )
                     }
                     EngineNews::GivenUp(end) => {
                         let (since, outcome) = quitting.unwrap_or((now, Outcome::Cancelled));
@@ -223,7 +254,13 @@
                 self.look_beside(now);
                 self.tell(now, Event::Beside { parts });
             }
-            Urgent::Ban { engine, out, at, told, done } => {
+            Urgent::Ban {
+                engine,
+                out,
+                at,
+                told,
+                done,
+            } => {
                 let held = self.gateway.bans().contains(&engine);
                 let known = held || self.roster.named(engine) || told && out;
                 // Guard: what is not listed grows with nothing; it holds a ban only while there is room.
@@ -250,7 +287,9 @@
             taken.due_ms = taken.due_ms.min(ends);
             if ends <= now {
                 self.counters.refused.up();
-                return taken.client.answer(id, Answer::Refused { hold_off_ms: 0.0 });
+                return taken
+                    .client
+                    .answer(id, Answer::Refused { hold_off_ms: 0.0 });
             }
         }
         // Guard: engines tell attempts apart by this name, so one that is open already may not come again.
@@ -260,15 +299,25 @@
             return taken.client.answer(id, Answer::Failed(Why::Lost));
         }
         let bytes = self.held_bytes + taken.statement.len();
-        if self.requests.len() >= self.limits.open || bytes > self.limits.share(self.limits.open_bytes) {
+        if self.requests.len() >= self.limits.open
+            || bytes > self.limits.share(self.limits.open_bytes)
+        {
             self.counters.client_over_limit.up();
             self.counters.refused.up();
-            return taken.client.answer(id, Answer::Refused { hold_off_ms: 0.0 });
+            return taken
+                .client
+                .answer(id, Answer::Refused { hold_off_ms: 0.0 });
         }
         // Guard: a class that went as its request was on its way; nothing of it has run.
-        let Some(class) = self.gateway.settings().position(&taken.class.name, &taken.class.class) else {
+        let Some(class) = self
+            .gateway
+            .settings()
+            .position(&taken.class.name, &taken.class.class)
+        else {
             self.counters.refused.up();
-            return taken.client.answer(id, Answer::Refused { hold_off_ms: 0.0 });
+            return taken
+                .client
+                .answer(id, Answer::Refused { hold_off_ms: 0.0 });
         };
         let at = Where {
             class,
@@ -280,7 +329,10 @@
         if let Some(whole) = keys.timeout_ms {
             taken.due_ms = taken.due_ms.min(now + whole);
         }
-        self.arm(taken.due_ms - self.limits.answer_margin_ms, Alarm::Deadline(id));
+        self.arm(
+            taken.due_ms - self.limits.answer_margin_ms,
+            Alarm::Deadline(id),
+        );
         let open = Open {
             taken,
             history: AttemptHistory::default(),
@@ -363,7 +415,9 @@
         self.counters.ordinal.set(ordinal as usize);
         if membership.out_of_range() {
             self.counters.subset_ordinal_over.up();
-            eprintln!("magpiechute: ordinal={ordinal} state=out_of_range why=nInstances is {instances}");
+            eprintln!(
+                "magpiechute: ordinal={ordinal} state=out_of_range why=nInstances is {instances}"
+            );
         }
     }
 
@@ -374,11 +428,19 @@
         let all = f64::from(self.gateway.settings().instances);
         counters.subset_size.set(size);
         counters.subset_zones.set(zones);
-        counters.subset_holders.set(self.roster.holders().unwrap_or(all).round() as usize);
+        counters
+            .subset_holders
+            .set(self.roster.holders().unwrap_or(all).round() as usize);
         counters.subset_joined.add(news.joined);
         counters.subset_left.add(news.left);
         counters.subset_lost.add(usize::from(news.lost));
-        self.tell(now, Event::List { kind: news.kind, entries: news.entries });
+        self.tell(
+            now,
+            Event::List {
+                kind: news.kind,
+                entries: news.entries,
+            },
+        );
     }
 
     /// Hands the module one event, carries out what it wants, and what follows from that at once.
@@ -388,23 +450,41 @@
         let mut moot = Vec::new();
         for action in actions.drain(..) {
             match action {
-                Action::Send { id, engine, timeout_ms } => {
+                Action::Send {
+                    id,
+                    engine,
+                    timeout_ms,
+                } => {
                     if let Some(outcome) = self.send(now, id, engine, timeout_ms) {
                         moot.push((id, engine, outcome));
                     }
                 }
-                Action::Terms { id, memory_mb, priority } => self.terms(id, memory_mb, priority),
+                Action::Terms {
+                    id,
+                    memory_mb,
+                    priority,
+                } => self.terms(id, memory_mb, priority),
                 Action::Refuse { id, hold_off_ms } => {
                     // Guard: a refusal says that a repeat is harmless, so it may not cover a load that may have run.
-                    let ran = self.requests.get(&id).is_none_or(|o| o.history.may_have_run());
+                    let ran = self
+                        .requests
+                        .get(&id)
+                        .is_none_or(|o| o.history.may_have_run());
                     let sure = !ran || self.repeatable(id);
-                    let answer =
-                        if sure { Answer::Refused { hold_off_ms } } else { Answer::Failed(Why::Lost) };
+                    let answer = if sure {
+                        Answer::Refused { hold_off_ms }
+                    } else {
+                        Answer::Failed(Why::Lost)
+                    };
                     self.answer(now, id, answer, Outcome::Cancelled);
                 }
-                Action::Fail { id } => self.answer(now, id, Answer::Failed(Why::Lost), Outcome::Cancelled),
+                Action::Fail { id } => {
+                    self.answer(now, id, Answer::Failed(Why::Lost), Outcome::Cancelled)
+                }
                 Action::Cancel { id, attempt } => self.call_off(now, id, attempt),
-                Action::Timer { after_ms, token } => self.arm(now + after_ms.max(1.0), Alarm::Module(token)),
+                Action::Timer { after_ms, token } => {
+                    self.arm(now + after_ms.max(1.0), Alarm::Module(token))
+                }
                 Action::Log { line } => eprintln!("magpiechute: {line}"),
                 // Engines may not be probed, and the feed pushes: nothing to do.
                 Action::Probe { .. } | Action::Subscribe => {}
@@ -412,13 +492,23 @@
         }
         self.actions = actions;
         for (id, engine, outcome) in moot {
-            let attempt = self.requests.get(&id).map_or(0, |o| o.history.made().saturating_sub(1));
+            let attempt = self
+                .requests
+                .get(&id)
+                .map_or(0, |o| o.history.made().saturating_sub(1));
             self.unsent(now, id, attempt, engine, outcome);
         }
     }
 
     /// Tells the module that an attempt never went out, and why.
-    fn unsent(&mut self, now: Millis, id: RequestId, attempt: u16, engine: EngineId, outcome: Outcome) {
+    fn unsent(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        engine: EngineId,
+        outcome: Outcome,
+    ) {
         self.count_end(outcome).up();
         tracing::debug!(id, %engine, attempt, ?outcome, "not sent");
         if let Some(open) = self.requests.get_mut(&id) {
@@ -439,7 +529,9 @@
     }
 
     fn repeatable(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|o| o.taken.class.class.effect == Effect::Repeatable)
+        self.requests
+            .get(&id)
+            .is_some_and(|o| o.taken.class.class.effect == Effect::Repeatable)
     }
 
     /// Until when an attempt may be written at this engine: infinite where none that may have run went before, or the
@@ -461,7 +553,9 @@
             DedupScope::Cell => cell == first.cell,
         };
         let keyed = remembers && open.taken.idempotency_key.is_some();
-        keyed.then_some(first.at + class.memory_span_ms - REPEAT_MARGIN_MS).filter(|until| now < *until)
+        keyed
+            .then_some(first.at + class.memory_span_ms - REPEAT_MARGIN_MS)
+            .filter(|until| now < *until)
     }
 
     /// Starts an attempt, or says why it cannot be; then it provably never ran.
@@ -478,10 +572,18 @@
         let open = self.requests.get_mut(&id)?;
         // Guards: one attempt out at a time, also while one waits out its back-off; no second run of what may run
         // once, no more than the cap, none for who has an answer.
-        let next = open.history.next(repeatable, cap).ok().filter(|_| !open.over && open.waiting.is_none());
+        let next = open
+            .history
+            .next(repeatable, cap)
+            .ok()
+            .filter(|_| !open.over && open.waiting.is_none());
         let Some(number) = next.filter(|_| ready) else {
             self.counters.guarded.up();
-            return Some(if next.is_none() { Outcome::Moot } else { Outcome::NoConnection });
+            return Some(if next.is_none() {
+                Outcome::Moot
+            } else {
+                Outcome::NoConnection
+            });
         };
         match self.narrow(now, id, number, engine) {
             Some(Ok(())) => self.launch(now, id, number, engine, timeout_ms),
@@ -503,7 +605,9 @@
         timeout_ms: Option<Millis>,
     ) -> Option<Outcome> {
         // Guard: where it has waited out a back-off, its time may be over.
-        let Some(until_ms) = self.repeat_until(now, id, engine) else { return Some(Outcome::Moot) };
+        let Some(until_ms) = self.repeat_until(now, id, engine) else {
+            return Some(Outcome::Moot);
+        };
         let (zone, cell) = self.roster.group(engine).unwrap_or_default();
         let open = self.requests.get_mut(&id)?;
         let own = open.keys.attempt_timeout_ms;
@@ -527,7 +631,15 @@
         if !self.engines.ask(engine, ask) {
             return Some(Outcome::NoConnection);
         }
-        open.history.sent(number, engine, Sent { zone, cell, at: now });
+        open.history.sent(
+            number,
+            engine,
+            Sent {
+                zone,
+                cell,
+                at: now,
+            },
+        );
         tracing::debug!(id, %engine, attempt = number, due_ms, "sent");
         self.counters.sent.up();
         if self.limits.silence_ms.is_finite() {
@@ -540,11 +652,18 @@
     }
 
     fn terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         open.memory_mb = memory_mb.clamp(0.0, self.limits.grant_mb);
         let before = std::mem::replace(&mut open.priority, priority.min(3));
-        if let Some(out) = open.history.out().filter(|o| before != open.priority && o.quitting.is_none()) {
-            self.engines.priority(out.engine, id, out.number, open.priority);
+        if let Some(out) = open
+            .history
+            .out()
+            .filter(|o| before != open.priority && o.quitting.is_none())
+        {
+            self.engines
+                .priority(out.engine, id, out.number, open.priority);
         }
     }
 }
--- a/src/core/narrow.rs
+++ b/src/core/narrow.rs
@@ -24,7 +24,12 @@
         let (end, before) = open.last.unwrap_or((Outcome::Moot, engine));
         match open.keys.next(made, end, now, chance(id, number)) {
             Next::Ended => {
-                tracing::debug!(id, attempt = number, ?end, "no further attempt by the policy");
+                tracing::debug!(
+                    id,
+                    attempt = number,
+                    ?end,
+                    "no further attempt by the policy"
+                );
                 self.counters.policy_ended.up();
                 None
             }
@@ -34,7 +39,9 @@
                 None
             }
             // Guard: what provably never ran loaded nobody; elsewhere it goes at once.
-            Next::After(wait) if wait > 0.0 && !(never_ran(end) && before != engine) => Some(Err(wait)),
+            Next::After(wait) if wait > 0.0 && !(never_ran(end) && before != engine) => {
+                Some(Err(wait))
+            }
             Next::After(_) => Some(Ok(())),
         }
     }
@@ -47,7 +54,9 @@
         attempt: (u16, EngineId, Option<Millis>),
         wait: Millis,
     ) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         open.waiting = Some(attempt);
         tracing::debug!(id, attempt = attempt.0, wait_ms = wait, "backs off");
         self.counters.backed_off.up();
@@ -56,8 +65,12 @@
 
     /// The back-off is over: the attempt goes out where its engine still takes it, else the module hears why not.
     pub(super) fn backed_off(&mut self, now: Millis, id: RequestId, number: u16) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some((_, engine, timeout_ms)) = open.waiting.take_if(|w| w.0 == number) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some((_, engine, timeout_ms)) = open.waiting.take_if(|w| w.0 == number) else {
+            return;
+        };
         let ready = self.roster.ready(engine) && !self.gateway.bans().contains(&engine);
         // Guard: an engine that drains, or was taken out, meanwhile gets nothing.
         let unsent = if ready {
@@ -72,8 +85,18 @@
 
     /// An attempt has had its time: it is given up as timed out, and its end proven as for any other.
     pub(super) fn attempt_due(&mut self, now: Millis, id: RequestId, number: u16) {
-        let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming && !o.over) else { return };
-        if open.history.out_as(number, None).is_some_and(|out| out.quitting.is_none()) {
+        let Some(open) = self
+            .requests
+            .get_mut(&id)
+            .filter(|o| !o.streaming && !o.over)
+        else {
+            return;
+        };
+        if open
+            .history
+            .out_as(number, None)
+            .is_some_and(|out| out.quitting.is_none())
+        {
             self.counters.attempt_timeouts.up();
             self.give_up(now, id, Outcome::TimedOut);
         }
@@ -82,11 +105,16 @@
     /// The module calls an attempt off to send another. Guard: where the policy allows none after it, the attempt goes
     /// on, as it may still answer.
     pub(super) fn call_off(&mut self, now: Millis, id: RequestId, attempt: u16) {
-        let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else { return };
+        let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
+            return;
+        };
         if open.history.out_as(attempt, None).is_none() {
             return;
         }
-        if open.keys.may_follow(open.history.counted(), Outcome::Cancelled) {
+        if open
+            .keys
+            .may_follow(open.history.counted(), Outcome::Cancelled)
+        {
             self.give_up(now, id, Outcome::Cancelled);
         } else {
             self.counters.policy_kept.up();
@@ -108,7 +136,8 @@
                 data_set: open.taken.dataset,
             };
             if let Some(lower) = policy.resolve(&at).max_attempts {
-                open.keys.max_attempts = Some(open.keys.max_attempts.map_or(lower, |held| held.min(lower)));
+                open.keys.max_attempts =
+                    Some(open.keys.max_attempts.map_or(lower, |held| held.min(lower)));
             }
         }
         self.policy = policy;
--- a/src/core/narrow/tests.rs
+++ b/src/core/narrow/tests.rs
@@ -69,7 +69,14 @@
         let known = Known::of(&parsed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
         let counters: Arc<Counters> = Arc::default();
-        let core = Core::new(parsed.settings, 7, Engines::default(), limits, counters.clone()).expect("core");
+        let core = Core::new(
+            parsed.settings,
+            7,
+            Engines::default(),
+            limits,
+            counters.clone(),
+        )
+        .expect("core");
         let mut core = core.with_policy(policy(&known, text));
         let entries = [1, 2]
             .map(|n| {
@@ -79,14 +86,28 @@
                     nominal: 8.0,
                     ..EngineEntry::default()
                 };
-                Listed { entry, address: ([127, 0, 0, 1], n as u16).into() }
+                Listed {
+                    entry,
+                    address: ([127, 0, 0, 1], n as u16).into(),
+                }
             })
             .to_vec();
         core.handle(
             0.0,
-            Input::List(ListEvent { number: 1, kind: ListKind::Full, entries, unusable: Vec::new() }),
+            Input::List(ListEvent {
+                number: 1,
+                kind: ListKind::Full,
+                entries,
+                unusable: Vec::new(),
+            }),
         );
-        Rig { core, counters, client: Arc::default(), classes: parsed.classes, known }
+        Rig {
+            core,
+            counters,
+            client: Arc::default(),
+            classes: parsed.classes,
+            known,
+        }
     }
 
     fn take(&mut self, now: Millis, id: RequestId, class: usize) {
@@ -113,7 +134,16 @@
     fn ends(&mut self, now: Millis, outcome: Outcome) {
         let (engine, id, attempt) = *self.core.engines.asked.last().expect("an attempt");
         let news = EngineNews::end(outcome);
-        self.core.handle(now, Input::Engine { engine, id, attempt, report: LoadReport::default(), news });
+        self.core.handle(
+            now,
+            Input::Engine {
+                engine,
+                id,
+                attempt,
+                report: LoadReport::default(),
+                news,
+            },
+        );
     }
 
     fn asked(&self) -> usize {
@@ -143,15 +173,24 @@
     rig.ends(10.0, Outcome::Full);
     assert_eq!(rig.asked(), 2, "full may be followed");
     rig.ends(20.0, Outcome::Error);
-    assert_eq!((rig.asked(), rig.answers().len()), (2, 1), "an error may not, and the request ends");
+    assert_eq!(
+        (rig.asked(), rig.answers().len()),
+        (2, 1),
+        "an error may not, and the request ends"
+    );
 }
 
 #[test]
 fn a_back_off_delays_what_may_have_run_and_not_what_never_did_elsewhere() {
-    let mut rig = Rig::new("version = 1\n[attempts.default]\nbackoff = { base_ms = 100, max_ms = 100 }\n");
+    let mut rig =
+        Rig::new("version = 1\n[attempts.default]\nbackoff = { base_ms = 100, max_ms = 100 }\n");
     rig.take(0.0, 1, 0);
     rig.ends(10.0, Outcome::Reset);
-    assert_eq!((rig.asked(), rig.counters.backed_off.get()), (1, 1), "a reset may have loaded the engine");
+    assert_eq!(
+        (rig.asked(), rig.counters.backed_off.get()),
+        (1, 1),
+        "a reset may have loaded the engine"
+    );
     rig.core.alarms(109.0);
     assert_eq!(rig.asked(), 1);
     rig.core.alarms(110.0);
@@ -161,7 +200,12 @@
     let (second, _, _) = *rig.core.engines.asked.last().expect("sent");
     // Full never ran: on another engine it goes at once; on the same one it waits.
     let waited = rig.counters.backed_off.get() == 2;
-    assert_eq!(waited, second == first && rig.asked() == 2, "{first} {second} {}", rig.asked());
+    assert_eq!(
+        waited,
+        second == first && rig.asked() == 2,
+        "{first} {second} {}",
+        rig.asked()
+    );
 }
 
 #[test]
@@ -184,18 +228,32 @@
     rig.core.alarms(499.0);
     assert!(rig.core.engines.quits.is_empty());
     rig.core.alarms(500.0);
-    assert_eq!((rig.core.engines.quits.len(), rig.counters.attempt_timeouts.get()), (1, 1));
+    assert_eq!(
+        (
+            rig.core.engines.quits.len(),
+            rig.counters.attempt_timeouts.get()
+        ),
+        (1, 1)
+    );
     assert_eq!(rig.asked(), 1, "nothing before the end is proven");
     let (engine, id, attempt) = rig.core.engines.quits[0];
     let news = EngineNews::GivenUp(End::GivenUp);
-    rig.core.handle(510.0, Input::Engine { engine, id, attempt, report: LoadReport::default(), news });
+    rig.core.handle(
+        510.0,
+        Input::Engine {
+            engine,
+            id,
+            attempt,
+            report: LoadReport::default(),
+            news,
+        },
+    );
     assert_eq!(rig.asked(), 2);
 }
 
 #[test]
 fn the_deadline_in_a_back_off_leaves_nothing_behind() {
-    let text =
-        "version = 1\n[attempts.default]\nmax_attempts = 2\nbackoff = { base_ms = 10000, max_ms = 10000 }\n";
+    let text = "version = 1\n[attempts.default]\nmax_attempts = 2\nbackoff = { base_ms = 10000, max_ms = 10000 }\n";
     let mut rig = Rig::new(text);
     rig.take(0.0, 1, 0);
     rig.ends(6000.0, Outcome::Reset);
@@ -215,8 +273,17 @@
 fn a_reload_lowers_the_attempts_of_what_is_open() {
     let mut rig = Rig::new("version = 1\n[attempts.default]\nmax_attempts = 5\n");
     rig.take(0.0, 1, 0);
-    let lower = policy(&rig.known, "version = 1\n[attempts.default]\nmax_attempts = 1\n");
-    rig.core.handle(5.0, Input::Settings { settings: None, policy: lower });
+    let lower = policy(
+        &rig.known,
+        "version = 1\n[attempts.default]\nmax_attempts = 1\n",
+    );
+    rig.core.handle(
+        5.0,
+        Input::Settings {
+            settings: None,
+            policy: lower,
+        },
+    );
     rig.ends(10.0, Outcome::Full);
     assert_eq!((rig.asked(), rig.answers().len()), (1, 1));
 }
@@ -224,11 +291,23 @@
 #[test]
 fn what_may_run_once_and_may_have_run_is_not_sent_again_whatever_the_policy() {
     // Built by hand, as no file can say this: every end may be followed, for every class.
-    let keys = crate::attempts::Keys { retry_on: Some(crate::attempts::Ends::all()), ..Default::default() };
-    let classes = vec![("seat-check".into(), false, None), ("log-load".into(), false, None)];
+    let keys = crate::attempts::Keys {
+        retry_on: Some(crate::attempts::Ends::all()),
+        ..Default::default()
+    };
+    let classes = vec![
+        ("seat-check".into(), false, None),
+        ("log-load".into(), false, None),
+    ];
     let policy = Policy::new(keys, classes, Vec::new(), Vec::new()).expect("policy");
     let mut rig = Rig::new("version = 1\n");
-    rig.core.handle(0.0, Input::Settings { settings: None, policy: Arc::new(policy) });
+    rig.core.handle(
+        0.0,
+        Input::Settings {
+            settings: None,
+            policy: Arc::new(policy),
+        },
+    );
     rig.take(0.0, 1, 1);
     rig.ends(10.0, Outcome::Reset);
     assert_eq!((rig.asked(), rig.answers()), (1, vec![(1, "failed")]));
@@ -243,7 +322,10 @@
     let mut rig = Rig::new("version = 1\n[attempts.default]\nretry_on = [\"full\", \"error\"]\n");
     rig.take(0.0, 1, 0);
     rig.core.call_off(10.0, 1, 0);
-    assert_eq!((rig.core.engines.quits.len(), rig.counters.policy_kept.get()), (0, 1));
+    assert_eq!(
+        (rig.core.engines.quits.len(), rig.counters.policy_kept.get()),
+        (0, 1)
+    );
     let mut rig = Rig::new("version = 1\n");
     rig.take(0.0, 1, 0);
     rig.core.call_off(10.0, 1, 0);
@@ -268,30 +350,57 @@
 fn each_decision_is_a_line_with_its_fields_at_debug_and_none_at_the_usual_level() {
     let lines = Lines::default();
     // Guard: while there is one subscriber only, what other tests' threads meet first is switched off for all.
-    let _second = tracing::Dispatch::new(tracing_subscriber::fmt().with_writer(std::io::sink).finish());
+    let _second = tracing::Dispatch::new(
+        tracing_subscriber::fmt()
+            .with_writer(std::io::sink)
+            .finish(),
+    );
     let play = |level| {
         let writer = lines.clone();
-        let json = tracing_subscriber::fmt().json().with_writer(move || writer.clone());
+        let json = tracing_subscriber::fmt()
+            .json()
+            .with_writer(move || writer.clone());
         let subscriber = json.with_max_level(level).finish();
         tracing::subscriber::with_default(subscriber, || {
-            let mut rig =
-                Rig::new("version = 1\n[attempts.default]\nmax_attempts = 2\nretry_on = [\"full\"]\n");
+            let mut rig = Rig::new(
+                "version = 1\n[attempts.default]\nmax_attempts = 2\nretry_on = [\"full\"]\n",
+            );
             rig.take(0.0, 1, 0);
             rig.ends(10.0, Outcome::Full);
             rig.ends(20.0, Outcome::Error);
         })
     };
     play(tracing::Level::INFO);
-    assert!(lines.0.lock().expect("lines").is_empty(), "nothing at the usual level");
+    assert!(
+        lines.0.lock().expect("lines").is_empty(),
+        "nothing at the usual level"
+    );
     play(tracing::Level::DEBUG);
     let text = String::from_utf8(lines.0.lock().expect("lines").clone()).expect("text");
-    let events: Vec<serde_json::Value> =
-        text.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
-    let said = |what: &str| events.iter().filter(|e| e["fields"]["message"] == what).count();
-    assert_eq!((said("taken"), said("sent"), said("ended"), said("answered")), (1, 2, 2, 1), "{text}");
-    let taken = events.iter().find(|e| e["fields"]["message"] == "taken").expect("taken");
+    let events: Vec<serde_json::Value> = text
+        .lines()
+        .map(|l| serde_json::from_str(l).expect("JSON"))
+        .collect();
+    let said = |what: &str| {
+        events
+            .iter()
+            .filter(|e| e["fields"]["message"] == what)
+            .count()
+    };
+    assert_eq!(
+        (said("taken"), said("sent"), said("ended"), said("answered")),
+        (1, 2, 2, 1),
+        "{text}"
+    );
+    let taken = events
+        .iter()
+        .find(|e| e["fields"]["message"] == "taken")
+        .expect("taken");
     assert_eq!(
-        (taken["fields"]["class"].as_str(), taken["fields"]["ref"].as_str()),
+        (
+            taken["fields"]["class"].as_str(),
+            taken["fields"]["ref"].as_str()
+        ),
         (Some("seat-check"), Some("0000000000000001"))
     );
 }
--- a/src/core/order.rs
+++ b/src/core/order.rs
@@ -20,7 +20,9 @@
 
     /// Tells the module of a request, or holds it back until this process has the lease on its key.
     pub(super) fn admit(&mut self, now: Millis, id: RequestId) {
-        let Some(key) = self.order_key(id) else { return self.submit(now, id) };
+        let Some(key) = self.order_key(id) else {
+            return self.submit(now, id);
+        };
         let pause = self.gateway.settings().order_pause_ms;
         if self.leases.admit(now, pause, key, id) {
             return self.submit(now, id);
@@ -48,9 +50,13 @@
 
     /// An attempt of this request ended. As in the module, its key rests where it may still run.
     pub(super) fn rest_key(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
-        let may_run = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        let may_run = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
         if let Some(key) = self.order_key(id).filter(|_| may_run) {
-            self.leases.rest(key, now + self.gateway.settings().order_pause_ms);
+            self.leases
+                .rest(key, now + self.gateway.settings().order_pause_ms);
         }
     }
 
@@ -68,13 +74,18 @@
     fn arm_review(&mut self, now: Millis) {
         if !self.review_armed && self.leases.pending() {
             self.review_armed = true;
-            self.arm(now + self.limits.state_look.as_secs_f64() * 1000.0, Alarm::Leases);
+            self.arm(
+                now + self.limits.state_look.as_secs_f64() * 1000.0,
+                Alarm::Leases,
+            );
         }
     }
 
     /// Tells the module of a request.
     fn submit(&mut self, now: Millis, id: RequestId) {
-        let Some(open) = self.requests.get(&id) else { return };
+        let Some(open) = self.requests.get(&id) else {
+            return;
+        };
         let (taken, settings) = (&open.taken, self.gateway.settings());
         // Guard: a class that went while its request waited; nothing of it has run.
         let Some(class) = settings.position(&taken.class.name, &taken.class.class) else {
@@ -88,7 +99,10 @@
             cost_ms: taken.cost_ms,
             dataset: taken.dataset,
             memory_mb: taken.memory_mb,
-            attempts_cap: open.keys.max_attempts.map(|most| most.min(settings.attempts_cap)),
+            attempts_cap: open
+                .keys
+                .max_attempts
+                .map(|most| most.min(settings.attempts_cap)),
         };
         self.tell(now, Event::Request(request));
     }
--- a/src/core/order/tests.rs
+++ b/src/core/order/tests.rs
@@ -51,14 +51,19 @@
 impl ClientPort for Client {
     fn answer(&self, id: RequestId, answer: Answer) {
         let refused = matches!(answer, Answer::Refused { .. });
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((id, refused));
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push((id, refused));
     }
 }
 
 /// Settings with these classes, all of which keep order.
 fn parsed(classes: &[&str]) -> Parsed {
     let class = |name| {
-        format!(r#"{{"name":"{name}","effect":"once","promiseMs":500,"giveUpMs":9000,"fifoByKey":true}}"#)
+        format!(
+            r#"{{"name":"{name}","effect":"once","promiseMs":500,"giveUpMs":9000,"fifoByKey":true}}"#
+        )
     };
     let classes: Vec<String> = classes.iter().map(class).collect();
     let text = format!(
@@ -83,15 +88,32 @@
         let (parsed, elsewhere) = (parsed(&["load", "count"]), Elsewhere::default());
         elsewhere.0.store(true, Ordering::Relaxed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
-        let core = Core::new(parsed.settings, 7, Engines::default(), limits, Arc::default()).expect("core");
+        let core = Core::new(
+            parsed.settings,
+            7,
+            Engines::default(),
+            limits,
+            Arc::default(),
+        )
+        .expect("core");
         let mut core = core.with_order_locks(Some(Box::new(elsewhere.clone())));
         core.begin(0.0);
         let entries = vec![listed(1, ListState::Ready)];
         core.handle(
             0.0,
-            Input::List(ListEvent { number: 1, kind: ListKind::Full, entries, unusable: Vec::new() }),
+            Input::List(ListEvent {
+                number: 1,
+                kind: ListKind::Full,
+                entries,
+                unusable: Vec::new(),
+            }),
         );
-        Rig { core, elsewhere, client: Arc::default(), classes: parsed.classes }
+        Rig {
+            core,
+            elsewhere,
+            client: Arc::default(),
+            classes: parsed.classes,
+        }
     }
 
     fn take(&mut self, now: Millis, id: RequestId, class: usize, due_ms: Millis) {
@@ -120,18 +142,38 @@
     rig.take(10.0, 1, 0, 9000.0);
     rig.take(20.0, 2, 0, 9000.0);
     rig.core.alarms(100.0);
-    assert_eq!((rig.known(), rig.core.open(), rig.core.engines.0.len()), (0, 2, 0));
+    assert_eq!(
+        (rig.known(), rig.core.open(), rig.core.engines.0.len()),
+        (0, 2, 0)
+    );
     assert_eq!(rig.core.counters.order_held.get(), 2);
     rig.free();
     rig.core.alarms(149.0);
     assert_eq!(rig.known(), 0, "it looks every 50 ms");
     rig.core.alarms(160.0);
     let first = (engine_id(1), 1, 0);
-    assert_eq!((rig.known(), &rig.core.engines.0[..]), (2, &[first][..]), "the first of the key is out");
+    assert_eq!(
+        (rig.known(), &rig.core.engines.0[..]),
+        (2, &[first][..]),
+        "the first of the key is out"
+    );
     let news = EngineNews::end(Outcome::Error);
     let (id, attempt, report) = (1, 0, LoadReport::default());
-    rig.core.handle(170.0, Input::Engine { engine: first.0, id, attempt, report, news });
-    assert_eq!(rig.core.engines.0.len(), 2, "and then the second, as its first attempt");
+    rig.core.handle(
+        170.0,
+        Input::Engine {
+            engine: first.0,
+            id,
+            attempt,
+            report,
+            news,
+        },
+    );
+    assert_eq!(
+        rig.core.engines.0.len(),
+        2,
+        "and then the second, as its first attempt"
+    );
 }
 
 #[test]
@@ -145,7 +187,10 @@
     rig.free();
     rig.core.alarms(1000.0);
     let (core, module) = rig.core.held();
-    assert_eq!((rig.core.open(), core[..2].to_vec(), module[..3].to_vec()), (0, vec![0; 2], vec![0; 3]));
+    assert_eq!(
+        (rig.core.open(), core[..2].to_vec(), module[..3].to_vec()),
+        (0, vec![0; 2], vec![0; 3])
+    );
     assert!(rig.core.engines.0.is_empty() && !rig.core.leases.pending());
 }
 
@@ -156,7 +201,13 @@
     rig.take(10.0, 1, 0, 9000.0);
     rig.take(10.0, 2, 1, 9000.0);
     let settings = Some(Box::new(parsed(&["count"]).settings));
-    rig.core.handle(20.0, Input::Settings { settings, policy: Arc::default() });
+    rig.core.handle(
+        20.0,
+        Input::Settings {
+            settings,
+            policy: Arc::default(),
+        },
+    );
     rig.free();
     rig.core.alarms(100.0);
     assert_eq!(rig.answers(), [(1, true)]);
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -51,7 +51,11 @@
 impl Body {
     /// A result that is held whole.
     pub fn whole(form: Form, pieces: Vec<Bytes>) -> Body {
-        Body { form, pieces, rest: None }
+        Body {
+            form,
+            pieces,
+            rest: None,
+        }
     }
 }
 
@@ -95,7 +99,9 @@
     pub fn new(text: &[u8]) -> OrderKey {
         const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
         const PRIME: u64 = 0x0000_0100_0000_01b3;
-        let hash = text.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME));
+        let hash = text.iter().fold(OFFSET_BASIS, |hash, byte| {
+            (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
+        });
         OrderKey(NonZeroU64::new(hash).unwrap_or(NonZeroU64::MIN))
     }
 
@@ -237,7 +243,12 @@
 impl EngineNews {
     /// An end that brings neither a result nor figures.
     pub fn end(outcome: Outcome) -> EngineNews {
-        EngineNews::Ended { outcome, billed_ms: None, billed_mb: None, body: None }
+        EngineNews::Ended {
+            outcome,
+            billed_ms: None,
+            billed_mb: None,
+            body: None,
+        }
     }
 }
 
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -61,7 +61,14 @@
 impl Roster {
     pub(super) fn new(places: usize, subset: Subset) -> Roster {
         let (held, waiting, at) = Default::default();
-        Roster { places, held, waiting, at, subset, told: None }
+        Roster {
+            places,
+            held,
+            waiting,
+            at,
+            subset,
+            told: None,
+        }
     }
 
     /// How many are taken up, and how many wait.
@@ -71,7 +78,10 @@
 
     /// Engines that the decision module hears of, and the zones of those that take work.
     pub(super) fn subset_sizes(&self) -> (usize, usize) {
-        (self.told.as_ref().map_or(self.held.len(), BTreeMap::len), self.subset.zones())
+        (
+            self.told.as_ref().map_or(self.held.len(), BTreeMap::len),
+            self.subset.zones(),
+        )
     }
 
     /// The mean number of managers that hold an engine, where the module hears of a subset.
@@ -87,12 +97,16 @@
 
     /// Whether an engine may get attempts.
     pub(super) fn ready(&self, engine: EngineId) -> bool {
-        self.held.get(&engine).is_some_and(|line| line.entry.state == ListState::Ready)
+        self.held
+            .get(&engine)
+            .is_some_and(|line| line.entry.state == ListState::Ready)
     }
 
     /// The zone and cell of one that is taken up.
     pub(super) fn group(&self, engine: EngineId) -> Option<(u8, u16)> {
-        self.held.get(&engine).map(|line| (line.entry.zone, line.entry.cell))
+        self.held
+            .get(&engine)
+            .map(|line| (line.entry.zone, line.entry.cell))
     }
 
     /// Whether the list names it, ready or not, taken up or not.
@@ -105,7 +119,10 @@
         let mut step = self.take_up(event);
         let touched: Vec<EngineId> = step.lines.iter().map(|line| line.entry.engine).collect();
         for id in step.dropped.iter().chain(&touched) {
-            let ready = self.held.get(id).filter(|line| line.entry.state == ListState::Ready);
+            let ready = self
+                .held
+                .get(id)
+                .filter(|line| line.entry.state == ListState::Ready);
             self.subset.set(*id, ready.map(|line| line.entry.zone));
         }
         let entries = step.lines.iter().map(|line| line.entry.clone()).collect();
@@ -122,7 +139,10 @@
     /// An engine was given back by hand, so it counts as started then, whatever the list says. Where the module hears
     /// of it, it knows; else it is told with the engine.
     pub(super) fn given_back(&mut self, engine: EngineId, at: Millis) {
-        let unheard = self.told.as_ref().is_some_and(|told| !told.contains_key(&engine));
+        let unheard = self
+            .told
+            .as_ref()
+            .is_some_and(|told| !told.contains_key(&engine));
         if let Some(line) = self.held.get_mut(&engine).filter(|_| unheard) {
             line.entry.started_ms = line.entry.started_ms.max(at);
         }
@@ -132,15 +152,22 @@
     fn news(&mut self, kind: ListKind, changes: Vec<EngineEntry>) -> News {
         let members = self.subset.members();
         let before = self.told.take();
-        let lost = before
-            .as_ref()
-            .is_some_and(|told| !told.is_empty() && !told.keys().any(|engine| self.subset.is_ready(*engine)));
-        let whole = |kind, entries| News { kind, entries, joined: 0, left: 0, lost };
+        let lost = before.as_ref().is_some_and(|told| {
+            !told.is_empty() && !told.keys().any(|engine| self.subset.is_ready(*engine))
+        });
+        let whole = |kind, entries| News {
+            kind,
+            entries,
+            joined: 0,
+            left: 0,
+            lost,
+        };
         match (members, before) {
             (None, None) => whole(kind, changes),
-            (None, Some(_)) => {
-                whole(ListKind::Full, self.held.values().map(|line| line.entry.clone()).collect())
-            }
+            (None, Some(_)) => whole(
+                ListKind::Full,
+                self.held.values().map(|line| line.entry.clone()).collect(),
+            ),
             (Some(members), before) => {
                 let told = self.member_entries(&members);
                 let news = difference(before.as_ref(), &told);
@@ -153,7 +180,13 @@
     fn member_entries(&self, members: &Members) -> BTreeMap<EngineId, EngineEntry> {
         let entry = |(engine, holders): (&EngineId, &Holders)| {
             let line = self.held.get(engine)?;
-            Some((*engine, EngineEntry { holders: Some(*holders), ..line.entry.clone() }))
+            Some((
+                *engine,
+                EngineEntry {
+                    holders: Some(*holders),
+                    ..line.entry.clone()
+                },
+            ))
         };
         members.iter().filter_map(entry).collect()
     }
@@ -173,12 +206,18 @@
             step.cut = step.dropped.len() > self.held.len() / 2;
             step.dropped.iter().for_each(|id| self.leave(*id));
             let stays = event.unusable.iter().filter(|id| !last.contains_key(id));
-            step.lines.extend(stays.filter_map(|id| self.held.get(id)).cloned());
+            step.lines
+                .extend(stays.filter_map(|id| self.held.get(id)).cloned());
         }
         // Ends first, so that what comes in the same event finds their places.
-        let lines = event.entries.iter().enumerate().filter(|(i, line)| last[&line.entry.engine] == *i);
-        let (gone, others): (Vec<_>, Vec<_>) =
-            lines.map(|(_, line)| line).partition(|line| line.entry.state == ListState::Gone);
+        let lines = event
+            .entries
+            .iter()
+            .enumerate()
+            .filter(|(i, line)| last[&line.entry.engine] == *i);
+        let (gone, others): (Vec<_>, Vec<_>) = lines
+            .map(|(_, line)| line)
+            .partition(|line| line.entry.state == ListState::Gone);
         for line in gone {
             let id = line.entry.engine;
             let waited = self.waiting.remove(&id).is_some();
@@ -207,9 +246,14 @@
     /// Takes up who waits, as far as there are places.
     fn fill(&mut self, step: &mut Step) {
         while self.held.len() < self.places && !self.waiting.is_empty() {
-            let ready = self.waiting.iter().find(|(_, l)| l.entry.state == ListState::Ready);
+            let ready = self
+                .waiting
+                .iter()
+                .find(|(_, l)| l.entry.state == ListState::Ready);
             let next = ready.or(self.waiting.iter().next()).map(|(id, _)| *id);
-            let Some(line) = next.and_then(|id| self.waiting.remove(&id)) else { return };
+            let Some(line) = next.and_then(|id| self.waiting.remove(&id)) else {
+                return;
+            };
             self.enter(line, step);
         }
     }
@@ -221,7 +265,10 @@
         let (id, address) = (line.entry.engine, line.address);
         self.leave(id);
         if line.entry.state == ListState::Ready {
-            let other = self.at.get(&address).and_then(|other| self.held.get_mut(other));
+            let other = self
+                .at
+                .get(&address)
+                .and_then(|other| self.held.get_mut(other));
             step.shared += usize::from(other.is_some());
             match other {
                 Some(other) if other.entry.started_ms > line.entry.started_ms => {
@@ -251,7 +298,13 @@
 
 impl Default for News {
     fn default() -> News {
-        News { kind: ListKind::Delta, entries: Vec::new(), joined: 0, left: 0, lost: false }
+        News {
+            kind: ListKind::Delta,
+            entries: Vec::new(),
+            joined: 0,
+            left: 0,
+            lost: false,
+        }
     }
 }
 
@@ -264,16 +317,38 @@
 ) -> News {
     let Some(before) = before else {
         let entries: Vec<EngineEntry> = told.values().cloned().collect();
-        return News { kind: ListKind::Full, joined: entries.len(), entries, ..News::default() };
+        return News {
+            kind: ListKind::Full,
+            joined: entries.len(),
+            entries,
+            ..News::default()
+        };
     };
-    let left = before.iter().filter(|(engine, _)| !told.contains_key(engine));
-    let mut entries: Vec<EngineEntry> =
-        left.map(|(_, entry)| EngineEntry { state: ListState::Gone, ..entry.clone() }).collect();
+    let left = before
+        .iter()
+        .filter(|(engine, _)| !told.contains_key(engine));
+    let mut entries: Vec<EngineEntry> = left
+        .map(|(_, entry)| EngineEntry {
+            state: ListState::Gone,
+            ..entry.clone()
+        })
+        .collect();
     let left = entries.len();
-    let joined = told.keys().filter(|engine| !before.contains_key(engine)).count();
-    let changed = told.iter().filter(|(engine, entry)| before.get(engine) != Some(entry));
+    let joined = told
+        .keys()
+        .filter(|engine| !before.contains_key(engine))
+        .count();
+    let changed = told
+        .iter()
+        .filter(|(engine, entry)| before.get(engine) != Some(entry));
     entries.extend(changed.map(|(_, entry)| entry.clone()));
-    News { kind: ListKind::Delta, entries, joined, left, lost: false }
+    News {
+        kind: ListKind::Delta,
+        entries,
+        joined,
+        left,
+        lost: false,
+    }
 }
 
 #[cfg(test)]
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -8,11 +8,22 @@
 
 /// No list is so long that the module hears of a subset.
 fn whole() -> Subset {
-    Subset::new(PLACES, Membership { instances: 1, ordinal: 0 })
+    Subset::new(
+        PLACES,
+        Membership {
+            instances: 1,
+            ordinal: 0,
+        },
+    )
 }
 
 fn event(kind: ListKind, entries: Vec<Listed>) -> ListEvent {
-    ListEvent { number: 1, kind, entries, unusable: Vec::new() }
+    ListEvent {
+        number: 1,
+        kind,
+        entries,
+        unusable: Vec::new(),
+    }
 }
 
 /// Engines of these ids, each at an address of its own.
@@ -37,9 +48,15 @@
 fn a_large_list_and_its_releases() {
     let mut roster = Roster::new(PLACES, whole());
     let step = roster.take(&event(ListKind::Full, lines(0..1024, ListState::Ready)));
-    assert_eq!((step.lines.len(), step.passed.len(), roster.sizes()), (1024, 0, (1024, 0)));
+    assert_eq!(
+        (step.lines.len(), step.passed.len(), roster.sizes()),
+        (1024, 0, (1024, 0))
+    );
     for round in 0..20 {
-        let (old, new) = (round * 614..(round + 1) * 614, (round + 1) * 614 + 410..(round + 2) * 614 + 410);
+        let (old, new) = (
+            round * 614..(round + 1) * 614,
+            (round + 1) * 614 + 410..(round + 2) * 614 + 410,
+        );
         let mut changes = lines(old.clone(), ListState::Draining);
         changes.extend(lines(new.clone(), ListState::Ready));
         let step = roster.take(&event(ListKind::Delta, changes));
@@ -56,20 +73,32 @@
 fn past_the_bound() {
     let mut roster = Roster::new(4, whole());
     let step = roster.take(&event(ListKind::Full, lines(1..7, ListState::Ready)));
-    assert_eq!((step.lines.len(), step.passed), (4, vec![engine_id(5), engine_id(6)]));
+    assert_eq!(
+        (step.lines.len(), step.passed),
+        (4, vec![engine_id(5), engine_id(6)])
+    );
     assert!(!roster.ready(engine_id(5)) && roster.named(engine_id(5)));
     let step = roster.take(&event(ListKind::Delta, lines(5..6, ListState::Draining)));
-    assert_eq!((step.lines.len(), step.passed.len(), roster.sizes()), (0, 0, (4, 2)));
+    assert_eq!(
+        (step.lines.len(), step.passed.len(), roster.sizes()),
+        (0, 0, (4, 2))
+    );
     let step = roster.take(&event(ListKind::Delta, lines(1..2, ListState::Gone)));
     assert_eq!(step.lines.len(), 2, "the end, and who takes the place");
     assert!(roster.ready(engine_id(6)) && roster.sizes() == (4, 1));
     let step = roster.take(&event(ListKind::Delta, lines(5..6, ListState::Gone)));
-    assert_eq!((step.lines.len(), step.unknown, roster.sizes()), (0, 0, (4, 0)));
+    assert_eq!(
+        (step.lines.len(), step.unknown, roster.sizes()),
+        (0, 0, (4, 0))
+    );
     // A list of ten with the same four in it: four wait, and two are beyond.
     let step = roster.take(&event(ListKind::Full, lines(2..12, ListState::Ready)));
     assert_eq!((step.passed.len(), roster.sizes()), (6, (4, 4)));
     let step = roster.take(&event(ListKind::Full, lines(8..12, ListState::Ready)));
-    assert_eq!((step.dropped.len(), ready(&roster, 8..12), roster.sizes()), (4, 4, (4, 0)));
+    assert_eq!(
+        (step.dropped.len(), ready(&roster, 8..12), roster.sizes()),
+        (4, 4, (4, 0))
+    );
     assert_eq!(roster.entries(), 8);
 }
 
@@ -82,15 +111,25 @@
     let step = roster.take(&event(ListKind::Delta, lines(9..10, ListState::Gone)));
     assert_eq!((step.lines.len(), step.unknown), (0, 1));
     // Twice in one event: the last one holds, also where that is its end.
-    let twice = [ListState::Ready, ListState::Draining].map(|s| lines(1..2, s)).concat();
+    let twice = [ListState::Ready, ListState::Draining]
+        .map(|s| lines(1..2, s))
+        .concat();
     let step = roster.take(&event(ListKind::Delta, twice));
-    assert_eq!((step.lines.len(), step.repeated, roster.ready(engine_id(1))), (1, 1, false));
-    let twice = [ListState::Ready, ListState::Gone].map(|s| lines(2..3, s)).concat();
+    assert_eq!(
+        (step.lines.len(), step.repeated, roster.ready(engine_id(1))),
+        (1, 1, false)
+    );
+    let twice = [ListState::Ready, ListState::Gone]
+        .map(|s| lines(2..3, s))
+        .concat();
     assert_eq!(roster.take(&event(ListKind::Delta, twice)).repeated, 1);
     assert!(!roster.named(engine_id(2)));
     // Told as it is: nothing changes. Back after its end: as any other.
     let step = roster.take(&event(ListKind::Delta, lines(3..4, ListState::Ready)));
-    assert_eq!((step.lines.len(), step.repeated, step.unknown, step.shared), (1, 0, 0, 0));
+    assert_eq!(
+        (step.lines.len(), step.repeated, step.unknown, step.shared),
+        (1, 0, 0, 0)
+    );
     let step = roster.take(&event(ListKind::Delta, lines(2..3, ListState::Ready)));
     assert!(step.lines.len() == 1 && roster.ready(engine_id(2)) && roster.entries() == 5);
 }
@@ -99,23 +138,52 @@
 #[test]
 fn one_address_is_one_engine() {
     let mut roster = Roster::new(8, whole());
-    roster
-        .take(&event(ListKind::Full, vec![at(1, ListState::Ready, 1, 0.0), at(2, ListState::Ready, 2, 0.0)]));
-    roster.take(&event(ListKind::Delta, vec![at(1, ListState::Draining, 1, 0.0)]));
-    let step = roster.take(&event(ListKind::Delta, vec![at(3, ListState::Ready, 1, 50.0)]));
+    roster.take(&event(
+        ListKind::Full,
+        vec![
+            at(1, ListState::Ready, 1, 0.0),
+            at(2, ListState::Ready, 2, 0.0),
+        ],
+    ));
+    roster.take(&event(
+        ListKind::Delta,
+        vec![at(1, ListState::Draining, 1, 0.0)],
+    ));
+    let step = roster.take(&event(
+        ListKind::Delta,
+        vec![at(3, ListState::Ready, 1, 50.0)],
+    ));
     assert_eq!((step.lines.len(), roster.ready(engine_id(3))), (1, true));
-    let step = roster.take(&event(ListKind::Delta, vec![at(4, ListState::Ready, 2, 60.0)]));
-    let told: Vec<_> = step.lines.iter().map(|l| (l.entry.engine, l.entry.state)).collect();
-    let want = [(engine_id(2), ListState::Draining), (engine_id(4), ListState::Ready)];
+    let step = roster.take(&event(
+        ListKind::Delta,
+        vec![at(4, ListState::Ready, 2, 60.0)],
+    ));
+    let told: Vec<_> = step
+        .lines
+        .iter()
+        .map(|l| (l.entry.engine, l.entry.state))
+        .collect();
+    let want = [
+        (engine_id(2), ListState::Draining),
+        (engine_id(4), ListState::Ready),
+    ];
     assert_eq!((step.shared, &told[..]), (1, &want[..]));
     // A whole list that still names the earlier one, in whatever order, brings it no work.
-    let both = || [at(4, ListState::Ready, 2, 60.0), at(2, ListState::Ready, 2, 0.0)];
+    let both = || {
+        [
+            at(4, ListState::Ready, 2, 60.0),
+            at(2, ListState::Ready, 2, 0.0),
+        ]
+    };
     for order in [both().to_vec(), both().into_iter().rev().collect()] {
         roster.take(&event(ListKind::Full, order));
         assert!(roster.ready(engine_id(4)) && !roster.ready(engine_id(2)));
     }
     // It moved: at an address of its own it takes work again.
-    roster.take(&event(ListKind::Delta, vec![at(2, ListState::Ready, 7, 0.0)]));
+    roster.take(&event(
+        ListKind::Delta,
+        vec![at(2, ListState::Ready, 7, 0.0)],
+    ));
     assert!(roster.ready(engine_id(2)) && roster.ready(engine_id(4)));
     roster.take(&event(ListKind::Full, Vec::new()));
     assert_eq!(roster.entries(), 0);
@@ -128,9 +196,15 @@
     let mut roster = Roster::new(8, whole());
     roster.take(&event(ListKind::Full, lines(1..6, ListState::Ready)));
     let unusable = vec![engine_id(2), engine_id(7)];
-    let whole = ListEvent { unusable, ..event(ListKind::Full, lines(1..2, ListState::Ready)) };
+    let whole = ListEvent {
+        unusable,
+        ..event(ListKind::Full, lines(1..2, ListState::Ready))
+    };
     let step = roster.take(&whole);
-    assert_eq!((step.dropped.len(), step.cut, step.lines.len()), (3, true, 2));
+    assert_eq!(
+        (step.dropped.len(), step.cut, step.lines.len()),
+        (3, true, 2)
+    );
     assert!(roster.ready(engine_id(2)) && !roster.named(engine_id(7)));
     let step = roster.take(&event(ListKind::Full, lines(2..3, ListState::Ready)));
     assert_eq!((step.dropped.len(), step.cut), (1, false), "half of them");
@@ -141,7 +215,16 @@
 
 /// A roster whose module hears of 16 engines at most, as one of a hundred managers.
 fn bounded() -> Roster {
-    Roster::new(PLACES, Subset::new(16, Membership { instances: 100, ordinal: 3 }))
+    Roster::new(
+        PLACES,
+        Subset::new(
+            16,
+            Membership {
+                instances: 100,
+                ordinal: 3,
+            },
+        ),
+    )
 }
 
 /// What the module knows of the list, by what it was told.
@@ -160,7 +243,10 @@
     }
 
     fn ready(&self) -> Vec<EngineId> {
-        let ready = self.0.values().filter(|entry| entry.state == ListState::Ready);
+        let ready = self
+            .0
+            .values()
+            .filter(|entry| entry.state == ListState::Ready);
         ready.map(|entry| entry.engine).collect()
     }
 }
@@ -173,17 +259,34 @@
     heard.take(&step.news);
     let (size, zones) = roster.subset_sizes();
     assert!((12..=18).contains(&size) && zones == 1, "{size}");
-    assert_eq!((step.lines.len(), heard.0.len(), ready(&roster, 0..300)), (300, size, 300));
+    assert_eq!(
+        (step.lines.len(), heard.0.len(), ready(&roster, 0..300)),
+        (300, size, 300)
+    );
     let held = heard.ready();
-    let other = (0..300).find(|id| !held.contains(&engine_id(*id))).expect("one that is not held");
-    let step = roster.take(&event(ListKind::Delta, lines(other..other + 1, ListState::Draining)));
+    let other = (0..300)
+        .find(|id| !held.contains(&engine_id(*id)))
+        .expect("one that is not held");
+    let step = roster.take(&event(
+        ListKind::Delta,
+        lines(other..other + 1, ListState::Draining),
+    ));
     heard.take(&step.news);
-    assert_eq!((step.lines.len(), roster.ready(engine_id(other))), (1, false));
+    assert_eq!(
+        (step.lines.len(), roster.ready(engine_id(other))),
+        (1, false)
+    );
     // One that is held drains: the next in order is told with the same event, and it itself as gone.
     let drained = u32::from_be_bytes(held[0].addr);
-    let step = roster.take(&event(ListKind::Delta, lines(drained..drained + 1, ListState::Draining)));
+    let step = roster.take(&event(
+        ListKind::Delta,
+        lines(drained..drained + 1, ListState::Draining),
+    ));
     heard.take(&step.news);
-    assert_eq!((step.lines.len(), step.lines[0].entry.state), (1, ListState::Draining));
+    assert_eq!(
+        (step.lines.len(), step.lines[0].entry.state),
+        (1, ListState::Draining)
+    );
     assert!(!heard.0.contains_key(&held[0]) && !roster.ready(held[0]) && roster.named(held[0]));
     assert!(heard.0.len() >= size - 1 && heard.0.values().all(|entry| entry.holders.is_some()));
 }
@@ -201,11 +304,25 @@
         let step = roster.take(&event(ListKind::Delta, lines(16..end, ListState::Ready)));
         heard.take(&step.news);
         assert!((10..=18).contains(&heard.0.len()) && roster.subset_sizes().0 == heard.0.len());
-        assert!(heard.0.values().all(|entry| entry.holders.is_some()) && roster.holders().is_some());
+        assert!(
+            heard.0.values().all(|entry| entry.holders.is_some()) && roster.holders().is_some()
+        );
     }
-    heard.take(&roster.take(&event(ListKind::Delta, lines(12..200, ListState::Draining))).news);
-    assert_eq!((heard.ready().len(), heard.0.len()), (12, 200), "a short list of those that take work");
-    heard.take(&roster.take(&event(ListKind::Delta, lines(12..200, ListState::Gone))).news);
+    heard.take(
+        &roster
+            .take(&event(ListKind::Delta, lines(12..200, ListState::Draining)))
+            .news,
+    );
+    assert_eq!(
+        (heard.ready().len(), heard.0.len()),
+        (12, 200),
+        "a short list of those that take work"
+    );
+    heard.take(
+        &roster
+            .take(&event(ListKind::Delta, lines(12..200, ListState::Gone)))
+            .news,
+    );
     assert!(heard.0.len() == 12 && heard.0.values().all(|entry| entry.holders.is_none()));
 }
 
@@ -214,7 +331,11 @@
 #[test]
 fn subsets_of_lists_that_are_cut() {
     let (mut roster, mut heard) = (bounded(), Heard::default());
-    heard.take(&roster.take(&event(ListKind::Full, lines(0..300, ListState::Ready))).news);
+    heard.take(
+        &roster
+            .take(&event(ListKind::Full, lines(0..300, ListState::Ready)))
+            .news,
+    );
     let held = heard.ready();
     let left = || (0..300).filter(|id| !held.contains(&engine_id(*id)));
     let gone: Vec<Listed> = held
@@ -227,17 +348,37 @@
     let step = roster.take(&event(ListKind::Delta, gone));
     heard.take(&step.news);
     assert!(step.news.lost && step.news.left == held.len());
-    assert!(heard.0.len() >= 10 && held.iter().all(|id| !heard.0.contains_key(id)), "{}", heard.0.len());
+    assert!(
+        heard.0.len() >= 10 && held.iter().all(|id| !heard.0.contains_key(id)),
+        "{}",
+        heard.0.len()
+    );
     let step = roster.take(&event(ListKind::Full, lines(left(), ListState::Ready)));
-    assert!(!step.news.lost && step.news.entries.is_empty(), "the same list again");
+    assert!(
+        !step.news.lost && step.news.entries.is_empty(),
+        "the same list again"
+    );
     let cut: Vec<u32> = left().step_by(3).collect();
-    let step = roster.take(&event(ListKind::Full, lines(cut.iter().copied(), ListState::Ready)));
+    let step = roster.take(&event(
+        ListKind::Full,
+        lines(cut.iter().copied(), ListState::Ready),
+    ));
     heard.take(&step.news);
-    assert!(step.cut && heard.ready().iter().all(|id| cut.contains(&u32::from_be_bytes(id.addr))));
+    assert!(
+        step.cut
+            && heard
+                .ready()
+                .iter()
+                .all(|id| cut.contains(&u32::from_be_bytes(id.addr)))
+    );
     let step = roster.take(&event(ListKind::Full, Vec::new()));
     heard.take(&step.news);
     assert!(step.cut && step.news.lost && heard.0.is_empty() && roster.subset_sizes() == (0, 0));
-    heard.take(&roster.take(&event(ListKind::Full, lines(0..300, ListState::Ready))).news);
+    heard.take(
+        &roster
+            .take(&event(ListKind::Full, lines(0..300, ListState::Ready)))
+            .news,
+    );
     assert_eq!(heard.ready(), held, "the same list, the same subset");
 }
 
@@ -245,16 +386,46 @@
 #[test]
 fn settings_that_change_the_fleet() {
     let (mut roster, mut heard) = (bounded(), Heard::default());
-    heard.take(&roster.take(&event(ListKind::Full, lines(0..300, ListState::Ready))).news);
+    heard.take(
+        &roster
+            .take(&event(ListKind::Full, lines(0..300, ListState::Ready)))
+            .news,
+    );
     let before = heard.ready();
-    assert!(roster.set_membership(Membership { instances: 100, ordinal: 3 }).is_none());
-    let news = roster.set_membership(Membership { instances: 100, ordinal: 50 }).expect("another ordinal");
+    assert!(
+        roster
+            .set_membership(Membership {
+                instances: 100,
+                ordinal: 3
+            })
+            .is_none()
+    );
+    let news = roster
+        .set_membership(Membership {
+            instances: 100,
+            ordinal: 50,
+        })
+        .expect("another ordinal");
     heard.take(&news);
     assert!(news.joined > 0 && news.left > 0 && heard.ready() != before);
-    let news = roster.set_membership(Membership { instances: 60, ordinal: 3 }).expect("fewer managers");
+    let news = roster
+        .set_membership(Membership {
+            instances: 60,
+            ordinal: 3,
+        })
+        .expect("fewer managers");
     heard.take(&news);
-    assert!(heard.0.len() >= 18, "a larger share each: {}", heard.0.len());
-    let news = roster.set_membership(Membership { instances: 3, ordinal: 3 }).expect("few managers");
+    assert!(
+        heard.0.len() >= 18,
+        "a larger share each: {}",
+        heard.0.len()
+    );
+    let news = roster
+        .set_membership(Membership {
+            instances: 3,
+            ordinal: 3,
+        })
+        .expect("few managers");
     heard.take(&news);
     assert!(heard.0.len() == 300 && heard.0.values().all(|entry| entry.holders.is_none()));
 }
@@ -269,7 +440,14 @@
     for id in 0..300 {
         roster.given_back(engine_id(id), 5000.0);
     }
-    let gone = held.iter().map(|entry| at(u32::from_be_bytes(entry.engine.addr), ListState::Gone, 1, 0.0));
+    let gone = held.iter().map(|entry| {
+        at(
+            u32::from_be_bytes(entry.engine.addr),
+            ListState::Gone,
+            1,
+            0.0,
+        )
+    });
     heard.take(&roster.take(&event(ListKind::Delta, gone.collect())).news);
     assert!(!heard.0.is_empty() && heard.0.values().all(|entry| entry.started_ms == 5000.0));
     assert!(held.iter().all(|entry| entry.started_ms == 0.0));
--- a/src/core/subsets.rs
+++ b/src/core/subsets.rs
@@ -23,7 +23,10 @@
 
 impl EnginePort for Asked {
     fn ask(&mut self, engine: EngineId, ask: Ask) -> bool {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((engine, ask.id, ask.attempt));
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push((engine, ask.id, ask.attempt));
         true
     }
     fn quit(&mut self, engine: EngineId, id: RequestId, attempt: u16, _: bool) {
@@ -70,11 +73,22 @@
         );
         let mut core = made.expect("settings that were parsed");
         core.begin(0.0);
-        Manager { core, asked, counters, class: parsed.classes[0].clone(), next_id: 1 }
+        Manager {
+            core,
+            asked,
+            counters,
+            class: parsed.classes[0].clone(),
+            next_id: 1,
+        }
     }
 
     fn list(&mut self, now: Millis, kind: ListKind, entries: Vec<Listed>) {
-        let event = ListEvent { number: 1, kind, entries, unusable: Vec::new() };
+        let event = ListEvent {
+            number: 1,
+            kind,
+            entries,
+            unusable: Vec::new(),
+        };
         self.core.handle(now, Input::List(event));
     }
 
@@ -89,9 +103,23 @@
 
     fn served(&mut self, now: Millis, (engine, id, attempt): (EngineId, RequestId, u16)) {
         let body = Some(Body::whole(Form::Text, Vec::new()));
-        let news = EngineNews::Ended { outcome: Outcome::Ok, billed_ms: None, billed_mb: None, body };
+        let news = EngineNews::Ended {
+            outcome: Outcome::Ok,
+            billed_ms: None,
+            billed_mb: None,
+            body,
+        };
         let report = LoadReport::default();
-        self.core.handle(now, Input::Engine { engine, id, attempt, report, news });
+        self.core.handle(
+            now,
+            Input::Engine {
+                engine,
+                id,
+                attempt,
+                report,
+                news,
+            },
+        );
     }
 }
 
@@ -100,8 +128,13 @@
 }
 
 fn shown(counters: &Counters) -> [u64; 4] {
-    [&counters.subset_size, &counters.subset_zones, &counters.subset_holders, &counters.ordinal]
-        .map(Count::get)
+    [
+        &counters.subset_size,
+        &counters.subset_zones,
+        &counters.subset_holders,
+        &counters.ordinal,
+    ]
+    .map(Count::get)
 }
 
 /// Guard: what leaves the subset while it runs an attempt ends it as any other. It gets nothing more, and is forgotten
@@ -115,13 +148,26 @@
         out.extend(manager.request(10.0, 50.0));
     }
     let held = manager.core.held().1[3];
-    assert!(out.len() > 30 && (24..=36).contains(&held), "{} sent to {held}", out.len());
+    assert!(
+        out.len() > 30 && (24..=36).contains(&held),
+        "{} sent to {held}",
+        out.len()
+    );
     // Another ordinal: another subset altogether.
     let settings = Box::new(fleet_settings(100, 57).settings);
-    manager.core.handle(20.0, Input::Settings { settings: Some(settings), policy: Arc::default() });
+    manager.core.handle(
+        20.0,
+        Input::Settings {
+            settings: Some(settings),
+            policy: Arc::default(),
+        },
+    );
     manager.core.alarms(100.0);
     assert!(manager.counters.subset_left.get() > 20 && manager.counters.subset_recast.get() == 1);
-    assert!(manager.core.held().1[3] > held, "those that still run something, and the new ones");
+    assert!(
+        manager.core.held().1[3] > held,
+        "those that still run something, and the new ones"
+    );
     let before: Vec<EngineId> = out.iter().map(|(engine, ..)| *engine).collect();
     for _ in 0..60 {
         let again = manager.request(110.0, 50.0);
@@ -132,7 +178,11 @@
     out.into_iter().for_each(|one| manager.served(200.0, one));
     manager.core.alarms(300.0);
     assert_eq!(manager.counters.served.get(), all);
-    assert!((24..=36).contains(&manager.core.held().1[3]), "{}", manager.core.held().1[3]);
+    assert!(
+        (24..=36).contains(&manager.core.held().1[3]),
+        "{}",
+        manager.core.held().1[3]
+    );
 }
 
 /// What STATS and the MIB show of a subset, of a list that is taken whole, and of settings that cannot be.
@@ -143,13 +193,31 @@
     assert_eq!(shown(&manager.counters), [20, 1, 100, 7]);
     manager.list(0.0, ListKind::Full, lines(0..400, ListState::Ready));
     let [size, zones, holders, ordinal] = shown(&manager.counters);
-    assert!((24..=36).contains(&size) && (6..=9).contains(&holders), "{size} and {holders}");
-    assert_eq!((zones, ordinal, manager.counters.engines.get()), (1, 7, 400));
+    assert!(
+        (24..=36).contains(&size) && (6..=9).contains(&holders),
+        "{size} and {holders}"
+    );
+    assert_eq!(
+        (zones, ordinal, manager.counters.engines.get()),
+        (1, 7, 400)
+    );
     manager.list(0.0, ListKind::Full, Vec::new());
-    assert_eq!((manager.counters.subset_lost.get(), manager.counters.list_cut.get()), (1, 1));
+    assert_eq!(
+        (
+            manager.counters.subset_lost.get(),
+            manager.counters.list_cut.get()
+        ),
+        (1, 1)
+    );
     assert_eq!(manager.counters.subset_size.get(), 0);
     let over = Manager::new(100, 100);
-    assert_eq!((over.counters.subset_ordinal_over.get(), over.counters.ordinal.get()), (1, 100));
+    assert_eq!(
+        (
+            over.counters.subset_ordinal_over.get(),
+            over.counters.ordinal.get()
+        ),
+        (1, 100)
+    );
 }
 
 /// Work that a fleet sends to each engine in any window of a second, while managers learn of changes up to five seconds
@@ -159,21 +227,30 @@
     const MANAGERS: u32 = 40;
     const WORK_MS: f64 = 40.0;
     const BEGUN: Millis = 20_000.0;
-    let mut managers: Vec<Manager> = (0..MANAGERS).map(|ordinal| Manager::new(MANAGERS, ordinal)).collect();
-    managers.iter_mut().for_each(|m| m.list(0.0, ListKind::Full, lines(0..150, ListState::Ready)));
+    let mut managers: Vec<Manager> = (0..MANAGERS)
+        .map(|ordinal| Manager::new(MANAGERS, ordinal))
+        .collect();
+    managers
+        .iter_mut()
+        .for_each(|m| m.list(0.0, ListKind::Full, lines(0..150, ListState::Ready)));
     // A third of all engines drain, and as many start cold in their place.
     let mut changes = lines(0..50, ListState::Draining);
-    changes.extend(lines(150..200, ListState::Ready).into_iter().map(|mut line| {
-        line.entry.started_ms = BEGUN;
-        line
-    }));
+    changes.extend(
+        lines(150..200, ListState::Ready)
+            .into_iter()
+            .map(|mut line| {
+                line.entry.started_ms = BEGUN;
+                line
+            }),
+    );
     let mut sent: BTreeMap<EngineId, Vec<(Millis, f64)>> = BTreeMap::new();
     let mut in_hand: Vec<(Millis, usize, (EngineId, RequestId, u16))> = Vec::new();
     let mut now = BEGUN;
     while now < BEGUN + 11_000.0 {
         for (place, manager) in managers.iter_mut().enumerate() {
             // Each hears of it at a time of its own, in no order of theirs.
-            let heard_at = BEGUN + f64::from((place as u32 * 17) % MANAGERS) * 5000.0 / f64::from(MANAGERS);
+            let heard_at =
+                BEGUN + f64::from((place as u32 * 17) % MANAGERS) * 5000.0 / f64::from(MANAGERS);
             if (heard_at..heard_at + 50.0).contains(&now) {
                 manager.list(now, ListKind::Delta, changes.clone());
             }
@@ -190,7 +267,8 @@
         }
         let (over, rest): (Vec<_>, Vec<_>) = in_hand.into_iter().partition(|(at, ..)| *at <= now);
         in_hand = rest;
-        over.into_iter().for_each(|(_, place, one)| managers[place].served(now, one));
+        over.into_iter()
+            .for_each(|(_, place, one)| managers[place].served(now, one));
         now += 50.0;
     }
     let mut cold = 0.0;
@@ -199,11 +277,19 @@
         for (at, _) in sends.iter().filter(|(at, _)| *at < BEGUN + 9_000.0) {
             let age = ((at - BEGUN) / 10_000.0).clamp(0.0, 1.0);
             let stands = 2.0 * (0.3 + 0.7 * age * age) * 1000.0;
-            let window = sends.iter().filter(|(t, _)| (0.0..1000.0).contains(&(t - at)));
+            let window = sends
+                .iter()
+                .filter(|(t, _)| (0.0..1000.0).contains(&(t - at)));
             let work: f64 = window.map(|(_, work)| work).sum();
-            assert!(work <= stands, "engine {id} got {work} ms at {at}, and stands {stands}");
+            assert!(
+                work <= stands,
+                "engine {id} got {work} ms at {at}, and stands {stands}"
+            );
             cold += WORK_MS;
         }
     }
-    assert!(cold > 0.2 * 9_000.0 * 50.0 * 0.3, "cold engines take part: {cold}");
+    assert!(
+        cold > 0.2 * 9_000.0 * 50.0 * 0.3,
+        "cold engines take part: {cold}"
+    );
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -7,7 +7,11 @@
 
 /// Engines that take attempts and say nothing; what they are told to give up, and what the list says of them, is kept.
 #[derive(Default)]
-struct Silent(Vec<EngineId>, Vec<(EngineId, RequestId, u16)>, Vec<(EngineId, ListState)>);
+struct Silent(
+    Vec<EngineId>,
+    Vec<(EngineId, RequestId, u16)>,
+    Vec<(EngineId, ListState)>,
+);
 
 impl EnginePort for Silent {
     fn ask(&mut self, engine: EngineId, _: Ask) -> bool {
@@ -33,8 +37,16 @@
 
 /// An engine as the list has it.
 pub(super) fn listed(n: u32, state: ListState) -> Listed {
-    let entry = EngineEntry { engine: engine_id(n), state, nominal: 1.0, ..EngineEntry::default() };
-    Listed { entry, address: ([127, 0, 0, 1], n as u16).into() }
+    let entry = EngineEntry {
+        engine: engine_id(n),
+        state,
+        nominal: 1.0,
+        ..EngineEntry::default()
+    };
+    Listed {
+        entry,
+        address: ([127, 0, 0, 1], n as u16).into(),
+    }
 }
 
 /// A request of this class and effort.
@@ -74,7 +86,14 @@
     let parsed = settings::parse(text.as_bytes()).expect("settings");
     let limits = Arc::new(Limits::new(256, 32, true, &parsed));
     let classes = parsed.classes;
-    let mut core = Core::new(parsed.settings, 7, Silent::default(), limits, Arc::default()).expect("core");
+    let mut core = Core::new(
+        parsed.settings,
+        7,
+        Silent::default(),
+        limits,
+        Arc::default(),
+    )
+    .expect("core");
     core.begin(0.0);
     let (mut now, mut most) = (0.0, ([0; 4], [0; 4]));
     for round in 0..3000 {
@@ -83,10 +102,24 @@
         let next = round / 10 + 1;
         let (kind, entries) = match round % 10 {
             0 if next % 2 == 0 => (ListKind::Full, vec![listed(next, ListState::Ready)]),
-            0 => (ListKind::Delta, vec![listed(next, ListState::Ready), listed(next - 1, ListState::Gone)]),
+            0 => (
+                ListKind::Delta,
+                vec![
+                    listed(next, ListState::Ready),
+                    listed(next - 1, ListState::Gone),
+                ],
+            ),
             _ => (ListKind::Delta, Vec::new()),
         };
-        core.handle(now, Input::List(ListEvent { number: 0, kind, entries, unusable: Vec::new() }));
+        core.handle(
+            now,
+            Input::List(ListEvent {
+                number: 0,
+                kind,
+                entries,
+                unusable: Vec::new(),
+            }),
+        );
         for n in 0..20 {
             let id = round * 20 + n;
             let due = now + if n < 5 { 300.0 } else { 20_000.0 };
@@ -96,15 +129,38 @@
                 core.handle(now, Input::Left(id));
             } else if let (5.., Some(engine)) = (n, core.engines.0.last().copied()) {
                 let body = Some(Body::whole(Form::Text, Vec::new()));
-                let news = EngineNews::Ended { outcome: Outcome::Ok, billed_ms: None, billed_mb: None, body };
+                let news = EngineNews::Ended {
+                    outcome: Outcome::Ok,
+                    billed_ms: None,
+                    billed_mb: None,
+                    body,
+                };
                 let report = LoadReport::default();
-                core.handle(now, Input::Engine { engine, id, attempt: 0, report, news });
+                core.handle(
+                    now,
+                    Input::Engine {
+                        engine,
+                        id,
+                        attempt: 0,
+                        report,
+                        news,
+                    },
+                );
                 core.handle(now, Input::Left(id));
             }
         }
         for (engine, id, attempt) in std::mem::take(&mut core.engines.1) {
             let (report, news) = (LoadReport::default(), EngineNews::GivenUp(End::GivenUp));
-            core.handle(now, Input::Engine { engine, id, attempt, report, news });
+            core.handle(
+                now,
+                Input::Engine {
+                    engine,
+                    id,
+                    attempt,
+                    report,
+                    news,
+                },
+            );
         }
         let held = core.held();
         if round == 999 {
@@ -113,7 +169,11 @@
     }
     let end = core.held();
     for (end, most) in end.0.iter().chain(&end.1).zip(most.0.iter().chain(&most.1)) {
-        assert!(*end <= most + most / 2 + 8, "{:?} grew from {most:?}", core.held());
+        assert!(
+            *end <= most + most / 2 + 8,
+            "{:?} grew from {most:?}",
+            core.held()
+        );
     }
     assert!(end.0[3] < 2500 && end.0[2] < 10 && end.1[3] < 10, "{end:?}");
 }
@@ -140,8 +200,14 @@
         let parsed = class(scope);
         let limits = Arc::new(Limits::new(256, 32, true, &parsed));
         let class = parsed.classes[0].clone();
-        let mut core =
-            Core::new(parsed.settings, 7, Silent::default(), limits, Arc::default()).expect("core");
+        let mut core = Core::new(
+            parsed.settings,
+            7,
+            Silent::default(),
+            limits,
+            Arc::default(),
+        )
+        .expect("core");
         // The first two share a zone, the first alone its cell.
         let line = |n: u32| {
             let mut line = listed(n, ListState::Ready);
@@ -151,21 +217,38 @@
         let entries = vec![line(1), line(2), line(3)];
         core.handle(
             0.0,
-            Input::List(ListEvent { number: 0, kind: ListKind::Full, entries, unusable: Vec::new() }),
+            Input::List(ListEvent {
+                number: 0,
+                kind: ListKind::Full,
+                entries,
+                unusable: Vec::new(),
+            }),
         );
         let mut one = taken(1, &class, 20_000.0, 50.0, Arc::new(Nobody));
         one.idempotency_key = key.then(|| Bytes::from_static(b"k"));
         core.handle(0.0, Input::Take(one));
         let open = core.requests.get_mut(&1).expect("open");
         open.history = AttemptHistory::default();
-        open.history.sent(0, engine_id(1), Sent { zone: 0, cell: 1, at: 100.0 });
+        open.history.sent(
+            0,
+            engine_id(1),
+            Sent {
+                zone: 0,
+                cell: 1,
+                at: 100.0,
+            },
+        );
         open.history.ended(0, true).expect("out");
         for (n, reached) in (1..=3).zip(reach) {
             let until = core.repeat_until(700.0, 1, engine_id(n));
             assert_eq!(until, (reached > 0).then_some(799.0), "{scope} {key} {n}");
         }
         assert_eq!(core.send(800.0, 1, engine_id(1), None), Some(Outcome::Moot));
-        assert_eq!(core.launch(800.0, 1, 1, engine_id(1), None), Some(Outcome::Moot), "after a back-off");
+        assert_eq!(
+            core.launch(800.0, 1, 1, engine_id(1), None),
+            Some(Outcome::Moot),
+            "after a back-off"
+        );
     }
 }
 
@@ -179,11 +262,23 @@
     let limits = Arc::new(Limits::new(256, 32, true, &parsed));
     let counters: Arc<Counters> = Arc::default();
     let class = parsed.classes[0].clone();
-    let mut core = Core::new(parsed.settings, 7, Silent::default(), limits, counters.clone()).expect("core");
+    let mut core = Core::new(
+        parsed.settings,
+        7,
+        Silent::default(),
+        limits,
+        counters.clone(),
+    )
+    .expect("core");
     let entries = vec![listed(1, ListState::Ready)];
     core.handle(
         0.0,
-        Input::List(ListEvent { number: 1, kind: ListKind::Full, entries, unusable: Vec::new() }),
+        Input::List(ListEvent {
+            number: 1,
+            kind: ListKind::Full,
+            entries,
+            unusable: Vec::new(),
+        }),
     );
     let ask = |core: &mut Core<Silent>, now: f64, id: u32, cost| {
         let one = taken(id, &class, now + 20_000.0, cost, Arc::new(Nobody));
@@ -192,11 +287,23 @@
     ask(&mut core, 1000.0, 1, 50.0);
     core.urgent(1000.0, Urgent::Ends(6000.0));
     ask(&mut core, 5000.0, 2, 50.0);
-    assert_eq!((core.open(), core.engines.0.len()), (2, 2), "what comes before is begun");
+    assert_eq!(
+        (core.open(), core.engines.0.len()),
+        (2, 2),
+        "what comes before is begun"
+    );
     core.alarms(6000.0);
-    assert_eq!((core.open(), counters.failed.get()), (0, 2), "what is not done is answered");
+    assert_eq!(
+        (core.open(), counters.failed.get()),
+        (0, 2),
+        "what is not done is answered"
+    );
     ask(&mut core, 6001.0, 3, 50.0);
-    assert_eq!((core.open(), counters.refused.get()), (0, 1), "and what comes then is turned away");
+    assert_eq!(
+        (core.open(), counters.refused.get()),
+        (0, 1),
+        "and what comes then is turned away"
+    );
 }
 
 /// Guard: an order to give up that got lost is given again; an end that nothing proves ends its request in time, and
@@ -210,36 +317,79 @@
     let limits = Arc::new(Limits::new(256, 32, true, &parsed));
     let counters: Arc<Counters> = Arc::default();
     let class = parsed.classes[0].clone();
-    let mut core = Core::new(parsed.settings, 7, Silent::default(), limits, counters.clone()).expect("core");
+    let mut core = Core::new(
+        parsed.settings,
+        7,
+        Silent::default(),
+        limits,
+        counters.clone(),
+    )
+    .expect("core");
     let entries = [1, 2].map(|n| listed(n, ListState::Ready)).to_vec();
     core.handle(
         0.0,
-        Input::List(ListEvent { number: 1, kind: ListKind::Full, entries, unusable: Vec::new() }),
+        Input::List(ListEvent {
+            number: 1,
+            kind: ListKind::Full,
+            entries,
+            unusable: Vec::new(),
+        }),
     );
     let ask = |id: u32| {
         let one = taken(id, &class, 15_000.0, 900.0, Arc::new(Nobody));
-        Input::Take(Taken { name: Bytes::from_static(b"one name"), ..one })
+        Input::Take(Taken {
+            name: Bytes::from_static(b"one name"),
+            ..one
+        })
     };
     core.handle(0.0, ask(1));
     // No engine says anything: the attempt is given up for its silence.
     core.alarms(3001.0);
-    assert_eq!((core.engines.0.len(), core.engines.1.len()), (1, 1), "nothing goes out before the proof");
+    assert_eq!(
+        (core.engines.0.len(), core.engines.1.len()),
+        (1, 1),
+        "nothing goes out before the proof"
+    );
     core.alarms(3100.0);
     assert!(core.engines.1.len() > 1, "the order is given again");
     core.handle(3200.0, ask(2));
-    assert_eq!(counters.failed.get(), 1, "the name is taken as long as its attempt may be out");
+    assert_eq!(
+        counters.failed.get(),
+        1,
+        "the name is taken as long as its attempt may be out"
+    );
     core.alarms(4990.0);
     assert_eq!((core.open(), counters.unproven.get()), (1, 0));
     core.alarms(5100.0);
-    assert_eq!((core.open(), core.engines.0.len()), (0, 1), "it ends, and nothing follows");
-    assert_eq!((counters.failed.get(), counters.unproven.get(), core.held().0[0]), (2, 1, 0));
+    assert_eq!(
+        (core.open(), core.engines.0.len()),
+        (0, 1),
+        "it ends, and nothing follows"
+    );
+    assert_eq!(
+        (
+            counters.failed.get(),
+            counters.unproven.get(),
+            core.held().0[0]
+        ),
+        (2, 1, 0)
+    );
     // A client that leaves is owed nothing, and its name is held until the proof.
     core.handle(6000.0, ask(3));
     core.handle(6001.0, Input::Left(3));
     assert_eq!((core.open(), core.held().0[..2] == [1, 1]), (0, true));
     let (engine, id, attempt) = *core.engines.1.last().expect("quit");
     let (report, news) = (LoadReport::default(), EngineNews::GivenUp(End::GivenUp));
-    core.handle(6002.0, Input::Engine { engine, id, attempt, report, news });
+    core.handle(
+        6002.0,
+        Input::Engine {
+            engine,
+            id,
+            attempt,
+            report,
+            news,
+        },
+    );
     assert_eq!(core.held().0[..2], [0, 0]);
 }
 
@@ -248,15 +398,36 @@
 fn a_thousand_engines_out_by_hand() {
     let parsed = crate::engines::EngineContext::settings_for_tests();
     let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-    let mut core = Core::new(parsed.settings, 7, Silent::default(), limits, Arc::default()).expect("core");
+    let mut core = Core::new(
+        parsed.settings,
+        7,
+        Silent::default(),
+        limits,
+        Arc::default(),
+    )
+    .expect("core");
     let entries = (1..=1024).map(|n| listed(n, ListState::Ready)).collect();
     core.handle(
         0.0,
-        Input::List(ListEvent { number: 1, kind: ListKind::Full, entries, unusable: Vec::new() }),
+        Input::List(ListEvent {
+            number: 1,
+            kind: ListKind::Full,
+            entries,
+            unusable: Vec::new(),
+        }),
     );
     let mut say = |n: u32, out| {
         let (done, mut said) = tokio::sync::oneshot::channel();
-        core.urgent(1.0, Urgent::Ban { engine: engine_id(n), out, at: 1.0, told: false, done });
+        core.urgent(
+            1.0,
+            Urgent::Ban {
+                engine: engine_id(n),
+                out,
+                at: 1.0,
+                told: false,
+                done,
+            },
+        );
         said.try_recv().expect("an answer")
     };
     assert!((1..=1024).all(|n| say(n, true)) && !say(2000, true));
@@ -271,7 +442,14 @@
     let parsed = crate::engines::EngineContext::settings_for_tests();
     let limits = Arc::new(Limits::new(256, 256, true, &parsed));
     let counters: Arc<Counters> = Arc::default();
-    let mut core = Core::new(parsed.settings, 7, Silent::default(), limits, counters.clone()).expect("core");
+    let mut core = Core::new(
+        parsed.settings,
+        7,
+        Silent::default(),
+        limits,
+        counters.clone(),
+    )
+    .expect("core");
     core.begin(0.0);
     let line = |n: u32, state| {
         let mut line = listed(n, state);
@@ -280,17 +458,42 @@
     };
     let states = [ListState::Ready, ListState::Draining, ListState::Gone];
     for (number, state) in (1..).zip(states) {
-        let kind = if state == ListState::Ready { ListKind::Full } else { ListKind::Delta };
+        let kind = if state == ListState::Ready {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
         let entries = (0..LISTED).map(|n| line(n, state)).collect();
-        let event = ListEvent { number, kind, entries, unusable: Vec::new() };
+        let event = ListEvent {
+            number,
+            kind,
+            entries,
+            unusable: Vec::new(),
+        };
         core.handle(number as Millis, Input::List(event));
         let heard = std::mem::take(&mut core.engines.2);
         let each: Vec<_> = (0..LISTED).map(|n| (engine_id(n), state)).collect();
-        assert!(heard == each, "{state:?}: {} of {LISTED} heard", heard.len());
-        let known = if state == ListState::Gone { 0 } else { u64::from(LISTED) };
-        let passed = (counters.engines.get(), counters.engines_passed.get(), counters.engines_waiting.get());
+        assert!(
+            heard == each,
+            "{state:?}: {} of {LISTED} heard",
+            heard.len()
+        );
+        let known = if state == ListState::Gone {
+            0
+        } else {
+            u64::from(LISTED)
+        };
+        let passed = (
+            counters.engines.get(),
+            counters.engines_passed.get(),
+            counters.engines_waiting.get(),
+        );
         assert_eq!(passed, (known, 0, 0), "{state:?}");
     }
     core.alarms(1000.0);
-    assert_eq!((core.held().0[2], core.held().1[3]), (0, 0), "in the roster and in the module");
+    assert_eq!(
+        (core.held().0[2], core.held().1[3]),
+        (0, 0),
+        "in the roster and in the module"
+    );
 }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -242,7 +242,9 @@
     fn default() -> Self {
         // 1 us to a minute at two digits: some 12 kB.
         let empty = Histogram::new_with_bounds(1, 60_000_000, 2);
-        Spans(Mutex::new(empty.unwrap_or_else(|_| unreachable!("fixed bounds"))))
+        Spans(Mutex::new(
+            empty.unwrap_or_else(|_| unreachable!("fixed bounds")),
+        ))
     }
 }
 
@@ -256,20 +258,37 @@
     /// Takes one time in.
     pub fn see(&self, ms: f64) {
         let us = (ms.clamp(0.0, 60_000.0) * 1000.0) as u64;
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(us.max(1));
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .saturating_record(us.max(1));
     }
 
     /// How many there are, and in microseconds the one that this share of all do not pass.
     pub fn at(&self, share: f64) -> (u64, u64) {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        (all.len(), if all.is_empty() { 0 } else { all.value_at_quantile(share) })
+        (
+            all.len(),
+            if all.is_empty() {
+                0
+            } else {
+                all.value_at_quantile(share)
+            },
+        )
     }
 }
 
 impl fmt::Display for Spans {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let us = |share| self.at(share).1;
-        write!(f, "n:{},p50_us:{},p99_us:{},max_us:{}", self.at(1.0).0, us(0.5), us(0.99), us(1.0))
+        write!(
+            f,
+            "n:{},p50_us:{},p99_us:{},max_us:{}",
+            self.at(1.0).0,
+            us(0.5),
+            us(0.99),
+            us(1.0)
+        )
     }
 }
 
@@ -293,12 +312,25 @@
 impl Counters {
     /// The ends of a class; from its first mention on, for as long as the program runs.
     pub fn class(&self, name: &str) -> Arc<Ends> {
-        let found =
-            |all: &[(String, Arc<Ends>)]| all.iter().find(|(n, _)| n == name).map(|(_, ends)| ends.clone());
-        if let Some(ends) = found(&self.by_class.0.read().unwrap_or_else(PoisonError::into_inner)) {
+        let found = |all: &[(String, Arc<Ends>)]| {
+            all.iter()
+                .find(|(n, _)| n == name)
+                .map(|(_, ends)| ends.clone())
+        };
+        if let Some(ends) = found(
+            &self
+                .by_class
+                .0
+                .read()
+                .unwrap_or_else(PoisonError::into_inner),
+        ) {
             return ends;
         }
-        let mut all = self.by_class.0.write().unwrap_or_else(PoisonError::into_inner);
+        let mut all = self
+            .by_class
+            .0
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
         if let Some(ends) = found(&all) {
             return ends;
         }
@@ -311,16 +343,26 @@
 
     /// All classes with what has become of their requests, in the order in which they came.
     pub fn classes(&self) -> Vec<(String, [u64; 3])> {
-        let all = self.by_class.0.read().unwrap_or_else(PoisonError::into_inner);
+        let all = self
+            .by_class
+            .0
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
         let three = |e: &Ends| [e.passed.get(), e.dropped.get(), e.bad_gateway.get()];
-        all.iter().map(|(name, ends)| (name.clone(), three(ends))).collect()
+        all.iter()
+            .map(|(name, ends)| (name.clone(), three(ends)))
+            .collect()
     }
 
     /// The figures that operations read, a line each.
     pub fn figures(&self) -> String {
         let mut text = String::new();
         for (name, [passed, dropped, bad_gateway]) in self.classes() {
-            for (what, n) in [("passed", passed), ("dropped", dropped), ("bad_gateway", bad_gateway)] {
+            for (what, n) in [
+                ("passed", passed),
+                ("dropped", dropped),
+                ("bad_gateway", bad_gateway),
+            ] {
                 let _ = writeln!(text, "node.{what}.{name}={n}");
             }
         }
@@ -345,10 +387,17 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "counters")?;
-        self.all().iter().try_for_each(|(name, value)| write!(f, " {name}={value}"))?;
+        self.all()
+            .iter()
+            .try_for_each(|(name, value)| write!(f, " {name}={value}"))?;
         write!(f, " proofs={}", self.proofs)?;
-        self.classes().iter().try_for_each(|(name, [passed, dropped, bad_gateway])| {
-            write!(f, " {name}=passed:{passed},dropped:{dropped},bad_gateway:{bad_gateway}")
-        })
+        self.classes()
+            .iter()
+            .try_for_each(|(name, [passed, dropped, bad_gateway])| {
+                write!(
+                    f,
+                    " {name}=passed:{passed},dropped:{dropped},bad_gateway:{bad_gateway}"
+                )
+            })
     }
 }
--- a/src/engines/context.rs
+++ b/src/engines/context.rs
@@ -29,7 +29,14 @@
         flight: bool,
     ) -> EngineContext {
         let slots = Slots::new(limits.clone(), counters.clone());
-        EngineContext { core, limits, counters, flight, held: Arc::default(), slots }
+        EngineContext {
+            core,
+            limits,
+            counters,
+            flight,
+            held: Arc::default(),
+            slots,
+        }
     }
 
     /// Tells the core news of an attempt.
@@ -40,12 +47,21 @@
         report: LoadReport,
         news: EngineNews,
     ) {
-        self.core.tell(Input::Engine { engine, id, attempt, report, news }).await;
+        self.core
+            .tell(Input::Engine {
+                engine,
+                id,
+                attempt,
+                report,
+                news,
+            })
+            .await;
     }
 
     /// Tells the core the end of an attempt about which its engine reported nothing.
     pub(crate) async fn tell_end(&self, engine: EngineId, ask: &Ask, news: EngineNews) {
-        self.tell(engine, (ask.id, ask.attempt), LoadReport::default(), news).await;
+        self.tell(engine, (ask.id, ask.attempt), LoadReport::default(), news)
+            .await;
     }
 }
 
@@ -58,7 +74,12 @@
 
     /// The same with so many descriptors.
     pub(crate) fn with_sockets(core: Handle, sockets: usize) -> EngineContext {
-        let limits = Arc::new(Limits::new(sockets, 32, true, &EngineContext::settings_for_tests()));
+        let limits = Arc::new(Limits::new(
+            sockets,
+            32,
+            true,
+            &EngineContext::settings_for_tests(),
+        ));
         EngineContext::new(core, limits, Arc::default(), false)
     }
 
--- a/src/engines/flight/mod.rs
+++ b/src/engines/flight/mod.rs
@@ -14,7 +14,9 @@
 use crate::limits::MemoryReservation;
 use crate::rows;
 use arrow_flight::flight_service_client::FlightServiceClient;
-use arrow_flight::sql::{CommandStatementQuery, CommandStatementUpdate, DoPutUpdateResult, ProstMessageExt};
+use arrow_flight::sql::{
+    CommandStatementQuery, CommandStatementUpdate, DoPutUpdateResult, ProstMessageExt,
+};
 use arrow_flight::{FlightData, FlightDescriptor};
 use bytes::Bytes;
 use futures::stream;
@@ -60,10 +62,24 @@
     context: EngineContext,
     admission: Arc<Admission>,
 ) {
-    let link = Arc::new(Link { engine, address, context, wire: Mutex::default(), admission });
-    let mut engine = Engine { link, tasks: JoinSet::new(), running: HashMap::new(), listed: true, cut: None };
+    let link = Arc::new(Link {
+        engine,
+        address,
+        context,
+        wire: Mutex::default(),
+        admission,
+    });
+    let mut engine = Engine {
+        link,
+        tasks: JoinSet::new(),
+        running: HashMap::new(),
+        listed: true,
+        cut: None,
+    };
     while engine.listed || !engine.tasks.is_empty() {
-        let wake = engine.cut.unwrap_or_else(|| Instant::now() + engine.link.context.limits.engine_idle);
+        let wake = engine
+            .cut
+            .unwrap_or_else(|| Instant::now() + engine.link.context.limits.engine_idle);
         tokio::select! {
             order = orders.recv(), if engine.listed => match order {
                 Some(order) => engine.order(order),
@@ -96,8 +112,18 @@
         match order {
             Order::Ask(ask) => {
                 let (key, wire) = ((ask.id, ask.attempt), Arc::<OnceLock<Wire>>::default());
-                let task = self.tasks.spawn(attempt(self.link.clone(), *ask, wire.clone()));
-                self.running.insert(task.id(), Running { key, task, wire, quit: None });
+                let task = self
+                    .tasks
+                    .spawn(attempt(self.link.clone(), *ask, wire.clone()));
+                self.running.insert(
+                    task.id(),
+                    Running {
+                        key,
+                        task,
+                        wire,
+                        quit: None,
+                    },
+                );
             }
             Order::Quit(id, attempt, again) => {
                 for one in self.running.values_mut().filter(|r| r.key == (id, attempt)) {
@@ -131,20 +157,27 @@
         };
         // What ended by itself has told its end; what was dropped has told nothing.
         if let Some(one) = self.running.remove(&id).filter(|_| done.is_err()) {
-            self.tasks.spawn(prove(self.link.clone(), one.key, one.wire, one.quit));
+            self.tasks
+                .spawn(prove(self.link.clone(), one.key, one.wire, one.quit));
         }
     }
 
     /// Whether it has no connection, and nothing is open.
     fn idle(&self) -> bool {
         let held = self.link.wire.try_lock();
-        let unconnected = held.is_ok_and(|held| held.as_ref().is_none_or(|(wire, _)| wire.closed()));
+        let unconnected =
+            held.is_ok_and(|held| held.as_ref().is_none_or(|(wire, _)| wire.closed()));
         unconnected && self.tasks.is_empty()
     }
 
     /// The engine is gone and its connection was not reset: what it held may have run.
     async fn cut_off(&mut self) {
-        self.link.wire.lock().await.take().inspect(|(wire, _)| wire.cut());
+        self.link
+            .wire
+            .lock()
+            .await
+            .take()
+            .inspect(|(wire, _)| wire.cut());
         self.running.values().for_each(|one| {
             one.wire.get().inspect(|wire| wire.cut());
             one.task.abort();
@@ -181,7 +214,8 @@
         Ok(true) => life.left(mark),
         _ => None,
     };
-    if end.is_none() && again && matches!(timeout(limits.quit_heard, wire.heard()).await, Ok(true)) {
+    if end.is_none() && again && matches!(timeout(limits.quit_heard, wire.heard()).await, Ok(true))
+    {
         end = life.confirmed();
     }
     if end.is_none() && !wire.closed() {
@@ -209,13 +243,20 @@
     /// The connection, which is up, to carry one more attempt; why not, where there is none, so that nothing was sent.
     async fn wire(&self) -> Result<(Wire, Carried), Lost> {
         let mut held = self.wire.lock().await;
-        if let Some((wire, load)) = held.as_ref().filter(|(wire, load)| !wire.closed() && !load.leaving()) {
+        if let Some((wire, load)) = held
+            .as_ref()
+            .filter(|(wire, load)| !wire.closed() && !load.leaving())
+        {
             return Ok((wire.clone(), Carried::on(load, self.context.core.now())));
         }
         *held = None;
         let load = Arc::<Load>::default();
         let carried = Carried::on(&load, self.context.core.now());
-        let slot = self.context.slots.take(&load, Need::First).ok_or(Lost(Outcome::NoRoom))?;
+        let slot = self
+            .context
+            .slots
+            .take(&load, Need::First)
+            .ok_or(Lost(Outcome::NoRoom))?;
         let wire = Wire::connect(self.address, &self.context.limits, slot).await;
         let wire = wire.ok_or(Lost(Outcome::NoConnection))?;
         self.context.counters.engine_conns.up();
@@ -228,10 +269,20 @@
     }
 
     async fn ended(&self, key: Key, outcome: Outcome, told: &MetadataMap, body: Option<Body>) {
-        let figure = |key| told.get(key).and_then(|v| crate::clients::figure(v.as_bytes()));
-        let report = LoadReport { inflight: figure(INFLIGHT), ..LoadReport::default() };
-        let news =
-            EngineNews::Ended { outcome, billed_ms: figure(WORK_MS), billed_mb: figure(USED_MB), body };
+        let figure = |key| {
+            told.get(key)
+                .and_then(|v| crate::clients::figure(v.as_bytes()))
+        };
+        let report = LoadReport {
+            inflight: figure(INFLIGHT),
+            ..LoadReport::default()
+        };
+        let news = EngineNews::Ended {
+            outcome,
+            billed_ms: figure(WORK_MS),
+            billed_mb: figure(USED_MB),
+            body,
+        };
         self.tell(key, report, news).await;
     }
 }
@@ -339,8 +390,15 @@
 }
 
 /// One attempt: a result that is held whole, or `None` where it streamed to the client.
-async fn send(link: &Link, ask: &Ask, wire: Wire, told: &mut MetadataMap) -> Result<Option<Body>, Lost> {
-    let origin = format!("http://{}", link.address).parse().map_err(|_| Lost(Outcome::NoConnection))?;
+async fn send(
+    link: &Link,
+    ask: &Ask,
+    wire: Wire,
+    told: &mut MetadataMap,
+) -> Result<Option<Body>, Lost> {
+    let origin = format!("http://{}", link.address)
+        .parse()
+        .map_err(|_| Lost(Outcome::NoConnection))?;
     let client = FlightServiceClient::with_origin(wire, origin)
         .max_decoding_message_size(link.context.limits.flight_message_bytes);
     // The call follows at once; a stream hands over nothing that tells when its last byte was sent.
@@ -360,10 +418,15 @@
     query: String,
     told: &mut MetadataMap,
 ) -> Result<Body, Lost> {
-    let command = CommandStatementUpdate { query, transaction_id: None };
+    let command = CommandStatementUpdate {
+        query,
+        transaction_id: None,
+    };
     let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
     let data = FlightData::new().with_descriptor(descriptor);
-    let response = client.do_put(request(link, ask, stream::iter([data]))).await?;
+    let response = client
+        .do_put(request(link, ask, stream::iter([data])))
+        .await?;
     note(told, response.metadata());
     let mut results = response.into_inner();
     // An update that ends without its result may have run.
@@ -381,9 +444,15 @@
     query: String,
     told: &mut MetadataMap,
 ) -> Result<Option<Body>, Lost> {
-    let command = CommandStatementQuery { query, transaction_id: None };
+    let command = CommandStatementQuery {
+        query,
+        transaction_id: None,
+    };
     let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
-    let info = client.get_flight_info(request(link, ask, descriptor)).await?.into_inner();
+    let info = client
+        .get_flight_info(request(link, ask, descriptor))
+        .await?
+        .into_inner();
     let mut rows = Rows::new(link, (ask.id, ask.attempt));
     for (part, endpoint) in info.endpoint.into_iter().enumerate() {
         let ticket = endpoint.ticket.ok_or(Lost(Outcome::Error))?;
@@ -420,19 +489,32 @@
 impl<'a> Rows<'a> {
     fn new(link: &'a Link, key: Key) -> Rows<'a> {
         let reservation = MemoryReservation::new(&link.context.held);
-        Rows { link, key, held: Vec::new(), size: 0, reservation, stream: None }
+        Rows {
+            link,
+            key,
+            held: Vec::new(),
+            size: 0,
+            reservation,
+            stream: None,
+        }
     }
 
     /// Takes one piece. The client of a stream sets the pace; where it has left, nobody waits for the rest.
     async fn push(&mut self, piece: Bytes) -> Result<(), Lost> {
         self.size += piece.len();
         if let Some(stream) = &self.stream {
-            return stream.send(Flow::Piece(piece)).await.map_err(|_| Lost(Outcome::Cancelled));
+            return stream
+                .send(Flow::Piece(piece))
+                .await
+                .map_err(|_| Lost(Outcome::Cancelled));
         }
         self.held.push(piece);
         let limits = &self.link.context.limits;
         // Guard: results that are not whole yet could fill the memory together.
-        if !self.reservation.set(self.size, limits.share(limits.held_bytes)) {
+        if !self
+            .reservation
+            .set(self.size, limits.share(limits.held_bytes))
+        {
             return Err(Lost(Outcome::Error));
         }
         if self.size > limits.flight_held_bytes {
@@ -445,16 +527,27 @@
     async fn begin_stream(&mut self) {
         let limits = &self.link.context.limits;
         let (stream, rest) = mpsc::channel(limits.flight_pieces);
-        let body = Body { form: Form::Arrow, pieces: std::mem::take(&mut self.held), rest: Some(rest) };
-        self.link.tell(self.key, LoadReport::default(), EngineNews::Streaming(body)).await;
+        let body = Body {
+            form: Form::Arrow,
+            pieces: std::mem::take(&mut self.held),
+            rest: Some(rest),
+        };
+        self.link
+            .tell(self.key, LoadReport::default(), EngineNews::Streaming(body))
+            .await;
         self.stream = Some(stream);
         self.reservation.set(0, limits.share(limits.held_bytes));
     }
 
     /// All pieces have come. Only what ended well says so: a task that fails or is dropped leaves the result cut off.
     async fn finish(self) -> Result<Option<Body>, Lost> {
-        let Some(stream) = self.stream else { return Ok(Some(Body::whole(Form::Arrow, self.held))) };
-        stream.send(Flow::End).await.map_err(|_| Lost(Outcome::Cancelled))?;
+        let Some(stream) = self.stream else {
+            return Ok(Some(Body::whole(Form::Arrow, self.held)));
+        };
+        stream
+            .send(Flow::End)
+            .await
+            .map_err(|_| Lost(Outcome::Cancelled))?;
         Ok(None)
     }
 }
--- a/src/engines/flight/tests.rs
+++ b/src/engines/flight/tests.rs
@@ -9,7 +9,9 @@
 async fn peer(rig: &Rig) -> h2::server::Connection<TcpStream, Bytes> {
     let stream = rig.accept().await;
     let mut build = h2::server::Builder::new();
-    build.initial_window_size(1 << 30).initial_connection_window_size(1 << 30);
+    build
+        .initial_window_size(1 << 30)
+        .initial_connection_window_size(1 << 30);
     build.handshake(stream).await.expect("handshake")
 }
 
@@ -84,7 +86,16 @@
         for _ in 0..2 {
             let told = rig.end().await;
             gone |= given_up(&told, 1, End::Broken);
-            reset |= matches!(told, (2, EngineNews::Ended { outcome: Outcome::Reset, .. }));
+            reset |= matches!(
+                told,
+                (
+                    2,
+                    EngineNews::Ended {
+                        outcome: Outcome::Reset,
+                        ..
+                    }
+                )
+            );
         }
         assert!(gone && reset && rig.context.counters.quits_stuck.get() == 1);
     });
--- a/src/engines/flight/wire.rs
+++ b/src/engines/flight/wire.rs
@@ -50,20 +50,42 @@
 
 impl Wire {
     /// Connects; none where that fails or takes too long, so that nothing was sent.
-    pub(super) async fn connect(address: SocketAddr, limits: &Limits, mut slot: Slot) -> Option<Wire> {
+    pub(super) async fn connect(
+        address: SocketAddr,
+        limits: &Limits,
+        mut slot: Slot,
+    ) -> Option<Wire> {
         let up = async {
             slot.free().await;
             let stream = TcpStream::connect(address).await.ok()?;
             let _ = stream.set_nodelay(true);
             let shared = Arc::<Shared>::default();
             let (flushed, flushes) = watch::channel(0);
-            let tap = Tap { stream, flushed, shared: shared.clone() };
+            let tap = Tap {
+                stream,
+                flushed,
+                shared: shared.clone(),
+            };
             let mut build = h2::client::Builder::new();
-            build.initial_window_size(WINDOWS.0).initial_connection_window_size(WINDOWS.1).enable_push(false);
+            build
+                .initial_window_size(WINDOWS.0)
+                .initial_connection_window_size(WINDOWS.1)
+                .enable_push(false);
             let (send, connection) = build.handshake::<_, Bytes>(tap).await.ok()?;
             let (pongs, answered) = watch::channel(0);
-            tokio::spawn(drive(slot, connection, shared.clone(), pongs, limits.keep_alive));
-            Some(Wire { send, flushes, answered, shared })
+            tokio::spawn(drive(
+                slot,
+                connection,
+                shared.clone(),
+                pongs,
+                limits.keep_alive,
+            ));
+            Some(Wire {
+                send,
+                flushes,
+                answered,
+                shared,
+            })
         };
         timeout(limits.connect, up).await.ok().flatten()
     }
@@ -108,7 +130,9 @@
     pongs: watch::Sender<u64>,
     (every, patience): (Duration, Duration),
 ) {
-    let Some(mut pings) = connection.ping_pong() else { return };
+    let Some(mut pings) = connection.ping_pong() else {
+        return;
+    };
     let mut sent: Option<(u64, Instant)> = None;
     let mut idle = Instant::now() + every;
     loop {
@@ -178,7 +202,11 @@
 }
 
 impl AsyncWrite for Tap {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.open()?;
         Pin::new(&mut self.stream).poll_write(cx, from)
     }
@@ -271,7 +299,11 @@
             let (response, stream) = send.send_request(head, false).map_err(Untaken)?;
             shared.calls.fetch_add(1, Ordering::Relaxed);
             shared.look.notify_one();
-            let mut way = Way { stream, over: false, shared };
+            let mut way = Way {
+                stream,
+                over: false,
+                shared,
+            };
             while let Some(frame) = poll_fn(|cx| Pin::new(&mut body).poll_frame(cx)).await {
                 if let Ok(data) = frame?.into_data() {
                     way.stream.send_data(data, false)?;
@@ -279,7 +311,14 @@
             }
             way.stream.send_data(Bytes::new(), true)?;
             let (head, from) = response.await?.into_parts();
-            Ok(http::Response::from_parts(head, Answer { from, way, told: false }))
+            Ok(http::Response::from_parts(
+                head,
+                Answer {
+                    from,
+                    way,
+                    told: false,
+                },
+            ))
         })
     }
 }
--- a/src/engines/lines/answers.rs
+++ b/src/engines/lines/answers.rs
@@ -13,7 +13,11 @@
 impl Connection {
     pub(super) async fn read(&mut self) -> Result<(), Broken> {
         loop {
-            match take(&mut self.input, self.context.limits.line_bytes, self.context.limits.page_bytes) {
+            match take(
+                &mut self.input,
+                self.context.limits.line_bytes,
+                self.context.limits.page_bytes,
+            ) {
                 Ok(Some(reply)) => {
                     self.half_since = None;
                     self.reply(reply).await?;
@@ -41,7 +45,9 @@
     async fn reply(&mut self, reply: Reply) -> Result<(), Broken> {
         self.idle_since = Instant::now();
         self.back.broken.store(0, Ordering::Relaxed);
-        self.load.heard.store(self.context.core.now() as u64, Ordering::Relaxed);
+        self.load
+            .heard
+            .store(self.context.core.now() as u64, Ordering::Relaxed);
         if reply.word.as_ref() == b"green" {
             self.confirmed(&reply.name);
             return Ok(());
@@ -77,10 +83,14 @@
         if all == 0 || all > self.context.limits.pages || !rows_of(&reply.body) {
             return Err(self.malformed());
         }
-        let Some(attempt) = self.attempts.get_mut(&reply.name) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get_mut(&reply.name) else {
+            return Ok(());
+        };
         // Of one that is being given up the engine has let its pages go; what fits the answer is a result.
         if !attempt.life.tell() && all > 1 {
-            return self.over(&reply.name, report, EngineNews::GivenUp(End::Answered)).await;
+            return self
+                .over(&reply.name, report, EngineNews::GivenUp(End::Answered))
+                .await;
         }
         let mut got = vec![None; all];
         got[0] = Some(reply.body.clone());
@@ -90,7 +100,15 @@
         let (billed_ms, billed_mb) = (figure("cpu"), figure("used"));
         let mut reservation = MemoryReservation::new(&self.context.held);
         reservation.set(reply.body.len(), limits.share(limits.held_bytes));
-        attempt.pages = Some(Pages { all, got, billed_ms, billed_mb, report, until, reservation });
+        attempt.pages = Some(Pages {
+            all,
+            got,
+            billed_ms,
+            billed_mb,
+            report,
+            until,
+            reservation,
+        });
         for n in 1..all {
             self.context.counters.pages.up();
             self.line("NEXT", &reply.name, Some(n));
@@ -100,7 +118,11 @@
 
     /// A page that was asked for.
     async fn further_page(&mut self, reply: &Reply) -> Result<(), Broken> {
-        let Some(pages) = self.attempts.get_mut(&reply.name).and_then(|a| a.pages.as_mut()) else {
+        let Some(pages) = self
+            .attempts
+            .get_mut(&reply.name)
+            .and_then(|a| a.pages.as_mut())
+        else {
             self.unasked();
             return Ok(());
         };
@@ -129,7 +151,9 @@
 
     /// A note of progress.
     async fn note(&mut self, reply: &Reply, report: LoadReport) -> Result<(), Broken> {
-        let Some(attempt) = self.attempts.get(&reply.name) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get(&reply.name) else {
+            return Ok(());
+        };
         let key = (attempt.ask.id, attempt.ask.attempt);
         let level = reply.field("num").and_then(crate::clients::figure);
         let note = match (reply.field("n"), level) {
@@ -141,24 +165,51 @@
         };
         self.context.counters.notes.up();
         self.idle_words += 1;
-        self.context.tell(self.engine, key, report, EngineNews::Note(note)).await;
+        self.context
+            .tell(self.engine, key, report, EngineNews::Note(note))
+            .await;
         Ok(())
     }
 
     /// An answer without a result.
-    async fn not_served(&mut self, name: &Bytes, report: LoadReport, outcome: Outcome) -> Result<(), Broken> {
-        let Some(attempt) = self.attempts.get_mut(name) else { return Ok(()) };
+    async fn not_served(
+        &mut self,
+        name: &Bytes,
+        report: LoadReport,
+        outcome: Outcome,
+    ) -> Result<(), Broken> {
+        let Some(attempt) = self.attempts.get_mut(name) else {
+            return Ok(());
+        };
         let given_up = attempt.life.giving_up();
         let end = attempt.life.answered(!never_ran(outcome));
-        let told = if given_up { EngineNews::GivenUp(end) } else { EngineNews::end(outcome) };
+        let told = if given_up {
+            EngineNews::GivenUp(end)
+        } else {
+            EngineNews::end(outcome)
+        };
         self.over(name, report, told).await
     }
 
     /// The engine told the end of an attempt.
-    async fn over(&mut self, name: &Bytes, report: LoadReport, news: EngineNews) -> Result<(), Broken> {
-        let Some(attempt) = self.answered(name) else { return Ok(()) };
+    async fn over(
+        &mut self,
+        name: &Bytes,
+        report: LoadReport,
+        news: EngineNews,
+    ) -> Result<(), Broken> {
+        let Some(attempt) = self.answered(name) else {
+            return Ok(());
+        };
         self.load.take_off(once(&attempt.ask));
-        self.context.tell(self.engine, (attempt.ask.id, attempt.ask.attempt), report, news).await;
+        self.context
+            .tell(
+                self.engine,
+                (attempt.ask.id, attempt.ask.attempt),
+                report,
+                news,
+            )
+            .await;
         Ok(())
     }
 
@@ -177,22 +228,36 @@
     async fn whole(&mut self, name: &Bytes) -> Result<(), Broken> {
         let pages = self.attempts.get_mut(name).map(|a| &mut a.pages);
         let whole = |p: &mut Pages| p.got.iter().all(Option::is_some);
-        let Some(pages) = pages.and_then(|pages| pages.take_if(whole)) else { return Ok(()) };
+        let Some(pages) = pages.and_then(|pages| pages.take_if(whole)) else {
+            return Ok(());
+        };
         let pieces: Vec<Bytes> = pages.got.into_iter().flatten().collect();
         let fits = pages.all == pieces.len()
             && pieces.iter().map(Bytes::len).sum::<usize>() <= self.context.limits.answer_bytes;
-        let (outcome, body) =
-            if fits { (Outcome::Ok, Some(Body::whole(Form::Text, pieces))) } else { (Outcome::Error, None) };
+        let (outcome, body) = if fits {
+            (Outcome::Ok, Some(Body::whole(Form::Text, pieces)))
+        } else {
+            (Outcome::Error, None)
+        };
         let (billed_ms, billed_mb) = (pages.billed_ms, pages.billed_mb);
-        let news = EngineNews::Ended { outcome, billed_ms, billed_mb, body };
+        let news = EngineNews::Ended {
+            outcome,
+            billed_ms,
+            billed_mb,
+            body,
+        };
         self.over(name, pages.report, news).await
     }
 
     /// Gives up results whose next page does not come.
     pub(super) fn late_pages(&mut self, now: Instant) {
         let late = |a: &Attempt| a.pages.as_ref().is_some_and(|p| p.until <= now);
-        let names: Vec<Bytes> =
-            self.attempts.iter().filter(|(_, a)| late(a)).map(|(n, _)| n.clone()).collect();
+        let names: Vec<Bytes> = self
+            .attempts
+            .iter()
+            .filter(|(_, a)| late(a))
+            .map(|(n, _)| n.clone())
+            .collect();
         for name in names {
             self.free(&name, Outcome::TimedOut);
         }
@@ -202,7 +267,9 @@
     fn load_report(&self, text: Option<&[u8]>) -> LoadReport {
         let mut report = LoadReport::default();
         for part in text.unwrap_or_default().split(|b| *b == b';') {
-            let Some(colon) = part.iter().position(|b| *b == b':') else { continue };
+            let Some(colon) = part.iter().position(|b| *b == b':') else {
+                continue;
+            };
             let value = crate::clients::figure(&part[colon + 1..]);
             match &part[..colon] {
                 b"rif" | b"inflight" => report.inflight = value,
