--- a/src/engines/lines/connection.rs
+++ b/src/engines/lines/connection.rs
@@ -74,7 +74,13 @@
 
 impl Timers {
     fn first(&self) -> Option<Instant> {
-        let all = [self.idle, self.cut, self.half_answer, self.cancellation, self.page];
+        let all = [
+            self.idle,
+            self.cut,
+            self.half_answer,
+            self.cancellation,
+            self.page,
+        ];
         all.into_iter().flatten().min()
     }
 }
@@ -276,7 +282,9 @@
                 return Ok(());
             }
             let timers = self.timers();
-            let wake = timers.first().unwrap_or_else(|| Instant::now() + self.context.limits.engine_idle);
+            let wake = timers
+                .first()
+                .unwrap_or_else(|| Instant::now() + self.context.limits.engine_idle);
             tokio::select! {
                 biased;
                 // First: a connection that broke while it idled is seen before anything is written to it.
@@ -366,7 +374,9 @@
 
     /// What was given up is over.
     fn given_up(&mut self, name: &Bytes, end: End) {
-        let Some(attempt) = self.attempts.remove(name) else { return };
+        let Some(attempt) = self.attempts.remove(name) else {
+            return;
+        };
         self.idle_since = Instant::now();
         self.end(attempt.ask, EngineNews::GivenUp(end));
     }
@@ -381,13 +391,21 @@
 
     /// The engine confirms that it has read all up to this tag.
     pub(super) fn confirmed(&mut self, tag: &Bytes) {
-        let Some(at) = self.cancellations.iter().position(|c| c.tag.as_ref() == Some(tag)) else {
+        let Some(at) = self
+            .cancellations
+            .iter()
+            .position(|c| c.tag.as_ref() == Some(tag))
+        else {
             self.unasked();
             return;
         };
         for cancellation in self.cancellations.drain(..=at).collect::<Vec<_>>() {
-            let end = self.attempts.get_mut(&cancellation.name).and_then(|a| a.life.confirmed());
-            end.into_iter().for_each(|end| self.given_up(&cancellation.name, end));
+            let end = self
+                .attempts
+                .get_mut(&cancellation.name)
+                .and_then(|a| a.life.confirmed());
+            end.into_iter()
+                .for_each(|end| self.given_up(&cancellation.name, end));
         }
     }
 
@@ -396,7 +414,10 @@
         let written = self.out.written();
         let mut unconfirmed = VecDeque::new();
         while let Some(cancellation) = self.cancellations.pop_front_if(|c| c.mark <= written) {
-            let end = self.attempts.get_mut(&cancellation.name).and_then(|a| a.life.left(written));
+            let end = self
+                .attempts
+                .get_mut(&cancellation.name)
+                .and_then(|a| a.life.left(written));
             match end {
                 Some(end) => self.given_up(&cancellation.name, end),
                 None if cancellation.tag.is_some() => unconfirmed.push_back(cancellation),
@@ -413,7 +434,9 @@
 
     /// The engine is no longer listed: what it holds gets a moment to end.
     fn gone(&mut self) {
-        self.cut = self.cut.or(Some(Instant::now() + self.context.limits.gone_grace));
+        self.cut = self
+            .cut
+            .or(Some(Instant::now() + self.context.limits.gone_grace));
     }
 
     /// Puts the next attempt into the queue for the socket, one at a time: so at most one can be caught half
@@ -423,7 +446,9 @@
             self.unsent();
         }
         while self.out.is_empty() {
-            let Some(ask) = self.waiting.pop_front() else { return };
+            let Some(ask) = self.waiting.pop_front() else {
+                return;
+            };
             let now = self.context.core.now();
             // Guard: it was chosen a while ago, and a connection may come up late or take nothing for long; its client may
             // have left meanwhile.
@@ -437,17 +462,30 @@
             self.unwritten = Some((whole, ask.name.clone()));
             let mut life = Life::default();
             life.write(whole);
-            self.attempts.insert(ask.name.clone(), Attempt { ask, life, pages: None });
+            self.attempts.insert(
+                ask.name.clone(),
+                Attempt {
+                    ask,
+                    life,
+                    pages: None,
+                },
+            );
         }
     }
 
     fn order(&mut self, order: Order) {
         match order {
-            Order::Ask(ask) if self.closed() => self.end(ask, EngineNews::end(Outcome::NoConnection)),
+            Order::Ask(ask) if self.closed() => {
+                self.end(ask, EngineNews::end(Outcome::NoConnection))
+            }
             Order::Ask(ask) => self.waiting.push_back(ask),
             Order::Quit(id, attempt, again) => self.quit(id, attempt, again),
             Order::Priority(id, attempt, n) => {
-                if let Some(ask) = self.waiting.iter_mut().find(|a| a.id == id && a.attempt == attempt) {
+                if let Some(ask) = self
+                    .waiting
+                    .iter_mut()
+                    .find(|a| a.id == id && a.attempt == attempt)
+                {
                     ask.priority = n;
                 } else if let Some(name) = self.name_of(id, attempt) {
                     self.line("PRIO", &name, Some(usize::from(n)));
@@ -472,15 +510,22 @@
     }
 
     fn name_of(&self, id: RequestId, attempt: u16) -> Option<Bytes> {
-        let found = self.attempts.iter().find(|(_, a)| a.ask.id == id && a.ask.attempt == attempt);
+        let found = self
+            .attempts
+            .iter()
+            .find(|(_, a)| a.ask.id == id && a.ask.attempt == attempt);
         found.map(|(name, _)| name.clone())
     }
 
     /// Gives an attempt up. It is over once its cancellation was sent, and no sooner where anything of it was.
     fn quit(&mut self, id: RequestId, attempt: u16, again: bool) {
         self.quit_waiting(id, attempt, again);
-        let Some(name) = self.name_of(id, attempt) else { return };
-        let Some(at) = self.attempts.get_mut(&name) else { return };
+        let Some(name) = self.name_of(id, attempt) else {
+            return;
+        };
+        let Some(at) = self.attempts.get_mut(&name) else {
+            return;
+        };
         // A query that has ended holds pages, one that has not runs on: each has its own message.
         let verb = if at.life.told() { "FREE" } else { "QUIT" };
         let (limits, out) = (&self.context.limits, &mut self.out);
@@ -490,13 +535,22 @@
                 self.tags += 1;
                 Bytes::from(format!("{:016x}", self.tags))
             });
-            let patience = if again { limits.quit_heard } else { limits.quit_write };
+            let patience = if again {
+                limits.quit_heard
+            } else {
+                limits.quit_write
+            };
             // Lines are read in order: what answers this has read the cancellation.
             if let Some(tag) = &tag {
                 line(out, "NOOP", tag, None);
             }
             let until = Instant::now() + patience;
-            self.cancellations.push_back(Cancellation { mark, name: name.clone(), tag, until });
+            self.cancellations.push_back(Cancellation {
+                mark,
+                name: name.clone(),
+                tag,
+                until,
+            });
             mark
         });
         end.into_iter().for_each(|end| self.given_up(&name, end));
@@ -504,7 +558,13 @@
 
     /// Gives an attempt up of which nothing is written yet.
     fn quit_waiting(&mut self, id: RequestId, attempt: u16, again: bool) {
-        let Some(i) = self.waiting.iter().position(|a| a.id == id && a.attempt == attempt) else { return };
+        let Some(i) = self
+            .waiting
+            .iter()
+            .position(|a| a.id == id && a.attempt == attempt)
+        else {
+            return;
+        };
         let end = Life::default().give_up(again, || 0);
         if let (Some(end), Some(ask)) = (end, self.waiting.remove(i)) {
             self.end(ask, EngineNews::GivenUp(end));
--- a/src/engines/lines/mod.rs
+++ b/src/engines/lines/mod.rs
@@ -26,8 +26,18 @@
 ) {
     // Holds no more than the core's attempts on this engine.
     let (asks, mut returned) = mpsc::unbounded_channel();
-    let back = ReturnPath { asks, broken: Arc::default() };
-    let mut engine = Engine { id, address, context, admission, back, conns: Vec::new() };
+    let back = ReturnPath {
+        asks,
+        broken: Arc::default(),
+    };
+    let mut engine = Engine {
+        id,
+        address,
+        context,
+        admission,
+        back,
+        conns: Vec::new(),
+    };
     loop {
         let order = tokio::select! {
             biased;
@@ -93,7 +103,11 @@
     /// Starts a connection; returns its place.
     fn connect(&mut self, slot: Slot, load: Arc<Load>) -> usize {
         let (orders, mailbox) = mpsc::channel(self.context.limits.mailbox);
-        let (back, context, admission) = (self.back.clone(), self.context.clone(), self.admission.clone());
+        let (back, context, admission) = (
+            self.back.clone(),
+            self.context.clone(),
+            self.admission.clone(),
+        );
         let connection = Connection::new(self.id, mailbox, back, load.clone(), context, admission);
         tokio::spawn(connection.run(self.address, slot));
         self.conns.push(Conn { orders, load });
@@ -107,7 +121,9 @@
     }
 
     async fn tell_unsent(&self, ask: &Ask, outcome: Outcome) {
-        self.context.tell_end(self.id, ask, EngineNews::end(outcome)).await;
+        self.context
+            .tell_end(self.id, ask, EngineNews::end(outcome))
+            .await;
     }
 
     /// The last connection is over. Guard: what is handed over from now on finds the mailbox closed, and begins a new
--- a/src/engines/lines/tests.rs
+++ b/src/engines/lines/tests.rs
@@ -16,7 +16,16 @@
         // Behind it in the mailbox: the flag is there before the order is read.
         rig.tell(ask(1)).await;
         rig.admission.ban(true);
-        assert!(matches!(rig.end().await, (1, EngineNews::Ended { outcome: Outcome::NoConnection, .. })));
+        assert!(matches!(
+            rig.end().await,
+            (
+                1,
+                EngineNews::Ended {
+                    outcome: Outcome::NoConnection,
+                    ..
+                }
+            )
+        ));
         tokio::select! {
             biased;
             _ = rig.listener.accept() => panic!("connected to an engine that was taken out"),
@@ -50,13 +59,33 @@
         let mut rig = Rig::lines().await;
         let now = rig.context.core.now();
         for (id, due_ms, until_ms) in [(1, now, f64::INFINITY), (2, 1e13, now), (3, 1e13, 1e13)] {
-            let Order::Ask(one) = ask(id) else { unreachable!("an attempt") };
-            rig.tell(Order::Ask(Box::new(Ask { due_ms, until_ms, ..*one }))).await;
+            let Order::Ask(one) = ask(id) else {
+                unreachable!("an attempt")
+            };
+            rig.tell(Order::Ask(Box::new(Ask {
+                due_ms,
+                until_ms,
+                ..*one
+            })))
+            .await;
         }
         assert!(given_up(&rig.end().await, 1, End::Unsent));
-        assert!(matches!(rig.end().await, (2, EngineNews::Ended { outcome: Outcome::Moot, .. })));
+        assert!(matches!(
+            rig.end().await,
+            (
+                2,
+                EngineNews::Ended {
+                    outcome: Outcome::Moot,
+                    ..
+                }
+            )
+        ));
         let mut text = [0; 20];
-        rig.accept().await.read_exact(&mut text).await.expect("bytes");
+        rig.accept()
+            .await
+            .read_exact(&mut text)
+            .await
+            .expect("bytes");
         assert_eq!(&text, b"ASK 0000000000000003");
     });
 }
@@ -106,9 +135,10 @@
 #[test]
 fn answers_without_an_end() {
     block(async {
-        for (answer, most) in
-            [("00000000000000aa served batches=1", 129), ("0000000000000001 update -", 16_385)]
-        {
+        for (answer, most) in [
+            ("00000000000000aa served batches=1", 129),
+            ("0000000000000001 update -", 16_385),
+        ] {
             let mut rig = Rig::lines().await;
             rig.tell(ask(1)).await;
             let mut peer = rig.accept().await;
@@ -124,7 +154,19 @@
                     told => break told,
                 }
             };
-            assert!(matches!(told, (1, EngineNews::Ended { outcome: Outcome::Reset, .. })), "{told:?}");
+            assert!(
+                matches!(
+                    told,
+                    (
+                        1,
+                        EngineNews::Ended {
+                            outcome: Outcome::Reset,
+                            ..
+                        }
+                    )
+                ),
+                "{told:?}"
+            );
             assert_eq!(rig.context.counters.engine_malformed.get(), 1);
             drop(writes);
         }
@@ -164,9 +206,13 @@
         while !heard.ends_with(b"QUIT 0000000000000001\r\nNOOP 0000000000000001\r\n") {
             heard.push(peer.read_u8().await.expect("a byte"));
         }
-        peer.write_all(b"00000000000000aa green - 0\r\n\r\n").await.expect("answer");
+        peer.write_all(b"00000000000000aa green - 0\r\n\r\n")
+            .await
+            .expect("answer");
         assert!(rig.silent().await, "another tag");
-        peer.write_all(b"0000000000000001 green - 0\r\n\r\n").await.expect("answer");
+        peer.write_all(b"0000000000000001 green - 0\r\n\r\n")
+            .await
+            .expect("answer");
         assert!(given_up(&rig.end().await, 1, End::GivenUp));
     });
 }
@@ -252,17 +298,32 @@
 #[test]
 fn answers_that_cross_the_word() {
     block(async {
-        for (answer, page) in [("served batches=1 2\r\na\n", true), ("served batches=3 2\r\na\n", false)] {
+        for (answer, page) in [
+            ("served batches=1 2\r\na\n", true),
+            ("served batches=3 2\r\na\n", false),
+        ] {
             let mut rig = Rig::lines().await;
             rig.tell(ask(1)).await;
             rig.tell(ask_of(2, LARGE)).await;
             let mut peer = rig.accept().await;
             peer.read_exact(&mut [0; 20]).await.expect("bytes");
             rig.tell(Order::Quit(1, 0, false)).await;
-            assert!(rig.silent().await, "the cancellation stands behind what is not read");
-            peer.write_all(format!("0000000000000001 {answer}\r\n").as_bytes()).await.expect("answer");
+            assert!(
+                rig.silent().await,
+                "the cancellation stands behind what is not read"
+            );
+            peer.write_all(format!("0000000000000001 {answer}\r\n").as_bytes())
+                .await
+                .expect("answer");
             match rig.end().await {
-                (1, EngineNews::Ended { outcome: Outcome::Ok, body: Some(_), .. }) => assert!(page),
+                (
+                    1,
+                    EngineNews::Ended {
+                        outcome: Outcome::Ok,
+                        body: Some(_),
+                        ..
+                    },
+                ) => assert!(page),
                 told => assert!(!page && given_up(&told, 1, End::Answered), "{told:?}"),
             }
         }
--- a/src/engines/load.rs
+++ b/src/engines/load.rs
@@ -19,7 +19,10 @@
 impl Load {
     pub(super) fn add(&self, once: bool, now: f64) {
         // What was given up unheard leaves the clock running: the next one would be as unheard.
-        let (heard, busy) = (self.heard.load(Ordering::Relaxed), self.busy.load(Ordering::Relaxed));
+        let (heard, busy) = (
+            self.heard.load(Ordering::Relaxed),
+            self.busy.load(Ordering::Relaxed),
+        );
         if self.all.fetch_add(1, Ordering::Relaxed) == 0 && (busy == 0 || heard >= busy) {
             self.busy.store(now as u64, Ordering::Relaxed);
         }
@@ -38,7 +41,9 @@
 
     /// Unix time in ms at which it last began to carry anything, or was heard of.
     pub(super) fn last(&self) -> u64 {
-        self.heard.load(Ordering::Relaxed).max(self.busy.load(Ordering::Relaxed))
+        self.heard
+            .load(Ordering::Relaxed)
+            .max(self.busy.load(Ordering::Relaxed))
     }
 
     /// It is to give its descriptor up.
@@ -51,7 +56,10 @@
     }
 
     pub(super) fn now(&self) -> (usize, usize) {
-        (self.all.load(Ordering::Relaxed), self.once.load(Ordering::Relaxed))
+        (
+            self.all.load(Ordering::Relaxed),
+            self.once.load(Ordering::Relaxed),
+        )
     }
 
     /// Whether what it carries should have been heard of by now, if only by a note. Guard: a machine that vanished
--- a/src/engines/many.rs
+++ b/src/engines/many.rs
@@ -24,7 +24,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let (engine, state, nominal) = (engine_id(id), ListState::Ready, 8.0);
-        let entry = EngineEntry { engine, state, nominal, ..EngineEntry::default() };
+        let entry = EngineEntry {
+            engine,
+            state,
+            nominal,
+            ..EngineEntry::default()
+        };
         lines.push(Listed { entry, address });
         let hold = hold.clone();
         tokio::spawn(async move {
@@ -45,9 +50,13 @@
             let mut body = vec![0; length.parse::<usize>().unwrap_or_default() + 2];
             from.read_exact(&mut body).await?;
             if let Some(hold) = &hold {
-                hold.acquire().await.map_err(std::io::Error::other)?.forget();
+                hold.acquire()
+                    .await
+                    .map_err(std::io::Error::other)?
+                    .forget();
             }
-            to.write_all(format!("{name} served batches=1 2\r\na\n\r\n").as_bytes()).await?;
+            to.write_all(format!("{name} served batches=1 2\r\na\n\r\n").as_bytes())
+                .await?;
         }
         text.clear();
     }
@@ -68,23 +77,39 @@
         let context = EngineContext::with_sockets(core, 64);
         let most = (context.limits.engine_conns + context.limits.engine_conns_kept) as u64;
         let mut fleet = Fleet::new(context.clone());
-        engines(count, hold).await.iter().for_each(|line| fleet.listed(line));
-        Rig { fleet, context, news, most }
+        engines(count, hold)
+            .await
+            .iter()
+            .for_each(|line| fleet.listed(line));
+        Rig {
+            fleet,
+            context,
+            news,
+            most,
+        }
     }
 
     fn ask(&mut self, engine: u32, id: u32) {
-        let Order::Ask(one) = ask(id) else { unreachable!("an attempt") };
+        let Order::Ask(one) = ask(id) else {
+            unreachable!("an attempt")
+        };
         assert!(self.fleet.ask(engine_id(engine), *one));
     }
 
     async fn end(&mut self) -> (RequestId, Outcome) {
-        let input = timeout(Duration::from_secs(20), self.news.input()).await.expect("an end");
+        let input = timeout(Duration::from_secs(20), self.news.input())
+            .await
+            .expect("an end");
         assert!(
             self.context.counters.engine_conns_open.get() <= self.most,
             "more descriptors than there are"
         );
         match input {
-            Some(Input::Engine { id, news: EngineNews::Ended { outcome, .. }, .. }) => (id, outcome),
+            Some(Input::Engine {
+                id,
+                news: EngineNews::Ended { outcome, .. },
+                ..
+            }) => (id, outcome),
             _ => panic!("no end"),
         }
     }
@@ -151,11 +176,17 @@
         let (settings, class) = (parsed.settings, parsed.classes[0].clone());
         let most = (context.limits.engine_conns + context.limits.engine_conns_kept) as u64;
         let (limits, counters) = (context.limits.clone(), context.counters.clone());
-        let core = Core::new(settings, 7, Fleet::new(context), limits, counters.clone()).expect("core");
+        let core =
+            Core::new(settings, 7, Fleet::new(context), limits, counters.clone()).expect("core");
         tokio::spawn(start(core, inputs, Clock::new()));
         let entries = engines(200, None).await;
         handle
-            .tell(Input::List(ListEvent { number: 1, kind: ListKind::Full, entries, unusable: Vec::new() }))
+            .tell(Input::List(ListEvent {
+                number: 1,
+                kind: ListKind::Full,
+                entries,
+                unusable: Vec::new(),
+            }))
             .await;
         let (to, mut told) = mpsc::unbounded_channel();
         let client: Arc<dyn ClientPort> = Arc::new(Client(to));
@@ -164,10 +195,18 @@
                 let id = burst * 40 + n;
                 let one = taken(id, &class, handle.now() + 15_000.0, 50.0, client.clone());
                 let name = Bytes::from(format!("{id:016x}"));
-                handle.tell(Input::Take(Taken { name, dataset: id, ..one })).await;
+                handle
+                    .tell(Input::Take(Taken {
+                        name,
+                        dataset: id,
+                        ..one
+                    }))
+                    .await;
             }
             for _ in 0..40 {
-                let served = timeout(Duration::from_secs(20), told.recv()).await.expect("an answer");
+                let served = timeout(Duration::from_secs(20), told.recv())
+                    .await
+                    .expect("an answer");
                 assert_eq!(served, Some(true), "{counters}");
                 assert!(counters.engine_conns_open.get() <= most);
             }
@@ -188,10 +227,15 @@
         let address = listener.local_addr().expect("address");
         // Connections that nobody accepts, until one more does not come up.
         let mut crowd = Vec::new();
-        while let Ok(Ok(stream)) = timeout(Duration::from_millis(50), TcpStream::connect(address)).await {
+        while let Ok(Ok(stream)) =
+            timeout(Duration::from_millis(50), TcpStream::connect(address)).await
+        {
             crowd.push(stream);
         }
-        rig.fleet.listed(&Listed { address, ..line(1, ListState::Ready) });
+        rig.fleet.listed(&Listed {
+            address,
+            ..line(1, ListState::Ready)
+        });
         rig.ask(1, 1);
         assert_eq!(rig.end().await, (1, Outcome::NoConnection));
         assert_eq!(rig.context.counters.engine_conns_open.get(), 0);
@@ -223,8 +267,10 @@
         };
         list(&mut rig.fleet, 0..1024, ListState::Ready);
         for round in 0..8 {
-            let (old, new) =
-                (round * 614..(round + 1) * 614, (round + 1) * 614 + 410..(round + 2) * 614 + 410);
+            let (old, new) = (
+                round * 614..(round + 1) * 614,
+                (round + 1) * 614 + 410..(round + 2) * 614 + 410,
+            );
             list(&mut rig.fleet, old.clone(), ListState::Draining);
             list(&mut rig.fleet, new.clone(), ListState::Ready);
             for id in new.take(20) {
@@ -235,13 +281,25 @@
             }
             list(&mut rig.fleet, old, ListState::Gone);
         }
-        let tasks = || tokio::runtime::Handle::current().metrics().num_alive_tasks();
+        let tasks = || {
+            tokio::runtime::Handle::current()
+                .metrics()
+                .num_alive_tasks()
+        };
         let over = async {
             while tasks() > 0 {
                 tokio::task::yield_now().await;
             }
         };
-        timeout(Duration::from_secs(20), over).await.expect("no actor stays");
-        assert_eq!((rig.fleet.peers.len(), rig.context.counters.engine_conns_open.get()), (1024, 0));
+        timeout(Duration::from_secs(20), over)
+            .await
+            .expect("no actor stays");
+        assert_eq!(
+            (
+                rig.fleet.peers.len(),
+                rig.context.counters.engine_conns_open.get()
+            ),
+            (1024, 0)
+        );
     });
 }
--- a/src/engines/mod.rs
+++ b/src/engines/mod.rs
@@ -40,7 +40,10 @@
 
 impl Fleet {
     pub(crate) fn new(context: EngineContext) -> Fleet {
-        Fleet { context, peers: HashMap::new() }
+        Fleet {
+            context,
+            peers: HashMap::new(),
+        }
     }
 
     /// Tells its actor, if there is one.
@@ -53,7 +56,9 @@
 
 impl EnginePort for Fleet {
     fn ask(&mut self, engine: EngineId, ask: Ask) -> bool {
-        let Some(peer) = self.peers.get_mut(&engine) else { return false };
+        let Some(peer) = self.peers.get_mut(&engine) else {
+            return false;
+        };
         let mut order = Order::Ask(Box::new(ask));
         if let Some(orders) = &peer.orders {
             match orders.try_send(order) {
@@ -65,8 +70,20 @@
         let (orders, mailbox) = mpsc::channel(self.context.limits.mailbox);
         let (context, admission) = (self.context.clone(), peer.admission.clone());
         match context.flight {
-            true => tokio::spawn(flight::run(engine, peer.address, mailbox, context, admission)),
-            false => tokio::spawn(lines::run(engine, peer.address, mailbox, context, admission)),
+            true => tokio::spawn(flight::run(
+                engine,
+                peer.address,
+                mailbox,
+                context,
+                admission,
+            )),
+            false => tokio::spawn(lines::run(
+                engine,
+                peer.address,
+                mailbox,
+                context,
+                admission,
+            )),
         };
         peer.orders.insert(orders).try_send(order).is_ok()
     }
@@ -81,11 +98,18 @@
 
     fn listed(&mut self, line: &Listed) {
         let (engine, state) = (line.entry.engine, line.entry.state);
-        let moved = self.peers.get(&engine).is_none_or(|p| p.address != line.address);
+        let moved = self
+            .peers
+            .get(&engine)
+            .is_none_or(|p| p.address != line.address);
         if moved && state == ListState::Ready {
             // Guard: what is on its way to the old address would reach whoever has it now, if anybody.
             self.dropped(engine);
-            let peer = Peer { address: line.address, orders: None, admission: Arc::default() };
+            let peer = Peer {
+                address: line.address,
+                orders: None,
+                admission: Arc::default(),
+            };
             self.peers.insert(engine, peer);
         }
         if let Some(peer) = self.peers.get(&engine) {
--- a/src/engines/place.rs
+++ b/src/engines/place.rs
@@ -32,7 +32,13 @@
     let now = context.core.now();
     let heard = |i: usize| !conns[i].load.mute(now, limits);
     let stays = |c: &Conn| !c.load.leaving();
-    let all = || conns.iter().enumerate().filter(|(_, c)| stays(c)).map(|(i, c)| (i, c.load.now()));
+    let all = || {
+        conns
+            .iter()
+            .enumerate()
+            .filter(|(_, c)| stays(c))
+            .map(|(i, c)| (i, c.load.now()))
+    };
     let loads = || all().filter(|(i, _)| heard(*i));
     let shared = limits.streams_shared.min(limits.streams_per_conn);
     let fits = |(i, (all, loads)): (usize, (usize, usize))| match once {
@@ -40,7 +46,9 @@
         false => loads == 0 && all < shared,
     };
     // The fullest of those that fit, then the one heard last, so that the others idle out.
-    let rank = |(i, load): &(usize, (usize, usize))| (load.0, conns[*i].load.heard.load(Ordering::Relaxed));
+    let rank = |(i, load): &(usize, (usize, usize))| {
+        (load.0, conns[*i].load.heard.load(Ordering::Relaxed))
+    };
     if let Some((i, _)) = loads().filter(|at| fits(*at)).max_by_key(rank) {
         return Place::On(i);
     }
--- a/src/engines/reply.rs
+++ b/src/engines/reply.rs
@@ -24,7 +24,9 @@
 impl Reply {
     pub(super) fn field(&self, name: &str) -> Option<&[u8]> {
         let pairs = self.fields.split(|b| *b == b',');
-        pairs.filter_map(|p| p.strip_prefix(name.as_bytes())).find_map(|p| p.strip_prefix(b"="))
+        pairs
+            .filter_map(|p| p.strip_prefix(name.as_bytes()))
+            .find_map(|p| p.strip_prefix(b"="))
     }
 }
 
@@ -46,16 +48,27 @@
     page_bytes: usize,
 ) -> Result<Option<Reply>, Broken> {
     let Some(end) = buffer.iter().take(line_bytes).position(|b| *b == b'\n') else {
-        return if buffer.len() >= line_bytes { Err(Broken) } else { Ok(None) };
+        return if buffer.len() >= line_bytes {
+            Err(Broken)
+        } else {
+            Ok(None)
+        };
     };
     let line = buffer[..end].strip_suffix(b"\r").ok_or(Broken)?;
     let mut words = line.split(|b| *b == b' ');
-    let (Some(name), Some(word), Some(fields), Some(length), None) =
-        (words.next(), words.next(), words.next(), words.next(), words.next())
-    else {
+    let (Some(name), Some(word), Some(fields), Some(length), None) = (
+        words.next(),
+        words.next(),
+        words.next(),
+        words.next(),
+        words.next(),
+    ) else {
         return Err(Broken);
     };
-    let length = number_of(length).map(|n| n as usize).filter(|n| *n <= page_bytes).ok_or(Broken)?;
+    let length = number_of(length)
+        .map(|n| n as usize)
+        .filter(|n| *n <= page_bytes)
+        .ok_or(Broken)?;
     let at = |part: &[u8], from: usize| from..from + part.len();
     let name = at(name, 0);
     let word = at(word, name.end + 1);
--- a/src/engines/slots.rs
+++ b/src/engines/slots.rs
@@ -56,7 +56,11 @@
 
 impl Slots {
     pub(crate) fn new(limits: Arc<Limits>, counters: Arc<Counters>) -> Arc<Slots> {
-        Arc::new(Slots { limits, counters, held: Mutex::default() })
+        Arc::new(Slots {
+            limits,
+            counters,
+            held: Mutex::default(),
+        })
     }
 
     fn held(&self) -> MutexGuard<'_, Held> {
@@ -65,7 +69,9 @@
 
     /// Connections that have a descriptor, waiting ones left out.
     fn told(&self, held: &Held) {
-        self.counters.engine_conns_open.set(held.all.values().filter(|e| !e.waits).count());
+        self.counters
+            .engine_conns_open
+            .set(held.all.values().filter(|e| !e.waits).count());
     }
 
     /// A descriptor for a connection with this load; none where there is none to be had. Guard: a part of all is kept
@@ -76,13 +82,20 @@
         let open = held.all.values().filter(|e| e.heir.is_none()).count();
         let most = self.limits.share(self.limits.engine_conns);
         let kept = self.limits.share(self.limits.engine_conns_kept);
-        let bound = if need == Need::First { most + kept } else { most };
+        let bound = if need == Need::First {
+            most + kept
+        } else {
+            most
+        };
         let free = if open < bound {
             None
         } else if need == Need::More {
             return None;
         } else {
-            let idle = held.all.values_mut().filter(|e| !e.waits && e.heir.is_none() && e.load.idle());
+            let idle = held
+                .all
+                .values_mut()
+                .filter(|e| !e.waits && e.heir.is_none() && e.load.idle());
             let victim = idle.min_by_key(|e| e.load.last())?;
             let (heir, free) = oneshot::channel();
             victim.heir = Some(heir);
@@ -93,10 +106,20 @@
         };
         let (id, leave) = (held.next, Arc::new(Notify::new()));
         held.next += 1;
-        let entry = Entry { load: load.clone(), leave: leave.clone(), waits: free.is_some(), heir: None };
+        let entry = Entry {
+            load: load.clone(),
+            leave: leave.clone(),
+            waits: free.is_some(),
+            heir: None,
+        };
         held.all.insert(id, entry);
         self.told(&held);
-        Some(Slot { slots: self.clone(), id, leave, free })
+        Some(Slot {
+            slots: self.clone(),
+            id,
+            leave,
+            free,
+        })
     }
 }
 
@@ -108,7 +131,10 @@
             if let Some(free) = free {
                 let _ = free.await;
                 let mut held = slots.held();
-                held.all.get_mut(&id).into_iter().for_each(|entry| entry.waits = false);
+                held.all
+                    .get_mut(&id)
+                    .into_iter()
+                    .for_each(|entry| entry.waits = false);
                 slots.told(&held);
             }
         }
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -7,7 +7,8 @@
 use crate::config::{ListEvent, Listed, engine_id};
 use crate::core::tests::taken;
 use crate::core::{
-    Answer, Ask, Cancellation, ClientPort, Clock, Core, EngineNews, EnginePort, Handle, Input, Inputs, Kind,
+    Answer, Ask, Cancellation, ClientPort, Clock, Core, EngineNews, EnginePort, Handle, Input,
+    Inputs, Kind,
 };
 use crate::interface::{EngineEntry, EngineId, ListKind, ListState, Outcome, RequestId};
 use crate::limits::Limits;
@@ -52,7 +53,13 @@
             true => tokio::spawn(flight::run(engine, address, mailbox, context.clone(), shut)),
             false => tokio::spawn(lines::run(engine, address, mailbox, context.clone(), shut)),
         };
-        Rig { listener, orders, news, context, admission }
+        Rig {
+            listener,
+            orders,
+            news,
+            context,
+            admission,
+        }
     }
 
     pub(super) async fn tell(&self, order: Order) {
@@ -66,7 +73,10 @@
 
     /// The next end, with its attempt.
     pub(super) async fn end(&mut self) -> (u32, EngineNews) {
-        match timeout(Duration::from_secs(20), self.news.input()).await.expect("an end") {
+        match timeout(Duration::from_secs(20), self.news.input())
+            .await
+            .expect("an end")
+        {
             Some(Input::Engine { id, news, .. }) => (id, news),
             _ => panic!("no end"),
         }
@@ -83,8 +93,16 @@
 
 /// A line of the list about an engine that nobody has to connect to.
 pub(super) fn line(id: u32, state: ListState) -> Listed {
-    let entry = EngineEntry { engine: engine_id(id), state, nominal: 8.0, ..EngineEntry::default() };
-    Listed { entry, address: ([127, 0, 0, 1], 9).into() }
+    let entry = EngineEntry {
+        engine: engine_id(id),
+        state,
+        nominal: 8.0,
+        ..EngineEntry::default()
+    };
+    Listed {
+        entry,
+        address: ([127, 0, 0, 1], 9).into(),
+    }
 }
 
 /// Guard: what the list names can be reached, however many descriptors there are, also while as many others drain. An
@@ -98,8 +116,13 @@
         (1..=614).for_each(|id| fleet.listed(&line(id, ListState::Draining)));
         (2001..=2614).for_each(|id| fleet.listed(&line(id, ListState::Ready)));
         for id in (615..=1024).chain(2001..=2614) {
-            let Order::Ask(one) = ask(id) else { unreachable!("an attempt") };
-            assert!(fleet.ask(engine_id(id), *one), "engine {id} cannot be reached");
+            let Order::Ask(one) = ask(id) else {
+                unreachable!("an attempt")
+            };
+            assert!(
+                fleet.ask(engine_id(id), *one),
+                "engine {id} cannot be reached"
+            );
         }
     });
 }
@@ -113,18 +136,39 @@
         let context = EngineContext::for_tests(core);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let at = |state| Listed { address, ..line(1, state) };
+        let at = |state| Listed {
+            address,
+            ..line(1, state)
+        };
         for last in [ListState::Draining, ListState::Gone] {
             let mut fleet = Fleet::new(context.clone());
             fleet.listed(&at(ListState::Ready));
-            let Order::Ask(one) = ask(1) else { unreachable!("an attempt") };
+            let Order::Ask(one) = ask(1) else {
+                unreachable!("an attempt")
+            };
             assert!(fleet.ask(engine_id(1), *one));
             // No actor has a turn before the test waits.
             (1..context.limits.mailbox).for_each(|_| fleet.priority(engine_id(1), 9, 0, 2));
             fleet.listed(&at(last));
-            let told = timeout(Duration::from_secs(20), news.input()).await.expect("an end");
-            let Some(Input::Engine { id: 1, news: told, .. }) = told else { panic!("no end") };
-            assert!(matches!(told, EngineNews::Ended { outcome: Outcome::NoConnection, .. }), "{told:?}");
+            let told = timeout(Duration::from_secs(20), news.input())
+                .await
+                .expect("an end");
+            let Some(Input::Engine {
+                id: 1, news: told, ..
+            }) = told
+            else {
+                panic!("no end")
+            };
+            assert!(
+                matches!(
+                    told,
+                    EngineNews::Ended {
+                        outcome: Outcome::NoConnection,
+                        ..
+                    }
+                ),
+                "{told:?}"
+            );
             assert_eq!(context.counters.engine_conns.get(), 0);
         }
     });
@@ -144,9 +188,18 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let class = parsed.classes[0].clone();
-        let mut core = Core::new(parsed.settings, 7, Fleet::new(context), limits, counters).expect("core");
-        let entries = vec![Listed { address, ..line(1, ListState::Ready) }];
-        let event = ListEvent { number: 1, kind: ListKind::Full, entries, unusable: Vec::new() };
+        let mut core =
+            Core::new(parsed.settings, 7, Fleet::new(context), limits, counters).expect("core");
+        let entries = vec![Listed {
+            address,
+            ..line(1, ListState::Ready)
+        }];
+        let event = ListEvent {
+            number: 1,
+            kind: ListKind::Full,
+            entries,
+            unusable: Vec::new(),
+        };
         core.handle(now, Input::List(event));
         let request = taken(1, &class, now + 9000.0, 50.0, Arc::new(NoClient));
         core.handle(now, Input::Take(request));
@@ -157,7 +210,10 @@
             peer.read_u8().await.is_ok()
         };
         let told = async {
-            match timeout(Duration::from_secs(20), news.input()).await.expect("an end") {
+            match timeout(Duration::from_secs(20), news.input())
+                .await
+                .expect("an end")
+            {
                 Some(Input::Engine { id, news, .. }) => (id, news),
                 _ => panic!("no end"),
             }
@@ -181,7 +237,10 @@
 }
 
 pub(super) fn block<F: Future<Output = ()>>(test: F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("runtime");
     runtime.block_on(test);
 }
 
--- a/src/file/check.rs
+++ b/src/file/check.rs
@@ -71,7 +71,11 @@
 
 fn tables(text: &FileText) -> Vec<Table<'_>> {
     let a = &text.attempts;
-    let default = Table { text: &a.default, path: "attempts.default".into(), kind: Kind::Default };
+    let default = Table {
+        text: &a.default,
+        path: "attempts.default".into(),
+        kind: Kind::Default,
+    };
     let classes = a.class.iter().map(|(name, text)| Table {
         text,
         path: format!("attempts.class.{name}"),
@@ -94,26 +98,44 @@
 
 impl Faults<'_> {
     fn at(&mut self, path: &str, key: &str, what: impl Into<String>, mend: impl Into<String>) {
-        let key = if key.is_empty() { path.to_owned() } else { format!("{path}.{key}") };
+        let key = if key.is_empty() {
+            path.to_owned()
+        } else {
+            format!("{path}.{key}")
+        };
         let what = what.into();
         if self.seen.insert((key.clone(), what.clone())) {
             let line = line_of(self.source, &key);
-            self.all.push(Fault { line, key, what, mend: mend.into() });
+            self.all.push(Fault {
+                line,
+                key,
+                what,
+                mend: mend.into(),
+            });
         }
     }
 }
 
 /// The name among these nearest to a word, for a fault's mend.
 fn nearest<'a>(word: &str, among: impl IntoIterator<Item = &'a str>) -> String {
-    let best = among.into_iter().min_by_key(|name| strsim::levenshtein(word, name));
-    best.map_or_else(|| "there are none".to_owned(), |name| format!("did you mean {name:?}?"))
+    let best = among
+        .into_iter()
+        .min_by_key(|name| strsim::levenshtein(word, name));
+    best.map_or_else(
+        || "there are none".to_owned(),
+        |name| format!("did you mean {name:?}?"),
+    )
 }
 
 const FRONTS: [(&str, Front); 2] = [("platform", Front::Platform), ("flight", Front::Flight)];
 
 /// Faults that the file shows without the platform's settings.
 pub(super) fn alone(text: &FileText, source: &str) -> Vec<Fault> {
-    let mut faults = Faults { source, all: Vec::new(), seen: HashSet::new() };
+    let mut faults = Faults {
+        source,
+        all: Vec::new(),
+        seen: HashSet::new(),
+    };
     let mut names = HashSet::new();
     for table in tables(text) {
         let (t, path) = (table.text, table.path.as_str());
@@ -151,10 +173,20 @@
         for end in t.retry_on.iter().flatten() {
             if !ENDS.iter().any(|(name, _)| name == end) {
                 let mend = nearest(end, ENDS.iter().map(|(n, _)| *n));
-                faults.at(path, "retry_on", format!("{end:?} is no end of an attempt"), mend);
+                faults.at(
+                    path,
+                    "retry_on",
+                    format!("{end:?} is no end of an attempt"),
+                    mend,
+                );
             }
         }
-        for front in t.matches.iter().flat_map(|m| m.front.iter()).flat_map(|f| f.names()) {
+        for front in t
+            .matches
+            .iter()
+            .flat_map(|m| m.front.iter())
+            .flat_map(|f| f.names())
+        {
             if !FRONTS.iter().any(|(name, _)| *name == front) {
                 faults.at(
                     path,
@@ -212,7 +244,9 @@
 /// The keys of a table that is sound in itself.
 fn keys(t: &TableText) -> Keys {
     let ends = |names: &Vec<String>| {
-        let known = names.iter().filter_map(|n| ENDS.iter().find(|(name, _)| name == n));
+        let known = names
+            .iter()
+            .filter_map(|n| ENDS.iter().find(|(name, _)| name == n));
         known.fold(Ends::default(), |all, (_, end)| all.with(*end))
     };
     let copy = |c: &super::text::SecondCopyText| {
@@ -220,7 +254,10 @@
             (Some(ms), _) => After::Ms(ms),
             (None, share) => After::Quantile(share.unwrap_or(0.95)),
         };
-        SecondCopy { after, ratio: c.ratio }
+        SecondCopy {
+            after,
+            ratio: c.ratio,
+        }
     };
     Keys {
         timeout_ms: t.timeout_ms,
@@ -232,7 +269,10 @@
             max_ms: b.max_ms,
             jitter: b.jitter,
         }),
-        budget: t.budget.as_ref().map(|b| Arc::new(Budget::new(b.ratio, b.min_per_s, b.window_s * 1000.0))),
+        budget: t
+            .budget
+            .as_ref()
+            .map(|b| Arc::new(Budget::new(b.ratio, b.min_per_s, b.window_s * 1000.0))),
         second_copy: t.second_copy.as_ref().map(copy),
     }
 }
@@ -245,9 +285,18 @@
     known: &Known,
     earlier: Vec<Fault>,
 ) -> Result<Policy, Vec<Fault>> {
-    let mut faults = Faults { source, all: earlier, seen: HashSet::new() };
+    let mut faults = Faults {
+        source,
+        all: earlier,
+        seen: HashSet::new(),
+    };
     let class_at = |name: &str| known.classes.iter().position(|c| c.name == name);
-    for name in text.attempts.class.keys().filter(|name| class_at(name).is_none()) {
+    for name in text
+        .attempts
+        .class
+        .keys()
+        .filter(|name| class_at(name).is_none())
+    {
         let mend = nearest(name, known.classes.iter().map(|c| c.name.as_str()));
         faults.at(
             &format!("attempts.class.{name}"),
@@ -260,8 +309,16 @@
     let default = keys(&text.attempts.default);
     let mut by_class: Vec<Keys> = Vec::new();
     for class in &known.classes {
-        let mut held = if class.once { default.for_once() } else { default.clone() };
-        text.attempts.class.get(&class.name).iter().for_each(|own| held.lay(&keys(own)));
+        let mut held = if class.once {
+            default.for_once()
+        } else {
+            default.clone()
+        };
+        text.attempts
+            .class
+            .get(&class.name)
+            .iter()
+            .for_each(|own| held.lay(&keys(own)));
         by_class.push(held);
     }
     let route_tables: Vec<&Table<'_>> = all.iter().filter(|t| t.kind == Kind::Route).collect();
@@ -277,7 +334,8 @@
     for table in all.iter().filter(|t| t.kind != Kind::Route) {
         let own = keys(table.text);
         for (at, class) in known.classes.iter().enumerate() {
-            if table.kind == Kind::Default || table.path == format!("attempts.class.{}", class.name) {
+            if table.kind == Kind::Default || table.path == format!("attempts.class.{}", class.name)
+            {
                 against(table, &own, &by_class[at], class, known, &mut faults);
             }
         }
@@ -292,13 +350,18 @@
         }
     }
     if faults.all.is_empty() {
-        let classes = known
-            .classes
-            .iter()
-            .map(|c| (c.name.clone(), c.once, text.attempts.class.get(&c.name).map(keys)));
+        let classes = known.classes.iter().map(|c| {
+            (
+                c.name.clone(),
+                c.once,
+                text.attempts.class.get(&c.name).map(keys),
+            )
+        });
         match Policy::new(default, classes.collect(), routes, known.members.clone()) {
             Ok(policy) => return Ok(policy),
-            Err(between) => between.into_iter().for_each(|fault| route_fault(fault, &all, &mut faults)),
+            Err(between) => between
+                .into_iter()
+                .for_each(|fault| route_fault(fault, &all, &mut faults)),
         }
     }
     super::sorted(faults.all).map(|()| Policy::default())
@@ -306,7 +369,9 @@
 
 /// What a route matches, by positions; unknown names are faults.
 fn matches(table: &Table<'_>, known: &Known, faults: &mut Faults<'_>) -> Match {
-    let Some(m) = &table.text.matches else { return Match::default() };
+    let Some(m) = &table.text.matches else {
+        return Match::default();
+    };
     let mut by_name = |key: &str, names: &Option<Vec<String>>, among: Vec<&str>| {
         names.as_ref().map(|names| {
             let mut set = BTreeSet::new();
@@ -326,16 +391,37 @@
             set
         })
     };
-    let class = by_name("class", &m.class, known.classes.iter().map(|c| c.name.as_str()).collect());
-    let member = by_name("member", &m.member, known.members.iter().map(String::as_str).collect());
+    let class = by_name(
+        "class",
+        &m.class,
+        known.classes.iter().map(|c| c.name.as_str()).collect(),
+    );
+    let member = by_name(
+        "member",
+        &m.member,
+        known.members.iter().map(String::as_str).collect(),
+    );
     let front = m.front.as_ref().map(|f| {
         f.names()
             .iter()
-            .filter_map(|name| FRONTS.iter().find(|(n, _)| n == name).map(|(_, front)| *front))
+            .filter_map(|name| {
+                FRONTS
+                    .iter()
+                    .find(|(n, _)| n == name)
+                    .map(|(_, front)| *front)
+            })
             .collect()
     });
-    let data_set = m.data_set.as_ref().map(|sets| sets.iter().copied().collect());
-    Match { class, member, front, data_set }
+    let data_set = m
+        .data_set
+        .as_ref()
+        .map(|sets| sets.iter().copied().collect());
+    Match {
+        class,
+        member,
+        front,
+        data_set,
+    }
 }
 
 /// The faults of one table's own keys, for one class that it reaches, with `held` all that holds there.
@@ -365,35 +451,77 @@
         );
     } else if own.second_copy.is_some() {
         // Guard: a key that the core does not carry out would be a promise that nothing keeps.
-        faults.at(path, "second_copy", "this version sends no second copies yet", "remove second_copy");
+        faults.at(
+            path,
+            "second_copy",
+            "this version sends no second copies yet",
+            "remove second_copy",
+        );
     }
     if let Some(ends) = own.retry_on.filter(|_| class.once && narrow) {
         let ran: Vec<&str> = ends.that_may_have_run().collect();
         if !ran.is_empty() {
-            let what =
-                format!("class {name} may run once only, and after {} it may have run", ran.join(", "));
-            faults.at(path, "retry_on", what, "name only no-connection, full and never-sent for it");
+            let what = format!(
+                "class {name} may run once only, and after {} it may have run",
+                ran.join(", ")
+            );
+            faults.at(
+                path,
+                "retry_on",
+                what,
+                "name only no-connection, full and never-sent for it",
+            );
         }
     }
-    let request = held.timeout_ms.unwrap_or(class.give_up_ms).min(class.give_up_ms);
+    let request = held
+        .timeout_ms
+        .unwrap_or(class.give_up_ms)
+        .min(class.give_up_ms);
     if let Some(ms) = own.timeout_ms.filter(|ms| *ms > class.give_up_ms) {
-        let what =
-            format!("{ms} ms is longer than the give-up time of class {name}, {} ms", class.give_up_ms);
-        faults.at(path, "timeout_ms", what, format!("set {} or less", class.give_up_ms));
+        let what = format!(
+            "{ms} ms is longer than the give-up time of class {name}, {} ms",
+            class.give_up_ms
+        );
+        faults.at(
+            path,
+            "timeout_ms",
+            what,
+            format!("set {} or less", class.give_up_ms),
+        );
     }
     if let Some(one) = held.attempt_timeout_ms.filter(|one| *one > request)
         && (own.attempt_timeout_ms.is_some() || own.timeout_ms.is_some())
     {
-        let what =
-            format!("one attempt may take {one} ms, longer than a request of class {name} may, {request} ms");
-        faults.at(path, "attempt_timeout_ms", what, format!("set {request} or less"));
+        let what = format!(
+            "one attempt may take {one} ms, longer than a request of class {name} may, {request} ms"
+        );
+        faults.at(
+            path,
+            "attempt_timeout_ms",
+            what,
+            format!("set {request} or less"),
+        );
     }
     if let Some(most) = own.max_attempts.filter(|most| *most > known.attempts_cap) {
-        let what = format!("{most} attempts are more than the platform allows, {}", known.attempts_cap);
-        faults.at(path, "max_attempts", what, format!("set {} or less", known.attempts_cap));
+        let what = format!(
+            "{most} attempts are more than the platform allows, {}",
+            known.attempts_cap
+        );
+        faults.at(
+            path,
+            "max_attempts",
+            what,
+            format!("set {} or less", known.attempts_cap),
+        );
     }
-    let attempts = held.max_attempts.unwrap_or(known.attempts_cap).min(known.attempts_cap);
-    if let Some(wait) = held.backoff.map(|b| b.all_ms(attempts)).filter(|wait| *wait >= request)
+    let attempts = held
+        .max_attempts
+        .unwrap_or(known.attempts_cap)
+        .min(known.attempts_cap);
+    if let Some(wait) = held
+        .backoff
+        .map(|b| b.all_ms(attempts))
+        .filter(|wait| *wait >= request)
         && (own.backoff.is_some() || own.max_attempts.is_some() || own.timeout_ms.is_some())
     {
         let what = format!("{attempts} attempts of class {name} wait {wait} ms between them alone");
@@ -416,9 +544,16 @@
     let what = fault.to_string();
     let (path, mend) = match &fault {
         RouteFault::Empty(name) => (path_of(name), "name what it is to match"),
-        RouteFault::Disagree(_, b, _) => (path_of(b), "let one route lie within the other, or agree"),
+        RouteFault::Disagree(_, b, _) => {
+            (path_of(b), "let one route lie within the other, or agree")
+        }
         RouteFault::TooMany(_) => (None, "leave some values out"),
     };
     let what = what.split("; ").next().unwrap_or(&what).to_owned();
-    faults.at(&path.unwrap_or_else(|| "attempts.route".to_owned()), "", what, mend);
+    faults.at(
+        &path.unwrap_or_else(|| "attempts.route".to_owned()),
+        "",
+        what,
+        mend,
+    );
 }
--- a/src/file/lines/tests.rs
+++ b/src/file/lines/tests.rs
@@ -7,7 +7,10 @@
     let text = "version = 1\n[attempts.class.\"seat.check\"]\ntimeout_ms = 5\n\n[[attempts.route]]\nname = \"a\"\n\
                 [[attempts.route]]\nname = \"b\"\nbackoff = { base_ms = 1, max_ms = 2, jitter = 3 }\n";
     assert_eq!(line_of(text, "version"), Some(1));
-    assert_eq!(line_of(text, "attempts.class.seat.check.timeout_ms"), Some(3));
+    assert_eq!(
+        line_of(text, "attempts.class.seat.check.timeout_ms"),
+        Some(3)
+    );
     assert_eq!(line_of(text, "attempts.route[1].backoff.jitter"), Some(9));
     assert_eq!(line_of(text, "attempts.route[1].name"), Some(8));
     // What is not written is named by the table that it would stand in.
--- a/src/file/mod.rs
+++ b/src/file/mod.rs
@@ -36,7 +36,12 @@
 impl Fault {
     /// A fault of the file as a whole.
     pub fn whole(what: impl Into<String>, mend: impl Into<String>) -> Fault {
-        Fault { line: None, key: String::new(), what: what.into(), mend: mend.into() }
+        Fault {
+            line: None,
+            key: String::new(),
+            what: what.into(),
+            mend: mend.into(),
+        }
     }
 }
 
@@ -64,8 +69,15 @@
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let n = self.all.len();
-        write!(f, "{} cannot be used ({n} fault{}):", self.file, if n == 1 { "" } else { "s" })?;
-        self.all.iter().try_for_each(|fault| write!(f, "\n  {}: {fault}", self.file))
+        write!(
+            f,
+            "{} cannot be used ({n} fault{}):",
+            self.file,
+            if n == 1 { "" } else { "s" }
+        )?;
+        self.all
+            .iter()
+            .try_for_each(|fault| write!(f, "\n  {}: {fault}", self.file))
     }
 }
 
@@ -74,7 +86,12 @@
 /// Reads a file whole, at most [`LARGEST`] bytes. None where there is no such file. Errors: the file cannot be read,
 /// is a folder, too large, not UTF-8, or changes while it is read; each says what to do.
 pub fn read(path: &Path) -> Result<Option<String>, Fault> {
-    let fault = |what: String| Fault::whole(what, "give the path of a readable TOML file of 1 MiB at most");
+    let fault = |what: String| {
+        Fault::whole(
+            what,
+            "give the path of a readable TOML file of 1 MiB at most",
+        )
+    };
     let mut before = None;
     for _ in 0..READS {
         let mut file = match std::fs::File::open(path) {
@@ -82,7 +99,9 @@
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
             Err(e) => return Err(fault(format!("cannot be opened: {e}"))),
         };
-        let seen = file.metadata().map_err(|e| fault(format!("cannot be looked at: {e}")))?;
+        let seen = file
+            .metadata()
+            .map_err(|e| fault(format!("cannot be looked at: {e}")))?;
         if seen.is_dir() {
             return Err(fault("is a folder".to_owned()));
         }
@@ -95,18 +114,25 @@
         // Guard: a file replaced or written while it was read is read again, lest half of two files be taken.
         let stamp = |m: &std::fs::Metadata| (m.len(), m.modified().ok());
         let after = std::fs::metadata(path).ok();
-        let steady =
-            after.as_ref().is_some_and(|a| stamp(a) == stamp(&seen) && a.len() == bytes.len() as u64);
+        let steady = after
+            .as_ref()
+            .is_some_and(|a| stamp(a) == stamp(&seen) && a.len() == bytes.len() as u64);
         if steady && before.as_ref().is_none_or(|b| *b == bytes) {
             return String::from_utf8(bytes).map(Some).map_err(|e| {
                 let at = e.utf8_error().valid_up_to();
                 let line = e.as_bytes()[..at].iter().filter(|b| **b == b'\n').count() + 1;
-                Fault { line: Some(line), ..fault(format!("is not UTF-8 after byte {at}")) }
+                Fault {
+                    line: Some(line),
+                    ..fault(format!("is not UTF-8 after byte {at}"))
+                }
             });
         }
         before = Some(bytes);
     }
-    Err(Fault::whole("changed while it was read, three times", "write it elsewhere and move it into place"))
+    Err(Fault::whole(
+        "changed while it was read, three times",
+        "write it elsewhere and move it into place",
+    ))
 }
 
 /// Parses a file's text and checks what it can judge alone. Errors: every fault, with its line.
@@ -116,11 +142,19 @@
 
 /// Parses a file's text and checks all of it: alone, and against the settings where they are known, which makes its
 /// policy. Errors: every fault, with its line; a file that is no TOML of this form stops at its first.
-pub fn judge(source: &str, known: Option<&Known>) -> Result<(FileText, Option<Policy>), Vec<Fault>> {
+pub fn judge(
+    source: &str,
+    known: Option<&Known>,
+) -> Result<(FileText, Option<Policy>), Vec<Fault>> {
     let text: FileText = toml::from_str(source).map_err(|e| {
         let line = e.span().map(|span| lines::line_at(source, span.start));
         let message = e.message().trim_end_matches('\n').to_owned();
-        vec![Fault { line, key: String::new(), what: message, mend: mend_of_syntax(e.message()).to_owned() }]
+        vec![Fault {
+            line,
+            key: String::new(),
+            what: message,
+            mend: mend_of_syntax(e.message()).to_owned(),
+        }]
     })?;
     let mut faults: Vec<Fault> = match text.validate() {
         Ok(()) => Vec::new(),
@@ -135,13 +169,20 @@
                 } else {
                     what.to_owned()
                 };
-                Fault { line, key, what, mend: "set it within its range".to_owned() }
+                Fault {
+                    line,
+                    key,
+                    what,
+                    mend: "set it within its range".to_owned(),
+                }
             })
             .collect(),
     };
     faults.extend(check::alone(&text, source));
     match known {
-        Some(known) => check::policy(&text, source, known, faults).map(|policy| (text, Some(policy))),
+        Some(known) => {
+            check::policy(&text, source, known, faults).map(|policy| (text, Some(policy)))
+        }
         None => sorted(faults).map(|()| (text, None)),
     }
 }
@@ -170,7 +211,8 @@
 /// The JSON Schema of the file, as `magpiechute schema` prints it and `deploy/magpiechute.schema.json` keeps it.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(FileText);
-    let mut text = serde_json::to_string_pretty(&schema).unwrap_or_else(|_| unreachable!("a schema is JSON"));
+    let mut text =
+        serde_json::to_string_pretty(&schema).unwrap_or_else(|_| unreachable!("a schema is JSON"));
     text.push('\n');
     text
 }
@@ -193,7 +235,10 @@
 
 impl From<crate::config::Fronts> for Operators {
     fn from(fronts: crate::config::Fronts) -> Operators {
-        Operators { fronts, ..Operators::default() }
+        Operators {
+            fronts,
+            ..Operators::default()
+        }
     }
 }
 
@@ -203,9 +248,17 @@
     pub fn load(path: &Path, fronts: &Path, known: &Known) -> Result<Operators, String> {
         match load(path, known).map_err(|faults| faults.to_string())? {
             Some(loaded) => {
-                let fronts = crate::config::Fronts { flight: loaded.text.flight, snmp: loaded.text.snmp };
+                let fronts = crate::config::Fronts {
+                    flight: loaded.text.flight,
+                    snmp: loaded.text.snmp,
+                };
                 let policy = std::sync::Arc::new(loaded.policy);
-                Ok(Operators { fronts, policy, path: Some(path.to_owned()), log: loaded.text.log })
+                Ok(Operators {
+                    fronts,
+                    policy,
+                    path: Some(path.to_owned()),
+                    log: loaded.text.log,
+                })
             }
             None => {
                 let old = crate::config::Fronts::load(fronts).map_err(|e| e.to_string())?;
@@ -240,8 +293,16 @@
 /// Reads, parses and checks a file against the settings. `Ok(None)` where there is no such file. Errors: every
 /// fault, with the file's name.
 pub fn load(path: &Path, known: &Known) -> Result<Option<Loaded>, Faults> {
-    let named = |all| Faults { file: path.display().to_string(), all };
-    let Some(source) = read(path).map_err(|fault| named(vec![fault]))? else { return Ok(None) };
+    let named = |all| Faults {
+        file: path.display().to_string(),
+        all,
+    };
+    let Some(source) = read(path).map_err(|fault| named(vec![fault]))? else {
+        return Ok(None);
+    };
     let (text, policy) = judge(&source, Some(known)).map_err(named)?;
-    Ok(Some(Loaded { text, policy: policy.unwrap_or_default() }))
+    Ok(Some(Loaded {
+        text,
+        policy: policy.unwrap_or_default(),
+    }))
 }
--- a/src/file/tests.rs
+++ b/src/file/tests.rs
@@ -6,9 +6,17 @@
 use crate::interface::Outcome;
 
 fn known(parallel_tries: bool) -> Known {
-    let class = |name: &str, once| KnownClass { name: name.to_owned(), once, give_up_ms: 15_000.0 };
+    let class = |name: &str, once| KnownClass {
+        name: name.to_owned(),
+        once,
+        give_up_ms: 15_000.0,
+    };
     Known {
-        classes: vec![class("seat-check", false), class("usage-report", false), class("log-load", true)],
+        classes: vec![
+            class("seat-check", false),
+            class("usage-report", false),
+            class("log-load", true),
+        ],
         members: vec!["member-north".to_owned(), "member-south".to_owned()],
         attempts_cap: 6,
         parallel_tries,
@@ -34,14 +42,22 @@
 max_attempts = 2
 "#;
 
-const AT: Where = Where { class: 1, member: 0, front: Front::Flight, data_set: 17 };
+const AT: Where = Where {
+    class: 1,
+    member: 0,
+    front: Front::Flight,
+    data_set: 17,
+};
 
 fn faults(text: &str, known: &Known) -> Vec<Fault> {
     judge(text, Some(known)).err().unwrap_or_default()
 }
 
 fn policy(text: &str, known: &Known) -> crate::attempts::Policy {
-    judge(text, Some(known)).expect("sound").1.expect("a policy")
+    judge(text, Some(known))
+        .expect("sound")
+        .1
+        .expect("a policy")
 }
 
 #[test]
@@ -52,17 +68,33 @@
         (held.attempt_timeout_ms, held.max_attempts, held.timeout_ms),
         (Some(4000.0), Some(2), Some(9000.0))
     );
-    let elsewhere = policy.resolve(&Where { front: Front::Platform, ..AT });
+    let elsewhere = policy.resolve(&Where {
+        front: Front::Platform,
+        ..AT
+    });
     assert_eq!(elsewhere.max_attempts, Some(3));
     // The default's copies and ends that may have run do not reach a class that runs once.
     let load = policy.resolve(&Where { class: 2, ..AT });
     assert_eq!(load.second_copy, None);
-    let never = Ends::default().with(Outcome::NoConnection).with(Outcome::Full).with(Outcome::Moot);
+    let never = Ends::default()
+        .with(Outcome::NoConnection)
+        .with(Outcome::Full)
+        .with(Outcome::Moot);
     assert_eq!(load.retry_on, Some(never));
     let told = policy.explain(&AT);
-    let from = |key: &str| told.iter().find(|s| s.key == key).map(|s| (s.value.clone(), s.from.clone()));
-    assert_eq!(from("max_attempts"), Some(("2".into(), "route north-reports".into())));
-    assert_eq!(from("attempt_timeout_ms"), Some(("4000".into(), "class usage-report".into())));
+    let from = |key: &str| {
+        told.iter()
+            .find(|s| s.key == key)
+            .map(|s| (s.value.clone(), s.from.clone()))
+    };
+    assert_eq!(
+        from("max_attempts"),
+        Some(("2".into(), "route north-reports".into()))
+    );
+    assert_eq!(
+        from("attempt_timeout_ms"),
+        Some(("4000".into(), "class usage-report".into()))
+    );
     assert_eq!(from("timeout_ms"), Some(("9000".into(), "default".into())));
 }
 
@@ -117,11 +149,18 @@
     for want in wanted {
         assert!(seen.contains(&want), "{want:?} in {all:#?}");
     }
-    let text_of =
-        |key: &str| all.iter().filter(|f| f.key == key).map(ToString::to_string).collect::<Vec<_>>();
+    let text_of = |key: &str| {
+        all.iter()
+            .filter(|f| f.key == key)
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+    };
     assert!(text_of("attempts.class.seat-chek")[0].contains("did you mean \"seat-check\""));
     let retry = text_of("attempts.class.log-load.retry_on").join("\n");
-    assert!(retry.contains("\"errors\" is no end") && retry.contains("did you mean \"error\""), "{retry}");
+    assert!(
+        retry.contains("\"errors\" is no end") && retry.contains("did you mean \"error\""),
+        "{retry}"
+    );
     assert!(text_of("attempts.route[1].match.front")[0].contains("did you mean \"flight\""));
     assert!(text_of("attempts.route[1].match.member")[0].contains("member-west"));
     // Garde's range and the file's own order hold whether the settings are known or not.
@@ -155,7 +194,11 @@
         ]
     );
     assert!(all[0].what.contains("may run once only"), "{}", all[0]);
-    assert!(all[2].what.contains("log-load") && all[2].what.contains("reset"), "{}", all[2]);
+    assert!(
+        all[2].what.contains("log-load") && all[2].what.contains("reset"),
+        "{}",
+        all[2]
+    );
     // Alone, the file is sound: these need the settings.
     assert!(parse(text).is_ok());
 }
@@ -183,12 +226,19 @@
     assert!(
         shown
             .iter()
-            .any(|s| s.starts_with("line 14: attempts.route[3].name: route \"by class\" is named twice")),
+            .any(|s| s
+                .starts_with("line 14: attempts.route[3].name: route \"by class\" is named twice")),
         "{shown:#?}"
     );
     // Names twice are a fault of the file alone; without it the routes are held against each other.
-    let text = text.replace("name = \"by class\"\nmatch = { front", "name = \"fourth\"\nmatch = { front");
-    let shown: Vec<String> = faults(&text, &known(false)).iter().map(ToString::to_string).collect();
+    let text = text.replace(
+        "name = \"by class\"\nmatch = { front",
+        "name = \"fourth\"\nmatch = { front",
+    );
+    let shown: Vec<String> = faults(&text, &known(false))
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     assert!(
         shown.iter().any(|s| s.starts_with("line 6:")
             && s.contains("\"by class\" and \"by member\"")
@@ -196,7 +246,9 @@
         "{shown:#?}"
     );
     assert!(
-        shown.iter().any(|s| s.starts_with("line 10:") && s.contains("\"nothing\" can match no request")),
+        shown
+            .iter()
+            .any(|s| s.starts_with("line 10:") && s.contains("\"nothing\" can match no request")),
         "{shown:#?}"
     );
 }
@@ -206,12 +258,32 @@
     let cases = [
         ("", Some(1), "missing field `version`"),
         ("version = 2\n", Some(1), "is greater than 1"),
-        ("version = 1\n[attempts.default]\ntimeout = 5\n", Some(3), "unknown field `timeout`"),
-        ("version = 1\n[attempts.default]\nmax_attempts = \"3\"\n", Some(3), "invalid type"),
+        (
+            "version = 1\n[attempts.default]\ntimeout = 5\n",
+            Some(3),
+            "unknown field `timeout`",
+        ),
+        (
+            "version = 1\n[attempts.default]\nmax_attempts = \"3\"\n",
+            Some(3),
+            "invalid type",
+        ),
         ("version = 1\n[attempts\n", Some(2), ""),
-        ("version = 1\n[attempts.default]\nname = \"x\"\n", Some(3), "belongs to routes alone"),
-        ("version = 1\n[[attempts.route]]\nmatch = { class = [\"a\"] }\n", Some(2), "has no name"),
-        ("version = 1\n[attempts.default]\nbackoff = { base_ms = 9, max_ms = 1 }\n", Some(3), "above max_ms"),
+        (
+            "version = 1\n[attempts.default]\nname = \"x\"\n",
+            Some(3),
+            "belongs to routes alone",
+        ),
+        (
+            "version = 1\n[[attempts.route]]\nmatch = { class = [\"a\"] }\n",
+            Some(2),
+            "has no name",
+        ),
+        (
+            "version = 1\n[attempts.default]\nbackoff = { base_ms = 9, max_ms = 1 }\n",
+            Some(3),
+            "above max_ms",
+        ),
         (
             "version = 1\n[attempts.default]\nsecond_copy = { after = \"q9\", ratio = 0.1 }\n",
             Some(3),
@@ -253,7 +325,11 @@
 #[test]
 fn the_schema_kept_in_deploy_is_the_programs() {
     let kept = include_str!("../../deploy/magpiechute.schema.json");
-    assert_eq!(kept, schema(), "run `magpiechute schema > deploy/magpiechute.schema.json`");
+    assert_eq!(
+        kept,
+        schema(),
+        "run `magpiechute schema > deploy/magpiechute.schema.json`"
+    );
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -177,8 +177,15 @@
             let times = [c.promise_ms, c.aim_stretch, c.give_up_ms, c.memory_span_ms];
             fine(&times) && fine(&[c.worth, c.late_worth]) && c.threads > 0
         };
-        let rules = [self.cold_share, self.cold_ms, self.tip_multiple, self.overload_for_ms];
-        let budget = self.extra.map_or([0.0; 3], |x| [x.free, x.ratio, x.window_ms]);
+        let rules = [
+            self.cold_share,
+            self.cold_ms,
+            self.tip_multiple,
+            self.overload_for_ms,
+        ];
+        let budget = self
+            .extra
+            .map_or([0.0; 3], |x| [x.free, x.ratio, x.window_ms]);
         match self {
             s if s.classes.is_empty() => Err(SettingsError::NoClasses),
             s if s.instances == 0 => Err(SettingsError::NoInstances),
@@ -200,23 +207,37 @@
 impl Settings {
     /// Threads of the widest class.
     pub fn widest(&self) -> f64 {
-        self.classes.iter().map(|c| f64::from(c.threads)).fold(1.0, f64::max)
+        self.classes
+            .iter()
+            .map(|c| f64::from(c.threads))
+            .fold(1.0, f64::max)
     }
 
     /// The gateways that hold an engine.
     pub fn holders(&self, line: &EngineEntry) -> Holders {
-        let all = Holders { mean: f64::from(self.instances), most: self.instances, place: self.ordinal };
+        let all = Holders {
+            mean: f64::from(self.instances),
+            most: self.instances,
+            place: self.ordinal,
+        };
         line.holders.unwrap_or(all)
     }
 
     /// The position of a class that has this name and reads just so.
     pub fn position(&self, name: &str, class: &Class) -> Option<usize> {
-        self.names.iter().zip(&self.classes).position(|(n, c)| n == name && c == class)
+        self.names
+            .iter()
+            .zip(&self.classes)
+            .position(|(n, c)| n == name && c == class)
     }
 
     /// These settings in place of `old`, with the classes of those that are still used and are not in these behind
     /// their own; and for each position in `old` the one here, as far as it is used.
-    pub fn in_place_of(mut self, old: &Settings, used: impl Fn(usize) -> bool) -> (Settings, Vec<usize>) {
+    pub fn in_place_of(
+        mut self,
+        old: &Settings,
+        used: impl Fn(usize) -> bool,
+    ) -> (Settings, Vec<usize>) {
         let mut places = Vec::new();
         for (at, (name, class)) in old.names.iter().zip(&old.classes).enumerate() {
             let place = self.position(name, class).unwrap_or(self.classes.len());
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -222,7 +222,11 @@
             streams_shared: 4,
             give_backs: 3,
             conn_proven_ms: 40.0,
-            conn_mute_ms: if notes && progress > 0.0 { (progress * 3.0).max(1000.0) } else { f64::INFINITY },
+            conn_mute_ms: if notes && progress > 0.0 {
+                (progress * 3.0).max(1000.0)
+            } else {
+                f64::INFINITY
+            },
             engine_conns: (sockets / 4).min(conns * 2 / 3),
             engine_conns_kept: (sockets / 8).min(conns / 3),
             conns_per_engine: (sockets / 12).clamp(1, 24),
@@ -275,7 +279,11 @@
             quit_heard: Duration::from_millis(400),
             quit_again_ms: 50.0,
             unproven_ms: 2000.0,
-            silence_ms: if notes && progress > 0.0 { (progress * 6.0).max(3000.0) } else { f64::INFINITY },
+            silence_ms: if notes && progress > 0.0 {
+                (progress * 6.0).max(3000.0)
+            } else {
+                f64::INFINITY
+            },
         }
     }
 }
@@ -284,7 +292,11 @@
     /// What this process may have of something that is bounded for the whole workload manager. Beside another
     /// process that is a little under half, as neither gives the descriptors of the program itself up.
     pub(crate) fn share(&self, whole: usize) -> usize {
-        if self.both.load(Ordering::Relaxed) { whole * 2 / 5 } else { whole }
+        if self.both.load(Ordering::Relaxed) {
+            whole * 2 / 5
+        } else {
+            whole
+        }
     }
 
     /// Says whether another process lives; returns what held before.
@@ -306,7 +318,10 @@
 
 impl MemoryReservation {
     pub(crate) fn new(pool: &Arc<MemoryPool>) -> MemoryReservation {
-        MemoryReservation { pool: pool.clone(), bytes: 0 }
+        MemoryReservation {
+            pool: pool.clone(),
+            bytes: 0,
+        }
     }
 
     /// Holds so many bytes from now on; false where all together hold more than `most`.
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -19,15 +19,30 @@
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":1,"giveUpMs":9}],
         "guarantees":{"coldMs":1,"coldShare":0.3,"overloadForMs":1,"tipMultiple":3},
         "limits":{"attemptsCap":6}}"#;
-    let l = Limits::new(sockets, memory, true, &settings::parse(text.as_bytes()).expect("settings"));
+    let l = Limits::new(
+        sockets,
+        memory,
+        true,
+        &settings::parse(text.as_bytes()).expect("settings"),
+    );
     let shared = l.input_bytes + l.output_bytes + l.held_bytes + l.open_bytes + l.ticket_bytes;
     let engine_conns = l.engine_conns + l.engine_conns_kept;
-    let buffers = engine_conns * super::conn_bytes(l.page_bytes) + l.client_conns * 4096 + l.frame_bytes;
+    let buffers =
+        engine_conns * super::conn_bytes(l.page_bytes) + l.client_conns * 4096 + l.frame_bytes;
     // As many records may wait for a place as there are places.
     let list = l.engines * (super::ENGINE_BYTES + WAITING_BYTES) + 2 * l.state_bytes as usize;
-    assert!(l.engines >= 2 * 1024, "a list of 1,024 beside as many that drain");
-    assert!(memory < 256 || l.engines >= 22_000 + 22_000 / 10, "22,000 beside a tenth that drains");
-    assert!(l.frame_bytes >= l.engines * super::RECORD_BYTES + 9, "a whole list is one frame");
+    assert!(
+        l.engines >= 2 * 1024,
+        "a list of 1,024 beside as many that drain"
+    );
+    assert!(
+        memory < 256 || l.engines >= 22_000 + 22_000 / 10,
+        "22,000 beside a tenth that drains"
+    );
+    assert!(
+        l.frame_bytes >= l.engines * super::RECORD_BYTES + 9,
+        "a whole list is one frame"
+    );
     let program = 4 << 20; // its text, which two processes share: 2 to 3 as measured, with a reserve
     let own = 1 << 20; // 0.5 as measured
     let all = shared + buffers + list + l.flight_message_bytes + program + own;
@@ -37,9 +52,18 @@
     let each = l.share(shared) + l.share(buffers) + l.share(l.flight_message_bytes) + list + own;
     let all = 2 * each + program;
     assert!(all <= memory << 20, "{all} bytes of {memory} MB for both");
-    let all = [l.client_conns, l.flight_conns, l.ops_callers, l.engine_conns, l.engine_conns_kept];
+    let all = [
+        l.client_conns,
+        l.flight_conns,
+        l.ops_callers,
+        l.engine_conns,
+        l.engine_conns_kept,
+    ];
     let all = all.iter().map(|n| l.share(*n)).sum::<usize>() + 17;
-    assert!(sockets < 256 || 2 * all <= sockets, "twice {all} descriptors of {sockets}");
+    assert!(
+        sockets < 256 || 2 * all <= sockets,
+        "twice {all} descriptors of {sockets}"
+    );
     let program = 19; // standard ones, the runtime's, five for signals, listeners, the agent, the feed twice, files
     let all = l.client_conns + l.flight_conns + l.ops_callers + engine_conns + program;
     assert!(all <= sockets, "{all} descriptors of {sockets}");
--- a/src/list.rs
+++ b/src/list.rs
@@ -97,7 +97,11 @@
     let mut frame = Vec::new();
     loop {
         // Guard: the whole frame is due in time; one that comes byte by byte is as good as none.
-        timeout(limits.feed_silence, receive(&mut stream, &mut frame, limits.frame_bytes)).await??;
+        timeout(
+            limits.feed_silence,
+            receive(&mut stream, &mut frame, limits.frame_bytes),
+        )
+        .await??;
         let event = read_frame(&frame, &settings.borrow()).ok_or(Fault::Malformed)?;
         // Later events come without a pause, so that the first word tells what the start was not told.
         spoken.send_replace(true);
@@ -148,12 +152,21 @@
             None => unusable.push(engine),
         }
     }
-    Some(Some(ListEvent { number, kind, entries, unusable }))
+    Some(Some(ListEvent {
+        number,
+        kind,
+        entries,
+        unusable,
+    }))
 }
 
 fn read_record(engine: EngineId, r: &[u8], settings: &Parsed) -> Option<Listed> {
     let four = |at: usize| r.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
-    let two = |at: usize| r.get(at..at + 2).and_then(|b| <[u8; 2]>::try_from(b).ok()).map(u16::from_be_bytes);
+    let two = |at: usize| {
+        r.get(at..at + 2)
+            .and_then(|b| <[u8; 2]>::try_from(b).ok())
+            .map(u16::from_be_bytes)
+    };
     let state = match r[10] {
         0 => ListState::Ready,
         1 => ListState::Draining,
@@ -176,7 +189,10 @@
         started_ms: started as f64,
         holders: None,
     };
-    Some(Listed { entry, address: address(four(4)?, two(8)?) })
+    Some(Listed {
+        entry,
+        address: address(four(4)?, two(8)?),
+    })
 }
 
 #[cfg(test)]
--- a/src/list/tests.rs
+++ b/src/list/tests.rs
@@ -7,7 +7,9 @@
 
 /// A frame with one record for each engine, as the feed writes it.
 fn frame(number: u64, kind: u8, ids: std::ops::Range<u32>, state: u8) -> Vec<u8> {
-    let mut frame = (FRAME_HEAD as u32 + ids.len() as u32 * RECORD as u32).to_be_bytes().to_vec();
+    let mut frame = (FRAME_HEAD as u32 + ids.len() as u32 * RECORD as u32)
+        .to_be_bytes()
+        .to_vec();
     frame.extend(number.to_be_bytes());
     frame.push(kind);
     for id in ids {
@@ -32,7 +34,10 @@
 /// that names the newcomers, and tells it again: each event is passed on once, whole and in order.
 #[test]
 fn a_feed_that_fails_in_the_middle_of_a_large_release() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("runtime");
     runtime.block_on(async {
         let feed = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let (core, mut inputs) = Handle::new(64, Clock::new());
@@ -42,24 +47,47 @@
         let (_feed, address) = watch::channel(feed.local_addr().expect("address"));
         let (spoken, _) = watch::channel(false);
         let (_settings, settings) = watch::channel(Arc::new(EngineContext::settings_for_tests()));
-        tokio::spawn(follow(address, 0, core, Arc::new(limits), counters.clone(), spoken, settings));
+        tokio::spawn(follow(
+            address,
+            0,
+            core,
+            Arc::new(limits),
+            counters.clone(),
+            spoken,
+            settings,
+        ));
         let (mut stream, last) = accept(&feed).await;
         assert_eq!(last, 0);
-        stream.write_all(&frame(1, 1, 0..1024, 0)).await.expect("whole list");
-        stream.write_all(&frame(2, 2, 0..614, 1)).await.expect("drains");
+        stream
+            .write_all(&frame(1, 1, 0..1024, 0))
+            .await
+            .expect("whole list");
+        stream
+            .write_all(&frame(2, 2, 0..614, 1))
+            .await
+            .expect("drains");
         let (mut next, last) = accept(&feed).await;
         assert_eq!((last, counters.feed_silences.get()), (2, 1));
         let newcomers = frame(3, 2, 1024..1638, 0);
-        next.write_all(&newcomers[..newcomers.len() / 2]).await.expect("a half");
+        next.write_all(&newcomers[..newcomers.len() / 2])
+            .await
+            .expect("a half");
         drop(next);
         let (mut next, last) = accept(&feed).await;
         assert_eq!(last, 2);
-        next.write_all(&[frame(2, 2, 0..614, 1), newcomers].concat()).await.expect("both");
+        next.write_all(&[frame(2, 2, 0..614, 1), newcomers].concat())
+            .await
+            .expect("both");
         for (number, entries) in [(1, 1024), (2, 614), (3, 614)] {
-            let Some(Input::List(event)) = inputs.input().await else { panic!("no event") };
+            let Some(Input::List(event)) = inputs.input().await else {
+                panic!("no event")
+            };
             assert_eq!((event.number, event.entries.len()), (number, entries));
         }
-        assert_eq!((counters.feed_events.get(), counters.feed_malformed.get()), (3, 0));
+        assert_eq!(
+            (counters.feed_events.get(), counters.feed_malformed.get()),
+            (3, 0)
+        );
     });
 }
 /// Guard: one record that says what nobody knows does not cost the others, nor the frames behind it; and word of a
@@ -80,11 +108,20 @@
     };
     let ready = ListState::Ready;
     for (state, zone, kind) in [(3, 0, 0), (255, 0, 0), (0, 2, 0), (0, 0, 1)] {
-        assert_eq!(read(state, zone, kind), (vec![ready; 2], vec![engine_id(2)]));
+        assert_eq!(
+            read(state, zone, kind),
+            (vec![ready; 2], vec![engine_id(2)])
+        );
     }
     assert_eq!(read(0, 1, 0), (vec![ready; 3], Vec::new()));
-    assert_eq!(read(1, 9, 9), (vec![ready, ListState::Draining, ready], Vec::new()));
-    assert_eq!(read(2, 9, 9), (vec![ready, ListState::Gone, ready], Vec::new()));
+    assert_eq!(
+        read(1, 9, 9),
+        (vec![ready, ListState::Draining, ready], Vec::new())
+    );
+    assert_eq!(
+        read(2, 9, 9),
+        (vec![ready, ListState::Gone, ready], Vec::new())
+    );
     // A frame that is cut short cannot be read at all.
     let mut short = frame(7, 2, 1..4, 0).split_off(4);
     short.pop();
--- a/src/log.rs
+++ b/src/log.rs
@@ -15,11 +15,17 @@
         Level::Debug => LevelFilter::DEBUG,
         Level::Trace => LevelFilter::TRACE,
     };
-    let builder =
-        tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(level).with_ansi(false);
+    let builder = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_max_level(level)
+        .with_ansi(false);
     let done = match log.format {
         Format::Text => builder.without_time().with_target(false).try_init(),
-        Format::Json => builder.json().flatten_event(true).with_current_span(false).try_init(),
+        Format::Json => builder
+            .json()
+            .flatten_event(true)
+            .with_current_span(false)
+            .try_init(),
     };
     done.map_err(|e| format!("cannot set up the log: {e}"))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -67,13 +67,29 @@
 fn main() -> ExitCode {
     let done = match Cli::parse().command {
         None | Some(Command::Run) => return serve(),
-        Some(Command::Check { config, format, file }) => {
-            command::check(config.as_deref(), &file, matches!(format, Form::Json))
-        }
+        Some(Command::Check {
+            config,
+            format,
+            file,
+        }) => command::check(config.as_deref(), &file, matches!(format, Form::Json)),
         Some(Command::Schema) => command::schema(),
-        Some(Command::Explain { config, file, class, member, front, data_set }) => {
-            command::explain(&config, &file, &Asked { class, member, front, data_set })
-        }
+        Some(Command::Explain {
+            config,
+            file,
+            class,
+            member,
+            front,
+            data_set,
+        }) => command::explain(
+            &config,
+            &file,
+            &Asked {
+                class,
+                member,
+                front,
+                data_set,
+            },
+        ),
     };
     print(&done);
     ExitCode::from(done.code)
@@ -104,16 +120,22 @@
     let path = std::env::var_os("NODE_CONFIG")
         .ok_or_else(|| ConfigError("NODE_CONFIG does not name a configuration".to_owned()))?;
     // Guard: heard from the first moment on, as SIGHUP would end a program that does not hear it.
-    let mut signals = Signals::hear().map_err(|e| ConfigError(format!("cannot hear signals: {e}")))?;
+    let mut signals =
+        Signals::hear().map_err(|e| ConfigError(format!("cannot hear signals: {e}")))?;
     let config = load(Path::new(&path))?;
-    let fronts = std::env::var_os("MAGPIECHUTE_FRONTS").unwrap_or_else(|| "deploy/fronts.toml".into());
-    let file = std::env::var_os("MAGPIECHUTE_FILE").unwrap_or_else(|| "deploy/magpiechute.toml".into());
+    let fronts =
+        std::env::var_os("MAGPIECHUTE_FRONTS").unwrap_or_else(|| "deploy/fronts.toml".into());
+    let file =
+        std::env::var_os("MAGPIECHUTE_FILE").unwrap_or_else(|| "deploy/magpiechute.toml".into());
     let known = Known::of(&config.parsed);
-    let operators = Operators::load(Path::new(&file), Path::new(&fronts), &known).map_err(ConfigError)?;
+    let operators =
+        Operators::load(Path::new(&file), Path::new(&fronts), &known).map_err(ConfigError)?;
     magpiechute::log::init(&operators.log).map_err(ConfigError)?;
     let name = config.name.clone();
     let node = Node::start(config, operators).await?;
-    let ops = node.ops.map_or(String::new(), |at| format!(", is operated at {at}"));
+    let ops = node
+        .ops
+        .map_or(String::new(), |at| format!(", is operated at {at}"));
     eprintln!("magpiechute: {name} serves on {}{ops}", node.listen);
     loop {
         match signals.next().await {
@@ -122,7 +144,9 @@
             Ok(Heard::Print) => say(format!("magpiechute: {}", node.counters)),
             Err(problem) => {
                 // A program that cannot be told to end would have to be killed: it ends now, as planned.
-                say(format!("magpiechute: no longer hears signals ({problem}), and ends as planned"));
+                say(format!(
+                    "magpiechute: no longer hears signals ({problem}), and ends as planned"
+                ));
                 break;
             }
         }
@@ -159,12 +183,15 @@
 fn load(path: &Path) -> Result<Config, ConfigError> {
     let mut config = Config::load(path)?;
     if let Ok(listen) = std::env::var("NODE_LISTEN") {
-        config.listen =
-            listen.parse().map_err(|_| ConfigError(format!("NODE_LISTEN {listen:?} is not an address")))?;
+        config.listen = listen
+            .parse()
+            .map_err(|_| ConfigError(format!("NODE_LISTEN {listen:?} is not an address")))?;
     }
     if let Ok(ops) = std::env::var("NODE_OPS") {
-        config.ops =
-            Some(ops.parse().map_err(|_| ConfigError(format!("NODE_OPS {ops:?} is not an address")))?);
+        config.ops = Some(
+            ops.parse()
+                .map_err(|_| ConfigError(format!("NODE_OPS {ops:?} is not an address")))?,
+        );
     }
     if let Ok(fd) = std::env::var("NODE_LISTEN_FD") {
         let fd = fd.parse().ok().filter(|fd| *fd > 2);
--- a/src/net.rs
+++ b/src/net.rs
@@ -59,8 +59,12 @@
     /// Writes as much as the socket takes now.
     pub(crate) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
         while !self.is_empty() {
-            let slices: Vec<IoSlice<'_>> =
-                self.pieces.iter().take(GATHERED).map(|p| IoSlice::new(p)).collect();
+            let slices: Vec<IoSlice<'_>> = self
+                .pieces
+                .iter()
+                .take(GATHERED)
+                .map(|p| IoSlice::new(p))
+                .collect();
             match stream.try_write_vectored(&slices) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => self.advance(n),
@@ -74,7 +78,11 @@
 }
 
 /// Reads what is there into `buffer`. `Ok(false)` at the end of the stream.
-pub(crate) fn read(stream: &TcpStream, buffer: &mut bytes::BytesMut, most: usize) -> io::Result<bool> {
+pub(crate) fn read(
+    stream: &TcpStream,
+    buffer: &mut bytes::BytesMut,
+    most: usize,
+) -> io::Result<bool> {
     loop {
         buffer.reserve(4096);
         match stream.try_read_buf(buffer) {
--- a/src/node.rs
+++ b/src/node.rs
@@ -53,11 +53,28 @@
 
 impl Node {
     /// Starts everything that the configuration and the operators' file name.
-    pub async fn start(config: Config, operators: impl Into<Operators>) -> Result<Node, ConfigError> {
-        let Operators { fronts, policy, path, .. } = operators.into();
-        let speech = fronts.flight.as_ref().map(|f| f.engines).unwrap_or_default();
+    pub async fn start(
+        config: Config,
+        operators: impl Into<Operators>,
+    ) -> Result<Node, ConfigError> {
+        let Operators {
+            fronts,
+            policy,
+            path,
+            ..
+        } = operators.into();
+        let speech = fronts
+            .flight
+            .as_ref()
+            .map(|f| f.engines)
+            .unwrap_or_default();
         let speaks_lines = speech == Speech::Lines;
-        let limits = Limits::new(config.sockets, config.memory_mb, speaks_lines, &config.parsed);
+        let limits = Limits::new(
+            config.sockets,
+            config.memory_mb,
+            speaks_lines,
+            &config.parsed,
+        );
         let (limits, counters) = (Arc::new(limits), Arc::<Counters>::default());
         let store = open_store(&config, &limits, &counters).await;
         let order_locks = open_order_locks(&config, &counters);
@@ -67,17 +84,28 @@
         let parsed = Arc::new(config.parsed);
         let clock = Clock::new();
         let (core, inputs) = Handle::new(limits.mailbox, clock);
-        let context = EngineContext::new(core.clone(), limits.clone(), counters.clone(), !speaks_lines);
+        let context = EngineContext::new(
+            core.clone(),
+            limits.clone(),
+            counters.clone(),
+            !speaks_lines,
+        );
         let lifecycle = Arc::new(Lifecycle::new());
         let made = Core::new(
             parsed.settings.clone(),
             // A process beside another one of the same seed would take its turns at the same times.
-            if succeeds { config.seed ^ clock.now().to_bits() } else { config.seed },
+            if succeeds {
+                config.seed ^ clock.now().to_bits()
+            } else {
+                config.seed
+            },
             Fleet::new(context),
             limits.clone(),
             counters.clone(),
         );
-        let made = made.map_err(|e| ConfigError(e.to_string()))?.with_policy(policy.clone());
+        let made = made
+            .map_err(|e| ConfigError(e.to_string()))?
+            .with_policy(policy.clone());
         let made = made.with_order_locks(order_locks);
         if path.as_ref().is_some_and(|p| p.exists()) {
             counters.file_loads.up();
@@ -92,7 +120,15 @@
         let (spoken, mut heard) = watch::channel(false);
         let (parsed, settings) = watch::channel(parsed);
         let from = (core.clone(), limits.clone(), counters.clone());
-        tokio::spawn(list::follow(address, last, from.0, from.1, from.2, spoken, settings.clone()));
+        tokio::spawn(list::follow(
+            address,
+            last,
+            from.0,
+            from.1,
+            from.2,
+            spoken,
+            settings.clone(),
+        ));
         let (state_writer, said) = StateWriter::new(&limits);
         if let Some(mut store) = store {
             // Before it takes anything it knows what was taken out by hand.
@@ -101,10 +137,22 @@
         }
         let in_force = Arc::new(Mutex::new(policy));
         let ops = sockets.operations.map(|(listener, at)| {
-            let (core, counters, limits, lifecycle) =
-                (core.clone(), counters.clone(), limits.clone(), lifecycle.clone());
+            let (core, counters, limits, lifecycle) = (
+                core.clone(),
+                counters.clone(),
+                limits.clone(),
+                lifecycle.clone(),
+            );
             let (policy, parsed) = (in_force.clone(), settings.clone());
-            let server = OperationsServer { core, counters, limits, lifecycle, state_writer, policy, parsed };
+            let server = OperationsServer {
+                core,
+                counters,
+                limits,
+                lifecycle,
+                state_writer,
+                policy,
+                parsed,
+            };
             tokio::spawn(operations::listen(listener, server));
             at
         });
@@ -173,7 +221,8 @@
         }
         self.put_in_force(&old, &config.parsed, policy).await;
         *self.used.lock().unwrap_or_else(PoisonError::into_inner) = config.values;
-        self.feed.send_if_modified(|at| std::mem::replace(at, config.feed) != config.feed);
+        self.feed
+            .send_if_modified(|at| std::mem::replace(at, config.feed) != config.feed);
         self.counters.reloads.up();
         eprintln!("magpiechute: follows the control feed at {}", config.feed);
     }
@@ -186,9 +235,14 @@
         if let Some(key) = missing {
             return Err(ConfigError(format!("configuration: {key} is missing")));
         }
-        let Some(path) = &self.operators.0 else { return Ok((config, Arc::default())) };
+        let Some(path) = &self.operators.0 else {
+            return Ok((config, Arc::default()));
+        };
         match file::load(path, &Known::of(&config.parsed)) {
-            Ok(loaded) => Ok((config, loaded.map(|l| Arc::new(l.policy)).unwrap_or_default())),
+            Ok(loaded) => Ok((
+                config,
+                loaded.map(|l| Arc::new(l.policy)).unwrap_or_default(),
+            )),
             Err(faults) => {
                 self.counters.file_refused.up();
                 Err(ConfigError(faults.to_string()))
@@ -199,7 +253,9 @@
     /// Swaps settings and policy in one step: nothing comes between the fronts' settings and the core's place in its
     /// mailbox, so that what came under the old ones is taken under them, and what comes next under the new.
     async fn put_in_force(&self, old: &Parsed, new: &Parsed, policy: Arc<Policy>) {
-        let Some(place) = self.core.place().await else { return };
+        let Some(place) = self.core.place().await else {
+            return;
+        };
         let settings = (*old != *new).then(|| Box::new(new.settings.clone()));
         if settings.is_some() {
             for class in &new.classes {
@@ -208,7 +264,11 @@
             self.parsed.send_replace(Arc::new(new.clone()));
             eprintln!("magpiechute: goes by new settings");
         }
-        *self.operators.1.lock().unwrap_or_else(PoisonError::into_inner) = policy.clone();
+        *self
+            .operators
+            .1
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = policy.clone();
         place.send(Input::Settings { settings, policy });
         if self.operators.0.as_ref().is_some_and(|p| p.exists()) {
             self.counters.file_loads.up();
@@ -218,7 +278,8 @@
     /// Asks for the end: from now on it says that it is not fit.
     pub fn stop(&self) {
         let handed = self.handed;
-        self.lifecycle.set(|state| (state.ending, state.handed) = (true, handed));
+        self.lifecycle
+            .set(|state| (state.ending, state.handed) = (true, handed));
     }
 
     /// Ends as planned: goes on accepting and answering until the late arrivals are in and nothing is open. Where a
@@ -228,11 +289,29 @@
         let handed = self.lifecycle.now().handed;
         // Guard: the process is killed after the longest deadline, which counts as no longer than the bound here; what is
         // open then would have no answer.
-        let (most, spare) = if handed { self.limits.handed_end } else { self.limits.planned_end };
-        let longest = self.parsed.borrow().settings.classes.iter().map(|c| c.give_up_ms).fold(0.0, f64::max);
+        let (most, spare) = if handed {
+            self.limits.handed_end
+        } else {
+            self.limits.planned_end
+        };
+        let longest = self
+            .parsed
+            .borrow()
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.give_up_ms)
+            .fold(0.0, f64::max);
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
-        self.core.ends(self.core.now() + longest.min(millis(most)) + millis(spare)).await;
-        let late = Instant::now() + if handed { Duration::ZERO } else { self.limits.late_arrivals };
+        self.core
+            .ends(self.core.now() + longest.min(millis(most)) + millis(spare))
+            .await;
+        let late = Instant::now()
+            + if handed {
+                Duration::ZERO
+            } else {
+                self.limits.late_arrivals
+            };
         let mut answered = None;
         loop {
             sleep(Duration::from_millis(20)).await;
@@ -241,8 +320,11 @@
             let heard = !handed || self.counters.client_conns_open.get() == 0;
             // Guard: a client that takes none of its answers would keep the process until it is killed.
             let now = Instant::now();
-            answered = answered.filter(|_| open == 0).or((open == 0).then_some(now));
-            let untaken = answered.is_some_and(|since| now >= since.max(late) + self.limits.client_silence);
+            answered = answered
+                .filter(|_| open == 0)
+                .or((open == 0).then_some(now));
+            let untaken =
+                answered.is_some_and(|since| now >= since.max(late) + self.limits.client_silence);
             if now >= late && (owed == 0 && heard || untaken) {
                 return;
             }
@@ -281,23 +363,36 @@
             }
             None => None,
         };
-        Ok(Sockets { platform, flight, operations, agent })
+        Ok(Sockets {
+            platform,
+            flight,
+            operations,
+            agent,
+        })
     }
 }
 
 /// The folder of an upgrade, if there is one. Guard: without it this is a workload manager all the same, and knows of
 /// no other process.
-async fn open_store(config: &Config, limits: &Arc<Limits>, counters: &Arc<Counters>) -> Option<Store> {
+async fn open_store(
+    config: &Config,
+    limits: &Arc<Limits>,
+    counters: &Arc<Counters>,
+) -> Option<Store> {
     let folder = config.folder.as_ref()?;
     let opened = Store::open(folder, &config.name, limits.clone(), counters.clone()).await;
-    opened.inspect_err(|e| eprintln!("magpiechute: no state in {}: {e}", folder.display())).ok()
+    opened
+        .inspect_err(|e| eprintln!("magpiechute: no state in {}: {e}", folder.display()))
+        .ok()
 }
 
 /// The locks on order keys in that folder. Guard: without them the order of a key holds within this process alone.
 fn open_order_locks(config: &Config, counters: &Arc<Counters>) -> Option<Box<dyn OrderLocks>> {
     let folder = config.folder.as_ref()?;
     let opened = successor::order_locks(folder, &config.name, counters.clone());
-    opened.inspect_err(|e| eprintln!("magpiechute: no order locks in {}: {e}", folder.display())).ok()
+    opened
+        .inspect_err(|e| eprintln!("magpiechute: no order locks in {}: {e}", folder.display()))
+        .ok()
 }
 
 /// What only a start can change: the name of each setting, and whether the new configuration changes it.
@@ -307,12 +402,21 @@
     new: &Config,
 ) -> [(&'static str, bool); 3] {
     let of_connections = |p: &Parsed| {
-        (p.connect_timeout_ms, p.conn_idle_ms, p.streams_per_conn, p.max_open, p.settings.progress_ms)
+        (
+            p.connect_timeout_ms,
+            p.conn_idle_ms,
+            p.streams_per_conn,
+            p.max_open,
+            p.settings.progress_ms,
+        )
     };
     [
         ("listen", new.listen != *listen),
         ("limits", (new.sockets, new.memory_mb) != *machine),
-        ("settings of connections", of_connections(old) != of_connections(&new.parsed)),
+        (
+            "settings of connections",
+            of_connections(old) != of_connections(&new.parsed),
+        ),
     ]
 }
 
@@ -321,9 +425,16 @@
     let wrong = |e: String| ConfigError(format!("cannot listen on descriptor {fd}: {e}"));
     let mut options = UserOptions::default();
     options.sd_accept_ignore_environment = true;
-    let taken = Listener::bind(&ListenerAddress::FromFd(fd), &SystemOptions::default(), &options).await;
+    let taken = Listener::bind(
+        &ListenerAddress::FromFd(fd),
+        &SystemOptions::default(),
+        &options,
+    )
+    .await;
     let taken = taken.map_err(|e| wrong(e.to_string()))?;
-    let listener = taken.try_into_tcp_listener().map_err(|_| wrong("it is no TCP socket".to_owned()))?;
+    let listener = taken
+        .try_into_tcp_listener()
+        .map_err(|_| wrong("it is no TCP socket".to_owned()))?;
     let at = listener.local_addr().map_err(|e| wrong(e.to_string()))?;
     Ok((listener, at))
 }
--- a/src/operations.rs
+++ b/src/operations.rs
@@ -43,13 +43,19 @@
         // Guard: some connect and complete no call. They hold a place each, so the one that has been at it for
         // longest leaves: a call that is whole is answered within a moment, and no such one is still here.
         while callers.len() >= server.limits.ops_callers {
-            callers.pop_front().into_iter().for_each(|caller| caller.abort());
+            callers
+                .pop_front()
+                .into_iter()
+                .for_each(|caller| caller.abort());
             server.counters.ops_bad_calls.up();
         }
         let server = server.clone();
         callers.push_back(tokio::spawn(async move {
             // Guard: whoever stops halfway, or takes no answer, is left to himself in time.
-            if !matches!(timeout(server.limits.ops_call, server.serve(stream)).await, Ok(Ok(()))) {
+            if !matches!(
+                timeout(server.limits.ops_call, server.serve(stream)).await,
+                Ok(Ok(()))
+            ) {
                 server.counters.ops_bad_calls.up();
             }
         }));
@@ -75,7 +81,10 @@
                 break !line.is_empty();
             }
         };
-        let line = std::str::from_utf8(&line).ok().filter(|_| whole).map(str::trim);
+        let line = std::str::from_utf8(&line)
+            .ok()
+            .filter(|_| whole)
+            .map(str::trim);
         let answer = match line {
             Some(line) => self.answer(line).await,
             None => "400 no line that can be read\n".to_owned(),
@@ -94,7 +103,10 @@
     /// Says yes only once the module has it.
     async fn ban(&self, id: &str, out: bool) -> Result<(), &'static str> {
         let engine = engine_named(id).ok_or("no engine has such an id")?;
-        let mark = Mark { out, at: self.core.now() };
+        let mark = Mark {
+            out,
+            at: self.core.now(),
+        };
         if !self.core.ban(engine, out, mark.at, false).await {
             return Err("no such engine is known");
         }
@@ -112,12 +124,24 @@
         if member.is_some_and(|m| !parsed.tenants.iter().any(|t| t == m)) {
             return "400 no member has such a name\n".to_owned();
         }
-        let policy = self.policy.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let policy = self
+            .policy
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         let member = member.map_or(usize::MAX, |m| policy.member(m.as_bytes()));
-        let at = Where { class, member, front: Front::Platform, data_set: 0 };
+        let at = Where {
+            class,
+            member,
+            front: Front::Platform,
+            data_set: 0,
+        };
         let mut text = String::from("200 keys of attempts, their values and tables\n");
         for source in policy.explain(&at) {
-            text.push_str(&format!("{} {} {}\n", source.key, source.value, source.from));
+            text.push_str(&format!(
+                "{} {} {}\n",
+                source.key, source.value, source.from
+            ));
         }
         text + "EOF\n"
     }
--- a/src/rows.rs
+++ b/src/rows.rs
@@ -33,7 +33,11 @@
 /// A whole result as Flight messages, the schema first. Text becomes three columns of text.
 pub(crate) fn arrow(body: &Body) -> Result<Vec<FlightData>, Unfit> {
     if body.form == Form::Arrow {
-        return body.pieces.iter().map(|p| Ok(FlightData::decode(p.clone())?)).collect();
+        return body
+            .pieces
+            .iter()
+            .map(|p| Ok(FlightData::decode(p.clone())?))
+            .collect();
     }
     let text = body.pieces.concat();
     let text = std::str::from_utf8(&text).map_err(|_| Unfit)?;
@@ -42,9 +46,15 @@
         let mut cells = row.splitn(COLUMNS.len(), '\t');
         columns.iter_mut().for_each(|c| c.push(cells.next()));
     }
-    let fields: Vec<Field> = COLUMNS.iter().map(|name| Field::new(*name, DataType::Utf8, true)).collect();
+    let fields: Vec<Field> = COLUMNS
+        .iter()
+        .map(|name| Field::new(*name, DataType::Utf8, true))
+        .collect();
     let schema = Arc::new(Schema::new(fields));
-    let arrays = columns.into_iter().map(|c| Arc::new(StringArray::from(c)) as ArrayRef).collect();
+    let arrays = columns
+        .into_iter()
+        .map(|c| Arc::new(StringArray::from(c)) as ArrayRef)
+        .collect();
     let batch = RecordBatch::try_new(schema.clone(), arrays)?;
     Ok(batches_to_flight_data(&schema, [&batch])?)
 }
@@ -61,14 +71,22 @@
     let mut text = String::new();
     let options = FormatOptions::default();
     for batch in flight_data_to_batches(&data)? {
-        let columns: Result<Vec<_>, _> =
-            batch.columns().iter().map(|c| ArrayFormatter::try_new(c.as_ref(), &options)).collect();
+        let columns: Result<Vec<_>, _> = batch
+            .columns()
+            .iter()
+            .map(|c| ArrayFormatter::try_new(c.as_ref(), &options))
+            .collect();
         let columns = columns?;
         for row in 0..batch.num_rows() {
             for (i, column) in columns.iter().enumerate() {
                 text.push_str(if i > 0 { "\t" } else { "" });
                 // A tab or line feed in a cell would read as the end of it.
-                text.push_str(&column.value(row).try_to_string()?.replace(['\t', '\n'], " "));
+                text.push_str(
+                    &column
+                        .value(row)
+                        .try_to_string()?
+                        .replace(['\t', '\n'], " "),
+                );
             }
             text.push('\n');
         }
@@ -78,9 +96,18 @@
 
 /// The count of rows that an update changed; -1, as Flight SQL has it, where the engine did not tell.
 pub(crate) fn count(body: &Body) -> i64 {
-    let first = text(body).ok().and_then(|p| p.first().cloned()).unwrap_or_default();
-    let line = first.split(|b| *b == b'\n' || *b == b'\t').next().unwrap_or_default();
-    std::str::from_utf8(line).ok().and_then(|n| n.trim().parse().ok()).unwrap_or(-1)
+    let first = text(body)
+        .ok()
+        .and_then(|p| p.first().cloned())
+        .unwrap_or_default();
+    let line = first
+        .split(|b| *b == b'\n' || *b == b'\t')
+        .next()
+        .unwrap_or_default();
+    std::str::from_utf8(line)
+        .ok()
+        .and_then(|n| n.trim().parse().ok())
+        .unwrap_or(-1)
 }
 
 /// The body of an update's answer.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -206,7 +206,10 @@
 pub fn parse(text: &[u8]) -> Result<Parsed, String> {
     let s: Setup = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     // Guard: with no time, or no attempt at all, every request of the class would end at once.
-    if s.classes.iter().any(|c| c.give_up_ms <= 0.0 || c.promise_ms <= 0.0) {
+    if s.classes
+        .iter()
+        .any(|c| c.give_up_ms <= 0.0 || c.promise_ms <= 0.0)
+    {
         return Err("settings: a deadline that is not above 0".to_owned());
     }
     if s.limits.attempts_cap < 1.0 {
@@ -221,7 +224,9 @@
             ("by_key", "zone") => Effect::Keyed(DedupScope::Zone),
             ("by_key", "cell") => Effect::Keyed(DedupScope::Cell),
             (effect, scope) => {
-                return Err(format!("settings: class {i} has effect {effect:?}, scope {scope:?}"));
+                return Err(format!(
+                    "settings: class {i} has effect {effect:?}, scope {scope:?}"
+                ));
             }
         };
         classes.push(Class {
@@ -243,9 +248,11 @@
     let g = &s.guarantees;
     let extra = match (g.extra_free, g.further_ratio, g.extra_window_ms) {
         (None, None, _) => None,
-        (free, ratio, Some(window_ms)) => {
-            Some(ExtraBudget { free: free.unwrap_or(0.0), ratio: ratio.unwrap_or(0.0), window_ms })
-        }
+        (free, ratio, Some(window_ms)) => Some(ExtraBudget {
+            free: free.unwrap_or(0.0),
+            ratio: ratio.unwrap_or(0.0),
+            window_ms,
+        }),
         _ => return Err("settings: a budget of further attempts without its window".to_owned()),
     };
     let reports = match s.report.how.as_str() {
@@ -253,11 +260,24 @@
         "on_probe" => ReportMode::OnProbe,
         _ => ReportMode::Off,
     };
-    let largest = s.specifics.kind_memory_mb.iter().copied().fold(0.0, f64::max);
+    let largest = s
+        .specifics
+        .kind_memory_mb
+        .iter()
+        .copied()
+        .fold(0.0, f64::max);
     let grant_mb = largest * s.specifics.max_grant_share.clamp(0.0, 1.0);
     let names: Vec<String> = s.classes.iter().map(|c| c.name.clone()).collect();
-    let named = |(name, class): (&String, &Class)| Named { name: name.clone(), class: class.clone() };
-    let classes_named = names.iter().zip(&classes).map(named).map(Arc::new).collect();
+    let named = |(name, class): (&String, &Class)| Named {
+        name: name.clone(),
+        class: class.clone(),
+    };
+    let classes_named = names
+        .iter()
+        .zip(&classes)
+        .map(named)
+        .map(Arc::new)
+        .collect();
     let settings = Settings {
         instances: s.n_instances,
         ordinal: s.ordinal,
@@ -273,7 +293,11 @@
         attempts_cap: s.limits.attempts_cap as u32,
         may_cancel: s.limits.cancel,
         may_probe: s.limits.may_probe,
-        max_hold_off_ms: if s.limits.retry_after { s.limits.max_retry_after_ms } else { 0.0 },
+        max_hold_off_ms: if s.limits.retry_after {
+            s.limits.max_retry_after_ms
+        } else {
+            0.0
+        },
         reports,
         cold_share: g.cold_share,
         cold_ms: g.cold_ms,
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -53,7 +53,11 @@
             signal_hook::low_level::pipe::register(*signal, OwnedFd::from(writer.try_clone()?))?;
         }
         let pipe = pipe::Receiver::from_owned_fd(OwnedFd::from(reader))?;
-        Ok(Signals { pipe, flags, pending: [false; 4] })
+        Ok(Signals {
+            pipe,
+            flags,
+            pending: [false; 4],
+        })
     }
 
     /// The next signal heard. Errors: the pipe can no longer be read, which leaves the program deaf to signals.
@@ -66,7 +70,10 @@
             }
             let read = self.pipe.read(&mut bytes).await?;
             if read == 0 {
-                return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "the pipe of signals closed"));
+                return Err(io::Error::new(
+                    io::ErrorKind::UnexpectedEof,
+                    "the pipe of signals closed",
+                ));
             }
             // Guard: empty the pipe before the flags, so that a signal that comes in between wakes us again.
             while let Ok(more) = self.pipe.try_read(&mut bytes) {
--- a/src/signals/tests.rs
+++ b/src/signals/tests.rs
@@ -7,7 +7,9 @@
 
 async fn next(signals: &mut Signals) -> Heard {
     let bound = Duration::from_secs(10);
-    let heard = tokio::time::timeout(bound, signals.next()).await.expect("a signal within the bound");
+    let heard = tokio::time::timeout(bound, signals.next())
+        .await
+        .expect("a signal within the bound");
     heard.expect("the pipe of signals")
 }
 
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -38,7 +38,13 @@
         counters: Arc<Counters>,
         limits: Arc<Limits>,
     ) -> Agent {
-        Agent { community, name, counters, limits, start: Instant::now() }
+        Agent {
+            community,
+            name,
+            counters,
+            limits,
+            start: Instant::now(),
+        }
     }
 
     /// Answers until the program ends.
@@ -46,7 +52,9 @@
         let mut buffer = vec![0; self.limits.snmp_bytes];
         loop {
             // An error here is a peer's ICMP message about an earlier answer.
-            let Ok((len, from)) = socket.recv_from(&mut buffer).await else { continue };
+            let Ok((len, from)) = socket.recv_from(&mut buffer).await else {
+                continue;
+            };
             match self.answer(&buffer[..len]) {
                 Some(answer) => {
                     self.counters.snmp_answered.up();
@@ -68,14 +76,24 @@
         let view = self.view();
         let response = match message.data {
             Pdus::GetRequest(GetRequest(pdu)) => {
-                let bindings = pdu.variable_bindings.into_iter().map(|b| get(&view, b.name)).collect();
+                let bindings = pdu
+                    .variable_bindings
+                    .into_iter()
+                    .map(|b| get(&view, b.name))
+                    .collect();
                 good(pdu.request_id, bindings)
             }
             Pdus::GetNextRequest(GetNextRequest(pdu)) => {
-                let bindings = pdu.variable_bindings.iter().map(|b| next(&view, &b.name)).collect();
+                let bindings = pdu
+                    .variable_bindings
+                    .iter()
+                    .map(|b| next(&view, &b.name))
+                    .collect();
                 good(pdu.request_id, bindings)
             }
-            Pdus::GetBulkRequest(GetBulkRequest(bulk)) => good(bulk.request_id, self.bulk(&view, &bulk)),
+            Pdus::GetBulkRequest(GetBulkRequest(bulk)) => {
+                good(bulk.request_id, self.bulk(&view, &bulk))
+            }
             Pdus::SetRequest(SetRequest(pdu)) => Pdu {
                 error_status: Pdu::ERROR_STATUS_NOT_WRITABLE,
                 error_index: u32::from(!pdu.variable_bindings.is_empty()),
@@ -86,7 +104,12 @@
         let request_id = response.request_id;
         let encode = |data: Pdu| {
             let (version, community) = (message.version.clone(), message.community.clone());
-            rasn::ber::encode(&Message { version, community, data: Response(data) }).ok()
+            rasn::ber::encode(&Message {
+                version,
+                community,
+                data: Response(data),
+            })
+            .ok()
         };
         let whole = encode(response)?;
         if whole.len() <= self.limits.snmp_bytes {
@@ -102,7 +125,8 @@
 
     /// Everything there is to read, in order.
     fn view(&self) -> BTreeMap<ObjectIdentifier, ObjectSyntax> {
-        let text = |t: &str| ObjectSyntax::Simple(SimpleSyntax::String(t.as_bytes().to_vec().into()));
+        let text =
+            |t: &str| ObjectSyntax::Simple(SimpleSyntax::String(t.as_bytes().to_vec().into()));
         let wide = ObjectSyntax::ApplicationWide;
         let ticks = (self.start.elapsed().as_millis() / 10) as u32;
         let mut view = BTreeMap::new();
@@ -110,34 +134,61 @@
             let arcs: Vec<u32> = base.iter().copied().chain([object, 0]).collect();
             view.insert(ObjectIdentifier::new_unchecked(arcs.into()), value);
         };
-        put(&SYSTEM, 1, text(concat!("magpiechute ", env!("CARGO_PKG_VERSION"), ", a workload manager")));
+        put(
+            &SYSTEM,
+            1,
+            text(concat!(
+                "magpiechute ",
+                env!("CARGO_PKG_VERSION"),
+                ", a workload manager"
+            )),
+        );
         let root = ObjectIdentifier::new_unchecked(ROOT.to_vec().into());
-        put(&SYSTEM, 2, ObjectSyntax::Simple(SimpleSyntax::ObjectId(root)));
+        put(
+            &SYSTEM,
+            2,
+            ObjectSyntax::Simple(SimpleSyntax::ObjectId(root)),
+        );
         put(&SYSTEM, 3, wide(ApplicationSyntax::Ticks(TimeTicks(ticks))));
         put(&SYSTEM, 5, text(&self.name));
         for (object, (name, value)) in (1..).zip(self.counters.all()) {
             let value = match is_gauge(name) {
-                true => ApplicationSyntax::Unsigned(Gauge(u32::try_from(value).unwrap_or(u32::MAX))),
+                true => {
+                    ApplicationSyntax::Unsigned(Gauge(u32::try_from(value).unwrap_or(u32::MAX)))
+                }
                 false => ApplicationSyntax::BigCounter(Counter64(value)),
             };
             put(&ROOT, object, wide(value));
         }
         let mut cell = |column: u32, row: u32, value| {
-            let arcs: Vec<u32> = ROOT.iter().copied().chain([CLASSES, 1, column, row]).collect();
+            let arcs: Vec<u32> = ROOT
+                .iter()
+                .copied()
+                .chain([CLASSES, 1, column, row])
+                .collect();
             view.insert(ObjectIdentifier::new_unchecked(arcs.into()), value);
         };
         for (row, (name, ends)) in (1..).zip(self.counters.classes()) {
             cell(2, row, text(&name));
             for (column, value) in (3..).zip(ends) {
-                cell(column, row, wide(ApplicationSyntax::BigCounter(Counter64(value))));
+                cell(
+                    column,
+                    row,
+                    wide(ApplicationSyntax::BigCounter(Counter64(value))),
+                );
             }
         }
         view
     }
 
-    fn bulk(&self, view: &BTreeMap<ObjectIdentifier, ObjectSyntax>, bulk: &BulkPdu) -> Vec<VarBind> {
-        let (single, repeated) =
-            bulk.variable_bindings.split_at((bulk.non_repeaters as usize).min(bulk.variable_bindings.len()));
+    fn bulk(
+        &self,
+        view: &BTreeMap<ObjectIdentifier, ObjectSyntax>,
+        bulk: &BulkPdu,
+    ) -> Vec<VarBind> {
+        let (single, repeated) = bulk
+            .variable_bindings
+            .split_at((bulk.non_repeaters as usize).min(bulk.variable_bindings.len()));
         let mut found: Vec<VarBind> = single.iter().map(|b| next(view, &b.name)).collect();
         let mut row: Vec<ObjectIdentifier> = repeated.iter().map(|b| b.name.clone()).collect();
         for _ in 0..bulk.max_repetitions {
@@ -158,14 +209,21 @@
 }
 
 fn good(request_id: i32, variable_bindings: Vec<VarBind>) -> Pdu {
-    Pdu { request_id, error_status: Pdu::ERROR_STATUS_NO_ERROR, error_index: 0, variable_bindings }
+    Pdu {
+        request_id,
+        error_status: Pdu::ERROR_STATUS_NO_ERROR,
+        error_index: 0,
+        variable_bindings,
+    }
 }
 
 fn get(view: &BTreeMap<ObjectIdentifier, ObjectSyntax>, name: ObjectIdentifier) -> VarBind {
     let value = match view.get(&name) {
         Some(value) => VarBindValue::Value(value.clone()),
         // An object that is there, asked for under another instance than its only one.
-        None if view.keys().any(|k| name.starts_with(&k[..k.len() - 1])) => VarBindValue::NoSuchInstance,
+        None if view.keys().any(|k| name.starts_with(&k[..k.len() - 1])) => {
+            VarBindValue::NoSuchInstance
+        }
         None => VarBindValue::NoSuchObject,
     };
     VarBind { name, value }
@@ -174,8 +232,14 @@
 fn next(view: &BTreeMap<ObjectIdentifier, ObjectSyntax>, after: &ObjectIdentifier) -> VarBind {
     let beyond = (std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded);
     match view.range::<ObjectIdentifier, _>(beyond).next() {
-        Some((name, value)) => VarBind { name: name.clone(), value: VarBindValue::Value(value.clone()) },
-        None => VarBind { name: after.clone(), value: VarBindValue::EndOfMibView },
+        Some((name, value)) => VarBind {
+            name: name.clone(),
+            value: VarBindValue::Value(value.clone()),
+        },
+        None => VarBind {
+            name: after.clone(),
+            value: VarBindValue::EndOfMibView,
+        },
     }
 }
 
--- a/src/snmp/tests.rs
+++ b/src/snmp/tests.rs
@@ -7,16 +7,35 @@
 fn the_mib_file_tells_what_the_agent_has() {
     let mib = include_str!("../../mibs/MAGPIECHUTE-MIB.txt");
     let mut objects = Vec::new();
-    let counters = mib.split("mcClassTable OBJECT-TYPE").next().unwrap_or_default();
+    let counters = mib
+        .split("mcClassTable OBJECT-TYPE")
+        .next()
+        .unwrap_or_default();
     for part in counters.split(" OBJECT-TYPE\n").skip(1) {
-        let word = |after: &str| part.split(after).nth(1).and_then(|t| t.split_whitespace().next());
+        let word = |after: &str| {
+            part.split(after)
+                .nth(1)
+                .and_then(|t| t.split_whitespace().next())
+        };
         objects.push((word("SYNTAX"), word("::= { magpiechute")));
     }
-    let names: Vec<String> = Counters::default().all().iter().map(|(n, _)| n.replace('_', "")).collect();
+    let names: Vec<String> = Counters::default()
+        .all()
+        .iter()
+        .map(|(n, _)| n.replace('_', ""))
+        .collect();
     for (i, (name, _)) in Counters::default().all().iter().enumerate() {
-        let syntax = if is_gauge(name) { "Gauge32" } else { "Counter64" };
+        let syntax = if is_gauge(name) {
+            "Gauge32"
+        } else {
+            "Counter64"
+        };
         let number = (i + 1).to_string();
-        assert_eq!(objects.get(i), Some(&(Some(syntax), Some(number.as_str()))), "{name}");
+        assert_eq!(
+            objects.get(i),
+            Some(&(Some(syntax), Some(number.as_str()))),
+            "{name}"
+        );
         let object = format!("\nmc{} object-type", names[i]);
         assert!(mib.to_lowercase().contains(&object), "{object}");
     }
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -9,9 +9,15 @@
     while let Some(word) = words.next() {
         if let Word::Name(name) = word {
             let mut look = Words { sql, at: words.at };
-            let qualified = look.next() == Some(Word::Dot) && matches!(look.next(), Some(Word::Name(_)));
-            let number = if qualified && before != Word::Dot { group(name) } else { None };
-            let table = matches!(before, Word::Name(w) if TABLE.iter().any(|t| w.eq_ignore_ascii_case(t)));
+            let qualified =
+                look.next() == Some(Word::Dot) && matches!(look.next(), Some(Word::Name(_)));
+            let number = if qualified && before != Word::Dot {
+                group(name)
+            } else {
+                None
+            };
+            let table =
+                matches!(before, Word::Name(w) if TABLE.iter().any(|t| w.eq_ignore_ascii_case(t)));
             match number {
                 Some(n) if table => return Some(n),
                 Some(n) => any = any.or(Some(n)),
@@ -24,7 +30,9 @@
 }
 
 /// Words that a table's name follows.
-const TABLE: [&[u8]; 8] = [b"from", b"join", b"into", b"update", b"table", b"only", b"copy", b"using"];
+const TABLE: [&[u8]; 8] = [
+    b"from", b"join", b"into", b"update", b"table", b"only", b"copy", b"using",
+];
 
 /// Whether a statement reads only: told by its first word, and where that opens a list of common tables, by
 /// there being no word that changes any.
@@ -48,7 +56,8 @@
     }
     let at = schema.iter().rposition(|b| *b == b'_')?;
     let digits = &schema[at + 1..];
-    let fine = at > 0 && !digits.is_empty() && digits.len() <= 9 && digits.iter().all(u8::is_ascii_digit);
+    let fine =
+        at > 0 && !digits.is_empty() && digits.len() <= 9 && digits.iter().all(u8::is_ascii_digit);
     fine.then(|| digits.iter().fold(0, |n, d| n * 10 + u32::from(d - b'0')))
 }
 
@@ -133,14 +142,18 @@
                 }
                 b if b.is_ascii_whitespace() => self.at += 1,
                 b if b == b'_' || b.is_ascii_alphabetic() || b >= 0x80 => {
-                    let name = |b: &u8| *b == b'_' || *b == b'$' || b.is_ascii_alphanumeric() || *b >= 0x80;
+                    let name = |b: &u8| {
+                        *b == b'_' || *b == b'$' || b.is_ascii_alphanumeric() || *b >= 0x80
+                    };
                     let long = rest.iter().position(|b| !name(b)).unwrap_or(rest.len());
                     self.at += long;
                     return Some(Word::Name(&rest[..long]));
                 }
                 b if b.is_ascii_digit() => {
                     // A number with its fraction is one word: its dot qualifies nothing.
-                    let long = rest.iter().position(|b| !(b.is_ascii_alphanumeric() || *b == b'.'));
+                    let long = rest
+                        .iter()
+                        .position(|b| !(b.is_ascii_alphanumeric() || *b == b'.'));
                     self.at += long.unwrap_or(rest.len());
                     return Some(Word::Other);
                 }
--- a/src/sql/tests.rs
+++ b/src/sql/tests.rs
@@ -6,7 +6,10 @@
 #[rstest]
 #[case::plain("SELECT a FROM sales_17.orders", Some(17))]
 #[case::strings("SELECT 'x_1.y' FROM a_2.b -- c_3.d", Some(2))]
-#[case::comment("/* c_9.d /* e_8.f */ */ INSERT INTO lic_4.log SELECT * FROM staging.rows", Some(4))]
+#[case::comment(
+    "/* c_9.d /* e_8.f */ */ INSERT INTO lic_4.log SELECT * FROM staging.rows",
+    Some(4)
+)]
 #[case::doubled("SELECT 'it''s a_1.b' FROM \"lic_5\".\"log\"", Some(5))]
 #[case::alias("SELECT t_9.a FROM lic_6.log t_9", Some(6))]
 #[case::staging("SELECT * FROM staging.rows_7", None)]
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -41,7 +41,10 @@
 
 impl From<&Settings> for Membership {
     fn from(settings: &Settings) -> Membership {
-        Membership { instances: settings.instances, ordinal: settings.ordinal }
+        Membership {
+            instances: settings.instances,
+            ordinal: settings.ordinal,
+        }
     }
 }
 
@@ -137,7 +140,8 @@
     /// How many engines are to be held: capacity for this manager's share with head-room, and no more than the cost of
     /// a decision allows, but for that share.
     pub fn size(&self) -> usize {
-        let share = (SHARE_HEADROOM * self.ready()).div_ceil(self.membership.instances.max(1) as usize);
+        let share =
+            (SHARE_HEADROOM * self.ready()).div_ceil(self.membership.instances.max(1) as usize);
         self.ready().min(self.most_whole.max(share))
     }
 
@@ -149,12 +153,26 @@
         }
         let mut held = self.walk(self.arcs());
         if (held.len() as f64) < FEWEST * self.size() as f64 {
-            held = self.walk(Arcs { longest: f64::INFINITY, ..self.arcs() });
+            held = self.walk(Arcs {
+                longest: f64::INFINITY,
+                ..self.arcs()
+            });
         }
         let (mean, most) = self.holders(held.len());
-        let places: BTreeMap<EngineId, u32> =
-            held.into_iter().map(|engine| (engine, self.place(engine))).collect();
-        let member = |(engine, place): (&EngineId, &u32)| (*engine, Holders { mean, most, place: *place });
+        let places: BTreeMap<EngineId, u32> = held
+            .into_iter()
+            .map(|engine| (engine, self.place(engine)))
+            .collect();
+        let member = |(engine, place): (&EngineId, &u32)| {
+            (
+                *engine,
+                Holders {
+                    mean,
+                    most,
+                    place: *place,
+                },
+            )
+        };
         let members = places.iter().map(member).collect();
         self.places = places;
         Some(members)
@@ -163,7 +181,11 @@
     fn arcs(&self) -> Arcs {
         let share = self.size() as f64 / self.ready().max(1) as f64;
         let arc = share * RING as f64;
-        Arcs { share, shortest: SHORTEST_ARC * arc, longest: LONGEST_ARC * arc }
+        Arcs {
+            share,
+            shortest: SHORTEST_ARC * arc,
+            longest: LONGEST_ARC * arc,
+        }
     }
 
     /// The next engines of every ring: as many as its part of the list allows, but all on the shortest arc and none
@@ -173,7 +195,11 @@
         let start = (from, EngineId::default());
         let mut held = Vec::new();
         for (zone, ring) in &self.rings {
-            let number = rounded(arcs.share * ring.len() as f64, self.membership.ordinal, *zone);
+            let number = rounded(
+                arcs.share * ring.len() as f64,
+                self.membership.ordinal,
+                *zone,
+            );
             let clockwise = ring.range(start..).chain(ring.range(..start));
             let taken = clockwise.enumerate().take_while(|(i, (position, _))| {
                 let distance = f64::from(position.wrapping_sub(from));
@@ -192,7 +218,8 @@
         let mean = ((mean.max(1.0).log2() * MEAN_STEPS).round() / MEAN_STEPS).exp2();
         let on_arc = instances * self.arcs().share * LONGEST_ARC;
         let nearly_whole = self.ready() as f64 <= NEARLY_WHOLE * self.most_whole as f64;
-        let most = (on_arc * VIEW_MARGIN + ARC_EXCESS).ceil() * if nearly_whole { 2.0 } else { 1.0 };
+        let most =
+            (on_arc * VIEW_MARGIN + ARC_EXCESS).ceil() * if nearly_whole { 2.0 } else { 1.0 };
         let most = (most as u32).checked_next_power_of_two().unwrap_or(1 << 31);
         (mean, most)
     }
--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -10,12 +10,21 @@
 /// So many engines with ids that a seed spreads, in zones of equal size.
 fn list(engines: u32, zones: u8, seed: u32) -> Listed {
     let id = |n: u32| engine_id(n.wrapping_mul(0x9E37_79B1) ^ seed);
-    (0..engines).map(|n| (id(n), (n % u32::from(zones)) as u8)).collect()
+    (0..engines)
+        .map(|n| (id(n), (n % u32::from(zones)) as u8))
+        .collect()
 }
 
 fn subset(most_whole: usize, instances: u32, list: &[(EngineId, u8)]) -> Subset {
-    let mut subset = Subset::new(most_whole, Membership { instances, ordinal: 0 });
-    list.iter().for_each(|(engine, zone)| subset.set(*engine, Some(*zone)));
+    let mut subset = Subset::new(
+        most_whole,
+        Membership {
+            instances,
+            ordinal: 0,
+        },
+    );
+    list.iter()
+        .for_each(|(engine, zone)| subset.set(*engine, Some(*zone)));
     subset
 }
 
@@ -23,7 +32,10 @@
 fn held_by(subset: &Subset, ordinals: impl IntoIterator<Item = u32>) -> Vec<Members> {
     let mut own = subset.clone();
     let held = |ordinal| {
-        own.set_membership(Membership { ordinal, ..own.membership });
+        own.set_membership(Membership {
+            ordinal,
+            ..own.membership
+        });
         own.members().expect("a long list")
     };
     ordinals.into_iter().map(held).collect()
@@ -34,7 +46,8 @@
 }
 
 fn holders_of(held: &[Members], list: &[(EngineId, u8)]) -> HashMap<EngineId, Vec<Holders>> {
-    let mut holders: HashMap<EngineId, Vec<Holders>> = list.iter().map(|(e, _)| (*e, Vec::new())).collect();
+    let mut holders: HashMap<EngineId, Vec<Holders>> =
+        list.iter().map(|(e, _)| (*e, Vec::new())).collect();
     for (engine, entry) in held.iter().flatten() {
         holders.get_mut(engine).expect("listed").push(*entry);
     }
@@ -43,7 +56,8 @@
 
 /// Places that differ between two states of one manager: of what it gained and lost, the larger number.
 fn moved(before: &Members, after: &Members) -> usize {
-    let lacks = |a: &Members, b: &Members| a.keys().filter(|engine| !b.contains_key(engine)).count();
+    let lacks =
+        |a: &Members, b: &Members| a.keys().filter(|engine| !b.contains_key(engine)).count();
     lacks(before, after).max(lacks(after, before))
 }
 
@@ -52,7 +66,11 @@
 fn which_lists_are_taken_whole() {
     let size = |engines, instances| {
         let mut one = subset(512, instances, &list(engines, 3, 7));
-        (one.size(), one.members().map_or(engines as usize, |members| members.len()))
+        (
+            one.size(),
+            one.members()
+                .map_or(engines as usize, |members| members.len()),
+        )
     };
     assert_eq!(size(80, 100), (80, 80));
     assert_eq!(size(512, 3700), (512, 512));
@@ -63,7 +81,10 @@
     let (wanted, held) = size(4096, 3700);
     assert!(wanted == 512 && (430..=520).contains(&held), "{held}");
     let (wanted, held) = size(4096, 16);
-    assert!(wanted == 1024 && (960..=1030).contains(&held), "four shares of the list: {held}");
+    assert!(
+        wanted == 1024 && (960..=1030).contains(&held),
+        "four shares of the list: {held}"
+    );
 }
 
 /// At a quarter of the fleet's size, with as many holders an engine: their number, and the zones of the subsets.
@@ -77,13 +98,23 @@
     let mean = numbers.iter().sum::<usize>() as f64 / 5500.0;
     let ratio = *most.expect("engines") as f64 / mean;
     assert!(ratio <= 1.15, "most against mean {ratio:.3}");
-    assert!(*least.expect("engines") as f64 >= 0.45 * mean, "{least:?} of {mean:.1}");
+    assert!(
+        *least.expect("engines") as f64 >= 0.45 * mean,
+        "{least:?} of {mean:.1}"
+    );
     let zones: HashMap<EngineId, u8> = list.iter().copied().collect();
     for members in &held {
         assert!((430..=520).contains(&members.len()), "{}", members.len());
         for zone in 0..14 {
-            let places = members.keys().filter(|engine| zones[*engine] == zone).count();
-            assert!(places <= 44, "zone {zone} has {places} of {}, its part is 36.6", members.len());
+            let places = members
+                .keys()
+                .filter(|engine| zones[*engine] == zone)
+                .count();
+            assert!(
+                places <= 44,
+                "zone {zone} has {places} of {}, its part is 36.6",
+                members.len()
+            );
         }
     }
 }
@@ -111,11 +142,20 @@
             newly += usize::from(after.contains_key(&successor));
         }
     }
-    assert!((120..=380).contains(&held) && (120..=380).contains(&newly), "{held} and {newly} in three plays");
+    assert!(
+        (120..=380).contains(&held) && (120..=380).contains(&newly),
+        "{held} and {newly} in three plays"
+    );
     for instances in [924, 926] {
         let mut other = fleet.clone();
-        other.set_membership(Membership { instances, ordinal: 0 });
-        let stay = all_held(&other).iter().zip(&before).all(|(now, before)| moved(before, now) == 0);
+        other.set_membership(Membership {
+            instances,
+            ordinal: 0,
+        });
+        let stay = all_held(&other)
+            .iter()
+            .zip(&before)
+            .all(|(now, before)| moved(before, now) == 0);
         assert!(stay, "{instances}");
     }
 }
@@ -127,10 +167,19 @@
     const IN_TURN: u32 = 3;
     let list = list(2200, 5, 3);
     for (keep, in_turn_most) in [(2200, 3), (2050, 3), (1980, 3), (1540, 6), (880, 6)] {
-        let views = [subset(128, 370, &list), subset(128, 370, &list[..keep])].map(|view| all_held(&view));
+        let views =
+            [subset(128, 370, &list), subset(128, 370, &list[..keep])].map(|view| all_held(&view));
         for (engine, _) in list[..keep].iter().step_by(61) {
-            let parts = |ordinal: usize| views.iter().filter_map(move |view| view[ordinal].get(engine));
-            let largest = |ordinal| parts(ordinal).map(|h| 1.0 / f64::from(h.most)).fold(0.0, f64::max);
+            let parts = |ordinal: usize| {
+                views
+                    .iter()
+                    .filter_map(move |view| view[ordinal].get(engine))
+            };
+            let largest = |ordinal| {
+                parts(ordinal)
+                    .map(|h| 1.0 / f64::from(h.most))
+                    .fold(0.0, f64::max)
+            };
             let sum: f64 = (0..370).map(largest).sum();
             assert!(sum <= 1.0, "{keep} of 2200: {sum}");
             for turn in 0..64 {
@@ -148,11 +197,24 @@
 fn ordinals_that_cannot_be() {
     let list = list(2200, 5, 4);
     let fleet = subset(128, 370, &list);
-    let over = Membership { instances: 370, ordinal: 370 };
-    assert!(over.out_of_range() && !Membership { ordinal: 369, ..over }.out_of_range());
+    let over = Membership {
+        instances: 370,
+        ordinal: 370,
+    };
+    assert!(
+        over.out_of_range()
+            && !Membership {
+                ordinal: 369,
+                ..over
+            }
+            .out_of_range()
+    );
     let mut held = all_held(&fleet);
     held.extend(held_by(&fleet, [370, 1 << 20, u32::MAX, 5]));
-    assert_eq!(held[5], held[373], "two managers with one ordinal hold the same");
+    assert_eq!(
+        held[5], held[373],
+        "two managers with one ordinal hold the same"
+    );
     for members in &held[370..] {
         assert!((80..=160).contains(&members.len()), "{}", members.len());
     }
@@ -169,14 +231,22 @@
     let list = list(2200, 1, 5);
     let mut own = subset(128, 370, &list);
     let before = own.members().expect("a long list");
-    assert!((120..=130).contains(&before.len()), "one zone: {}", before.len());
+    assert!(
+        (120..=130).contains(&before.len()),
+        "one zone: {}",
+        before.len()
+    );
     before.keys().for_each(|engine| own.set(*engine, None));
     let after = own.members().expect("a long list");
     assert!(before.keys().all(|engine| !after.contains_key(engine)));
     assert!((100..=140).contains(&after.len()), "{}", after.len());
     // The first of those that follow are the next on the ring.
     let last = before.keys().map(|e| position(*e)).max();
-    let next = list.iter().map(|(e, _)| position(*e)).filter(|at| Some(*at) > last).min();
+    let next = list
+        .iter()
+        .map(|(e, _)| position(*e))
+        .filter(|at| Some(*at) > last)
+        .min();
     assert!(after.keys().any(|engine| Some(position(*engine)) == next));
     list.iter().for_each(|(engine, _)| own.set(*engine, None));
     assert_eq!((own.members(), own.ready(), own.zones()), (None, 0, 0));
--- a/src/successor.rs
+++ b/src/successor.rs
@@ -73,7 +73,13 @@
         counters: Arc<Counters>,
     ) -> io::Result<Store> {
         let path = |what: &str| file_in(dir, name, what);
-        let open = |what| File::options().create(true).truncate(false).write(true).open(path(what));
+        let open = |what| {
+            File::options()
+                .create(true)
+                .truncate(false)
+                .write(true)
+                .open(path(what))
+        };
         let (lock, mut places) = (open("lock")?, vec![open("place-0")?, open("place-1")?]);
         let mut place = None;
         // A place may be tried for a moment by the process that holds the other one.
@@ -88,15 +94,27 @@
         let other = if place.is_some() { places.pop() } else { None };
         let (marks, news, seen) = Default::default();
         let (state, succeeds) = (path("state"), false);
-        let mut store =
-            Store { state, lock, _place: place, other, succeeds, marks, news, seen, limits, counters };
+        let mut store = Store {
+            state,
+            lock,
+            _place: place,
+            other,
+            succeeds,
+            marks,
+            news,
+            seen,
+            limits,
+            counters,
+        };
         store.succeeds = store.another();
         Ok(store)
     }
 
     /// Whether another process of this workload manager lives.
     pub(crate) fn another(&self) -> bool {
-        let Some(other) = &self.other else { return true };
+        let Some(other) = &self.other else {
+            return true;
+        };
         match other.try_lock() {
             Ok(()) => {
                 let _ = other.unlock();
@@ -116,7 +134,9 @@
     /// Reads the state if it has changed. Guard: whatever it holds, the program goes on; what cannot be read
     /// counts as none, and a time that has not come yet would outlast every later one.
     fn look(&mut self, now: Millis) {
-        let Ok(meta) = fs::metadata(&self.state) else { return };
+        let Ok(meta) = fs::metadata(&self.state) else {
+            return;
+        };
         let looks = (meta.ino(), meta.mtime(), meta.mtime_nsec(), meta.len());
         if self.seen.replace(looks) == Some(looks) {
             return;
@@ -161,7 +181,10 @@
         self.marks.retain(|_, m| m.out || mark.at - m.at < kept);
         if let Err(problem) = self.write() {
             self.counters.states_bad.up();
-            eprintln!("magpiechute: cannot write {}: {problem}", self.state.display());
+            eprintln!(
+                "magpiechute: cannot write {}: {problem}",
+                self.state.display()
+            );
         }
         if locked {
             let _ = self.lock.unlock();
@@ -170,8 +193,15 @@
 
     /// Replaces the state as a whole: a reader, or a start after a kill, finds the old one or the new one.
     fn write(&self) -> io::Result<()> {
-        let engines = self.marks.iter().map(|(engine, mark)| (engine_text(*engine), *mark)).collect();
-        let text = serde_json::to_vec(&Written { version: VERSION, engines })?;
+        let engines = self
+            .marks
+            .iter()
+            .map(|(engine, mark)| (engine_text(*engine), *mark))
+            .collect();
+        let text = serde_json::to_vec(&Written {
+            version: VERSION,
+            engines,
+        })?;
         let next = self.state.with_extension("next");
         fs::write(&next, text)?;
         fs::rename(&next, &self.state)
@@ -190,7 +220,10 @@
     name: &str,
     counters: Arc<Counters>,
 ) -> io::Result<Box<dyn OrderLocks>> {
-    Ok(Box::new(OrderLockFile::open(&file_in(dir, name, "order"), counters)?))
+    Ok(Box::new(OrderLockFile::open(
+        &file_in(dir, name, "order"),
+        counters,
+    )?))
 }
 
 /// Keeps this process and the other one of one mind until the program ends.
@@ -248,14 +281,25 @@
 impl StateWriter {
     pub(crate) fn new(limits: &Limits) -> (StateWriter, mpsc::Receiver<RecordRequest>) {
         let (said, mailbox) = mpsc::channel(limits.ops_callers);
-        (StateWriter { said, patience: limits.state_patience }, mailbox)
+        (
+            StateWriter {
+                said,
+                patience: limits.state_patience,
+            },
+            mailbox,
+        )
     }
 
     /// Records a call by hand; without a folder, or where that takes too long, it holds for this process alone.
     pub(crate) async fn record(&self, engine: EngineId, mark: Mark) {
         let (done, written) = oneshot::channel();
         let wait = async {
-            if self.said.send(RecordRequest { engine, mark, done }).await.is_ok() {
+            if self
+                .said
+                .send(RecordRequest { engine, mark, done })
+                .await
+                .is_ok()
+            {
                 let _ = written.await;
             }
         };
--- a/src/successor/order_locks.rs
+++ b/src/successor/order_locks.rs
@@ -41,11 +41,22 @@
 impl OrderLockFile {
     /// Opens the file and takes a place. Errors: the file cannot be opened or locked, or every place is taken.
     pub(crate) fn open(path: &Path, counters: Arc<Counters>) -> io::Result<OrderLockFile> {
-        let file = File::options().create(true).truncate(false).read(true).write(true).open(path)?;
+        let file = File::options()
+            .create(true)
+            .truncate(false)
+            .read(true)
+            .write(true)
+            .open(path)?;
         let first = i64::from(std::process::id()) % PLACES;
         for place in (0..PLACES).map(|n| (first + n) % PLACES) {
             if set(&file, libc::F_WRLCK, place)? {
-                let mut locks = OrderLockFile { file, place, held: 0, left_behind: 0, counters };
+                let mut locks = OrderLockFile {
+                    file,
+                    place,
+                    held: 0,
+                    left_behind: 0,
+                    counters,
+                };
                 // What the place's former process left is this one's to take note of.
                 let free = !locks.others();
                 locks.left_behind = locks.unclean(free);
@@ -53,16 +64,23 @@
                 return Ok(locks);
             }
         }
-        Err(io::Error::new(io::ErrorKind::AddrInUse, "every place for a process is taken"))
+        Err(io::Error::new(
+            io::ErrorKind::AddrInUse,
+            "every place for a process is taken",
+        ))
     }
 
     /// Those of these places whose last process may have held a key at its end.
     fn unclean(&self, places: Places) -> Places {
         let mut bytes = [0; PLACES as usize];
         let read = self.file.read_at(&mut bytes, 0).unwrap_or_default();
-        let unclean =
-            |place: usize| places >> place & 1 == 1 && !matches!(bytes[place], UNUSED | ENDED_CLEAN);
-        (0..read).filter(|place| unclean(*place)).map(|place| 1 << place).sum()
+        let unclean = |place: usize| {
+            places >> place & 1 == 1 && !matches!(bytes[place], UNUSED | ENDED_CLEAN)
+        };
+        (0..read)
+            .filter(|place| unclean(*place))
+            .map(|place| 1 << place)
+            .sum()
     }
 
     /// Adds to `found` the places from `first` up to `end` that other processes hold.
@@ -121,7 +139,9 @@
     fn drop(&mut self) {
         // Guard: what cannot be written leaves the byte as it is, and costs others a rest of their keys.
         let clean = |place: i64| _ = self.file.write_all_at(&[ENDED_CLEAN], place as u64);
-        for place in (0..PLACES).filter(|place| self.left_behind >> place & 1 == 1 && *place != self.place) {
+        for place in
+            (0..PLACES).filter(|place| self.left_behind >> place & 1 == 1 && *place != self.place)
+        {
             if matches!(set(&self.file, libc::F_WRLCK, place), Ok(true)) {
                 clean(place);
             }
@@ -148,7 +168,13 @@
 
 fn range(kind: libc::c_int, first: i64, length: i64) -> libc::flock {
     let (l_type, l_whence) = (kind as libc::c_short, libc::SEEK_SET as libc::c_short);
-    libc::flock { l_type, l_whence, l_start: first, l_len: length, l_pid: 0 }
+    libc::flock {
+        l_type,
+        l_whence,
+        l_start: first,
+        l_len: length,
+        l_pid: 0,
+    }
 }
 
 #[cfg(test)]
--- a/src/successor/order_locks/tests.rs
+++ b/src/successor/order_locks/tests.rs
@@ -5,7 +5,10 @@
 use std::path::PathBuf;
 
 fn file(name: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("magpiechute-test-{}-{name}.order", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "magpiechute-test-{}-{name}.order",
+        std::process::id()
+    ));
     let _ = fs::remove_file(&path);
     path
 }
@@ -34,7 +37,9 @@
 fn the_file_stays_small() {
     let path = file("small");
     let mut locks = open(&path);
-    let keys: Vec<OrderKey> = (0..1024u32).map(|n| OrderKey::new(&n.to_be_bytes())).collect();
+    let keys: Vec<OrderKey> = (0..1024u32)
+        .map(|n| OrderKey::new(&n.to_be_bytes()))
+        .collect();
     assert!(keys.iter().all(|key| locks.try_lock(*key)));
     assert!(fs::metadata(&path).expect("file").len() <= PLACES as u64);
     let mut other = open(&path);
@@ -86,7 +91,9 @@
     let path = file("spoilt");
     fs::write(&path, "?".repeat(1000)).expect("file");
     let mut locks = open(&path);
-    let nobodys = (0..PLACES).find(|place| *place != locks.place).expect("a place");
+    let nobodys = (0..PLACES)
+        .find(|place| *place != locks.place)
+        .expect("a place");
     assert!(locks.others() == 0 && locks.held_at_end(1 << nobodys) && locks.left_behind());
     assert!(locks.try_lock(key(1)));
     let _ = fs::remove_file(&path);
--- a/src/successor/tests.rs
+++ b/src/successor/tests.rs
@@ -5,8 +5,11 @@
 use rstest::rstest;
 
 async fn store(dir: &Path) -> Store {
-    let limits = crate::engines::EngineContext::for_tests(Handle::new(4, Default::default()).0).limits;
-    Store::open(dir, "n1", limits, Arc::default()).await.expect("store")
+    let limits =
+        crate::engines::EngineContext::for_tests(Handle::new(4, Default::default()).0).limits;
+    Store::open(dir, "n1", limits, Arc::default())
+        .await
+        .expect("store")
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -17,7 +20,9 @@
 }
 
 fn run<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     runtime.expect("runtime").block_on(test)
 }
 
@@ -44,7 +49,10 @@
         drop(new);
         let mut last = store(&dir).await;
         let held = last.news(400.0);
-        assert!(held.contains(&(engine_id(2), mark(true, 200.0))), "{held:?}");
+        assert!(
+            held.contains(&(engine_id(2), mark(true, 200.0))),
+            "{held:?}"
+        );
     });
     let _ = fs::remove_dir_all(&dir);
 }
@@ -53,13 +61,21 @@
 #[rstest]
 #[case::noise("noise", "\u{1}\u{2}", 0)]
 #[case::cut_short("cut", r#"{"version":1,"engines":{"s-00000001":{"out":tr"#, 0)]
-#[case::another_version("version", r#"{"version":9,"engines":{"s-00000001":{"out":true,"at":1.0}}}"#, 0)]
+#[case::another_version(
+    "version",
+    r#"{"version":9,"engines":{"s-00000001":{"out":true,"at":1.0}}}"#,
+    0
+)]
 #[case::not_engines(
     "names",
     r#"{"version":1,"engines":{"x":{"out":true,"at":1.0},"s-00000001":{"out":true,"at":1.0}}}"#,
     1
 )]
-#[case::not_yet("times", r#"{"version":1,"engines":{"s-00000001":{"out":true,"at":9e15}}}"#, 0)]
+#[case::not_yet(
+    "times",
+    r#"{"version":1,"engines":{"s-00000001":{"out":true,"at":9e15}}}"#,
+    0
+)]
 #[case::too_long("long", &" ".repeat(100_000), 0)]
 fn spoilt_state(#[case] name: &str, #[case] text: &str, #[case] sound: usize) {
     let dir = folder(name);
@@ -68,7 +84,15 @@
         let mut store = store(&dir).await;
         assert_eq!(store.news(100.0).len(), sound);
         assert_eq!(store.counters.states_bad.get(), 1);
-        store.record(engine_id(2), Mark { out: true, at: 200.0 }).await;
+        store
+            .record(
+                engine_id(2),
+                Mark {
+                    out: true,
+                    at: 200.0,
+                },
+            )
+            .await;
         assert!(store.news(200.0).is_empty() && store.counters.states_bad.get() == 1);
     });
     let _ = fs::remove_dir_all(&dir);
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -79,7 +79,11 @@
         record(4, &[(1, &8u16.to_le_bytes())]),
     ];
     let out = run(&batch(2000.0, 5, &records, &tail));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let sends: Vec<&[u8]> = out.stdout[12..].chunks(24).filter(|r| r[0] == 65).collect();
     assert_eq!(sends.len(), 1);
     assert_eq!(&sends[0][1..7], [3, 0, 77, 0, 0, 0]);
@@ -88,37 +92,58 @@
 
 #[test]
 fn bills_of_memory_come_back_as_a_grant() {
-    let specifics =
-        r#"{"specifics":{"bills":true,"takesGrants":true},"tenants":[{"quotaPerS":5}],"az":1,"nInst"#;
+    let specifics = r#"{"specifics":{"bills":true,"takesGrants":true},"tenants":[{"quotaPerS":5}],"az":1,"nInst"#;
     let setup = SETUP.replacen("{\"nInst", specifics, 1);
     let (tail, at, engine) = (tail_of(&setup), setup.len(), ENGINE);
-    let (lists, inventory) =
-        (record(2, &[(3, &[2])]), record(3, &[(1, &0u16.to_le_bytes()), (3, &span(at, 1))]));
+    let (lists, inventory) = (
+        record(2, &[(3, &[2])]),
+        record(3, &[(1, &0u16.to_le_bytes()), (3, &span(at, 1))]),
+    );
     let mut records = vec![start(&setup), inventory, lists];
     for id in 1..40u32 {
         let (due, estimate) = (9000f64.to_le_bytes(), 100f32.to_le_bytes());
-        records.push(record(11, &[(3, &id.to_le_bytes()), (18, &due), (34, &estimate)]));
+        records.push(record(
+            11,
+            &[(3, &id.to_le_bytes()), (18, &due), (34, &estimate)],
+        ));
         let (took, stats) = (50f64.to_le_bytes(), (50u32 << 12 | 75).to_le_bytes());
         let ok = 100u16.to_le_bytes();
-        let outcome =
-            [(3, &id.to_le_bytes()[..]), (7, &took), (15, &[1]), (16, &engine), (24, &stats), (28, &ok)];
+        let outcome = [
+            (3, &id.to_le_bytes()[..]),
+            (7, &took),
+            (15, &[1]),
+            (16, &engine),
+            (24, &stats),
+            (28, &ok),
+        ];
         records.push(record(9, &outcome));
     }
     let out = run(&batch(2000.0, 5, &records, &tail));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let terms: Vec<&[u8]> = out.stdout[12..].chunks(24).filter(|r| r[0] == 77).collect();
     let last = terms.last().expect("a grant once bills are known");
     assert_eq!(&last[1..7], [3, 0, 39, 0, 0, 0]);
     let granted = f32::from_le_bytes(last[7..11].try_into().unwrap());
-    assert!((250.0..500.0).contains(&granted), "needed 300 MB: {granted}");
+    assert!(
+        (250.0..500.0).contains(&granted),
+        "needed 300 MB: {granted}"
+    );
     assert_eq!(last[11], 1);
 }
 
 #[test]
 fn contradictory_settings_end_in_a_fault_with_the_reason() {
-    for (setup, reason) in
-        [("{}", "settings"), (&SETUP.replace("\"nInstances\":1", "\"nInstances\":0"), "instance")]
-    {
+    for (setup, reason) in [
+        ("{}", "settings"),
+        (
+            &SETUP.replace("\"nInstances\":1", "\"nInstances\":0"),
+            "instance",
+        ),
+    ] {
         let out = run(&batch(0.0, 1, &[start(setup)], setup.as_bytes()));
         assert!(out.status.success());
         assert_eq!(out.stdout[12], 74);
@@ -137,15 +162,27 @@
         (huge, "input ends"),
         (wrong_count, "batch 7"),
         (batch(f64::NAN, 3, &[], &[]), "clock"),
-        (batch(0.0, 4, &[record(99, &[])], &[]), "record 0: unknown event code 99"),
+        (
+            batch(0.0, 4, &[record(99, &[])], &[]),
+            "record 0: unknown event code 99",
+        ),
         (batch(0.0, 4, &[start(SETUP)], b"short"), "settings"),
-        (batch(0.0, 4, &[record(2, &[(12, &9u16.to_le_bytes())])], &[]), "list number 9"),
-        (batch(0.0, 4, &[record(9, &[(28, &55u16.to_le_bytes())])], &[]), "outcome 55"),
+        (
+            batch(0.0, 4, &[record(2, &[(12, &9u16.to_le_bytes())])], &[]),
+            "list number 9",
+        ),
+        (
+            batch(0.0, 4, &[record(9, &[(28, &55u16.to_le_bytes())])], &[]),
+            "outcome 55",
+        ),
     ];
     for (input, what) in cases {
         let out = run(&input);
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{what}");
-        assert!(text.lines().count() == 1 && text.contains(what), "{what}: {text}");
+        assert!(
+            text.lines().count() == 1 && text.contains(what),
+            "{what}: {text}"
+        );
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -41,12 +41,24 @@
 }
 
 pub fn engine(n: u8) -> EngineId {
-    EngineId { addr: [10, 0, 0, n], port: 8000 }
+    EngineId {
+        addr: [10, 0, 0, n],
+        port: 8000,
+    }
 }
 
 pub fn entry(n: u8, state: ListState, started_ms: f64) -> EngineEntry {
     let (zone, kind, cell) = (n % 2, u16::from(n / 2 % 2), u16::from(n % 3));
-    EngineEntry { engine: engine(n), zone, kind, cell, state, nominal: 8.0, started_ms, holders: None }
+    EngineEntry {
+        engine: engine(n),
+        zone,
+        kind,
+        cell,
+        state,
+        nominal: 8.0,
+        started_ms,
+        holders: None,
+    }
 }
 
 /// A gateway under test, with its clock.
@@ -57,10 +69,18 @@
 
 impl Rig {
     pub fn new(settings: Settings, engines: u8) -> Rig {
-        let mut rig = Rig { gateway: Gateway::new(settings, 7).expect("settings"), now: 1000.0 };
+        let mut rig = Rig {
+            gateway: Gateway::new(settings, 7).expect("settings"),
+            now: 1000.0,
+        };
         rig.event(Event::Started);
-        let entries = (0..engines).map(|n| entry(n, ListState::Ready, 0.0)).collect();
-        rig.event(Event::List { kind: ListKind::Cached, entries });
+        let entries = (0..engines)
+            .map(|n| entry(n, ListState::Ready, 0.0))
+            .collect();
+        rig.event(Event::List {
+            kind: ListKind::Cached,
+            entries,
+        });
         rig
     }
 
@@ -76,7 +96,10 @@
     }
 
     pub fn list(&mut self, entries: Vec<EngineEntry>) -> Vec<Action> {
-        self.event(Event::List { kind: ListKind::Delta, entries })
+        self.event(Event::List {
+            kind: ListKind::Delta,
+            entries,
+        })
     }
 
     pub fn request(&mut self, id: u32, class: usize, key: u64) -> Vec<Action> {
@@ -105,7 +128,13 @@
         }))
     }
 
-    pub fn ended(&mut self, id: u32, attempt: u16, engine: EngineId, outcome: Outcome) -> Vec<Action> {
+    pub fn ended(
+        &mut self,
+        id: u32,
+        attempt: u16,
+        engine: EngineId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         self.ended_after(id, attempt, engine, outcome, 100.0)
     }
 
@@ -134,8 +163,23 @@
 }
 
 /// A request of data set 7 with the given estimates.
-pub fn query(id: u32, class: usize, due_ms: f64, cost_ms: Option<f64>, memory_mb: Option<f64>) -> Event {
-    Event::Request(Request { id, class, key: 0, due_ms, cost_ms, dataset: 7, memory_mb, attempts_cap: None })
+pub fn query(
+    id: u32,
+    class: usize,
+    due_ms: f64,
+    cost_ms: Option<f64>,
+    memory_mb: Option<f64>,
+) -> Event {
+    Event::Request(Request {
+        id,
+        class,
+        key: 0,
+        due_ms,
+        cost_ms,
+        dataset: 7,
+        memory_mb,
+        attempts_cap: None,
+    })
 }
 
 /// A served attempt with its bill and report.
@@ -148,7 +192,17 @@
 ) -> Event {
     let (billed_ms, billed_mb) = (bill.map(|b| b.0), bill.map(|b| b.1));
     let (outcome, finished, attempt) = (Outcome::Ok, true, 0);
-    Event::Ended(Ended { id, attempt, engine, outcome, took_ms, finished, billed_ms, billed_mb, report })
+    Event::Ended(Ended {
+        id,
+        attempt,
+        engine,
+        outcome,
+        took_ms,
+        finished,
+        billed_ms,
+        billed_mb,
+        report,
+    })
 }
 
 /// Where a request was sent by these actions, if it was.
@@ -161,11 +215,19 @@
 
 /// Ids sent by these actions, in order.
 pub fn all_sent(actions: &[Action]) -> Vec<u32> {
-    let of = |a: &Action| if let Action::Send { id, .. } = a { Some(*id) } else { None };
+    let of = |a: &Action| {
+        if let Action::Send { id, .. } = a {
+            Some(*id)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(of).collect()
 }
 
 /// Whether these actions give the request its final answer.
 pub fn answered(actions: &[Action], id: u32) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } | Action::Fail { id: i } if *i == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { id: i, .. } | Action::Fail { id: i } if *i == id))
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -10,7 +10,11 @@
     let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     for next in 0..20 {
         rig.now += 20.0;
-        let outcome = if next % 3 == 0 { Outcome::Ok } else { Outcome::Reset };
+        let outcome = if next % 3 == 0 {
+            Outcome::Ok
+        } else {
+            Outcome::Reset
+        };
         let at = sent(&rig.request(next, 0, 0), next);
         assert_eq!(at, Some(engine(0)), "round {next}");
         let again = all_sent(&rig.ended(next, 0, engine(0), outcome));
@@ -32,7 +36,9 @@
     for id in 0..4 {
         actions.extend(rig.ended(id, 0, engine(0), Outcome::Reset));
     }
-    let back: Vec<u32> = (0..4).filter(|id| sent(&actions, *id) == Some(engine(0))).collect();
+    let back: Vec<u32> = (0..4)
+        .filter(|id| sent(&actions, *id) == Some(engine(0)))
+        .collect();
     for id in back {
         actions.extend(rig.ended(id, 1, engine(0), Outcome::NoConnection));
     }
@@ -44,7 +50,13 @@
 }
 
 fn rig_with_history(may_cancel: bool) -> Rig {
-    let mut rig = Rig::new(Settings { may_cancel, ..settings(vec![class(1, 1000.0, 1.0)]) }, 2);
+    let mut rig = Rig::new(
+        Settings {
+            may_cancel,
+            ..settings(vec![class(1, 1000.0, 1.0)])
+        },
+        2,
+    );
     for id in 0..100 {
         rig.now += 10.0;
         let at = sent(&rig.request(id, 0, 0), id).unwrap();
@@ -63,7 +75,11 @@
         let until = rig.now + ms;
         let mut calls = 0;
         while rig.now < until {
-            calls += rig.tick(50.0).iter().filter(|a| matches!(a, Action::Cancel { id: 500, .. })).count();
+            calls += rig
+                .tick(50.0)
+                .iter()
+                .filter(|a| matches!(a, Action::Cancel { id: 500, .. }))
+                .count();
         }
         calls
     };
@@ -77,7 +93,11 @@
     let mut rig = rig_with_history(false);
     rig.request_with(500, 0, 0, 20_000.0, Some(120.0));
     for _ in 0..100 {
-        assert!(!rig.tick(50.0).iter().any(|a| matches!(a, Action::Cancel { .. })));
+        assert!(
+            !rig.tick(50.0)
+                .iter()
+                .any(|a| matches!(a, Action::Cancel { .. }))
+        );
     }
 }
 
@@ -96,11 +116,17 @@
     rig.now += 5000.0;
     assert!(sent(&rig.request(1, 0, 0), 1).is_some());
     let down = rig.ended(1, 0, engine(0), Outcome::NoConnection);
-    assert!(down.iter().any(|a| matches!(a, Action::Log { line } if line.contains("state=down"))));
+    assert!(
+        down.iter()
+            .any(|a| matches!(a, Action::Log { line } if line.contains("state=down")))
+    );
 }
 
 fn probes(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Probe { .. }))
+        .count()
 }
 
 /// Probes follow a gateway's own traffic, however large the fleet; a request waits for those sent for it.
@@ -118,7 +144,10 @@
         rig.now += 200.0;
         let asked = rig.request(id, 0, 0);
         count += probes(&asked);
-        assert!(probes(&asked) == 0 || all_sent(&asked).is_empty(), "waits for its probes");
+        assert!(
+            probes(&asked) == 0 || all_sent(&asked).is_empty(),
+            "waits for its probes"
+        );
         let tick = rig.tick(50.0);
         count += probes(&tick);
         sends += all_sent(&tick).len();
@@ -128,7 +157,10 @@
         }
     }
     assert!(sends >= 95, "none waits for a lost probe: {sends}");
-    assert!((50..=220).contains(&count), "{count} probes for 100 requests");
+    assert!(
+        (50..=220).contains(&count),
+        "{count} probes for 100 requests"
+    );
 }
 
 /// A bad plan shows in its progress: it is called off and sent again; one at the usual pace is left alone.
@@ -138,10 +170,24 @@
     rig.request_with(500, 0, 0, 20_000.0, Some(400.0));
     rig.request_with(501, 0, 0, 20_000.0, Some(400.0));
     rig.now += 500.0;
-    let usual = rig.event(Event::Note { id: 500, attempt: 0, note: Note::Progress(0.9) });
-    let bad = rig.event(Event::Note { id: 501, attempt: 0, note: Note::Progress(0.02) });
+    let usual = rig.event(Event::Note {
+        id: 500,
+        attempt: 0,
+        note: Note::Progress(0.9),
+    });
+    let bad = rig.event(Event::Note {
+        id: 501,
+        attempt: 0,
+        note: Note::Progress(0.02),
+    });
     assert!(usual.is_empty());
-    assert_eq!(bad, vec![Action::Cancel { id: 501, attempt: 0 }]);
+    assert_eq!(
+        bad,
+        vec![Action::Cancel {
+            id: 501,
+            attempt: 0
+        }]
+    );
 }
 
 /// An engine that answers again may have restarted before the list says so: it is taken as cold for a while.
@@ -151,13 +197,24 @@
     let at = engine(0);
     for _ in 0..3 {
         let report = LoadReport::default();
-        rig.event(Event::Probed { engine: at, outcome: Outcome::NoConnection, took_ms: 250.0, report });
+        rig.event(Event::Probed {
+            engine: at,
+            outcome: Outcome::NoConnection,
+            took_ms: 250.0,
+            report,
+        });
     }
     assert_eq!(sent(&rig.request(1, 0, 0), 1), None, "shut");
     let report = LoadReport::default();
-    rig.event(Event::Probed { engine: at, outcome: Outcome::Ok, took_ms: 1.0, report });
-    let sent: usize =
-        (10..60).map(|id| all_sent(&rig.request_with(id, 0, 0, 3000.0, Some(200.0))).len()).sum();
+    rig.event(Event::Probed {
+        engine: at,
+        outcome: Outcome::Ok,
+        took_ms: 1.0,
+        report,
+    });
+    let sent: usize = (10..60)
+        .map(|id| all_sent(&rig.request_with(id, 0, 0, 3000.0, Some(200.0))).len())
+        .sum();
     assert!((1..16).contains(&sent), "{sent} sent at once");
 }
 
@@ -176,9 +233,17 @@
     for id in 4..40 {
         rig.request_with(id, 0, 0, 5000.0, Some(5.0));
     }
-    let report = LoadReport { busy: Some(1.0), ..LoadReport::default() };
+    let report = LoadReport {
+        busy: Some(1.0),
+        ..LoadReport::default()
+    };
     for _ in 0..20 {
-        rig.event(Event::Probed { engine: engine(0), outcome: Outcome::Ok, took_ms: 1.0, report });
+        rig.event(Event::Probed {
+            engine: engine(0),
+            outcome: Outcome::Ok,
+            took_ms: 1.0,
+            report,
+        });
     }
     rig.request_with(50, 0, 0, 5000.0, Some(5.0));
     let late = rig.request_with(51, 0, 0, 900.0, Some(5.0));
@@ -190,54 +255,99 @@
 fn log_lines_have_one_form() {
     let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     let mut lines = Vec::new();
-    for outcome in [Outcome::NoConnection, Outcome::NoConnection, Outcome::NoConnection, Outcome::Ok] {
+    for outcome in [
+        Outcome::NoConnection,
+        Outcome::NoConnection,
+        Outcome::NoConnection,
+        Outcome::Ok,
+    ] {
         let report = LoadReport::default();
-        for a in rig.event(Event::Probed { engine: engine(0), outcome, took_ms: 1.0, report }) {
+        for a in rig.event(Event::Probed {
+            engine: engine(0),
+            outcome,
+            took_ms: 1.0,
+            report,
+        }) {
             if let Action::Log { line } = a {
                 lines.push(line);
             }
         }
     }
-    let expected =
-        ["engine=10.0.0.0:8000 state=down why=probe", "engine=10.0.0.0:8000 state=back why=answered"];
+    let expected = [
+        "engine=10.0.0.0:8000 state=down why=probe",
+        "engine=10.0.0.0:8000 state=back why=answered",
+    ];
     assert_eq!(lines, expected);
 }
 
 fn two_engines(report_0: LoadReport, report_1: LoadReport) -> Vec<EngineId> {
-    let mut rig = Rig::new(Settings { instances: 50, ..settings(vec![class(1, 2000.0, 1.0)]) }, 2);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 50,
+            ..settings(vec![class(1, 2000.0, 1.0)])
+        },
+        2,
+    );
     for (n, report) in [(0, report_0), (1, report_1)] {
         for _ in 0..5 {
             let (outcome, took_ms) = (Outcome::Ok, 1.0);
-            rig.event(Event::Probed { engine: engine(n), outcome, took_ms, report });
+            rig.event(Event::Probed {
+                engine: engine(n),
+                outcome,
+                took_ms,
+                report,
+            });
         }
     }
-    (0..3).filter_map(|id| sent(&rig.request(id, 0, 0), id)).collect()
+    (0..3)
+        .filter_map(|id| sent(&rig.request(id, 0, 0), id))
+        .collect()
 }
 
 /// cd0a4abb: reports that hold busy cores only were read as an empty fleet.
 #[test]
 fn busy_cores_stand_in_for_a_count_of_queries() {
-    let busy = |b| LoadReport { busy: Some(b), ..LoadReport::default() };
+    let busy = |b| LoadReport {
+        busy: Some(b),
+        ..LoadReport::default()
+    };
     let at = two_engines(busy(0.8), busy(0.2));
-    assert!(!at.is_empty() && at.iter().all(|e| *e == engine(1)), "{at:?}");
+    assert!(
+        !at.is_empty() && at.iter().all(|e| *e == engine(1)),
+        "{at:?}"
+    );
 }
 
 /// 29742104: hung engines looked idle by their cores and drew six times the mean; their memory told.
 #[test]
 fn an_engine_whose_memory_is_granted_is_not_free() {
-    let report =
-        |busy, granted| LoadReport { busy: Some(busy), granted: Some(granted), ..LoadReport::default() };
+    let report = |busy, granted| LoadReport {
+        busy: Some(busy),
+        granted: Some(granted),
+        ..LoadReport::default()
+    };
     let at = two_engines(report(0.06, 2.4), report(0.6, 0.5));
-    assert!(!at.is_empty() && at.iter().all(|e| *e == engine(1)), "{at:?}");
+    assert!(
+        !at.is_empty() && at.iter().all(|e| *e == engine(1)),
+        "{at:?}"
+    );
 }
 
 /// 1b174d5d: cores idle over what waits for memory, and its engine drew on.
 #[test]
 fn a_wait_for_memory_marks_its_engine_as_crowded() {
-    let large = Settings { instances: 50, reports: ReportMode::Off, ..settings(vec![class(1, 2000.0, 1.0)]) };
+    let large = Settings {
+        instances: 50,
+        reports: ReportMode::Off,
+        ..settings(vec![class(1, 2000.0, 1.0)])
+    };
     let mut rig = Rig::new(large, 2);
     let at = sent(&rig.request(1, 0, 0), 1).unwrap();
-    rig.event(Event::Note { id: 1, attempt: 0, note: Note::WaitsForMemory });
+    rig.event(Event::Note {
+        id: 1,
+        attempt: 0,
+        note: Note::WaitsForMemory,
+    });
     for id in 2..5 {
         assert_ne!(sent(&rig.request(id, 0, 0), id), Some(at));
     }
@@ -246,11 +356,19 @@
 /// 04dbf6b8: with no reports a hot data set sank the four engines that its hash prefers.
 #[test]
 fn with_no_reports_a_data_set_has_no_home() {
-    let large = Settings { instances: 50, reports: ReportMode::Off, ..settings(vec![class(1, 2000.0, 1.0)]) };
+    let large = Settings {
+        instances: 50,
+        reports: ReportMode::Off,
+        ..settings(vec![class(1, 2000.0, 1.0)])
+    };
     let mut rig = Rig::new(large, 20);
     let mut seen = std::collections::BTreeSet::new();
     for id in 0..40 {
-        let at = sent(&rig.event(query(id, 0, rig.now + 9000.0, Some(50.0), None)), id).unwrap();
+        let at = sent(
+            &rig.event(query(id, 0, rig.now + 9000.0, Some(50.0), None)),
+            id,
+        )
+        .unwrap();
         seen.insert(at);
         rig.now += 50.0;
         rig.event(served(id, at, 50.0, None, LoadReport::default()));
@@ -262,12 +380,30 @@
 #[test]
 fn what_may_run_once_is_never_called_off() {
     for (effect, cancels) in [(Effect::Once, false), (Effect::Repeatable, true)] {
-        let load = Class { effect, loads: true, ..class(2, 1000.0, 7.0) };
-        let mut rig = Rig::new(Settings { progress_ms: 500.0, ..settings(vec![load]) }, 2);
+        let load = Class {
+            effect,
+            loads: true,
+            ..class(2, 1000.0, 7.0)
+        };
+        let mut rig = Rig::new(
+            Settings {
+                progress_ms: 500.0,
+                ..settings(vec![load])
+            },
+            2,
+        );
         rig.event(query(1, 0, rig.now + 5000.0, Some(1000.0), None));
         rig.now += 2000.0;
-        let acts = rig.event(Event::Note { id: 1, attempt: 0, note: Note::Progress(0.02) });
-        assert_eq!(acts.iter().any(|a| matches!(a, Action::Cancel { .. })), cancels, "{effect:?}");
+        let acts = rig.event(Event::Note {
+            id: 1,
+            attempt: 0,
+            note: Note::Progress(0.02),
+        });
+        assert_eq!(
+            acts.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            cancels,
+            "{effect:?}"
+        );
         rig.now += 2000.0;
         let acts = rig.tick(0.0);
         assert!(cancels || !acts.iter().any(|a| matches!(a, Action::Cancel { .. })));
@@ -277,13 +413,27 @@
 /// dc0943b2: readers of a data set stood still behind loads of it.
 #[test]
 fn a_load_and_the_readers_of_its_data_set_go_apart() {
-    let reader = Class { waits: true, ..class(1, 2000.0, 1.0) };
-    let load = Class { effect: Effect::Once, loads: true, ..class(1, 2000.0, 7.0) };
+    let reader = Class {
+        waits: true,
+        ..class(1, 2000.0, 1.0)
+    };
+    let load = Class {
+        effect: Effect::Once,
+        loads: true,
+        ..class(1, 2000.0, 7.0)
+    };
     let mut rig = Rig::new(settings(vec![reader, load]), 12);
-    let mut at = [std::collections::BTreeSet::new(), std::collections::BTreeSet::new()];
+    let mut at = [
+        std::collections::BTreeSet::new(),
+        std::collections::BTreeSet::new(),
+    ];
     for id in 0..8 {
         let kind = id as usize % 2;
-        let to = sent(&rig.event(query(id, kind, rig.now + 9000.0, Some(100.0), None)), id).unwrap();
+        let to = sent(
+            &rig.event(query(id, kind, rig.now + 9000.0, Some(100.0), None)),
+            id,
+        )
+        .unwrap();
         at[kind].insert(to);
     }
     assert!(at[0].is_disjoint(&at[1]), "{at:?}");
@@ -292,10 +442,20 @@
 /// 86789ebb: where nothing stands still behind loads, parting them only crowds a quarter of the engines.
 #[test]
 fn loads_that_none_wait_for_may_go_anywhere() {
-    let load = Class { effect: Effect::Once, loads: true, ..class(2, 9000.0, 7.0) };
+    let load = Class {
+        effect: Effect::Once,
+        loads: true,
+        ..class(2, 9000.0, 7.0)
+    };
     let mut rig = Rig::new(settings(vec![load]), 12);
     let at: std::collections::BTreeSet<_> = (0..10)
-        .map(|id| sent(&rig.event(query(id, 0, rig.now + 30_000.0, Some(100.0), None)), id).unwrap())
+        .map(|id| {
+            sent(
+                &rig.event(query(id, 0, rig.now + 30_000.0, Some(100.0), None)),
+                id,
+            )
+            .unwrap()
+        })
         .collect();
     assert!(at.len() > 6, "{} engines", at.len());
 }
@@ -310,8 +470,12 @@
     }
     rig.event(query(99, 0, rig.now + 9000.0, Some(1000.0), None));
     let early = rig.tick(1200.0);
-    assert!(!early.contains(&Action::Cancel { id: 99, attempt: 0 }), "not before its time");
-    rig.tick(1800.0).contains(&Action::Cancel { id: 99, attempt: 0 })
+    assert!(
+        !early.contains(&Action::Cancel { id: 99, attempt: 0 }),
+        "not before its time"
+    );
+    rig.tick(1800.0)
+        .contains(&Action::Cancel { id: 99, attempt: 0 })
 }
 
 /// 55af276f: bad plans held their threads 14 to 25 times too long where nothing tells progress. 0f513397: where
@@ -326,12 +490,24 @@
 #[test]
 fn a_grant_follows_what_bills_show_of_the_estimates() {
     for takes_grants in [true, false] {
-        let mut rig = Rig::new(Settings { takes_grants, ..settings(vec![class(1, 2000.0, 1.0)]) }, 2);
+        let mut rig = Rig::new(
+            Settings {
+                takes_grants,
+                ..settings(vec![class(1, 2000.0, 1.0)])
+            },
+            2,
+        );
         for id in 0..60 {
             let acts = rig.event(query(id, 0, rig.now + 9000.0, Some(100.0), Some(100.0)));
             let at = sent(&acts, id).unwrap();
             rig.now += 100.0;
-            rig.event(served(id, at, 100.0, Some((100.0, 300.0)), LoadReport::default()));
+            rig.event(served(
+                id,
+                at,
+                100.0,
+                Some((100.0, 300.0)),
+                LoadReport::default(),
+            ));
         }
         let acts = rig.event(query(99, 0, rig.now + 9000.0, Some(100.0), Some(200.0)));
         let grant = acts.iter().find_map(|a| match a {
@@ -339,7 +515,10 @@
             _ => None,
         });
         assert_eq!(grant.is_some(), takes_grants);
-        assert!(grant.is_none_or(|mb| (550.0..1200.0).contains(&mb)), "{grant:?}");
+        assert!(
+            grant.is_none_or(|mb| (550.0..1200.0).contains(&mb)),
+            "{grant:?}"
+        );
     }
 }
 
@@ -347,15 +526,30 @@
 #[test]
 fn a_busy_gateway_has_a_larger_share_where_quotas_tell() {
     let held = |tenant_quotas| {
-        let large = Settings { instances: 50, tenant_quotas, ..settings(vec![class(1, 9000.0, 1.0)]) };
+        let large = Settings {
+            instances: 50,
+            tenant_quotas,
+            ..settings(vec![class(1, 9000.0, 1.0)])
+        };
         let mut rig = Rig::new(large, 10);
         for n in 0..10 {
-            let report = LoadReport { inflight: Some(40.0), busy: Some(1.0), ..LoadReport::default() };
+            let report = LoadReport {
+                inflight: Some(40.0),
+                busy: Some(1.0),
+                ..LoadReport::default()
+            };
             let (outcome, took_ms) = (Outcome::Ok, 1.0);
-            rig.event(Event::Probed { engine: engine(n), outcome, took_ms, report });
+            rig.event(Event::Probed {
+                engine: engine(n),
+                outcome,
+                took_ms,
+                report,
+            });
         }
         rig.tick(50.0);
-        (0..12).filter(|id| sent(&rig.request(*id, 0, 0), *id).is_some()).count()
+        (0..12)
+            .filter(|id| sent(&rig.request(*id, 0, 0), *id).is_some())
+            .count()
     };
     assert!(held(vec![50.0]) > held(Vec::new()) + 2);
 }
@@ -364,7 +558,12 @@
 #[test]
 fn an_equal_engine_in_the_own_zone_wins_where_crossing_costs() {
     let base = settings(vec![class(1, 2000.0, 1.0)]);
-    let zoned = Settings { zone: 1, crossing_price: 0.04, reports: ReportMode::Off, ..base };
+    let zoned = Settings {
+        zone: 1,
+        crossing_price: 0.04,
+        reports: ReportMode::Off,
+        ..base
+    };
     let mut rig = Rig::new(zoned, 6);
     for id in 0..2 {
         let EngineId { addr, .. } = sent(&rig.request(id, 0, 0), id).unwrap();
@@ -380,7 +579,13 @@
     for id in 0..20 {
         rig.event(query(id, 0, rig.now + 9000.0, Some(10.0), None));
     }
-    assert_eq!(sent(&rig.event(query(90, 0, rig.now + 60_000.0, Some(9000.0), None)), 90), None);
+    assert_eq!(
+        sent(
+            &rig.event(query(90, 0, rig.now + 60_000.0, Some(9000.0), None)),
+            90
+        ),
+        None
+    );
 }
 
 /// e34509af: an engine answered each query with an error at once, looked free and drew the traffic: a third of all
@@ -401,14 +606,20 @@
             }
             failed += u32::from(!bad);
             let next = rig.ended_after(id, attempt, at, Outcome::Error, 1.0);
-            assert!(attempt < 2 || answered(&next, id) && bad, "{id} has had three engines");
+            assert!(
+                attempt < 2 || answered(&next, id) && bad,
+                "{id} has had three engines"
+            );
             nonsense += u32::from(answered(&next, id));
             let Some(engine) = sent(&next, id) else { break };
             at = engine;
         }
     }
     assert!(failed < 10, "{failed} went to the engine that fails");
-    assert!(nonsense == 20, "{nonsense} of the requests that nobody can serve were answered");
+    assert!(
+        nonsense == 20,
+        "{nonsense} of the requests that nobody can serve were answered"
+    );
 }
 
 /// Estimates of requests that no engine serves move nothing: a client sent some of 10^8 ms, and the means followed.
@@ -422,12 +633,19 @@
         rig.ended(id, 0, engine(1), Outcome::Cancelled);
     }
     // A usual query that finds no engine is still held, as one that could be served in time.
-    rig.list(vec![entry(0, ListState::Draining, 0.0), entry(1, ListState::Draining, 0.0)]);
+    rig.list(vec![
+        entry(0, ListState::Draining, 0.0),
+        entry(1, ListState::Draining, 0.0),
+    ]);
     assert!(!answered(&rig.request_with(2000, 0, 0, 900.0, None), 2000));
 }
 
 fn load_class() -> Class {
-    Class { loads: true, effect: Effect::Once, ..class(2, 3000.0, 30.0) }
+    Class {
+        loads: true,
+        effect: Effect::Once,
+        ..class(2, 3000.0, 30.0)
+    }
 }
 
 /// 405ee808: one load in eight was late, having stood still on its engine behind another one of its data set.
@@ -438,8 +656,16 @@
         assert_eq!(sent(&rig.request(id, 0, 0), id), Some(engine(0)));
     }
     rig.list(vec![entry(1, ListState::Ready, 0.0)]);
-    assert_eq!(sent(&rig.request(3, 1, 0), 3), Some(engine(1)), "the emptier one");
-    assert_eq!(sent(&rig.request(6, 1, 0), 6), Some(engine(0)), "not behind the load of this data set");
+    assert_eq!(
+        sent(&rig.request(3, 1, 0), 3),
+        Some(engine(1)),
+        "the emptier one"
+    );
+    assert_eq!(
+        sent(&rig.request(6, 1, 0), 6),
+        Some(engine(0)),
+        "not behind the load of this data set"
+    );
 }
 
 /// The same between gateways, which cannot see each other's loads: a hash that they share keeps them apart.
@@ -447,11 +673,17 @@
 fn gateways_keep_their_loads_of_a_data_set_apart() {
     let choice = |ordinal: u32, id: u32| {
         let kind_cores = vec![8.0, 8.0];
-        let set = Settings { instances: 3, ordinal, kind_cores, ..settings(vec![load_class()]) };
+        let set = Settings {
+            instances: 3,
+            ordinal,
+            kind_cores,
+            ..settings(vec![load_class()])
+        };
         let mut rig = Rig::new(set, 12);
         sent(&rig.request(id, 0, 0), id).expect("an engine")
     };
-    let met = (0..3).filter(|id| choice(0, *id) == choice(1, *id) || choice(1, *id) == choice(2, *id));
+    let met =
+        (0..3).filter(|id| choice(0, *id) == choice(1, *id) || choice(1, *id) == choice(2, *id));
     // A warm engine may still be worth a meeting; without the guard all three meet.
     assert!(met.count() <= 1, "data sets whose loads met");
 }
@@ -460,13 +692,18 @@
 #[test]
 fn an_engine_taken_out_stays_out_whatever_the_list_says() {
     let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
-    let ban = |out, at| Event::Ban { engine: engine(0), out, at };
+    let ban = |out, at| Event::Ban {
+        engine: engine(0),
+        out,
+        at,
+    };
     rig.event(ban(true, 1000.0));
     let mut next = 0;
     let mut ask = |rig: &mut Rig| {
         next += 1;
         let to = sent(&rig.request(next, 0, 0), next);
-        to.into_iter().for_each(|at| drop(rig.ended(next, 0, at, Outcome::Ok)));
+        to.into_iter()
+            .for_each(|at| drop(rig.ended(next, 0, at, Outcome::Ok)));
         to
     };
     for change in [
@@ -480,21 +717,33 @@
         assert!((0..20).all(|_| ask(&mut rig) == Some(engine(1))));
     }
     rig.list(vec![entry(1, ListState::Draining, 0.0)]);
-    assert_eq!(ask(&mut rig), None, "better none than one that was taken out");
+    assert_eq!(
+        ask(&mut rig),
+        None,
+        "better none than one that was taken out"
+    );
     rig.now = 60_000.0;
     let back = ban(false, rig.now);
     rig.event(back);
     assert_eq!(rig.gateway.avoided(), 0);
     // Cold by the guard for fresh engines: a burst of queries is not let through at once, one comes soon.
-    let sent_at_once = (5000..5100).filter(|id| sent(&rig.request(*id, 0, 0), *id).is_some()).count();
-    assert!((1..60).contains(&sent_at_once), "{sent_at_once} sent to an engine just back");
+    let sent_at_once = (5000..5100)
+        .filter(|id| sent(&rig.request(*id, 0, 0), *id).is_some())
+        .count();
+    assert!(
+        (1..60).contains(&sent_at_once),
+        "{sent_at_once} sent to an engine just back"
+    );
 }
 
 /// Guard: new settings move classes about; a request under way goes by the class that it came with, and what was
 /// learned of a class stays with its name.
 #[test]
 fn new_settings_find_classes_by_name() {
-    let once = Class { effect: Effect::Once, ..class(1, 1000.0, 1.0) };
+    let once = Class {
+        effect: Effect::Once,
+        ..class(1, 1000.0, 1.0)
+    };
     let named = |classes: Vec<(&str, Class)>| Settings {
         names: classes.iter().map(|(name, _)| (*name).to_owned()).collect(),
         ..settings(classes.into_iter().map(|(_, class)| class).collect())
@@ -510,8 +759,15 @@
         "a load that may have run, whatever is in its place"
     );
     let at = sent(&rig.request(2, 1, 0), 2).expect("an engine");
-    assert!(sent(&rig.ended(2, 0, at, Outcome::Reset), 2).is_some(), "a query goes again");
-    assert_eq!(rig.gateway.settings().names, ["b", "a", "load"], "kept while it was under way");
+    assert!(
+        sent(&rig.ended(2, 0, at, Outcome::Reset), 2).is_some(),
+        "a query goes again"
+    );
+    assert_eq!(
+        rig.gateway.settings().names,
+        ["b", "a", "load"],
+        "kept while it was under way"
+    );
     rig.event(Event::Settings(Box::new(old)));
     assert_eq!(rig.gateway.settings().names, ["a", "load"], "and no longer");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,9 +9,16 @@
 /// So many gateways of one fleet, each with its place in it.
 fn fleet(instances: u32, classes: &[Class]) -> Vec<Rig> {
     let one = |ordinal: u32| {
-        let large = Settings { instances, ordinal, ..settings(classes.to_vec()) };
+        let large = Settings {
+            instances,
+            ordinal,
+            ..settings(classes.to_vec())
+        };
         let seed = u64::from(ordinal) * 7919 + 3;
-        let mut rig = Rig { gateway: Gateway::new(large, seed).expect("settings"), now: 1000.0 };
+        let mut rig = Rig {
+            gateway: Gateway::new(large, seed).expect("settings"),
+            now: 1000.0,
+        };
         rig.event(Event::Started);
         rig
     };
@@ -20,7 +27,11 @@
 
 /// Work sent within a window from then on.
 fn within(sends: &[(f64, f64)], from: f64, window: f64) -> f64 {
-    sends.iter().filter(|(t, _)| (from..from + window).contains(t)).map(|(_, w)| w).sum()
+    sends
+        .iter()
+        .filter(|(t, _)| (from..from + window).contains(t))
+        .map(|(_, w)| w)
+        .sum()
 }
 
 /// The cold budget at size: over many gateways' seeds the sum stays under the rule, and the engine does warm up.
@@ -83,18 +94,33 @@
 fn a_light_query_of_a_heavy_class_passes_the_cold_budget() {
     let mut rig = Rig::new(settings(vec![class(3, 6000.0, 1.0)]), 0); // usually 9,000 ms of work
     rig.list(vec![entry(0, ListState::Ready, rig.now)]);
-    assert_eq!(sent(&rig.request_with(1, 0, 0, 9000.0, Some(300.0)), 1), Some(engine(0)));
-    assert_eq!(sent(&rig.request_with(2, 0, 0, 9000.0, Some(9000.0)), 2), None);
+    assert_eq!(
+        sent(&rig.request_with(1, 0, 0, 9000.0, Some(300.0)), 1),
+        Some(engine(0))
+    );
+    assert_eq!(
+        sent(&rig.request_with(2, 0, 0, 9000.0, Some(9000.0)), 2),
+        None
+    );
 }
 
 /// What has just started is not taken to be as crowded as those that were there before it.
 #[test]
 fn an_engine_that_just_started_is_not_thought_as_crowded_as_the_rest() {
-    let mut rig = Rig::new(Settings { instances: 2, ..settings(vec![class(1, 1000.0, 1.0)]) }, 3);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 2,
+            ..settings(vec![class(1, 1000.0, 1.0)])
+        },
+        3,
+    );
     for id in 0..60 {
         rig.now += 20.0;
         let at = sent(&rig.request(id, 0, 0), id).expect("an engine");
-        let report = LoadReport { inflight: Some(60.0), ..LoadReport::default() };
+        let report = LoadReport {
+            inflight: Some(60.0),
+            ..LoadReport::default()
+        };
         rig.event(served(id, at, 150.0, Some((100.0, 8.0)), report));
     }
     rig.list(vec![entry(4, ListState::Ready, rig.now - 500.0)]);
@@ -108,18 +134,31 @@
 #[test]
 fn answers_of_cold_engines_do_not_hide_that_the_rest_drown() {
     let classes = vec![class(1, 1000.0, 1.0), class(3, 1000.0, 20.0)];
-    let mut rig = Rig::new(Settings { instances: MANY, ..settings(classes) }, 3);
+    let mut rig = Rig::new(
+        Settings {
+            instances: MANY,
+            ..settings(classes)
+        },
+        3,
+    );
     let mut quick = 0;
     for id in 0..240 {
         if id == 40 {
-            rig.list((3..15).map(|n| entry(n, ListState::Ready, rig.now - 500.0)).collect());
+            rig.list(
+                (3..15)
+                    .map(|n| entry(n, ListState::Ready, rig.now - 500.0))
+                    .collect(),
+            );
         }
         rig.now += 25.0;
         let at = sent(&rig.request_with(id, 0, 0, 4000.0, Some(5.0)), id).expect("an engine");
         let cold = at.addr[3] >= 3;
         quick += u32::from(cold);
         let (took, inflight) = if cold { (6.0, 1.0) } else { (30.0, 48.0) };
-        let report = LoadReport { inflight: Some(inflight), ..LoadReport::default() };
+        let report = LoadReport {
+            inflight: Some(inflight),
+            ..LoadReport::default()
+        };
         rig.event(served(id, at, took, Some((5.0, 8.0)), report));
     }
     assert!(quick > 150, "{quick} to the cold ones");
@@ -133,11 +172,23 @@
 /// serves every class: six in ten engines are replaced at once, the newcomers cold, and nothing is refused.
 #[test]
 fn every_class_is_served_by_one_manager_and_by_one_of_a_thousand() {
-    let at = |n: u16| EngineId { addr: [10, 0, (n >> 8) as u8, n as u8], port: 8000 };
-    let line = |n: u16, state, started_ms| EngineEntry { engine: at(n), ..entry(n as u8, state, started_ms) };
+    let at = |n: u16| EngineId {
+        addr: [10, 0, (n >> 8) as u8, n as u8],
+        port: 8000,
+    };
+    let line = |n: u16, state, started_ms| EngineEntry {
+        engine: at(n),
+        ..entry(n as u8, state, started_ms)
+    };
     for instances in [1, 350, 1024] {
         let classes = vec![class(1, 1000.0, 1.0), class(3, 5000.0, 20.0)];
-        let mut rig = Rig::new(Settings { instances, ..settings(classes) }, 0);
+        let mut rig = Rig::new(
+            Settings {
+                instances,
+                ..settings(classes)
+            },
+            0,
+        );
         rig.list((0..300).map(|n| line(n, ListState::Ready, 0.0)).collect());
         let mut served_of = [0; 2];
         for id in 0..400u32 {
@@ -150,9 +201,16 @@
             let (of, cost) = if id % 4 == 0 { (1, 900.0) } else { (0, 50.0) };
             let mut actions = rig.tick(0.0);
             actions.extend(rig.request_with(id, of, 0, 15_000.0, Some(cost)));
-            let to = sent(&actions, id).unwrap_or_else(|| panic!("{instances} managers: {id} was not sent"));
-            assert!(id < 200 || to.addr[3] >= 180 || to.addr[2] > 0, "to one that drains");
-            let report = LoadReport { inflight: Some(4.0), ..LoadReport::default() };
+            let to = sent(&actions, id)
+                .unwrap_or_else(|| panic!("{instances} managers: {id} was not sent"));
+            assert!(
+                id < 200 || to.addr[3] >= 180 || to.addr[2] > 0,
+                "to one that drains"
+            );
+            let report = LoadReport {
+                inflight: Some(4.0),
+                ..LoadReport::default()
+            };
             rig.event(served(id, to, cost, Some((cost, 8.0)), report));
             served_of[of] += 1;
         }
