--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -7,23 +7,45 @@
 /// Runs `n` queries through, each with the engine reporting full business, so that the bound binds.
 fn busy(rig: &mut Rig, engine: EngineId) {
     for _ in 0..20 {
-        let report = LoadReport { busy: Some(1.0), ..LoadReport::default() };
-        rig.event(Event::Probed { engine, outcome: Outcome::Ok, took_ms: 1.0, report });
+        let report = LoadReport {
+            busy: Some(1.0),
+            ..LoadReport::default()
+        };
+        rig.event(Event::Probed {
+            engine,
+            outcome: Outcome::Ok,
+            took_ms: 1.0,
+            report,
+        });
     }
 }
 
 #[test]
 fn the_bound_starts_at_twice_the_share_of_cores_and_binds_under_pressure() {
-    let mut rig = Rig::new(Settings { instances: 2, ..settings(vec![class(1, 9000.0, 1.0)]) }, 1);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 2,
+            ..settings(vec![class(1, 9000.0, 1.0)])
+        },
+        1,
+    );
     busy(&mut rig, engine(0));
-    let sent: usize = (0..30).map(|id| all_sent(&rig.request(id, 0, 0)).len()).sum();
+    let sent: usize = (0..30)
+        .map(|id| all_sent(&rig.request(id, 0, 0)).len())
+        .sum();
     assert_eq!(sent, 8, "2 threads a core x 8 cores / 2 gateways");
 }
 
 #[test]
 fn the_bound_holds_at_least_one_query_of_the_widest_class() {
     let wide = class(7, 9000.0, 1.0);
-    let mut rig = Rig::new(Settings { instances: 16, ..settings(vec![wide]) }, 1);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 16,
+            ..settings(vec![wide])
+        },
+        1,
+    );
     busy(&mut rig, engine(0));
     assert!(sent(&rig.request(1, 0, 0), 1).is_some());
     assert!(sent(&rig.request(2, 0, 0), 2).is_none());
@@ -33,27 +55,58 @@
 #[test]
 fn where_the_share_is_less_than_a_query_reported_threads_are_held_under_all_bounds() {
     let play = |held: f64| {
-        let mut rig = Rig::new(Settings { instances: 250, ..settings(vec![class(1, 9000.0, 1.0)]) }, 2);
+        let mut rig = Rig::new(
+            Settings {
+                instances: 250,
+                ..settings(vec![class(1, 9000.0, 1.0)])
+            },
+            2,
+        );
         for n in 0..60 {
-            let report = LoadReport { inflight: Some(held), busy: Some(1.0), ..LoadReport::default() };
-            rig.event(Event::Probed { engine: engine(n % 2), outcome: Outcome::Ok, took_ms: 1.0, report });
+            let report = LoadReport {
+                inflight: Some(held),
+                busy: Some(1.0),
+                ..LoadReport::default()
+            };
+            rig.event(Event::Probed {
+                engine: engine(n % 2),
+                outcome: Outcome::Ok,
+                took_ms: 1.0,
+                report,
+            });
         }
         all_sent(&rig.request(1, 0, 0)).len() + all_sent(&rig.request(2, 0, 0)).len()
     };
     assert_eq!(play(10.0), 2, "under two threads a core");
-    assert_eq!(play(20.0), 1, "over: one of its own at a time, which brings news");
+    assert_eq!(
+        play(20.0),
+        1,
+        "over: one of its own at a time, which brings news"
+    );
 }
 
 #[test]
 fn a_refusal_as_full_is_pressure_and_the_retry_keeps_its_age() {
     let mut rig = Rig::new(settings(vec![class(1, 9000.0, 1.0)]), 1);
     rig.request(1, 0, 0);
-    assert!(all_sent(&rig.ended(1, 0, engine(0), Outcome::Full)).is_empty(), "shut for a moment");
-    assert!(all_sent(&rig.request(2, 0, 0)).is_empty(), "the newer waits too");
-    assert!(all_sent(&rig.tick(400.0)).is_empty(), "the pause is half a second");
+    assert!(
+        all_sent(&rig.ended(1, 0, engine(0), Outcome::Full)).is_empty(),
+        "shut for a moment"
+    );
+    assert!(
+        all_sent(&rig.request(2, 0, 0)).is_empty(),
+        "the newer waits too"
+    );
+    assert!(
+        all_sent(&rig.tick(400.0)).is_empty(),
+        "the pause is half a second"
+    );
     assert_eq!(all_sent(&rig.tick(100.0)), vec![1, 2]);
     rig.ended(2, 0, engine(0), Outcome::Full);
-    assert!(all_sent(&rig.tick(900.0)).is_empty(), "and longer the next time");
+    assert!(
+        all_sent(&rig.tick(900.0)).is_empty(),
+        "and longer the next time"
+    );
     assert_eq!(all_sent(&rig.tick(100.0)), vec![2]);
     rig.ended(2, 1, engine(0), Outcome::Ok);
     rig.request(3, 0, 0);
@@ -102,7 +155,13 @@
             }
             rig.now += took / f64::from(level);
             let done = running.remove(0);
-            running.extend(all_sent(&rig.ended_after(done, 0, engine(0), Outcome::Ok, took)));
+            running.extend(all_sent(&rig.ended_after(
+                done,
+                0,
+                engine(0),
+                Outcome::Ok,
+                took,
+            )));
         }
     }
     busy(&mut rig, engine(0));
@@ -114,13 +173,20 @@
         }
         running.extend(more);
     }
-    assert!((8..14).contains(&running.len()), "held {} of a start of 16", running.len());
+    assert!(
+        (8..14).contains(&running.len()),
+        "held {} of a start of 16",
+        running.len()
+    );
 }
 
 #[test]
 fn same_events_give_the_same_actions() {
     let play = || {
-        let mut rig = Rig::new(settings(vec![class(1, 500.0, 1.0), class(3, 2000.0, 8.0)]), 5);
+        let mut rig = Rig::new(
+            settings(vec![class(1, 500.0, 1.0), class(3, 2000.0, 8.0)]),
+            5,
+        );
         let mut all = Vec::new();
         for id in 0..300u32 {
             all.extend(rig.request(id, id as usize % 2, 0));
@@ -139,14 +205,38 @@
     let new = |s: Settings| Gateway::new(s, 1).err();
     assert_eq!(new(settings(vec![])), Some(SettingsError::NoClasses));
     let one = settings(vec![class(1, 100.0, 1.0)]);
-    assert_eq!(new(Settings { instances: 0, ..one.clone() }), Some(SettingsError::NoInstances));
-    let none = Settings { classes: vec![class(0, 100.0, 1.0)], ..one.clone() };
+    assert_eq!(
+        new(Settings {
+            instances: 0,
+            ..one.clone()
+        }),
+        Some(SettingsError::NoInstances)
+    );
+    let none = Settings {
+        classes: vec![class(0, 100.0, 1.0)],
+        ..one.clone()
+    };
     assert_eq!(new(none), Some(SettingsError::BadFigure("classes")));
-    let quotas = Settings { tenant_quotas: vec![3.0, f64::NAN], ..one.clone() };
+    let quotas = Settings {
+        tenant_quotas: vec![3.0, f64::NAN],
+        ..one.clone()
+    };
     assert_eq!(new(quotas), Some(SettingsError::BadFigure("tenants")));
-    let notes = Settings { progress_ms: -1.0, ..one.clone() };
-    assert_eq!(new(notes), Some(SettingsError::BadFigure("notes or prices")));
-    assert!(new(Settings { cold_ms: f64::NAN, ..one }).is_some());
+    let notes = Settings {
+        progress_ms: -1.0,
+        ..one.clone()
+    };
+    assert_eq!(
+        new(notes),
+        Some(SettingsError::BadFigure("notes or prices"))
+    );
+    assert!(
+        new(Settings {
+            cold_ms: f64::NAN,
+            ..one
+        })
+        .is_some()
+    );
 }
 
 #[test]
@@ -154,14 +244,30 @@
     let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
     assert!(rig.ended(99, 0, engine(0), Outcome::Ok).is_empty());
     assert!(rig.event(Event::ClientGone { id: 99 }).is_empty());
-    assert!(rig.event(Event::PeerMessage { payload: vec![1] }).is_empty());
-    assert_eq!(rig.request(1, 9, 0), vec![Action::Fail { id: 1 }], "an unknown class is failed at once");
+    assert!(
+        rig.event(Event::PeerMessage { payload: vec![1] })
+            .is_empty()
+    );
+    assert_eq!(
+        rig.request(1, 9, 0),
+        vec![Action::Fail { id: 1 }],
+        "an unknown class is failed at once"
+    );
     let at = sent(&rig.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
-    assert!(rig.ended(2, 3, at, Outcome::Reset).is_empty(), "no such attempt");
-    assert!(rig.ended(2, 0, engine(9), Outcome::Reset).is_empty(), "no such engine");
+    assert!(
+        rig.ended(2, 3, at, Outcome::Reset).is_empty(),
+        "no such attempt"
+    );
+    assert!(
+        rig.ended(2, 0, engine(9), Outcome::Reset).is_empty(),
+        "no such engine"
+    );
     assert!(rig.request(2, 0, 0).is_empty(), "a repeated id");
     rig.ended(2, 0, at, Outcome::Ok);
-    assert!(rig.ended(2, 0, at, Outcome::Reset).is_empty(), "a repeated outcome");
+    assert!(
+        rig.ended(2, 0, at, Outcome::Reset).is_empty(),
+        "a repeated outcome"
+    );
 }
 
 #[test]
--- a/tests/order_upgrade.rs
+++ b/tests/order_upgrade.rs
@@ -56,7 +56,10 @@
         let stderr = BufReader::new(child.stderr.take().expect("stderr"));
         let (tell, lines) = unbounded_channel();
         std::thread::spawn(move || {
-            stderr.lines().map_while(Result::ok).all(|line| tell.send(line).is_ok());
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .all(|line| tell.send(line).is_ok());
         });
         let mut process = Process { child, at, lines };
         process.says(" serves on ").await;
@@ -67,7 +70,11 @@
     async fn says(&mut self, what: &str) -> String {
         let next = async {
             loop {
-                let line = self.lines.recv().await.unwrap_or_else(|| panic!("the end before {what:?}"));
+                let line = self
+                    .lines
+                    .recv()
+                    .await
+                    .unwrap_or_else(|| panic!("the end before {what:?}"));
                 if line.contains(what) {
                     return line;
                 }
@@ -77,7 +84,9 @@
     }
 
     fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([format!("-{name}"), self.child.id().to_string()]).status();
+        let done = Command::new("kill")
+            .args([format!("-{name}"), self.child.id().to_string()])
+            .status();
         assert!(done.expect("kill").success(), "{name}");
     }
 
@@ -123,8 +132,17 @@
         first.step("send", &["1", CLASS, KEY, allow]).await;
         soon("ASK c1.1", fleet.step("e", "expect", &["ASK", "c1.1"])).await;
         let new = Process::start(&config, &folder).await;
-        old.says("another process of this workload manager lives").await;
-        (Upgrade { fleet, old, new, folder }, first)
+        old.says("another process of this workload manager lives")
+            .await;
+        (
+            Upgrade {
+                fleet,
+                old,
+                new,
+                folder,
+            },
+            first,
+        )
     }
 
     async fn engines(&mut self, verb: &str, rest: &[&str]) {
@@ -144,10 +162,14 @@
         let mut third = Client::new("c3", self.new.at).await;
         third.step("send", &["1", CLASS, OTHER_KEY]).await;
         self.engines("expect", &["ASK", "c3.1"]).await;
-        self.engines("send", &["c3.1", "served", "batches=1", "other\\n"]).await;
+        self.engines("send", &["c3.1", "served", "batches=1", "other\\n"])
+            .await;
         soon("c3.1", third.step("expect", &["1", "served", "other\\n"])).await;
         let counters = self.new.counts("taken=2").await;
-        assert!(has(&counters, "sent=1"), "two requests of one key are out at once: {counters}");
+        assert!(
+            has(&counters, "sent=1"),
+            "two requests of one key are out at once: {counters}"
+        );
         second
     }
 
@@ -156,7 +178,8 @@
     }
 
     async fn second_is_served(&mut self, second: &mut Client) {
-        self.engines("send", &["c2.1", "served", "batches=1", "second\\n"]).await;
+        self.engines("send", &["c2.1", "served", "batches=1", "second\\n"])
+            .await;
         soon("c2.1", second.step("expect", &["1", "served", "second\\n"])).await;
     }
 
@@ -167,7 +190,9 @@
 }
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     runtime.expect("runtime").block_on(test);
 }
 
@@ -177,7 +202,8 @@
     run(async {
         let (mut both, mut first) = Upgrade::begin("served", ALLOW).await;
         let mut second = both.second_is_held().await;
-        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"]).await;
+        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
+            .await;
         soon("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
         both.second_is_sent().await;
         both.second_is_served(&mut second).await;
@@ -205,7 +231,11 @@
 fn a_key_rests_for_the_successor_too(#[case] name: &str, #[case] end: End) {
     run(async {
         let begun = Instant::now();
-        let allow = if matches!(end, End::TimedOut) { "allow=6000" } else { ALLOW };
+        let allow = if matches!(end, End::TimedOut) {
+            "allow=6000"
+        } else {
+            ALLOW
+        };
         let (mut both, mut first) = Upgrade::begin(name, allow).await;
         let mut second = both.second_is_held().await;
         let mut since = Instant::now();
@@ -229,7 +259,11 @@
             }
         }
         both.second_is_sent().await;
-        assert!(since.elapsed() >= REST, "the key did not rest: {:?}", since.elapsed());
+        assert!(
+            since.elapsed() >= REST,
+            "the key did not rest: {:?}",
+            since.elapsed()
+        );
         both.second_is_served(&mut second).await;
         both.end();
     });
@@ -242,14 +276,18 @@
     run(async {
         let (mut both, mut first) = Upgrade::begin("turned", ALLOW).await;
         let mut second = both.second_is_held().await;
-        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"]).await;
+        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
+            .await;
         soon("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
         both.second_is_sent().await;
         let mut late = Client::new("c4", both.old.at).await;
         late.step("send", &["1", CLASS, KEY, "allow=400"]).await;
         soon("c4.1", late.step("expect", &["1", "DeadlineExceeded"])).await;
         let counters = both.old.counts("failed=1").await;
-        assert!(has(&counters, "sent=1"), "two requests of one key are out at once: {counters}");
+        assert!(
+            has(&counters, "sent=1"),
+            "two requests of one key are out at once: {counters}"
+        );
         both.second_is_served(&mut second).await;
         both.end();
     });
@@ -262,7 +300,8 @@
         let (mut both, mut first) = Upgrade::begin("planned", ALLOW).await;
         both.old.signal("TERM");
         let mut second = both.second_is_held().await;
-        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"]).await;
+        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
+            .await;
         soon("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
         both.second_is_sent().await;
         both.second_is_served(&mut second).await;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 fn keyed(scope: DedupScope) -> Class {
-    Class { effect: Effect::Keyed(scope), memory_span_ms: 1000.0, ..class(1, 2000.0, 1.0) }
+    Class {
+        effect: Effect::Keyed(scope),
+        memory_span_ms: 1000.0,
+        ..class(1, 2000.0, 1.0)
+    }
 }
 
 #[test]
@@ -27,25 +31,42 @@
     let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
     rig.request(1, 0, 0);
     rig.event(Event::ClientGone { id: 1 });
-    assert_eq!(sent(&rig.list(vec![entry(0, ListState::Ready, 0.0)]), 1), None);
+    assert_eq!(
+        sent(&rig.list(vec![entry(0, ListState::Ready, 0.0)]), 1),
+        None
+    );
 }
 
 #[test]
 fn rule_2_a_once_request_that_may_have_run_is_failed() {
-    let once = Class { effect: Effect::Once, ..class(1, 1000.0, 1.0) };
+    let once = Class {
+        effect: Effect::Once,
+        ..class(1, 1000.0, 1.0)
+    };
     let mut rig = Rig::new(settings(vec![once]), 3);
     let at = sent(&rig.request(1, 0, 0), 1).unwrap();
     let again = rig.ended(1, 0, at, Outcome::NoConnection);
     let at = sent(&again, 1).expect("never ran: another attempt");
-    assert!(rig.ended(1, 1, at, Outcome::Reset).contains(&Action::Fail { id: 1 }));
+    assert!(
+        rig.ended(1, 1, at, Outcome::Reset)
+            .contains(&Action::Fail { id: 1 })
+    );
 }
 
 /// Guard: an attempt for which the host had no descriptor was none: it counts against neither the cap nor the budget,
 /// and the next goes at once where a query of ours holds a connection, not to other engines that cannot be reached.
 #[test]
 fn no_descriptor_is_no_attempt() {
-    let extra = Some(ExtraBudget { free: 0.0, ratio: 0.0, window_ms: 1000.0 });
-    let limits = Settings { attempts_cap: 1, extra, ..settings(vec![class(1, 1000.0, 1.0)]) };
+    let extra = Some(ExtraBudget {
+        free: 0.0,
+        ratio: 0.0,
+        window_ms: 1000.0,
+    });
+    let limits = Settings {
+        attempts_cap: 1,
+        extra,
+        ..settings(vec![class(1, 1000.0, 1.0)])
+    };
     let mut rig = Rig::new(limits, 9);
     let held = sent(&rig.request(1, 0, 0), 1).expect("an engine");
     let bare = sent(&rig.request(2, 0, 0), 2).expect("an engine");
@@ -56,8 +77,15 @@
         if number == 0 {
             assert_eq!(sent(&again, 2), Some(held), "the one that is reached");
         } else {
-            assert!(!answered(&again, 2) && all_sent(&again).is_empty(), "not the same again at once");
-            assert_eq!(sent(&rig.tick(50.0), 2).is_some(), number == 1, "later any of them");
+            assert!(
+                !answered(&again, 2) && all_sent(&again).is_empty(),
+                "not the same again at once"
+            );
+            assert_eq!(
+                sent(&rig.tick(50.0), 2).is_some(),
+                number == 1,
+                "later any of them"
+            );
             break;
         }
     }
@@ -76,11 +104,20 @@
         let first = sent(&rig.request(1, 0, 0), 1).unwrap();
         rig.now += 100.0;
         let second = sent(&rig.ended(1, 0, first, Outcome::Error), 1).expect("repeat");
-        let group = |e: EngineId| if scope == DedupScope::Zone { e.addr[3] % 2 } else { e.addr[3] % 3 };
+        let group = |e: EngineId| {
+            if scope == DedupScope::Zone {
+                e.addr[3] % 2
+            } else {
+                e.addr[3] % 3
+            }
+        };
         assert_eq!(group(first), group(second));
         rig.now += 1000.0;
         let late = rig.ended(1, 1, second, Outcome::Error);
-        assert!(late.contains(&Action::Fail { id: 1 }), "span over; a refusal would promise too much");
+        assert!(
+            late.contains(&Action::Fail { id: 1 }),
+            "span over; a refusal would promise too much"
+        );
     }
 }
 
@@ -91,7 +128,10 @@
     for id in 1..6 {
         assert_eq!(sent(&rig.request(id, 0, 0), id), Some(engine(1)));
     }
-    rig.event(Event::List { kind: ListKind::Full, entries: vec![entry(0, ListState::Ready, 0.0)] });
+    rig.event(Event::List {
+        kind: ListKind::Full,
+        entries: vec![entry(0, ListState::Ready, 0.0)],
+    });
     assert_eq!(sent(&rig.request(9, 0, 0), 9), Some(engine(0)));
 }
 
@@ -109,16 +149,25 @@
         }
     }
     // Multiple x share x cores x window: what would tip it over.
-    assert!(work > 400.0 && work < 2.0 * 0.3 * 8.0 * 1000.0, "sent {work}");
+    assert!(
+        work > 400.0 && work < 2.0 * 0.3 * 8.0 * 1000.0,
+        "sent {work}"
+    );
 }
 
 #[test]
 fn rule_5_one_key_runs_in_turn_and_rests() {
-    let ordered = Class { ordered: true, ..keyed(DedupScope::All) };
+    let ordered = Class {
+        ordered: true,
+        ..keyed(DedupScope::All)
+    };
     let mut rig = Rig::new(settings(vec![ordered]), 3);
     let at = sent(&rig.request(1, 0, 9), 1).unwrap();
     assert_eq!(sent(&rig.request(2, 0, 9), 2), None);
-    assert!(sent(&rig.request(3, 0, 8), 3).is_some(), "another key steps past");
+    assert!(
+        sent(&rig.request(3, 0, 8), 3).is_some(),
+        "another key steps past"
+    );
     rig.event(Event::ClientGone { id: 1 });
     assert_eq!(sent(&rig.tick(10.0), 2), None, "its attempt is still out");
     assert_eq!(sent(&rig.ended(1, 0, at, Outcome::TimedOut), 2), None);
@@ -129,7 +178,10 @@
 /// Guard: keys come from clients, so one is held while it has requests or rests, and no longer.
 #[test]
 fn rule_5_a_key_is_forgotten_after_its_rest() {
-    let ordered = Class { ordered: true, ..keyed(DedupScope::All) };
+    let ordered = Class {
+        ordered: true,
+        ..keyed(DedupScope::All)
+    };
     let mut rig = Rig::new(settings(vec![ordered]), 3);
     for id in 1..=100 {
         let at = sent(&rig.request(id, 0, u64::from(id)), id).unwrap();
@@ -143,17 +195,34 @@
 
 #[test]
 fn rule_6_a_bound_class_waits_for_its_engines() {
-    let bound = Class { zones: Some(vec![1]), kinds: Some(vec![0]), ..class(1, 1000.0, 1.0) };
+    let bound = Class {
+        zones: Some(vec![1]),
+        kinds: Some(vec![0]),
+        ..class(1, 1000.0, 1.0)
+    };
     let mut rig = Rig::new(settings(vec![bound, class(1, 1000.0, 1.0)]), 1);
     assert_eq!(sent(&rig.request(1, 0, 0), 1), None);
     assert!(sent(&rig.request(2, 1, 0), 2).is_some(), "others step past");
-    assert_eq!(sent(&rig.list(vec![entry(1, ListState::Ready, 0.0)]), 1), Some(engine(1)));
+    assert_eq!(
+        sent(&rig.list(vec![entry(1, ListState::Ready, 0.0)]), 1),
+        Some(engine(1))
+    );
 }
 
 #[test]
 fn rule_7_further_attempts_stay_within_their_budget() {
-    let extra = Some(ExtraBudget { free: 2.0, ratio: 0.1, window_ms: 5000.0 });
-    let mut rig = Rig::new(Settings { extra, ..settings(vec![class(1, 1000.0, 1.0)]) }, 4);
+    let extra = Some(ExtraBudget {
+        free: 2.0,
+        ratio: 0.1,
+        window_ms: 5000.0,
+    });
+    let mut rig = Rig::new(
+        Settings {
+            extra,
+            ..settings(vec![class(1, 1000.0, 1.0)])
+        },
+        4,
+    );
     let mut sends = 0;
     for id in 0..10 {
         let asked = rig.request(id, 0, 0);
@@ -178,11 +247,27 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { class: usize, key: u64, left: f64, cost: f64 },
-    End { pick: usize, outcome: usize },
-    Leave { pick: usize },
-    List { n: u8, state: usize, fresh: bool },
-    Wait { ms: f64 },
+    Ask {
+        class: usize,
+        key: u64,
+        left: f64,
+        cost: f64,
+    },
+    End {
+        pick: usize,
+        outcome: usize,
+    },
+    Leave {
+        pick: usize,
+    },
+    List {
+        n: u8,
+        state: usize,
+        fresh: bool,
+    },
+    Wait {
+        ms: f64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -208,7 +293,10 @@
 ];
 
 fn may_have_run(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+    matches!(
+        outcome,
+        Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+    )
 }
 
 /// Plays steps against a gateway and checks the rules at every action.
@@ -227,28 +315,72 @@
         let classes = vec![
             class(1, 500.0, 1.0),
             class(3, 2000.0, 8.0),
-            Class { effect: Effect::Once, ..class(1, 800.0, 2.0) },
-            Class { ordered: true, ..keyed(DedupScope::Zone) },
-            Class { zones: Some(vec![1]), ..class(2, 1000.0, 4.0) },
+            Class {
+                effect: Effect::Once,
+                ..class(1, 800.0, 2.0)
+            },
+            Class {
+                ordered: true,
+                ..keyed(DedupScope::Zone)
+            },
+            Class {
+                zones: Some(vec![1]),
+                ..class(2, 1000.0, 4.0)
+            },
         ];
-        let extra = Some(ExtraBudget { free: 3.0, ratio: 0.3, window_ms: 3000.0 });
-        let rig = Rig::new(Settings { extra, ..settings(classes.clone()) }, 4);
+        let extra = Some(ExtraBudget {
+            free: 3.0,
+            ratio: 0.3,
+            window_ms: 3000.0,
+        });
+        let rig = Rig::new(
+            Settings {
+                extra,
+                ..settings(classes.clone())
+            },
+            4,
+        );
         let states = (0..4).map(|n| (engine(n), ListState::Ready)).collect();
         let (reqs, rest) = (BTreeMap::new(), BTreeMap::new());
-        Checker { rig, classes, reqs, states, rest, taken: VecDeque::new(), extras: VecDeque::new() }
+        Checker {
+            rig,
+            classes,
+            reqs,
+            states,
+            rest,
+            taken: VecDeque::new(),
+            extras: VecDeque::new(),
+        }
     }
 
     fn play(&mut self, step: &Step, next: u32) {
         let actions = match *step {
-            Step::Ask { class, key, left, cost } => {
+            Step::Ask {
+                class,
+                key,
+                left,
+                cost,
+            } => {
                 let due = self.rig.now + left;
-                self.reqs.insert(next, Seen { class, key, due, ..Seen::default() });
+                self.reqs.insert(
+                    next,
+                    Seen {
+                        class,
+                        key,
+                        due,
+                        ..Seen::default()
+                    },
+                );
                 self.taken.push_back(self.rig.now);
                 self.rig.request_with(next, class, key, left, Some(cost))
             }
             Step::End { pick, outcome } => {
-                let out: Vec<u32> =
-                    self.reqs.iter().filter(|(_, s)| s.out.is_some()).map(|(id, _)| *id).collect();
+                let out: Vec<u32> = self
+                    .reqs
+                    .iter()
+                    .filter(|(_, s)| s.out.is_some())
+                    .map(|(id, _)| *id)
+                    .collect();
                 if out.is_empty() {
                     return;
                 }
@@ -256,7 +388,12 @@
                 self.end(id, OUTCOMES[outcome])
             }
             Step::Leave { pick } => {
-                let open: Vec<u32> = self.reqs.iter().filter(|(_, s)| !s.over).map(|(id, _)| *id).collect();
+                let open: Vec<u32> = self
+                    .reqs
+                    .iter()
+                    .filter(|(_, s)| !s.over)
+                    .map(|(id, _)| *id)
+                    .collect();
                 if open.is_empty() {
                     return;
                 }
@@ -291,13 +428,20 @@
             let first = (at, s.sent_at);
             s.first_ran.get_or_insert(first);
         }
-        let pauses = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        let pauses = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
         if pauses && self.classes[s.class].ordered {
             self.rest.insert(s.key, now + 300.0);
         }
         let (attempt, finished) = (s.attempts - 1, s.over || outcome == Outcome::Ok);
         s.over |= finished;
-        let report = LoadReport { inflight: Some(f64::NAN), busy: Some(-3.0), ..LoadReport::default() };
+        let report = LoadReport {
+            inflight: Some(f64::NAN),
+            busy: Some(-3.0),
+            ..LoadReport::default()
+        };
         let (took_ms, billed_ms) = (now - s.sent_at, None);
         self.rig.event(Event::Ended(Ended {
             id,
@@ -315,12 +459,22 @@
     /// At its deadline an attempt times out; a waiter must have been answered by then.
     fn deadlines(&mut self) {
         let now = self.rig.now;
-        let due: Vec<u32> =
-            self.reqs.iter().filter(|(_, s)| !s.over && s.due <= now).map(|(id, _)| *id).collect();
+        let due: Vec<u32> = self
+            .reqs
+            .iter()
+            .filter(|(_, s)| !s.over && s.due <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in due {
-            assert!(self.reqs[&id].out.is_some(), "rule 1: {id} waits past its deadline");
+            assert!(
+                self.reqs[&id].out.is_some(),
+                "rule 1: {id} waits past its deadline"
+            );
             let actions = self.end(id, Outcome::TimedOut);
-            assert!(answered(&actions, id), "rule 1: {id} is not answered at its deadline");
+            assert!(
+                answered(&actions, id),
+                "rule 1: {id} is not answered at its deadline"
+            );
             self.check(&actions);
         }
     }
@@ -336,7 +490,10 @@
                     s.over = true;
                     let refused = matches!(action, Action::Refuse { .. });
                     let harmless = matches!(self.classes[s.class].effect, Effect::Repeatable);
-                    assert!(!refused || harmless || s.first_ran.is_none(), "rule 2: {id} refused");
+                    assert!(
+                        !refused || harmless || s.first_ran.is_none(),
+                        "rule 2: {id} refused"
+                    );
                 }
                 _ => {}
             }
@@ -352,29 +509,53 @@
             match c.effect {
                 Effect::Repeatable => {}
                 Effect::Keyed(_) => {
-                    assert!(first.addr[3] % 2 == at.addr[3] % 2, "rule 2: {id} leaves its group");
-                    assert!(now <= sent + c.memory_span_ms, "rule 2: {id} is past its span");
+                    assert!(
+                        first.addr[3] % 2 == at.addr[3] % 2,
+                        "rule 2: {id} leaves its group"
+                    );
+                    assert!(
+                        now <= sent + c.memory_span_ms,
+                        "rule 2: {id} is past its span"
+                    );
                 }
                 Effect::Once => panic!("rule 2: {id} may run twice"),
             }
         }
-        assert_eq!(self.states[&at], ListState::Ready, "rule 3: {id} to an engine that drains");
+        assert_eq!(
+            self.states[&at],
+            ListState::Ready,
+            "rule 3: {id} to an engine that drains"
+        );
         if c.ordered && s.key != 0 {
             let same = |o: &Seen| self.classes[o.class].ordered && o.key == s.key;
-            let earlier = self.reqs.range(..id).any(|(_, o)| same(o) && (!o.over || o.out.is_some()));
+            let earlier = self
+                .reqs
+                .range(..id)
+                .any(|(_, o)| same(o) && (!o.over || o.out.is_some()));
             assert!(!earlier, "rule 5: {id} overtakes");
             let rests = s.attempts == 0 && self.rest.get(&s.key).is_some_and(|r| now < *r);
-            let other = self.reqs.range(..id).any(|(_, o)| same(o) && o.first_ran.is_some());
+            let other = self
+                .reqs
+                .range(..id)
+                .any(|(_, o)| same(o) && o.first_ran.is_some());
             assert!(!(rests && other), "rule 5: {id} while its key rests");
         }
-        assert!(c.zones.as_ref().is_none_or(|z| z.contains(&(at.addr[3] % 2))), "rule 6: {id}");
+        assert!(
+            c.zones
+                .as_ref()
+                .is_none_or(|z| z.contains(&(at.addr[3] % 2))),
+            "rule 6: {id}"
+        );
         let s = self.reqs.get_mut(&id).unwrap();
         if s.attempts > 0 {
             self.extras.push_back(now);
             let from = now - 3000.0;
             let spent = self.extras.iter().filter(|t| **t > from).count() as f64;
             let taken = self.taken.iter().filter(|t| **t > from).count() as f64;
-            assert!(spent <= 3.0 + 0.3 * taken, "rule 7: {spent} further attempts of {taken}");
+            assert!(
+                spent <= 3.0 + 0.3 * taken,
+                "rule 7: {spent} further attempts of {taken}"
+            );
         }
         (s.attempts, s.out, s.sent_at) = (s.attempts + 1, Some(at), now);
     }
@@ -382,8 +563,14 @@
 
 #[test]
 fn random_events_keep_the_rules() {
-    let config = ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() };
-    let seed = proptest::test_runner::TestRng::deterministic_rng(proptest::test_runner::RngAlgorithm::ChaCha);
+    let config = ProptestConfig {
+        cases: 96,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
+    let seed = proptest::test_runner::TestRng::deterministic_rng(
+        proptest::test_runner::RngAlgorithm::ChaCha,
+    );
     let mut runner = proptest::test_runner::TestRunner::new_with_rng(config, seed);
     let sends = std::cell::Cell::new(0usize);
     runner
@@ -414,5 +601,8 @@
             .count()
     };
     let (alone, old, new) = (sends(1.0), sends(4.0), sends(4.0 / 3.0));
-    assert!(old > 0 && old < new && old + new <= alone, "{old} and {new} of {alone}");
+    assert!(
+        old > 0 && old < new && old + new <= alone,
+        "{old} and {new} of {alone}"
+    );
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -14,7 +14,11 @@
 fn rows(test: Test) -> Vec<Value> {
     let mut output = Output::new(None).expect("output");
     scale::run(&Options::small(&[test]), &mut output).expect("a whole run");
-    output.lines().iter().map(|line| serde_json::from_str(line).expect("JSON")).collect()
+    output
+        .lines()
+        .iter()
+        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .collect()
 }
 
 fn of<'a>(rows: &'a [Value], key: &str, value: &str) -> Vec<&'a Value> {
@@ -22,12 +26,21 @@
 }
 
 fn numbers(rows: &[&Value], key: &str) -> Vec<u64> {
-    rows.iter().map(|row| row[key].as_u64().unwrap_or_else(|| panic!("no {key} in {row}"))).collect()
+    rows.iter()
+        .map(|row| {
+            row[key]
+                .as_u64()
+                .unwrap_or_else(|| panic!("no {key} in {row}"))
+        })
+        .collect()
 }
 
 fn positive(row: &Value, keys: &[&str]) {
     for key in keys {
-        assert!(row[key].as_f64().is_some_and(|figure| figure > 0.0), "{key} in {row}");
+        assert!(
+            row[key].as_f64().is_some_and(|figure| figure > 0.0),
+            "{key} in {row}"
+        );
     }
 }
 
@@ -35,27 +48,48 @@
 fn predicted(rows: &[Value], figures: &[&str]) {
     let at = |kind: &str, figure: &str| {
         let found = |row: &Value| row["kind"] == kind && row["figure"] == figure;
-        assert_eq!(rows.iter().filter(|row| found(row)).count(), 1, "{kind} of {figure}");
+        assert_eq!(
+            rows.iter().filter(|row| found(row)).count(),
+            1,
+            "{kind} of {figure}"
+        );
         rows.iter().position(found).expect("counted")
     };
     for figure in figures {
-        let (fit, prediction, error) = (at("fit", figure), at("prediction", figure), at("error", figure));
+        let (fit, prediction, error) = (
+            at("fit", figure),
+            at("prediction", figure),
+            at("error", figure),
+        );
         assert_eq!(rows[fit]["points"], 3, "the largest size is not in the fit");
         assert_eq!(rows[prediction]["predicted"], rows[error]["predicted"]);
         let size = rows[prediction]["size"].as_f64().expect("a size") as u64;
         let over = rows[prediction]["over"].as_str().expect("a key");
-        let largest = |row: &Value| row["kind"] == "measured" && row[over] == size && !row[figure].is_null();
+        let largest =
+            |row: &Value| row["kind"] == "measured" && row[over] == size && !row[figure].is_null();
         let measured = rows.iter().position(largest).expect("the largest size");
-        assert!(fit < prediction && prediction < measured && measured < error, "{figure}");
-        assert_eq!(rows[measured][figure].as_f64(), rows[error]["measured"].as_f64(), "{figure}");
+        assert!(
+            fit < prediction && prediction < measured && measured < error,
+            "{figure}"
+        );
+        assert_eq!(
+            rows[measured][figure].as_f64(),
+            rows[error]["measured"].as_f64(),
+            "{figure}"
+        );
     }
 }
 
 #[test]
 fn a_line_recovers_its_slope() {
-    let points: Vec<Point> = [1_024.0, 4_096.0, 10_000.0].map(|size| (size, 7.0 + 0.25 * size)).to_vec();
+    let points: Vec<Point> = [1_024.0, 4_096.0, 10_000.0]
+        .map(|size| (size, 7.0 + 0.25 * size))
+        .to_vec();
     let line = Line::through(&points).expect("a line");
-    assert!((line.slope - 0.25).abs() < 1e-9 && (line.at(22_000.0) - 5_507.0).abs() < 1e-6, "{line:?}");
+    assert!(
+        (line.slope - 0.25).abs() < 1e-9 && (line.at(22_000.0) - 5_507.0).abs() < 1e-6,
+        "{line:?}"
+    );
     // Errors that cancel leave the slope as it is.
     let noisy = [(0.0, 1.0), (1.0, 1.0), (2.0, 5.0), (3.0, 5.0)];
     assert!((Line::through(&noisy).expect("a line").slope - 1.6).abs() < 1e-9);
@@ -70,13 +104,28 @@
     let measured = of(&rows, "kind", "measured");
     assert_eq!(numbers(&measured, "listed"), [16, 32, 64, 128]);
     for row in &measured {
-        assert_eq!((row["test"].as_str(), &row["managers"]), (Some("decision"), &Value::from(3_700)));
+        assert_eq!(
+            (row["test"].as_str(), &row["managers"]),
+            (Some("decision"), &Value::from(3_700))
+        );
         assert_eq!(row["known"], row["listed"], "{row}");
-        assert!(row["heard"].as_u64() <= row["known"].as_u64() && row["heard"].as_u64() > Some(0), "{row}");
-        assert_eq!([&row["refused"], &row["failed"], &row["guarded"]], [0, 0, 0], "{row}");
+        assert!(
+            row["heard"].as_u64() <= row["known"].as_u64() && row["heard"].as_u64() > Some(0),
+            "{row}"
+        );
+        assert_eq!(
+            [&row["refused"], &row["failed"], &row["guarded"]],
+            [0, 0, 0],
+            "{row}"
+        );
         assert_eq!(row["requests"], 500);
         // All but those that are in hand as it ends: some 37 at 4,595 a second and 8 ms.
-        assert!(row["served"].as_u64().is_some_and(|served| (510..=550).contains(&served)), "{row}");
+        assert!(
+            row["served"]
+                .as_u64()
+                .is_some_and(|served| (510..=550).contains(&served)),
+            "{row}"
+        );
         positive(row, &["us_request", "us_tick", "ticks"]);
     }
     predicted(&rows, &["us_request", "us_tick"]);
@@ -90,7 +139,10 @@
     assert_eq!(numbers(&costs, "listed"), [16, 32, 64, 128]);
     for row in costs {
         let listed = row["listed"].as_u64().expect("a size");
-        assert_eq!((&row["known"], &row["bytes_whole"]), (&row["listed"], &Value::from(13 + 27 * listed)));
+        assert_eq!(
+            (&row["known"], &row["bytes_whole"]),
+            (&row["listed"], &Value::from(13 + 27 * listed))
+        );
         assert_eq!(
             (&row["bytes_change"], &row["bytes_second_at_rest"]),
             (&Value::from(67), &Value::from(13.0))
@@ -98,9 +150,14 @@
         positive(row, &["us_whole", "us_change", "us_empty_frame", "heard"]);
     }
     let changes = of(&rows, "part", "change");
-    let sizes: Vec<_> = numbers(&changes, "listed").into_iter().zip(numbers(&changes, "managers")).collect();
+    let sizes: Vec<_> = numbers(&changes, "listed")
+        .into_iter()
+        .zip(numbers(&changes, "managers"))
+        .collect();
     let managers = [2, 4, 8, 12];
-    let both = [16, 128].iter().flat_map(|listed| managers.map(|managers| (*listed, managers)));
+    let both = [16, 128]
+        .iter()
+        .flat_map(|listed| managers.map(|managers| (*listed, managers)));
     assert_eq!(sizes, both.collect::<Vec<_>>());
     for row in changes {
         assert_eq!(
@@ -109,7 +166,11 @@
             "{row}"
         );
         assert_eq!(row["asked_of_ended"], 0, "{row}");
-        assert_eq!(row["asked"].as_u64(), row["managers"].as_u64().map(|managers| 5 * managers), "{row}");
+        assert_eq!(
+            row["asked"].as_u64(),
+            row["managers"].as_u64().map(|managers| 5 * managers),
+            "{row}"
+        );
         positive(row, &["ms_first", "ms_p50", "ms_p99", "ms_most"]);
     }
     let (starts, returns) = (of(&rows, "part", "start"), of(&rows, "part", "return"));
@@ -118,14 +179,34 @@
         (&starts[0]["feed_connections"], &starts[0]["managers"]),
         (&Value::from(12), &Value::from(12))
     );
-    assert!(starts[0]["feed_bytes"].as_u64() >= Some(12 * (13 + 27 * 128)), "{}", starts[0]);
+    assert!(
+        starts[0]["feed_bytes"].as_u64() >= Some(12 * (13 + 27 * 128)),
+        "{}",
+        starts[0]
+    );
     // Each comes back, and is told what it missed and no whole list.
-    assert!(returns[0]["feed_connections"].as_u64() >= Some(12), "{}", returns[0]);
+    assert!(
+        returns[0]["feed_connections"].as_u64() >= Some(12),
+        "{}",
+        returns[0]
+    );
     let missed = returns[0]["feed_bytes"].as_u64().expect("bytes");
-    assert!((12 * 67..12 * (13 + 27 * 16)).contains(&missed), "{}", returns[0]);
+    assert!(
+        (12 * 67..12 * (13 + 27 * 16)).contains(&missed),
+        "{}",
+        returns[0]
+    );
     predicted(
         &rows,
-        &["us_whole", "us_change", "bytes_whole", "memory_bytes", "memory_peak_bytes", "ms_p99", "ms_most"],
+        &[
+            "us_whole",
+            "us_change",
+            "bytes_whole",
+            "memory_bytes",
+            "memory_peak_bytes",
+            "ms_p99",
+            "ms_most",
+        ],
     );
 }
 
@@ -133,12 +214,16 @@
 #[test]
 fn reload() {
     let rows = rows(Test::Reload);
-    let (whole, settings_only) = (of(&rows, "part", "whole"), of(&rows, "part", "settings_only"));
+    let (whole, settings_only) = (
+        of(&rows, "part", "whole"),
+        of(&rows, "part", "settings_only"),
+    );
     for form in [&whole, &settings_only] {
         assert_eq!(numbers(form, "listed"), [10, 20, 40, 80]);
         assert_eq!(numbers(form, "known"), [10, 20, 40, 80]);
         assert_eq!(numbers(form, "reloads"), [4; 4]);
-        form.iter().for_each(|row| positive(row, &["ms_in_force", "mb_before", "per_minute_by_bytes"]));
+        form.iter()
+            .for_each(|row| positive(row, &["ms_in_force", "mb_before", "per_minute_by_bytes"]));
     }
     let bytes = numbers(&settings_only, "bytes");
     assert!(bytes.iter().all(|all| *all == bytes[0]), "{bytes:?}");
@@ -153,12 +238,20 @@
         ("ms_reload_whole", largest(&whole, "ms_reload")),
         ("mb_peak_above_whole", largest(&whole, "mb_peak_above")),
         ("bytes_whole", largest(&whole, "bytes")),
-        ("ms_reload_settings_only", largest(&settings_only, "ms_reload")),
+        (
+            "ms_reload_settings_only",
+            largest(&settings_only, "ms_reload"),
+        ),
     ];
     for (figure, measured) in figures {
-        let error = of(&rows, "kind", "error").into_iter().find(|row| row["figure"] == figure);
+        let error = of(&rows, "kind", "error")
+            .into_iter()
+            .find(|row| row["figure"] == figure);
         let error = error.unwrap_or_else(|| panic!("no error of {figure}"));
-        assert_eq!((error["measured"].as_f64(), error["size"].as_f64()), (measured.as_f64(), Some(80.0)));
+        assert_eq!(
+            (error["measured"].as_f64(), error["size"].as_f64()),
+            (measured.as_f64(), Some(80.0))
+        );
     }
 }
 
@@ -168,7 +261,11 @@
 fn manager() {
     let rows = rows(Test::Manager);
     for part in ["rest", "churn", "summary"] {
-        assert_eq!(numbers(&of(&rows, "part", part), "known"), [16, 32, 64, 128], "{part}");
+        assert_eq!(
+            numbers(&of(&rows, "part", part), "known"),
+            [16, 32, 64, 128],
+            "{part}"
+        );
     }
     for row in of(&rows, "part", "churn") {
         positive(row, &["list_events", "replaced_a_day", "mb_resident"]);
@@ -177,16 +274,44 @@
     assert_eq!(connections, [8, 8, 8, 2, 4, 6, 8]);
     let statements = of(&rows, "part", "statements");
     assert_eq!(numbers(&statements, "offered"), [5, 10, 20].repeat(5));
-    assert_eq!(numbers(&statements, "connections"), [[8; 9].as_slice(), &[2; 3], &[8; 3]].concat());
+    assert_eq!(
+        numbers(&statements, "connections"),
+        [[8; 9].as_slice(), &[2; 3], &[8; 3]].concat()
+    );
     for row in &statements {
-        let count = |key: &str| row[key].as_u64().unwrap_or_else(|| panic!("no {key} in {row}"));
+        let count = |key: &str| {
+            row[key]
+                .as_u64()
+                .unwrap_or_else(|| panic!("no {key} in {row}"))
+        };
         assert_eq!(count("taken"), count("offered"), "{row}");
-        assert_eq!(count("served") + count("refused") + count("failed"), count("offered"), "{row}");
-        assert_eq!((count("unanswered"), count("stray"), count("held_back")), (0, 0, 0), "{row}");
-        assert!(count("served") > 0 && count("attempts") >= count("served"), "{row}");
-        positive(row, &["p50_ms", "engine_bytes_in", "engine_bytes_out", "mb_peak"]);
+        assert_eq!(
+            count("served") + count("refused") + count("failed"),
+            count("offered"),
+            "{row}"
+        );
+        assert_eq!(
+            (count("unanswered"), count("stray"), count("held_back")),
+            (0, 0, 0),
+            "{row}"
+        );
+        assert!(
+            count("served") > 0 && count("attempts") >= count("served"),
+            "{row}"
+        );
+        positive(
+            row,
+            &["p50_ms", "engine_bytes_in", "engine_bytes_out", "mb_peak"],
+        );
     }
-    predicted(&rows, &["us_statement_usual", "percent_core_control", "mb_before_clients"]);
+    predicted(
+        &rows,
+        &[
+            "us_statement_usual",
+            "percent_core_control",
+            "mb_before_clients",
+        ],
+    );
 }
 
 /// Every engine has a manager and none many more than others; a change moves places of those that it concerns, and a manager
@@ -197,9 +322,22 @@
     let balance = of(&rows, "part", "balance");
     assert_eq!(numbers(&balance, "listed"), [16, 32, 64, 128]);
     for row in &balance {
-        assert_eq!((&row["without"], &row["managers"]), (&Value::from(0), &Value::from(60)), "{row}");
+        assert_eq!(
+            (&row["without"], &row["managers"]),
+            (&Value::from(0), &Value::from(60)),
+            "{row}"
+        );
         assert!(row["engines_most"].as_u64() <= Some(12 + 14), "{row}");
-        positive(row, &["holders_least", "holders_mean", "most_to_mean", "zone_part_most", "us_change"]);
+        positive(
+            row,
+            &[
+                "holders_least",
+                "holders_mean",
+                "most_to_mean",
+                "zone_part_most",
+                "us_change",
+            ],
+        );
     }
     let churn = of(&rows, "part", "churn")[0];
     assert_eq!(
@@ -207,12 +345,24 @@
         (&Value::from(3), &Value::from(0)),
         "{churn}"
     );
-    assert_eq!([&churn["manager_more_moved"], &churn["manager_less_moved"]], [0, 0], "{churn}");
-    assert!(churn["replaced_moved_holders"].as_u64() >= churn["held"].as_u64(), "{churn}");
+    assert_eq!(
+        [&churn["manager_more_moved"], &churn["manager_less_moved"]],
+        [0, 0],
+        "{churn}"
+    );
+    assert!(
+        churn["replaced_moved_holders"].as_u64() >= churn["held"].as_u64(),
+        "{churn}"
+    );
     let views = of(&rows, "part", "views");
     assert_eq!(views.len(), 5);
     for row in views {
-        assert!(row["parts_worst"].as_f64().is_some_and(|parts| parts > 0.0 && parts <= 1.0), "{row}");
+        assert!(
+            row["parts_worst"]
+                .as_f64()
+                .is_some_and(|parts| parts > 0.0 && parts <= 1.0),
+            "{row}"
+        );
     }
     predicted(&rows, &["us_change"]);
 }
--- a/tests/scenarios/connections.rs
+++ b/tests/scenarios/connections.rs
@@ -20,13 +20,19 @@
         script += &format!("c{} send raw 94\n", 1000 + client);
     }
     script += &ask("c100".to_owned(), 2);
-    play(2, Speech::Lines, &format!("{script}c1 expect closed\nc1001 expect closed\n"));
+    play(
+        2,
+        Speech::Lines,
+        &format!("{script}c1 expect closed\nc1001 expect closed\n"),
+    );
 }
 
 /// A client that goes on with what is no use as fast as it is turned away is closed, once it was answered often.
 #[test]
 fn endless_bad_calls_end_the_connection() {
-    let calls: String = (1..=65).map(|n| format!("c1 send {n} no-such-class\n")).collect();
+    let calls: String = (1..=65)
+        .map(|n| format!("c1 send {n} no-such-class\n"))
+        .collect();
     play(
         1,
         Speech::Lines,
@@ -39,11 +45,23 @@
 #[test]
 fn a_load_takes_a_new_connection_where_the_old_one_idled() {
     let served = |n: u32| {
-        format!("e expect ASK c1.{n}\ne send c1.{n} served batches=1 a\\n\nc1 expect {n} served a\\n\n")
+        format!(
+            "e expect ASK c1.{n}\ne send c1.{n} served batches=1 a\\n\nc1 expect {n} served a\\n\n"
+        )
     };
     let mut script = format!("c1 send 1 seat-check\n{}c2 expect closed\n", served(1));
-    script += &format!("c1 send 2 seat-check\n{}wait engine_conns=1\nc3 expect closed\n", served(2));
-    play(1, Speech::Lines, &format!("{script}c1 send 3 log-load\n{}wait engine_conns=2\n", served(3)));
+    script += &format!(
+        "c1 send 2 seat-check\n{}wait engine_conns=1\nc3 expect closed\n",
+        served(2)
+    );
+    play(
+        1,
+        Speech::Lines,
+        &format!(
+            "{script}c1 send 3 log-load\n{}wait engine_conns=2\n",
+            served(3)
+        ),
+    );
 }
 
 /// A machine that vanished leaves its connections open and silent: what is new tries another one. (What takes the
@@ -60,7 +78,13 @@
 /// Over 32 open on one connection: refused on the spot, while those open go on.
 #[test]
 fn the_thirty_third_open_request_is_refused() {
-    let open: String = (1..=32).map(|n| format!("c1 send {n} seat-check\n")).collect();
+    let open: String = (1..=32)
+        .map(|n| format!("c1 send {n} seat-check\n"))
+        .collect();
     let first = "c1 send 33 seat-check\nc1 expect 33 Overloaded\nwait client_over_limit=1\n";
-    play(4, Speech::Lines, &format!("{open}{first}c1 send cancel 1\nwait left=1\n"));
+    play(
+        4,
+        Speech::Lines,
+        &format!("{open}{first}c1 send cancel 1\nwait left=1\n"),
+    );
 }
--- a/tests/scenarios/fronts.rs
+++ b/tests/scenarios/fronts.rs
@@ -48,21 +48,35 @@
         Speech::Lines => format!("batches=1 r{n}\\tb\\tc\\n"),
         Speech::Flight => format!("r{n}\\tb\\tc\\n"),
     };
-    let load = if speech == Speech::Lines { "batches=1 7\\t\\t\\n" } else { "7" };
+    let load = if speech == Speech::Lines {
+        "batches=1 7\\t\\t\\n"
+    } else {
+        "7"
+    };
     let mut script = String::new();
     for round in 0..12 {
         // Eight open on each protocol at once, in two groups of four.
-        let groups: Vec<Vec<u32>> =
-            (0..2).map(|g| (1..=4).map(|n| round * 8 + g * 4 + n).collect()).collect();
+        let groups: Vec<Vec<u32>> = (0..2)
+            .map(|g| (1..=4).map(|n| round * 8 + g * 4 + n).collect())
+            .collect();
         let mut line = |text: String| script += &format!("{text}\n");
         for numbers in &groups {
-            for (n, class) in numbers.iter().zip(["seat-check", "usage-report", "log-load", "log-load"]) {
+            for (n, class) in
+                numbers
+                    .iter()
+                    .zip(["seat-check", "usage-report", "log-load", "log-load"])
+            {
                 line(format!("c1 send {n} {class}"));
                 line(format!("f1 send {n} {class}"));
             }
         }
-        for (who, numbers) in ["c1", "f1"].iter().flat_map(|who| groups.iter().map(move |g| (*who, g))) {
-            numbers.iter().for_each(|n| line(format!("e expect ASK {who}.{n}")));
+        for (who, numbers) in ["c1", "f1"]
+            .iter()
+            .flat_map(|who| groups.iter().map(move |g| (*who, g)))
+        {
+            numbers
+                .iter()
+                .for_each(|n| line(format!("e expect ASK {who}.{n}")));
             // One load is turned away and goes again; the other fails and does not.
             line(format!("e send {who}.{} overload", numbers[3]));
             line(format!("e expect ASK {who}.{}", numbers[3]));
@@ -77,5 +91,9 @@
             line(format!("{who} expect {} served {served}", numbers[3]));
         }
     }
-    play(8, speech, &format!("{script}wait open=0\nwait taken=192\nwait served=144\nwait failed=48\n"));
+    play(
+        8,
+        speech,
+        &format!("{script}wait open=0\nwait taken=192\nwait served=144\nwait failed=48\n"),
+    );
 }
--- a/tests/scenarios/process.rs
+++ b/tests/scenarios/process.rs
@@ -1,7 +1,9 @@
 //! The program as a process: its start, its signals, its successor and its end.
 
 use crate::scene::configuration;
-use crate::scene::process::{Reaped, addresses, call, inheriting, line_with, program, said_by, signal};
+use crate::scene::process::{
+    Reaped, addresses, call, inheriting, line_with, program, said_by, signal,
+};
 use magpiechute::config::Fronts;
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -35,9 +37,17 @@
             r#"{{"instanceId":"s-{n:08x}","hostPort":"127.0.0.1:1","zone":"hall-a","machineType":"std-8c"}}"#
         )
     };
-    let known = format!(r#"{{"n":1,"members":{{"reset":true,"instances":[{},{}]}}}}"#, member(1), member(2));
+    let known = format!(
+        r#"{{"n":1,"members":{{"reset":true,"instances":[{},{}]}}}}"#,
+        member(1),
+        member(2)
+    );
     let config = folder.join("config.json");
-    std::fs::write(&config, configuration("127.0.0.1:1".parse().expect("address"), &known)).expect("file");
+    std::fs::write(
+        &config,
+        configuration("127.0.0.1:1".parse().expect("address"), &known),
+    )
+    .expect("file");
     let start = || upgraded(&listener, &config, &folder);
     let skipped = |ops, n| {
         let wanted = format!("node.skipped_engines={n}\n");
@@ -64,21 +74,38 @@
     let mut kept = TcpStream::connect(at).expect("connect");
     assert!(fit(&mut kept));
     let (new, mut new_said, new_ops) = start();
-    line_with(&mut old_said, "another process of this workload manager lives");
+    line_with(
+        &mut old_said,
+        "another process of this workload manager lives",
+    );
     assert!(call(new_ops, "READY").starts_with("200"));
-    assert!(skipped(new_ops, 1), "the successor knows what was taken out before it came");
+    assert!(
+        skipped(new_ops, 1),
+        "the successor knows what was taken out before it came"
+    );
     assert!(call(old_ops, "DISABLE s-00000002").starts_with("200"));
     assert!(skipped(new_ops, 2), "and what is taken out at the old one");
     assert!(call(new_ops, "ENABLE s-00000001").starts_with("200"));
     assert!(skipped(old_ops, 1), "and the other way round");
     end(old);
-    assert_eq!(kept.read(&mut [0; 9]).expect("the end"), 0, "a kept connection is closed");
-    line_with(&mut new_said, "another process of this workload manager has gone");
+    assert_eq!(
+        kept.read(&mut [0; 9]).expect("the end"),
+        0,
+        "a kept connection is closed"
+    );
+    line_with(
+        &mut new_said,
+        "another process of this workload manager has gone",
+    );
     assert!(fit(&mut TcpStream::connect(at).expect("connect")));
     end(new);
     // What is lying about in the folder stops no start.
     let state = folder.join("magpiechute-n1.state");
-    assert!(std::fs::read_to_string(&state).expect("state").contains("s-00000002"));
+    assert!(
+        std::fs::read_to_string(&state)
+            .expect("state")
+            .contains("s-00000002")
+    );
     std::fs::write(&state, "{\"version\":1,").expect("file");
     let (last, _said, ops) = start();
     assert!(call(ops, "READY").starts_with("200") && skipped(ops, 0));
@@ -86,7 +113,10 @@
 }
 
 fn good() -> String {
-    configuration("127.0.0.1:1".parse().expect("address"), r#"{"n":1,"members":{"reset":true}}"#)
+    configuration(
+        "127.0.0.1:1".parse().expect("address"),
+        r#"{"n":1,"members":{"reset":true}}"#,
+    )
 }
 
 /// What cannot be used is a plain message and a code that is not zero.
@@ -102,11 +132,21 @@
 #[case::not_loopback("not_loopback", &good(), "[flight]\nlisten = \"192.0.2.1:1\"", "not a loopback address")]
 #[case::unknown_key("unknown_key", &good(), "[flght]\nlisten = \"127.0.0.1:0\"", "unknown field")]
 #[case::bad_speech("bad_speech", &good(), "[flight]\nlisten = \"127.0.0.1:0\"\nengines = \"x\"", "unknown variant")]
-fn bad_configuration(#[case] name: &str, #[case] config: &str, #[case] fronts: &str, #[case] says: &str) {
-    let done = program(name, config, fronts).wait_with_output().expect("end");
+fn bad_configuration(
+    #[case] name: &str,
+    #[case] config: &str,
+    #[case] fronts: &str,
+    #[case] says: &str,
+) {
+    let done = program(name, config, fronts)
+        .wait_with_output()
+        .expect("end");
     let said = String::from_utf8_lossy(&done.stderr);
     assert!(!done.status.success() && said.contains(says), "{said}");
-    assert!(said.starts_with("magpiechute: ") && !said.contains("panicked"), "{said}");
+    assert!(
+        said.starts_with("magpiechute: ") && !said.contains("panicked"),
+        "{said}"
+    );
 }
 
 /// A planned end of the program prints the counters and exits 0; so does SIGUSR1 in between.
@@ -124,8 +164,14 @@
     // SIGHUP reads the file anew: one that cannot be used changes nothing, and ends nothing.
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("signals.json");
     for (text, says) in [
-        ("{".to_owned(), "goes on with the old configuration: configuration: EOF"),
-        (good().replace("127.0.0.1:1", "127.0.0.1:2"), "follows the control feed at 127.0.0.1:2"),
+        (
+            "{".to_owned(),
+            "goes on with the old configuration: configuration: EOF",
+        ),
+        (
+            good().replace("127.0.0.1:1", "127.0.0.1:2"),
+            "follows the control feed at 127.0.0.1:2",
+        ),
     ] {
         std::fs::write(&path, text).expect("file");
         signal("HUP");
@@ -143,13 +189,25 @@
 /// A client's connection to a program that says where it serves, with a buffer of about so many bytes for answers.
 fn client_of(said: &mut impl BufRead, buffer: u32) -> TcpStream {
     let serves = line_with(said, "serves on");
-    let at = serves.split("serves on ").nth(1).and_then(|rest| rest.split(',').next()).expect("address");
+    let at = serves
+        .split("serves on ")
+        .nth(1)
+        .and_then(|rest| rest.split(',').next())
+        .expect("address");
     let at: SocketAddr = at.parse().expect("address");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("runtime");
     let stream = runtime.block_on(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("socket");
         socket.set_recv_buffer_size(buffer).expect("option");
-        socket.connect(at).await.expect("connect").into_std().expect("stream")
+        socket
+            .connect(at)
+            .await
+            .expect("connect")
+            .into_std()
+            .expect("stream")
     });
     stream.set_nonblocking(false).expect("option");
     stream
@@ -161,18 +219,38 @@
     let mut child = Reaped(program("reads_nothing", &good(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut client = client_of(&mut said, 2048);
-    client.set_write_timeout(Some(std::time::Duration::from_millis(500))).expect("option");
+    client
+        .set_write_timeout(Some(std::time::Duration::from_millis(500)))
+        .expect("option");
     // Until neither side takes anything more.
-    let call = |id: u32| [b"\x94\x00\xce", &id.to_be_bytes()[..], b"\xa6health\x91\x80"].concat();
-    let calls = |n: u32| (n * 4096..(n + 1) * 4096).flat_map(call).collect::<Vec<u8>>();
-    assert!((1u32..).map(calls).any(|calls| client.write_all(&calls).is_err()));
+    let call = |id: u32| {
+        [
+            b"\x94\x00\xce",
+            &id.to_be_bytes()[..],
+            b"\xa6health\x91\x80",
+        ]
+        .concat()
+    };
+    let calls = |n: u32| {
+        (n * 4096..(n + 1) * 4096)
+            .flat_map(call)
+            .collect::<Vec<u8>>()
+    };
+    assert!(
+        (1u32..)
+            .map(calls)
+            .any(|calls| client.write_all(&calls).is_err())
+    );
     signal(&child, "TERM");
     let since = std::time::Instant::now();
     let ended = loop {
         if let Some(ended) = child.try_wait().expect("end") {
             break ended;
         }
-        assert!(since.elapsed().as_secs() < 15, "it waits for a client that reads nothing");
+        assert!(
+            since.elapsed().as_secs() < 15,
+            "it waits for a client that reads nothing"
+        );
         std::thread::sleep(std::time::Duration::from_millis(10));
     };
     assert!(ended.success());
@@ -185,17 +263,25 @@
     let mut child = Reaped(program("feed_moves", &good(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut client = client_of(&mut said, 65_536);
-    client.write_all(b"\x94\x00\x01\xa6health\x91\x80").expect("write");
+    client
+        .write_all(b"\x94\x00\x01\xa6health\x91\x80")
+        .expect("write");
     client.read_exact(&mut [0; 7]).expect("an answer");
     client.write_all(b"\x94\x00\x02\xa6hea").expect("write");
     let feed = TcpListener::bind("127.0.0.1:0").expect("bind");
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("feed_moves.json");
     let address = feed.local_addr().expect("address").to_string();
     std::fs::write(&path, good().replace("127.0.0.1:1", &address)).expect("file");
-    ["TERM", "HUP"].into_iter().for_each(|name| signal(&child, name));
+    ["TERM", "HUP"]
+        .into_iter()
+        .for_each(|name| signal(&child, name));
     line_with(&mut said, &format!("follows the control feed at {address}"));
     let mut last = [0; 8];
-    feed.accept().expect("accept").0.read_exact(&mut last).expect("the last event");
+    feed.accept()
+        .expect("accept")
+        .0
+        .read_exact(&mut last)
+        .expect("the last event");
     assert_eq!(u64::from_be_bytes(last), 1);
     assert!(child.wait().expect("end").success());
 }
--- a/tests/scene/engines.rs
+++ b/tests/scene/engines.rs
@@ -105,19 +105,44 @@
             let (listener, port) = listen();
             let address = listener.local_addr().expect("address");
             let (accepts, accepting) = watch::channel(true);
-            let door = Door { listener, accepting };
+            let door = Door {
+                listener,
+                accepting,
+            };
             let task = match speech {
                 Speech::Lines => tokio::spawn(lines(engine, door, tell.clone())),
                 Speech::Flight => tokio::spawn(flight(engine, door, tell.clone())),
             };
             let (task, drained, fillers) = (task.abort_handle(), Arc::default(), Vec::new());
-            engines.push(Engine { address, task, accepts, fillers, drained, _port: port });
+            engines.push(Engine {
+                address,
+                task,
+                accepts,
+                fillers,
+                drained,
+                _port: port,
+            });
         }
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let feed = Feed { address, listener, stream: None, events: 1 };
+        let feed = Feed {
+            address,
+            listener,
+            stream: None,
+            events: 1,
+        };
         let (asked, out, ran, suspects, left) = Default::default();
-        Fleet { engines, heard, held: Vec::new(), asked, out, suspects, ran, left, feed }
+        Fleet {
+            engines,
+            heard,
+            held: Vec::new(),
+            asked,
+            out,
+            suspects,
+            ran,
+            left,
+            feed,
+        }
     }
 
     /// The first event of the list, as the configuration has it.
@@ -131,7 +156,10 @@
             )
         };
         let members: Vec<String> = self.engines.iter().enumerate().map(member).collect();
-        format!(r#"{{"n":1,"members":{{"generation":1,"reset":true,"instances":[{}]}}}}"#, members.join(","))
+        format!(
+            r#"{{"n":1,"members":{{"generation":1,"reset":true,"instances":[{}]}}}}"#,
+            members.join(",")
+        )
     }
 
     /// The feed goes to another address; connections to the old one stay open and tell nothing.
@@ -197,10 +225,15 @@
                         } else {
                             let fields = rest.first().copied().unwrap_or("-");
                             let body = unescape(&rest.get(1..).unwrap_or_default().join(" "));
-                            format!("{} {word} {fields} {}\r\n{body}\r\n", heard.id, body.len()).into_bytes()
+                            format!("{} {word} {fields} {}\r\n{body}\r\n", heard.id, body.len())
+                                .into_bytes()
                         };
                         let mut to = to.lock().await;
-                        to.as_mut().expect("connection").write_all(&text).await.expect("write");
+                        to.as_mut()
+                            .expect("connection")
+                            .write_all(&text)
+                            .await
+                            .expect("write");
                     }
                 }
             }
@@ -213,7 +246,9 @@
                 let engine = &mut self.engines[number(engine)];
                 engine.accepts.send_replace(false);
                 for _ in 0..=BACKLOG {
-                    engine.fillers.push(TcpStream::connect(engine.address).await.expect("connect"));
+                    engine
+                        .fillers
+                        .push(TcpStream::connect(engine.address).await.expect("connect"));
                 }
             }
             (engine, "release", []) => {
@@ -240,12 +275,18 @@
             if !self.out.insert(label.to_owned()) {
                 self.suspects.insert(label.to_owned());
             }
-            assert!(!self.ran.contains(label) || !heard.once, "{label} may have run already");
+            assert!(
+                !self.ran.contains(label) || !heard.once,
+                "{label} may have run already"
+            );
             let drained = *self.engines[heard.engine].drained.lock().expect("lock");
             let late = drained.is_some_and(|at| at.elapsed() > Duration::from_millis(250));
             assert!(!late, "{label} went to an engine that drains");
             let client = label.split('.').next().unwrap_or_default();
-            let left = [client, label].iter().filter_map(|who| self.left.get(*who)).min();
+            let left = [client, label]
+                .iter()
+                .filter_map(|who| self.left.get(*who))
+                .min();
             let late = left.is_some_and(|at| heard.at.duration_since(*at) > BEGINS_AFTER_LEAVING);
             assert!(!late, "{label} began after its client had left");
         } else if let Some(label) = heard.line.strip_prefix("CLOSED ") {
@@ -265,7 +306,11 @@
         while let Ok(heard) = self.heard.try_recv() {
             self.take(heard);
         }
-        assert!(self.suspects.is_empty(), "attempts beside each other: {:?}", self.suspects);
+        assert!(
+            self.suspects.is_empty(),
+            "attempts beside each other: {:?}",
+            self.suspects
+        );
     }
 
     async fn feed_step(&mut self, verb: &str, rest: &[&str]) {
@@ -273,35 +318,60 @@
         match (verb, rest) {
             ("expect", [last]) => {
                 let (mut stream, _) = feed.listener.accept().await.expect("accept");
-                assert_eq!(stream.read_u64().await.expect("the last event").to_string(), *last);
+                assert_eq!(
+                    stream.read_u64().await.expect("the last event").to_string(),
+                    *last
+                );
                 feed.stream = Some(stream);
             }
             ("close", _) => feed.stream = None,
             ("send", ["raw", bytes]) => {
-                feed.stream.as_mut().expect("feed").write_all(&hex(bytes)).await.expect("write");
+                feed.stream
+                    .as_mut()
+                    .expect("feed")
+                    .write_all(&hex(bytes))
+                    .await
+                    .expect("write");
             }
             // A whole list that names no other engine.
             ("send", ["only", engine]) => {
                 let (n, at) = (number(engine), self.engines[number(engine)].address);
                 feed.events += 1;
                 let frame = feed_frame(feed.events, 1, n, at, 0, 0);
-                feed.stream.as_mut().expect("feed").write_all(&frame).await.expect("write");
+                feed.stream
+                    .as_mut()
+                    .expect("feed")
+                    .write_all(&frame)
+                    .await
+                    .expect("write");
             }
             // An event that was told already, and half of one before the feed breaks off.
             ("send", ["again", engine]) => {
                 let (n, at) = (number(engine), self.engines[number(engine)].address);
                 let frame = feed_frame(feed.events, 2, n, at, 2, 0);
-                feed.stream.as_mut().expect("feed").write_all(&frame).await.expect("write");
+                feed.stream
+                    .as_mut()
+                    .expect("feed")
+                    .write_all(&frame)
+                    .await
+                    .expect("write");
             }
             ("send", ["half", engine]) => {
                 let (n, at) = (number(engine), self.engines[number(engine)].address);
                 let frame = feed_frame(feed.events + 1, 2, n, at, 2, 0);
-                feed.stream.as_mut().expect("feed").write_all(&frame[..20]).await.expect("write");
+                feed.stream
+                    .as_mut()
+                    .expect("feed")
+                    .write_all(&frame[..20])
+                    .await
+                    .expect("write");
             }
             ("send", [state, engine]) => {
                 let n = number(engine);
-                let state =
-                    ["active", "draining", "gone", "listed"].iter().position(|s| s == state).expect("state");
+                let state = ["active", "draining", "gone", "listed"]
+                    .iter()
+                    .position(|s| s == state)
+                    .expect("state");
                 let address = self.engines[n].address;
                 // A line that stays as it was says nothing of what may go there.
                 let state = if state == 3 {
@@ -312,7 +382,13 @@
                 };
                 self.feed.events += 1;
                 let frame = feed_frame(self.feed.events, 2, n, address, state as u8, 0);
-                self.feed.stream.as_mut().expect("feed").write_all(&frame).await.expect("write");
+                self.feed
+                    .stream
+                    .as_mut()
+                    .expect("feed")
+                    .write_all(&frame)
+                    .await
+                    .expect("write");
             }
             other => panic!("feed: {other:?}"),
         }
@@ -320,7 +396,14 @@
 }
 
 /// A frame with one record, of an engine that started at this Unix time in ms, or long ago at 0.
-pub fn feed_frame(event: u64, kind: u8, n: usize, at: SocketAddr, state: u8, started_ms: u64) -> Vec<u8> {
+pub fn feed_frame(
+    event: u64,
+    kind: u8,
+    n: usize,
+    at: SocketAddr,
+    state: u8,
+    started_ms: u64,
+) -> Vec<u8> {
     let mut frame = Vec::new();
     frame.extend_from_slice(&(9 + 27u32).to_be_bytes());
     frame.extend_from_slice(&event.to_be_bytes());
@@ -344,7 +427,11 @@
 
 /// The label that a statement's comment carries; one that may run once only is marked.
 pub fn label(statement: &str) -> (String, bool) {
-    let label = statement.rsplit("-- ").next().unwrap_or_default().to_owned();
+    let label = statement
+        .rsplit("-- ")
+        .next()
+        .unwrap_or_default()
+        .to_owned();
     (label, statement.starts_with("INSERT"))
 }
 
@@ -395,21 +482,32 @@
                 if words[0] == "NOOP" {
                     let mut to = write.lock().await;
                     let green = format!("{id} green - 0\r\n\r\n");
-                    to.as_mut().expect("connection").write_all(green.as_bytes()).await.expect("write");
+                    to.as_mut()
+                        .expect("connection")
+                        .write_all(green.as_bytes())
+                        .await
+                        .expect("write");
                     continue;
                 }
                 if words[0] == "ASK" {
                     let mut body = vec![0; words[3].parse::<usize>().expect("length") + 2];
                     read.read_exact(&mut body).await.expect("statement");
                     let body = String::from_utf8(body).expect("text");
-                    assert!(body.ends_with("\r\n") && words[2].contains("patience="), "{line}");
+                    assert!(
+                        body.ends_with("\r\n") && words[2].contains("patience="),
+                        "{line}"
+                    );
                     // Whatever a client wrote, an engine gets figures that it can use.
                     let (keys, figures): (Vec<_>, Vec<_>) = words[2]
                         .split(',')
                         .skip(1)
                         .map(|f| f.split_once('='))
                         .partition(|f| f.is_some_and(|f| f.0 == "op"));
-                    key = keys.into_iter().flatten().map(|(_, key)| format!(" op={key}")).collect();
+                    key = keys
+                        .into_iter()
+                        .flatten()
+                        .map(|(_, key)| format!(" op={key}"))
+                        .collect();
                     let fine = |f: Option<(&str, &str)>| {
                         f.is_some_and(|(_, n)| n.parse().is_ok_and(|n: u32| n < 10_000_000))
                     };
@@ -417,11 +515,21 @@
                     labels.insert(id.clone(), label(body.trim_end()));
                 }
                 let (label, once) = labels.get(&id).cloned().expect("an id that was asked");
-                let number =
-                    words.get(2).filter(|_| words[0] == "NEXT").map_or(String::new(), |n| format!(" {n}"));
+                let number = words
+                    .get(2)
+                    .filter(|_| words[0] == "NEXT")
+                    .map_or(String::new(), |n| format!(" {n}"));
                 let line = format!("{} {label}{number}{key}", words[0]);
                 let (reply, cut) = (Reply::Line(write.clone()), cut.clone());
-                let _ = tell.send(Heard { line, engine, reply, cut, id, once, at: Instant::now() });
+                let _ = tell.send(Heard {
+                    line,
+                    engine,
+                    reply,
+                    cut,
+                    id,
+                    once,
+                    at: Instant::now(),
+                });
             }
         });
     }
@@ -434,11 +542,21 @@
     let relays: Arc<Mutex<Vec<AbortHandle>>> = Arc::default();
     let cut: Arc<dyn Fn() + Send + Sync> = {
         let relays = relays.clone();
-        Arc::new(move || relays.lock().expect("lock").drain(..).for_each(|r| r.abort()))
+        Arc::new(move || {
+            relays
+                .lock()
+                .expect("lock")
+                .drain(..)
+                .for_each(|r| r.abort())
+        })
     };
     let service = FlightServiceServer::new(Service { engine, tell, cut });
     let incoming = tokio_stream::wrappers::TcpListenerStream::new(inner);
-    tokio::spawn(tonic::transport::Server::builder().add_service(service).serve_with_incoming(incoming));
+    tokio::spawn(
+        tonic::transport::Server::builder()
+            .add_service(service)
+            .serve_with_incoming(incoming),
+    );
     while let Some(mut outer) = door.accept().await {
         let relay = tokio::spawn(async move {
             let mut inner = tokio::net::TcpStream::connect(at).await.expect("engine");
--- a/tests/scene/flight.rs
+++ b/tests/scene/flight.rs
@@ -34,9 +34,17 @@
 
 impl Client {
     pub async fn new(name: &str, at: SocketAddr) -> Client {
-        let channel = Endpoint::from_shared(format!("http://{at}")).expect("address").connect().await;
+        let channel = Endpoint::from_shared(format!("http://{at}"))
+            .expect("address")
+            .connect()
+            .await;
         let (calls, tickets) = (HashMap::new(), HashMap::new());
-        Client { name: name.to_owned(), channel: channel.expect("connect"), calls, tickets }
+        Client {
+            name: name.to_owned(),
+            channel: channel.expect("connect"),
+            calls,
+            tickets,
+        }
     }
 
     /// `send 7 CLASS k=v` calls (a plan and a get, or a put); `send ticket 7 CLASS` plans only, and
@@ -51,7 +59,8 @@
             }
             ("send", ["get", id, of]) => {
                 let ticket = Request::new(self.tickets[*of].clone());
-                self.calls.insert((*id).to_owned(), tokio::spawn(get(client, ticket)));
+                self.calls
+                    .insert((*id).to_owned(), tokio::spawn(get(client, ticket)));
             }
             ("send", ["action", id]) => {
                 let call = async move {
@@ -62,7 +71,10 @@
             }
             ("send", [id, "log-load", fields @ ..]) => {
                 let text = statement("log-load", &format!("{}.{id}", self.name));
-                let command = CommandStatementUpdate { query: text, transaction_id: None };
+                let command = CommandStatementUpdate {
+                    query: text,
+                    transaction_id: None,
+                };
                 let data = FlightData::new()
                     .with_descriptor(FlightDescriptor::new_cmd(command.as_any().encode_to_vec()));
                 let call = put(client, self.dress("log-load", fields, stream::iter([data])));
@@ -77,7 +89,9 @@
                         Err(status) => return say(Some(status)),
                     };
                     let mut request = Request::new(ticket);
-                    timeout.into_iter().for_each(|t| drop(request.metadata_mut().insert("grpc-timeout", t)));
+                    timeout
+                        .into_iter()
+                        .for_each(|t| drop(request.metadata_mut().insert("grpc-timeout", t)));
                     get(client, request).await
                 };
                 self.calls.insert((*id).to_owned(), tokio::spawn(call));
@@ -96,19 +110,31 @@
         let mut request = Request::new(message);
         let mut put = |key: &str, value: &str| {
             let key: tonic::metadata::AsciiMetadataKey = key.parse().expect("key");
-            request.metadata_mut().insert(key, value.parse().expect("value"));
+            request
+                .metadata_mut()
+                .insert(key, value.parse().expect("value"));
         };
         put("magpiechute-class", class);
         put("magpiechute-tenant", "member-north");
         put("magpiechute-effort", "50.0");
-        fields.iter().filter_map(|f| f.split_once('=')).for_each(|(key, value)| put(key, value));
+        fields
+            .iter()
+            .filter_map(|f| f.split_once('='))
+            .for_each(|(key, value)| put(key, value));
         request
     }
 }
 
 fn query(class: &str, name: &str, id: &str) -> FlightDescriptor {
-    let query = if class == "none" { String::new() } else { statement(class, &format!("{name}.{id}")) };
-    let command = CommandStatementQuery { query, transaction_id: None };
+    let query = if class == "none" {
+        String::new()
+    } else {
+        statement(class, &format!("{name}.{id}"))
+    };
+    let command = CommandStatementQuery {
+        query,
+        transaction_id: None,
+    };
     FlightDescriptor::new_cmd(command.as_any().encode_to_vec())
 }
 
@@ -140,11 +166,20 @@
         }
     }
     // What is long is told by its length.
-    if text.len() > 1000 { format!("served {}", text.len()) } else { format!("served {text}") }
+    if text.len() > 1000 {
+        format!("served {}", text.len())
+    } else {
+        format!("served {text}")
+    }
 }
 
 fn cell(column: &ArrayRef, row: usize) -> String {
-    column.as_any().downcast_ref::<StringArray>().expect("text").value(row).to_owned()
+    column
+        .as_any()
+        .downcast_ref::<StringArray>()
+        .expect("text")
+        .value(row)
+        .to_owned()
 }
 
 async fn put(
@@ -167,9 +202,13 @@
 
 /// A status as scripts write it, with RETRY where it says when to come back.
 fn say(status: Option<Status>) -> String {
-    let Some(status) = status else { return "OK".to_owned() };
+    let Some(status) = status else {
+        return "OK".to_owned();
+    };
     let retry = status.get_details_retry_info().and_then(|r| r.retry_delay);
-    let retry = retry.filter(|d| *d <= Duration::from_secs(1)).map_or("", |_| " RETRY");
+    let retry = retry
+        .filter(|d| *d <= Duration::from_secs(1))
+        .map_or("", |_| " RETRY");
     format!("{:?}{retry}", status.code())
 }
 
@@ -181,7 +220,11 @@
 
 /// Tells that a call is gone when it is dropped before its end.
 struct Ends {
-    service: (usize, mpsc::UnboundedSender<Heard>, Arc<dyn Fn() + Send + Sync>),
+    service: (
+        usize,
+        mpsc::UnboundedSender<Heard>,
+        Arc<dyn Fn() + Send + Sync>,
+    ),
     label: String,
     over: bool,
 }
@@ -221,7 +264,14 @@
             once,
             at: Instant::now(),
         });
-        (Ends { service, label, over: false }, orders)
+        (
+            Ends {
+                service,
+                label,
+                over: false,
+            },
+            orders,
+        )
     }
 }
 
@@ -239,7 +289,10 @@
         None => text.to_owned(),
     };
     let column = |i: usize| -> (String, ArrayRef) {
-        let cells: Vec<&str> = text.lines().map(|l| l.split('\t').nth(i).unwrap_or_default()).collect();
+        let cells: Vec<&str> = text
+            .lines()
+            .map(|l| l.split('\t').nth(i).unwrap_or_default())
+            .collect();
         (format!("c{i}"), Arc::new(StringArray::from(cells)))
     };
     let batch = RecordBatch::try_from_iter((0..3).map(column)).expect("batch");
@@ -263,30 +316,42 @@
     ) -> Result<Response<FlightInfo>, Status> {
         let any = Any::decode(request.into_inner().cmd).expect("command");
         let query: CommandStatementQuery = any.unpack().expect("command").expect("query");
-        let ticket = Ticket { ticket: query.query.into() };
-        Ok(Response::new(FlightInfo::new().with_endpoint(FlightEndpoint::new().with_ticket(ticket))))
+        let ticket = Ticket {
+            ticket: query.query.into(),
+        };
+        Ok(Response::new(
+            FlightInfo::new().with_endpoint(FlightEndpoint::new().with_ticket(ticket)),
+        ))
     }
 
-    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<Self::DoGetStream>, Status> {
+    async fn do_get(
+        &self,
+        request: Request<Ticket>,
+    ) -> Result<Response<Self::DoGetStream>, Status> {
         assert!(request.metadata().contains_key("grpc-timeout"));
         let text = String::from_utf8(request.into_inner().ticket.to_vec()).expect("text");
         let (ends, orders) = self.heard(&text);
-        let data = stream::unfold((ends, orders, true), |(mut ends, mut orders, first)| async move {
-            if ends.over {
-                return None;
-            }
-            let (word, text) = orders.recv().await?;
-            ends.over = word != "rows";
-            let data = match word.as_str() {
-                "rows" => rows(&text, first).into_iter().map(Ok).collect(),
-                "served" if text.is_empty() => Vec::new(),
-                "served" => rows(&text, first).into_iter().map(Ok).collect(),
-                word => vec![Err(failure(word))],
-            };
-            Some((stream::iter(data), (ends, orders, false)))
-        });
+        let data = stream::unfold(
+            (ends, orders, true),
+            |(mut ends, mut orders, first)| async move {
+                if ends.over {
+                    return None;
+                }
+                let (word, text) = orders.recv().await?;
+                ends.over = word != "rows";
+                let data = match word.as_str() {
+                    "rows" => rows(&text, first).into_iter().map(Ok).collect(),
+                    "served" if text.is_empty() => Vec::new(),
+                    "served" => rows(&text, first).into_iter().map(Ok).collect(),
+                    word => vec![Err(failure(word))],
+                };
+                Some((stream::iter(data), (ends, orders, false)))
+            },
+        );
         let mut response = Response::new(data.flatten().boxed());
-        response.metadata_mut().insert("magpiechute-inflight", "1".parse().expect("figure"));
+        response
+            .metadata_mut()
+            .insert("magpiechute-inflight", "1".parse().expect("figure"));
         Ok(response)
     }
 
@@ -298,13 +363,20 @@
         let any = Any::decode(first.flight_descriptor.expect("descriptor").cmd).expect("command");
         let update: CommandStatementUpdate = any.unpack().expect("command").expect("update");
         let (mut ends, mut orders) = self.heard(&update.query);
-        let (word, text) = orders.recv().await.ok_or_else(|| Status::internal("the scene is over"))?;
+        let (word, text) = orders
+            .recv()
+            .await
+            .ok_or_else(|| Status::internal("the scene is over"))?;
         ends.over = true;
         if word != "served" {
             return Err(failure(&word));
         }
-        let result = DoPutUpdateResult { record_count: text.parse().expect("count") };
-        let result = PutResult { app_metadata: result.encode_to_vec().into() };
+        let result = DoPutUpdateResult {
+            record_count: text.parse().expect("count"),
+        };
+        let result = PutResult {
+            app_metadata: result.encode_to_vec().into(),
+        };
         Ok(Response::new(stream::iter([Ok(result)]).boxed()))
     }
 
@@ -315,23 +387,38 @@
         Err(Status::unimplemented(""))
     }
 
-    async fn list_flights(&self, _: Request<Criteria>) -> Result<Response<Self::ListFlightsStream>, Status> {
+    async fn list_flights(
+        &self,
+        _: Request<Criteria>,
+    ) -> Result<Response<Self::ListFlightsStream>, Status> {
         Err(Status::unimplemented(""))
     }
 
-    async fn poll_flight_info(&self, _: Request<FlightDescriptor>) -> Result<Response<PollInfo>, Status> {
+    async fn poll_flight_info(
+        &self,
+        _: Request<FlightDescriptor>,
+    ) -> Result<Response<PollInfo>, Status> {
         Err(Status::unimplemented(""))
     }
 
-    async fn get_schema(&self, _: Request<FlightDescriptor>) -> Result<Response<SchemaResult>, Status> {
+    async fn get_schema(
+        &self,
+        _: Request<FlightDescriptor>,
+    ) -> Result<Response<SchemaResult>, Status> {
         Err(Status::unimplemented(""))
     }
 
-    async fn do_action(&self, _: Request<Action>) -> Result<Response<Self::DoActionStream>, Status> {
+    async fn do_action(
+        &self,
+        _: Request<Action>,
+    ) -> Result<Response<Self::DoActionStream>, Status> {
         Err(Status::unimplemented(""))
     }
 
-    async fn list_actions(&self, _: Request<Empty>) -> Result<Response<Self::ListActionsStream>, Status> {
+    async fn list_actions(
+        &self,
+        _: Request<Empty>,
+    ) -> Result<Response<Self::ListActionsStream>, Status> {
         Err(Status::unimplemented(""))
     }
 
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -47,7 +47,9 @@
 const LONG: Duration = Duration::from_secs(20);
 
 pub async fn soon<T>(what: &str, event: impl Future<Output = T>) -> T {
-    tokio::time::timeout(LONG, event).await.unwrap_or_else(|_| panic!("no {what}"))
+    tokio::time::timeout(LONG, event)
+        .await
+        .unwrap_or_else(|_| panic!("no {what}"))
 }
 
 /// Settings with the classes of the exchange, as a first message has them.
@@ -59,8 +61,16 @@
                 "fifoByKey":false}}"#
         )
     };
-    let classes = [class("seat-check", "repeatable", 5000), class("usage-report", "repeatable", 9000)];
-    let classes = format!("{},{},{}", classes[0], classes[1], class("log-load", "once", 9000));
+    let classes = [
+        class("seat-check", "repeatable", 5000),
+        class("usage-report", "repeatable", 9000),
+    ];
+    let classes = format!(
+        "{},{},{}",
+        classes[0],
+        classes[1],
+        class("log-load", "once", 9000)
+    );
     format!(
         r#"{{"nInstances":1,"ordinal":0,"classes":[{classes}],"discovery":"push","zones":["hall-a"],"shapes":["std-8c"],
         "tenants":[{{"name":"member-north","quotaPerS":28}}],"report":{{"how":"inline","names":["rif"]}},
@@ -98,7 +108,9 @@
     }
     let mut value: Value = serde_json::from_str(text).expect("configuration");
     for change in changes {
-        let classes = value["settings"]["classes"].as_array_mut().expect("classes");
+        let classes = value["settings"]["classes"]
+            .as_array_mut()
+            .expect("classes");
         if let Some(name) = change.strip_prefix('-') {
             classes.retain(|class| class["name"] != name);
         } else if let Some(name) = change.strip_prefix('+') {
@@ -109,7 +121,9 @@
             each(&mut value, key, &|map| drop(map.remove(key)));
         } else if let Some((key, new)) = change.split_once('=') {
             let new: Value = serde_json::from_str(new).expect("value");
-            each(&mut value, key, &|map| drop(map.insert(key.to_owned(), new.clone())));
+            each(&mut value, key, &|map| {
+                drop(map.insert(key.to_owned(), new.clone()))
+            });
         }
     }
     let text = value.to_string();
@@ -151,12 +165,23 @@
 
 /// Plays a script with so many engines that speak lines, or Flight SQL.
 pub fn play(engines: usize, speech: Speech, script: &str) {
-    play_on(&Stage { engines, speech, changes: &[], operators: OPERATORS }, script);
+    play_on(
+        &Stage {
+            engines,
+            speech,
+            changes: &[],
+            operators: OPERATORS,
+        },
+        script,
+    );
 }
 
 /// Plays a script on this stage.
 pub fn play_on(stage: &Stage<'_>, script: &str) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("runtime");
     runtime.block_on(async {
         let mut scene = Scene::new(stage).await;
         for step in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
@@ -172,20 +197,48 @@
     async fn new(stage: &Stage<'_>) -> Scene {
         let speech = stage.speech;
         let fleet = Fleet::new(stage.engines, speech).await;
-        let text = changed(&configuration(fleet.feed.address, &fleet.known()), stage.changes);
+        let text = changed(
+            &configuration(fleet.feed.address, &fleet.known()),
+            stage.changes,
+        );
         let config = Config::parse(text.as_bytes()).expect("configuration");
-        let front = FlightFront { listen: "127.0.0.1:0".to_owned(), engines: speech };
-        let agent = Agent { listen: "127.0.0.1:0".to_owned(), community: "public".to_owned() };
-        let fronts = Fronts { flight: Some(front), snmp: Some(agent) };
+        let front = FlightFront {
+            listen: "127.0.0.1:0".to_owned(),
+            engines: speech,
+        };
+        let agent = Agent {
+            listen: "127.0.0.1:0".to_owned(),
+            community: "public".to_owned(),
+        };
+        let fronts = Fronts {
+            flight: Some(front),
+            snmp: Some(agent),
+        };
         let judged = file::judge(stage.operators, Some(&Known::of(&config.parsed)));
         let policy = Arc::new(judged.expect("operators' file").1.unwrap_or_default());
-        let operators = Operators { fronts, policy, ..Operators::default() };
+        let operators = Operators {
+            fronts,
+            policy,
+            ..Operators::default()
+        };
         let node = Node::start(config, operators).await.expect("node");
         let manager = snmp::Manager::new(node.snmp.expect("agent")).await;
         let (counters, listen) = (node.counters.clone(), (node.listen, node.flight));
         let (clients, flights, callers) = Default::default();
         let (ops, node, ending) = (node.ops.expect("operations"), Arc::new(node), None);
-        Scene { node, ended: false, ending, counters, listen, fleet, clients, flights, manager, ops, callers }
+        Scene {
+            node,
+            ended: false,
+            ending,
+            counters,
+            listen,
+            fleet,
+            clients,
+            flights,
+            manager,
+            ops,
+            callers,
+        }
     }
 
     async fn step(&mut self, step: &str) {
@@ -195,7 +248,12 @@
             ("w", _) => {
                 let (name, value) = verb.split_once('=').expect("wait NAME=VALUE");
                 let reached = async {
-                    while !self.counters.all().iter().any(|(n, v)| *n == name && v.to_string() == value) {
+                    while !self
+                        .counters
+                        .all()
+                        .iter()
+                        .any(|(n, v)| *n == name && v.to_string() == value)
+                    {
                         tokio::time::sleep(Duration::from_millis(1)).await;
                     }
                 };
@@ -205,10 +263,14 @@
                 let node = &self.node;
                 if rest[0] == "settings" {
                     let text = configuration(self.fleet.feed.address, &self.fleet.known());
-                    node.reload(Config::parse(changed(&text, &rest[1..]).as_bytes())).await;
+                    node.reload(Config::parse(changed(&text, &rest[1..]).as_bytes()))
+                        .await;
                 } else if rest == ["moved"] {
                     let at = self.fleet.move_feed().await;
-                    node.reload(Config::parse(configuration(at, &self.fleet.known()).as_bytes())).await;
+                    node.reload(Config::parse(
+                        configuration(at, &self.fleet.known()).as_bytes(),
+                    ))
+                    .await;
                 } else {
                     node.reload(Config::parse(rest[0].as_bytes())).await;
                 }
@@ -218,20 +280,32 @@
                     self.ended = true;
                     self.node.stop();
                     let node = self.node.clone();
-                    self.ending = Some((tokio::spawn(async move { node.finish().await }), Instant::now()));
+                    self.ending = Some((
+                        tokio::spawn(async move { node.finish().await }),
+                        Instant::now(),
+                    ));
                 }
             }
             ("n", _) => {
                 if let Some((ending, since)) = self.ending.take() {
                     soon(step, ending).await.expect("the end");
-                    assert!(since.elapsed() < KILLED, "killed first: {:?}", since.elapsed());
+                    assert!(
+                        since.elapsed() < KILLED,
+                        "killed first: {:?}",
+                        since.elapsed()
+                    );
                 }
             }
             ("o", _) => {
                 if !self.callers.contains_key(who) {
-                    self.callers.insert(who.to_owned(), operations::Caller::new(self.ops).await);
+                    self.callers
+                        .insert(who.to_owned(), operations::Caller::new(self.ops).await);
                 }
-                soon(step, self.callers.get_mut(who).expect("caller").step(verb, rest)).await;
+                soon(
+                    step,
+                    self.callers.get_mut(who).expect("caller").step(verb, rest),
+                )
+                .await;
                 if verb != "send" {
                     let engine = self.callers.remove(who).and_then(|caller| caller.engine);
                     if let Some((n, out)) = engine.filter(|_| rest == ["200"]) {
@@ -265,7 +339,8 @@
             }
             ("f", _) if who != "feed" => {
                 if !self.flights.contains_key(who) {
-                    let client = flight::Client::new(who, self.listen.1.expect("flight front")).await;
+                    let client =
+                        flight::Client::new(who, self.listen.1.expect("flight front")).await;
                     self.flights.insert(who.to_owned(), client);
                 }
                 let client = self.flights.get_mut(who).expect("client");
--- a/tests/scene/operations.rs
+++ b/tests/scene/operations.rs
@@ -12,23 +12,36 @@
 
 impl Caller {
     pub async fn new(at: SocketAddr) -> Caller {
-        Caller { stream: TcpStream::connect(at).await.expect("connect"), engine: None }
+        Caller {
+            stream: TcpStream::connect(at).await.expect("connect"),
+            engine: None,
+        }
     }
 
     pub async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
-            ("send", ["part", text]) => self.stream.write_all(text.as_bytes()).await.expect("write"),
+            ("send", ["part", text]) => {
+                self.stream.write_all(text.as_bytes()).await.expect("write")
+            }
             ("send", words) => {
                 if let [call @ ("DISABLE" | "ENABLE"), id] = words {
-                    let n = id.strip_prefix("s-").and_then(|hex| usize::from_str_radix(hex, 16).ok());
+                    let n = id
+                        .strip_prefix("s-")
+                        .and_then(|hex| usize::from_str_radix(hex, 16).ok());
                     self.engine = n.filter(|n| *n <= 2).map(|n| (n - 1, *call == "DISABLE"));
                 }
-                self.stream.write_all(format!("{}\r\n", words.join(" ")).as_bytes()).await.expect("write");
+                self.stream
+                    .write_all(format!("{}\r\n", words.join(" ")).as_bytes())
+                    .await
+                    .expect("write");
             }
             // The start of the answer, or all these lines among its own and the mark of its end.
             ("expect", [what, wanted @ ..]) => {
                 let mut said = String::new();
-                self.stream.read_to_string(&mut said).await.expect("an answer");
+                self.stream
+                    .read_to_string(&mut said)
+                    .await
+                    .expect("an answer");
                 let whole = *what != "lines" || said.ends_with("\nEOF\n");
                 let found = match *what {
                     "lines" => wanted.iter().all(|w| said.lines().any(|l| l == *w)),
--- a/tests/scene/platform.rs
+++ b/tests/scene/platform.rs
@@ -22,7 +22,14 @@
     pub async fn new(name: &str, at: SocketAddr) -> Client {
         let stream = TcpStream::connect(at).await.expect("connect");
         let (input, answers) = (Vec::new(), HashMap::new());
-        Client { name: name.to_owned(), stream, input, answers, seen: Vec::new(), closed: false }
+        Client {
+            name: name.to_owned(),
+            stream,
+            input,
+            answers,
+            seen: Vec::new(),
+            closed: false,
+        }
     }
 
     pub async fn step(&mut self, verb: &str, rest: &[&str]) {
@@ -43,10 +50,16 @@
             }
             ("send", [id, class, fields @ ..]) => {
                 let id: u64 = id.parse().expect("id");
-                let name =
-                    format!("{:08x}{id:08x}", self.name.bytes().fold(0u32, |n, b| n * 31 + u32::from(b)));
-                let mut all: Vec<(&str, &str)> =
-                    vec![("ref", &name), ("allow", "9000"), ("project", "member-north"), ("effort", "50.0")];
+                let name = format!(
+                    "{:08x}{id:08x}",
+                    self.name.bytes().fold(0u32, |n, b| n * 31 + u32::from(b))
+                );
+                let mut all: Vec<(&str, &str)> = vec![
+                    ("ref", &name),
+                    ("allow", "9000"),
+                    ("project", "member-north"),
+                    ("effort", "50.0"),
+                ];
                 for (field, value) in fields.iter().filter_map(|f| f.split_once('=')) {
                     all.retain(|(f, _)| *f != field);
                     if !value.is_empty() {
@@ -65,10 +78,19 @@
             ("expect", [id, wanted @ ..]) => {
                 let id: u64 = id.parse().expect("id");
                 while !self.answers.contains_key(&id) {
-                    assert!(!self.closed, "{}: closed before the answer to {id}", self.name);
+                    assert!(
+                        !self.closed,
+                        "{}: closed before the answer to {id}",
+                        self.name
+                    );
                     self.read().await;
                 }
-                assert_eq!(self.answers[&id], unescape(&wanted.join(" ")), "{}.{id}", self.name);
+                assert_eq!(
+                    self.answers[&id],
+                    unescape(&wanted.join(" ")),
+                    "{}.{id}",
+                    self.name
+                );
             }
             ("close", _) => {}
             other => panic!("client: {other:?}"),
@@ -109,7 +131,11 @@
         while let Some((id, answer, len)) = read_answer(&self.input) {
             self.input.drain(..len);
             // The rule: one final answer.
-            assert!(!self.seen.contains(&id), "{}: a second answer to {id}", self.name);
+            assert!(
+                !self.seen.contains(&id),
+                "{}: a second answer to {id}",
+                self.name
+            );
             self.seen.push(id);
             self.answers.insert(id, answer);
         }
@@ -125,7 +151,10 @@
         at.read_exact_buf(&mut text).ok()?;
         String::from_utf8(text).ok()
     };
-    let head = (decode::read_array_len(&mut at).ok()?, decode::read_int::<u8, _>(&mut at).ok()?);
+    let head = (
+        decode::read_array_len(&mut at).ok()?,
+        decode::read_int::<u8, _>(&mut at).ok()?,
+    );
     assert_eq!(head, (4, 1), "the head of an answer");
     let id: u64 = decode::read_int(&mut at).ok()?;
     let marker = *bytes.get(at.position() as usize)?;
@@ -148,7 +177,10 @@
     for _ in 0..decode::read_map_len(&mut at).ok()? {
         let (name, value) = (text(&mut at)?, text(&mut at)?);
         // When to come back depends on the backlog; that it is told does not.
-        assert!(value.parse::<u32>().is_ok_and(|ms| ms <= 1000), "{name}={value}");
+        assert!(
+            value.parse::<u32>().is_ok_and(|ms| ms <= 1000),
+            "{name}={value}"
+        );
         answer = format!("{answer} {name}");
     }
     if marker != 0xc0 {
--- a/tests/scene/process.rs
+++ b/tests/scene/process.rs
@@ -39,7 +39,9 @@
     };
     let mut program = Command::new(env!("CARGO_BIN_EXE_magpiechute"));
     let operators = format!("version = 1\n{fronts}");
-    program.env("NODE_CONFIG", file("json", config)).env("MAGPIECHUTE_FILE", file("toml", &operators));
+    program
+        .env("NODE_CONFIG", file("json", config))
+        .env("MAGPIECHUTE_FILE", file("toml", &operators));
     program.env("MAGPIECHUTE_FRONTS", folder.join("no-fronts.toml"));
     for unset in ["NODE_LISTEN", "NODE_OPS", "NODE_LISTEN_FD", "TMPDIR"] {
         program.env_remove(unset);
@@ -51,7 +53,11 @@
 pub fn inheriting(listener: &TcpListener, config: &Path, folder: &Path) -> Child {
     let socket: OwnedFd = listener.try_clone().expect("socket").into();
     Command::new("sh")
-        .args(["-c", "exec \"$0\" 4<&0 0</dev/null", env!("CARGO_BIN_EXE_magpiechute")])
+        .args([
+            "-c",
+            "exec \"$0\" 4<&0 0</dev/null",
+            env!("CARGO_BIN_EXE_magpiechute"),
+        ])
         .env("NODE_CONFIG", config)
         .env("MAGPIECHUTE_FRONTS", folder.join("no-fronts.toml"))
         .env("MAGPIECHUTE_FILE", folder.join("no-file.toml"))
@@ -74,7 +80,10 @@
 pub fn line_with(said: &mut impl BufRead, what: &str) -> String {
     loop {
         let mut line = String::new();
-        assert!(said.read_line(&mut line).expect("line") > 0, "the end before {what:?}");
+        assert!(
+            said.read_line(&mut line).expect("line") > 0,
+            "the end before {what:?}"
+        );
         if line.contains(what) {
             return line;
         }
@@ -84,15 +93,25 @@
 /// Where a program serves its clients, and where staff ask it, from the line that says so.
 pub fn addresses(said: &mut impl BufRead) -> (SocketAddr, SocketAddr) {
     let line = line_with(said, "serves on");
-    let after = |what: &str| line.split(what).nth(1).and_then(|rest| rest.split([',', '\n']).next());
-    let address = |what| after(what).and_then(|at| at.trim().parse().ok()).expect("an address");
+    let after = |what: &str| {
+        line.split(what)
+            .nth(1)
+            .and_then(|rest| rest.split([',', '\n']).next())
+    };
+    let address = |what| {
+        after(what)
+            .and_then(|at| at.trim().parse().ok())
+            .expect("an address")
+    };
     (address("serves on "), address("is operated at "))
 }
 
 /// One call at the operations address.
 pub fn call(at: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(at).expect("connect");
-    stream.write_all(format!("{line}\n").as_bytes()).expect("write");
+    stream
+        .write_all(format!("{line}\n").as_bytes())
+        .expect("write");
     let mut said = String::new();
     stream.read_to_string(&mut said).expect("an answer");
     said
@@ -100,6 +119,8 @@
 
 /// Sends a signal to a child.
 pub fn signal(child: &Child, name: &str) {
-    let sent = Command::new("kill").args(["-s", name, &child.id().to_string()]).status();
+    let sent = Command::new("kill")
+        .args(["-s", name, &child.id().to_string()])
+        .status();
     assert!(sent.expect("kill").success());
 }
--- a/tests/scene/snmp.rs
+++ b/tests/scene/snmp.rs
@@ -28,15 +28,28 @@
         match (verb, rest) {
             ("send", ["raw", bytes]) => drop(self.socket.send(&hex(bytes)).await.expect("send")),
             ("send", ["bulk", non_repeaters, max_repetitions, names @ ..]) => {
-                let (non_repeaters, max_repetitions) =
-                    (non_repeaters.parse().expect("count"), max_repetitions.parse().expect("count"));
+                let (non_repeaters, max_repetitions) = (
+                    non_repeaters.parse().expect("count"),
+                    max_repetitions.parse().expect("count"),
+                );
                 let variable_bindings = bindings(names);
-                let pdu = BulkPdu { request_id: 7, non_repeaters, max_repetitions, variable_bindings };
-                self.send("public", 1, Pdus::GetBulkRequest(GetBulkRequest(pdu))).await;
+                let pdu = BulkPdu {
+                    request_id: 7,
+                    non_repeaters,
+                    max_repetitions,
+                    variable_bindings,
+                };
+                self.send("public", 1, Pdus::GetBulkRequest(GetBulkRequest(pdu)))
+                    .await;
             }
             ("send", [what, names @ ..]) => {
                 let variable_bindings = bindings(names);
-                let pdu = Pdu { request_id: 7, error_status: 0, error_index: 0, variable_bindings };
+                let pdu = Pdu {
+                    request_id: 7,
+                    error_status: 0,
+                    error_index: 0,
+                    variable_bindings,
+                };
                 let (what, community) = what.split_once('@').unwrap_or((what, "public"));
                 let version = if what == "v1" { 0 } else { 1 };
                 let data = match what {
@@ -49,11 +62,17 @@
             ("expect", wanted) => {
                 let mut buffer = [0; 2000];
                 let len = self.socket.recv(&mut buffer).await.expect("an answer");
-                let answer: Message<Response> = rasn::ber::decode(&buffer[..len]).expect("an answer");
+                let answer: Message<Response> =
+                    rasn::ber::decode(&buffer[..len]).expect("an answer");
                 let pdu = answer.data.0;
                 assert_eq!(pdu.request_id, 7);
                 let said = match pdu.error_status {
-                    0 => pdu.variable_bindings.iter().map(say).collect::<Vec<_>>().join(" "),
+                    0 => pdu
+                        .variable_bindings
+                        .iter()
+                        .map(say)
+                        .collect::<Vec<_>>()
+                        .join(" "),
                     status => format!("error {status}"),
                 };
                 assert_eq!(said, wanted.join(" "));
@@ -64,7 +83,11 @@
 
     async fn send(&self, community: &str, version: i32, data: Pdus) {
         let community = community.as_bytes().to_vec().into();
-        let message = Message { version: version.into(), community, data };
+        let message = Message {
+            version: version.into(),
+            community,
+            data,
+        };
         let bytes = rasn::ber::encode(&message).expect("message");
         self.socket.send(&bytes).await.expect("send");
     }
@@ -72,19 +95,34 @@
 
 fn bindings(names: &[&str]) -> Vec<VarBind> {
     let name = |text: &&str| {
-        let arcs: Vec<u32> = text.replace('$', ROOT).split('.').map(|a| a.parse().expect("arc")).collect();
-        VarBind { name: ObjectIdentifier::new_unchecked(arcs.into()), value: VarBindValue::Unspecified }
+        let arcs: Vec<u32> = text
+            .replace('$', ROOT)
+            .split('.')
+            .map(|a| a.parse().expect("arc"))
+            .collect();
+        VarBind {
+            name: ObjectIdentifier::new_unchecked(arcs.into()),
+            value: VarBindValue::Unspecified,
+        }
     };
     names.iter().map(name).collect()
 }
 
 fn say(binding: &VarBind) -> String {
-    let name = binding.name.iter().map(u32::to_string).collect::<Vec<_>>().join(".").replace(ROOT, "$");
+    let name = binding
+        .name
+        .iter()
+        .map(u32::to_string)
+        .collect::<Vec<_>>()
+        .join(".")
+        .replace(ROOT, "$");
     let value = match &binding.value {
         VarBindValue::Value(ObjectSyntax::ApplicationWide(ApplicationSyntax::BigCounter(n))) => {
             n.0.to_string()
         }
-        VarBindValue::Value(ObjectSyntax::ApplicationWide(ApplicationSyntax::Unsigned(n))) => n.0.to_string(),
+        VarBindValue::Value(ObjectSyntax::ApplicationWide(ApplicationSyntax::Unsigned(n))) => {
+            n.0.to_string()
+        }
         VarBindValue::Value(ObjectSyntax::Simple(SimpleSyntax::String(text))) => {
             String::from_utf8_lossy(text).into_owned()
         }
--- a/tests/standing/cold.rs
+++ b/tests/standing/cold.rs
@@ -45,7 +45,11 @@
 
 impl Mix {
     fn work(self, id: u64) -> f64 {
-        if id.is_multiple_of(10) { self.tenth } else { self.usual }
+        if id.is_multiple_of(10) {
+            self.tenth
+        } else {
+            self.usual
+        }
     }
 
     fn mean(self) -> f64 {
@@ -88,8 +92,16 @@
             return;
         }
         let told = self.told_at[manager] <= at;
-        self.window.push_back(Arrival { at, work: self.mix.work(id), told });
-        while self.window.pop_front_if(|first| first.at + WINDOW_MS < at).is_some() {}
+        self.window.push_back(Arrival {
+            at,
+            work: self.mix.work(id),
+            told,
+        });
+        while self
+            .window
+            .pop_front_if(|first| first.at + WINDOW_MS < at)
+            .is_some()
+        {}
         let requests = |told_only: bool| {
             let counted = self.window.iter().filter(|a| a.told || !told_only);
             counted.map(|a| a.work).sum::<f64>() / self.mix.mean()
@@ -113,7 +125,10 @@
 fn counted(meter: Arc<Mutex<Meter>>) -> Asked {
     Arc::new(move |label| {
         let (client, id) = label.split_once('.').expect("a label");
-        let (manager, id) = (client[1..].parse().expect("manager"), id.parse().expect("id"));
+        let (manager, id) = (
+            client[1..].parse().expect("manager"),
+            id.parse().expect("id"),
+        );
         let mut meter = meter.lock().expect("meter");
         meter.arrives(manager, id);
         (SERVICE, meter.mix.work(id))
@@ -160,7 +175,12 @@
 
 async fn ask(client: &mut Client, id: u64, mix: Mix) {
     let effort = format!("effort={:.1}", mix.work(id));
-    client.step("send", &[&id.to_string(), "seat-check", "allow=15000", &effort]).await;
+    client
+        .step(
+            "send",
+            &[&id.to_string(), "seat-check", "allow=15000", &effort],
+        )
+        .await;
 }
 
 /// How a fleet of managers sees the engine and itself.
@@ -176,13 +196,20 @@
 impl Managers {
     fn alike(count: u32) -> Managers {
         let all = count as usize;
-        Managers { instances: vec![count; all], told_after: vec![Duration::ZERO; all], known_before: false }
+        Managers {
+            instances: vec![count; all],
+            told_after: vec![Duration::ZERO; all],
+            known_before: false,
+        }
     }
 }
 
 /// Lets these managers meet the engine; the most that those that were told sent it within a window, as a share of N.
 fn play(managers: &Managers, mix: Mix) -> f64 {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     runtime.expect("runtime").block_on(async {
         let (clock, listener) = (Clock::new(), TcpListener::bind("127.0.0.1:0").await.expect("bind"));
         let address = listener.local_addr().expect("address");
@@ -217,9 +244,18 @@
     })
 }
 
-const LIGHT: Mix = Mix { usual: 50.0, tenth: 50.0 };
-const HEAVY: Mix = Mix { usual: 1500.0, tenth: 1500.0 };
-const MIXED: Mix = Mix { usual: 50.0, tenth: 1500.0 };
+const LIGHT: Mix = Mix {
+    usual: 50.0,
+    tenth: 50.0,
+};
+const HEAVY: Mix = Mix {
+    usual: 1500.0,
+    tenth: 1500.0,
+};
+const MIXED: Mix = Mix {
+    usual: 50.0,
+    tenth: 1500.0,
+};
 
 /// All managers hear of the start at once. They use the budget, too: an engine that gets nothing cannot fall.
 #[rstest]
@@ -233,7 +269,11 @@
 #[rstest]
 fn managers_that_hear_of_the_start_at_different_times(#[values(LIGHT, HEAVY, MIXED)] mix: Mix) {
     let told_after = (0..25).map(|k| Duration::from_millis(k * 160)).collect();
-    let managers = Managers { told_after, known_before: true, ..Managers::alike(25) };
+    let managers = Managers {
+        told_after,
+        known_before: true,
+        ..Managers::alike(25)
+    };
     let most = play(&managers, mix);
     assert!(most > 0.3, "{most:.2} of what it may get");
 }
@@ -243,6 +283,12 @@
 #[rstest]
 fn managers_that_count_each_other_differently(#[values(LIGHT, HEAVY, MIXED)] mix: Mix) {
     let instances = [vec![20; 20], vec![30; 10]].concat();
-    let most = play(&Managers { instances, ..Managers::alike(30) }, mix);
+    let most = play(
+        &Managers {
+            instances,
+            ..Managers::alike(30)
+        },
+        mix,
+    );
     assert!(most > 0.3, "{most:.2} of what it may get");
 }
--- a/tests/standing/descriptors.rs
+++ b/tests/standing/descriptors.rs
@@ -36,10 +36,14 @@
 impl Watch {
     fn of(process: u32) -> Watch {
         let (most, over) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
-        let watch = Watch { most: most.clone(), over: over.clone() };
+        let watch = Watch {
+            most: most.clone(),
+            over: over.clone(),
+        };
         std::thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
-                let held = std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count);
+                let held =
+                    std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count);
                 most.fetch_max(held, Ordering::Relaxed);
             }
         });
@@ -61,7 +65,10 @@
 /// An engine that serves at once, and how many requests it has had.
 fn engine() -> (SocketAddr, Arc<AtomicUsize>) {
     let (listener, _) = listen();
-    let (address, asked) = (listener.local_addr().expect("address"), Arc::<AtomicUsize>::default());
+    let (address, asked) = (
+        listener.local_addr().expect("address"),
+        Arc::<AtomicUsize>::default(),
+    );
     let count = asked.clone();
     let serves = engine::serve(
         listener,
@@ -76,7 +83,9 @@
 
 /// The manager's connection to the feed, with this as the last event that it has.
 async fn follower(feed: &TcpListener, last: u64) -> TcpStream {
-    let (mut stream, _) = soon("connection to the feed", feed.accept()).await.expect("accept");
+    let (mut stream, _) = soon("connection to the feed", feed.accept())
+        .await
+        .expect("accept");
     assert_eq!(stream.read_u64().await.expect("the last event"), last);
     stream
 }
@@ -107,7 +116,10 @@
 
 #[test]
 fn idle_clients_fill_the_descriptors_while_the_feed_is_down() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("runtime");
     runtime.block_on(async {
         let ((old, old_asked), (new, new_asked)) = (engine(), engine());
         let (feed, _port) = listen();
--- a/tests/standing/engine.rs
+++ b/tests/standing/engine.rs
@@ -20,12 +20,17 @@
 
 async fn connection(stream: TcpStream, asked: Asked) {
     let (read, write) = stream.into_split();
-    let (mut read, write) = (BufReader::new(read), Arc::new(tokio::sync::Mutex::new(write)));
+    let (mut read, write) = (
+        BufReader::new(read),
+        Arc::new(tokio::sync::Mutex::new(write)),
+    );
     let mut line = String::new();
     while read.read_line(&mut line).await.is_ok_and(|bytes| bytes > 0) {
         let words: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
         line.clear();
-        let [verb, name, _, length] = &words[..] else { continue };
+        let [verb, name, _, length] = &words[..] else {
+            continue;
+        };
         assert_eq!(verb, "ASK", "a line of four words");
         let mut body = vec![0; length.parse::<usize>().expect("length") + 2];
         read.read_exact(&mut body).await.expect("statement");
--- a/tests/standing/leaving.rs
+++ b/tests/standing/leaving.rs
@@ -21,13 +21,23 @@
 
 /// Plays a script in which `LEAVES` stands for the client's leaving, up to the moment at which the core has heard of it.
 fn play_leaving(stage: &Stage<'_>, leaves: &str, script: &str) {
-    play_on(stage, &script.replace("LEAVES", &format!("{leaves}\nwait left=1")));
+    play_on(
+        stage,
+        &script.replace("LEAVES", &format!("{leaves}\nwait left=1")),
+    );
 }
 
 /// The first attempt waits in the core, as no engine takes any.
 #[rstest]
-fn a_first_attempt_that_waits_for_an_engine(#[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str) {
-    let stage = Stage { engines: 2, speech: Speech::Lines, changes: &[], operators: OPERATORS };
+fn a_first_attempt_that_waits_for_an_engine(
+    #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
+) {
+    let stage = Stage {
+        engines: 2,
+        speech: Speech::Lines,
+        changes: &[],
+        operators: OPERATORS,
+    };
     let script = "
         feed expect 1
         feed send draining e1
@@ -50,8 +60,15 @@
 
 /// A further attempt waits in the core: the first never ran, and no engine takes another.
 #[rstest]
-fn a_further_attempt_that_waits_for_an_engine(#[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str) {
-    let stage = Stage { engines: 2, speech: Speech::Lines, changes: &[], operators: OPERATORS };
+fn a_further_attempt_that_waits_for_an_engine(
+    #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
+) {
+    let stage = Stage {
+        engines: 2,
+        speech: Speech::Lines,
+        changes: &[],
+        operators: OPERATORS,
+    };
     let script = "
         feed expect 1
         c1 send 1 log-load
@@ -77,8 +94,15 @@
 
 /// A further attempt waits out its back-off, which is over before that of the other client's attempt.
 #[rstest]
-fn a_further_attempt_that_waits_out_its_back_off(#[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str) {
-    let stage = Stage { engines: 2, speech: Speech::Lines, changes: &[], operators: BACK_OFF };
+fn a_further_attempt_that_waits_out_its_back_off(
+    #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
+) {
+    let stage = Stage {
+        engines: 2,
+        speech: Speech::Lines,
+        changes: &[],
+        operators: BACK_OFF,
+    };
     let script = "
         c1 send 1 seat-check
         e expect ASK c1.1
@@ -101,8 +125,15 @@
 /// The first attempt is with its engine's actor, whose connection does not come up. The other client's attempt waits for
 /// the same connection, behind it.
 #[rstest]
-fn a_first_attempt_that_waits_for_its_connection(#[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str) {
-    let stage = Stage { engines: 1, speech: Speech::Lines, changes: SLOW_DIAL, operators: OPERATORS };
+fn a_first_attempt_that_waits_for_its_connection(
+    #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
+) {
+    let stage = Stage {
+        engines: 1,
+        speech: Speech::Lines,
+        changes: SLOW_DIAL,
+        operators: OPERATORS,
+    };
     let script = "
         e1 hold
         c1 send 1 seat-check
@@ -123,8 +154,15 @@
 
 /// The same for a further attempt, whose engine broke the connection of the first one.
 #[rstest]
-fn a_further_attempt_that_waits_for_its_connection(#[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str) {
-    let stage = Stage { engines: 1, speech: Speech::Lines, changes: SLOW_DIAL, operators: OPERATORS };
+fn a_further_attempt_that_waits_for_its_connection(
+    #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
+) {
+    let stage = Stage {
+        engines: 1,
+        speech: Speech::Lines,
+        changes: SLOW_DIAL,
+        operators: OPERATORS,
+    };
     let script = "
         c1 send 1 usage-report
         e expect ASK c1.1
@@ -152,7 +190,12 @@
 #[case("c1", CANCELS)]
 #[case("c1", ENDS_ITS_SIDE)]
 fn an_attempt_that_waits_for_a_flight_connection(#[case] who: &str, #[case] leaves: &str) {
-    let stage = Stage { engines: 1, speech: Speech::Flight, changes: SLOW_DIAL, operators: OPERATORS };
+    let stage = Stage {
+        engines: 1,
+        speech: Speech::Flight,
+        changes: SLOW_DIAL,
+        operators: OPERATORS,
+    };
     let script = "
         e1 hold
         WHO send 1 seat-check
--- a/tests/standing/readiness.rs
+++ b/tests/standing/readiness.rs
@@ -78,7 +78,10 @@
         )
     };
     let members: Vec<String> = (1..=STALE).map(member).collect();
-    let known = format!(r#"{{"n":1,"members":{{"reset":true,"instances":[{}]}}}}"#, members.join(","));
+    let known = format!(
+        r#"{{"n":1,"members":{{"reset":true,"instances":[{}]}}}}"#,
+        members.join(",")
+    );
     changed(&configuration(feed, &known), &["sockets=256"])
 }
 
@@ -120,7 +123,9 @@
     let since = Instant::now();
     let mut manager = start(&folder);
     let operations = says_so(&mut manager, WITHIN)?;
-    let ready = call(operations, "READY").starts_with("200").then(|| since.elapsed());
+    let ready = call(operations, "READY")
+        .starts_with("200")
+        .then(|| since.elapsed());
     for client in &mut clients {
         assert!(is_fit(client), "a client at the door");
     }
@@ -131,7 +136,9 @@
 fn asks(at: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(at).expect("connect");
     stream.set_read_timeout(Some(WITHIN)).expect("option");
-    stream.write_all(b"\x94\x00\x01\xa6health\x91\x80").expect("write");
+    stream
+        .write_all(b"\x94\x00\x01\xa6health\x91\x80")
+        .expect("write");
     stream
 }
 
@@ -153,8 +160,17 @@
         })
         .collect();
     // All are over before any fault is told, or the processes of the others would be left behind.
-    let over: Vec<_> = starts.into_iter().map(std::thread::JoinHandle::join).collect();
-    let took: Vec<_> = over.into_iter().map(|start| start.expect("a start")).collect();
+    let over: Vec<_> = starts
+        .into_iter()
+        .map(std::thread::JoinHandle::join)
+        .collect();
+    let took: Vec<_> = over
+        .into_iter()
+        .map(|start| start.expect("a start"))
+        .collect();
     let ready = took.iter().flatten().count();
-    assert!(ready >= READY, "{ready} of {RESTARTED} were ready within {WITHIN:?}: {took:?}");
+    assert!(
+        ready >= READY,
+        "{ready} of {RESTARTED} were ready within {WITHIN:?}: {took:?}"
+    );
 }
