--- a/src/operations.rs
+++ b/src/admin.rs
@@ -2,15 +2,15 @@
 //! place, a bound on its line and a time by which it is done. Nothing here waits for the core's ordinary mailbox:
 //! what is asked is read off published figures, and what is told goes past the queue.
 
-use crate::attempts::{Front, Policy, Where};
-use crate::config::engine_named;
 use crate::core::Handle;
-use crate::counters::Counters;
+use crate::hot_restart::{Mark, StateWriter};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
+use crate::metrics::Metrics;
 use crate::net::linger;
-use crate::settings::Parsed;
-use crate::successor::{Mark, StateWriter};
+use crate::node_config::engine_named;
+use crate::retry_policy::{Front, Policy, RequestAttributes};
+use crate::settings_json::PlatformSettings;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,13 +22,13 @@
 #[derive(Clone)]
 pub(crate) struct OperationsServer {
     pub(crate) core: Handle,
-    pub(crate) counters: Arc<Counters>,
+    pub(crate) metrics: Arc<Metrics>,
     pub(crate) limits: Arc<Limits>,
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) state_writer: StateWriter,
     /// The operators' policy of attempts in force, and the settings that it was held against.
     pub(crate) policy: Arc<Mutex<Arc<Policy>>>,
-    pub(crate) parsed: tokio::sync::watch::Receiver<Arc<Parsed>>,
+    pub(crate) parsed: tokio::sync::watch::Receiver<Arc<PlatformSettings>>,
 }
 
 /// Takes callers until the program ends.
@@ -36,27 +36,27 @@
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(server.limits.ops_pause).await;
+            tokio::time::sleep(server.limits.admin_accept_retry_delay).await;
             continue;
         };
         callers.retain(|caller| !caller.is_finished());
         // Guard: some connect and complete no call. They hold a place each, so the one that has been at it for
         // longest leaves: a call that is whole is answered within a moment, and no such one is still here.
-        while callers.len() >= server.limits.ops_callers {
+        while callers.len() >= server.limits.admin_connections {
             callers
                 .pop_front()
                 .into_iter()
                 .for_each(|caller| caller.abort());
-            server.counters.ops_bad_calls.up();
+            server.metrics.admin_bad_calls.increment();
         }
         let server = server.clone();
         callers.push_back(tokio::spawn(async move {
             // Guard: whoever stops halfway, or takes no answer, is left to himself in time.
             if !matches!(
-                timeout(server.limits.ops_call, server.serve(stream)).await,
+                timeout(server.limits.admin_call_timeout, server.serve(stream)).await,
                 Ok(Ok(()))
             ) {
-                server.counters.ops_bad_calls.up();
+                server.metrics.admin_bad_calls.increment();
             }
         }));
     }
@@ -69,12 +69,12 @@
         // The line may come in pieces of any size, and end with the connection's end.
         let whole = loop {
             if let Some(end) = line.iter().position(|b| *b == b'\n') {
-                break end <= self.limits.ops_line && {
+                break end <= self.limits.admin_line_bytes && {
                     line.truncate(end);
                     true
                 };
             }
-            if line.len() > self.limits.ops_line {
+            if line.len() > self.limits.admin_line_bytes {
                 break false;
             }
             if stream.read_buf(&mut line).await? == 0 {
@@ -90,9 +90,9 @@
             None => "400 no line that can be read\n".to_owned(),
         };
         if answer.starts_with("400") {
-            self.counters.ops_bad_calls.up();
+            self.metrics.admin_bad_calls.increment();
         } else {
-            self.counters.ops_calls.up();
+            self.metrics.admin_calls.increment();
         }
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
@@ -118,7 +118,12 @@
     /// The keys of attempts that hold for a request of the platform's front, each with the table that it comes from.
     fn policy(&self, class: &str, member: Option<&str>) -> String {
         let parsed = self.parsed.borrow().clone();
-        let Some(class) = parsed.settings.names.iter().position(|name| name == class) else {
+        let Some(class) = parsed
+            .settings
+            .class_names
+            .iter()
+            .position(|name| name == class)
+        else {
             return "400 no class has such a name\n".to_owned();
         };
         if member.is_some_and(|m| !parsed.tenants.iter().any(|t| t == m)) {
@@ -130,7 +135,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         let member = member.map_or(usize::MAX, |m| policy.member(m.as_bytes()));
-        let at = Where {
+        let at = RequestAttributes {
             class,
             member,
             front: Front::Platform,
@@ -151,7 +156,7 @@
         let said = match words[..] {
             ["READY"] if self.lifecycle.fit() => Ok("ready"),
             ["READY"] => Err("not ready"),
-            ["STATS"] => return format!("{}EOF\n", self.counters.figures()),
+            ["STATS"] => return format!("{}EOF\n", self.metrics.figures()),
             ["POLICY", class] => return self.policy(class, None),
             ["POLICY", class, member] => return self.policy(class, Some(member)),
             ["DISABLE", id] => self.ban(id, true).await.map(|()| "taken out"),
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -3,27 +3,27 @@
 //! request and lets a further attempt out only once the one before is proven over. `docs/ends.md` has the table
 //! of all ends.
 
-use crate::interface::{EngineId, Millis, Outcome};
+use crate::decision::{EngineId, Millis, Outcome};
 
 /// How an attempt came to its end. No end leaves the attempt running at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// No engine ever had it whole.
-    Unsent,
+    NeverSent,
     /// The engine said that it never ran.
-    Refused,
+    Rejected,
     /// The engine said how it ended.
     Answered,
     /// Its cancellation was sent; where another attempt may follow, the engine has confirmed it.
-    GivenUp,
+    Cancelled,
     /// The engine had it whole, and its connection is closed, which gives it up.
-    Broken,
+    ConnectionLost,
 }
 
-impl End {
+impl AttemptEnd {
     /// Whether the engine may have run it, in whole or in part.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, End::Unsent | End::Refused)
+        !matches!(self, AttemptEnd::NeverSent | AttemptEnd::Rejected)
     }
 }
 
@@ -31,7 +31,7 @@
 pub fn never_ran(outcome: Outcome) -> bool {
     matches!(
         outcome,
-        Outcome::Full | Outcome::NoConnection | Outcome::Moot | Outcome::NoRoom
+        Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent | Outcome::NoConnectionSlot
     )
 }
 
@@ -61,15 +61,15 @@
 
 /// The life of one attempt, as the actor sees it that speaks to its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life(Phase);
+pub struct AttemptState(Phase);
 
-impl Default for Life {
+impl Default for AttemptState {
     fn default() -> Self {
-        Life(Phase::Waiting)
+        AttemptState(Phase::Waiting)
     }
 }
 
-impl Life {
+impl AttemptState {
     /// It is queued for the connection and ends at this mark.
     pub fn write(&mut self, whole: u64) {
         if self.0 == Phase::Waiting {
@@ -78,14 +78,14 @@
     }
 
     /// So much was written. The end, where its cancellation was written with that and needs no confirmation.
-    pub fn left(&mut self, written: u64) -> Option<End> {
+    pub fn left(&mut self, written: u64) -> Option<AttemptEnd> {
         match self.0 {
             Phase::Writing(whole) if whole <= written => self.0 = Phase::Out,
             Phase::GivingUp {
                 cancelled, confirm, ..
             } if cancelled <= written => {
                 if !confirm {
-                    return self.end(End::GivenUp);
+                    return self.end(AttemptEnd::Cancelled);
                 }
                 self.0 = Phase::Unconfirmed;
             }
@@ -102,12 +102,12 @@
     /// The engine confirms that it has read all up to the cancellation. Guard: connections are read in no order among
     /// each other, so an attempt that follows over another one could be read before a cancellation that was merely
     /// written.
-    pub fn confirmed(&mut self) -> Option<End> {
+    pub fn confirmed(&mut self) -> Option<AttemptEnd> {
         if matches!(
             self.0,
             Phase::GivingUp { confirm: true, .. } | Phase::Unconfirmed
         ) {
-            self.end(End::GivenUp)
+            self.end(AttemptEnd::Cancelled)
         } else {
             None
         }
@@ -121,13 +121,13 @@
     /// It is no longer wanted. `cancel` queues the cancellation for the engine and returns the mark at which that ends;
     /// it is called where the engine may have or get the attempt. `again` is whether another attempt may follow, so that
     /// the engine has to confirm the cancellation. The end, where there is nothing to wait for.
-    pub fn give_up(&mut self, again: bool, cancel: impl FnOnce() -> u64) -> Option<End> {
+    pub fn give_up(&mut self, again: bool, cancel: impl FnOnce() -> u64) -> Option<AttemptEnd> {
         match self.0 {
-            Phase::Waiting => self.end(End::Unsent),
+            Phase::Waiting => self.end(AttemptEnd::NeverSent),
             // The engine is done with it: the message frees what it holds of the result.
             Phase::Told => {
                 cancel();
-                self.end(End::Answered)
+                self.end(AttemptEnd::Answered)
             }
             Phase::Writing(whole) => {
                 self.0 = Phase::GivingUp {
@@ -159,26 +159,32 @@
     }
 
     /// The engine told its end; `ran` is whether that leaves open that it ran.
-    pub fn answered(&mut self, ran: bool) -> End {
+    pub fn answered(&mut self, ran: bool) -> AttemptEnd {
         self.0 = Phase::Ended;
-        if ran { End::Answered } else { End::Refused }
+        if ran {
+            AttemptEnd::Answered
+        } else {
+            AttemptEnd::Rejected
+        }
     }
 
     /// Its connection is closed, after so much had left.
-    pub fn closed(&mut self, written: u64) -> End {
+    pub fn closed(&mut self, written: u64) -> AttemptEnd {
         let end = match self.0 {
-            Phase::Waiting => End::Unsent,
-            Phase::Writing(whole) | Phase::GivingUp { whole, .. } if written < whole => End::Unsent,
-            Phase::Told | Phase::Ended => End::Answered,
+            Phase::Waiting => AttemptEnd::NeverSent,
+            Phase::Writing(whole) | Phase::GivingUp { whole, .. } if written < whole => {
+                AttemptEnd::NeverSent
+            }
+            Phase::Told | Phase::Ended => AttemptEnd::Answered,
             Phase::Writing(_) | Phase::Out | Phase::GivingUp { .. } | Phase::Unconfirmed => {
-                End::Broken
+                AttemptEnd::ConnectionLost
             }
         };
         self.0 = Phase::Ended;
         end
     }
 
-    fn end(&mut self, end: End) -> Option<End> {
+    fn end(&mut self, end: AttemptEnd) -> Option<AttemptEnd> {
         self.0 = Phase::Ended;
         Some(end)
     }
@@ -186,39 +192,39 @@
 
 /// Where and when an attempt was sent, for the group of engines that may drop a repeat of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sent {
+pub struct SentTo {
     /// Its engine's zone.
     pub zone: u8,
     /// Its engine's cell.
     pub cell: u16,
     /// When, in Unix ms.
-    pub at: Millis,
+    pub at_ms: Millis,
 }
 
 /// An attempt that is out, as its request sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Out {
+pub struct InFlight {
     /// Which attempt of its request, from 0.
     pub number: u16,
     /// Where it is.
     pub engine: EngineId,
     /// When it was sent, and into which group of engines.
-    pub sent: Sent,
+    pub sent: SentTo,
     /// When its engine last said anything of it.
-    pub heard: Millis,
+    pub last_heard_ms: Millis,
     /// Since when, and as what, it is being given up.
-    pub quitting: Option<(Millis, Outcome)>,
+    pub cancelling: Option<(Millis, Outcome)>,
 }
 
 /// Why no further attempt may go out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Barred {
+pub enum RetryDenied {
     /// Another one is out, or not proven over.
-    Out,
+    AttemptInFlight,
     /// It may run once only, and may have run.
-    Ran,
+    MayHaveRun,
     /// It has had all that it may have.
-    Spent,
+    AttemptsExhausted,
 }
 
 /// The attempts of one request, and what their ends prove together.
@@ -227,20 +233,20 @@
     made: u16,
     /// Of these, those that count as none.
     uncounted: u16,
-    out: Option<Out>,
+    out: Option<InFlight>,
     ran: bool,
     /// The first attempt that may have run.
-    first_ran: Option<Sent>,
+    first_ran: Option<SentTo>,
 }
 
 impl AttemptHistory {
     /// The attempt that is out.
-    pub fn out(&self) -> Option<&Out> {
+    pub fn out(&self) -> Option<&InFlight> {
         self.out.as_ref()
     }
 
     /// The attempt that is out, if it is this one.
-    pub fn out_as(&mut self, number: u16, engine: Option<EngineId>) -> Option<&mut Out> {
+    pub fn out_as(&mut self, number: u16, engine: Option<EngineId>) -> Option<&mut InFlight> {
         self.out
             .as_mut()
             .filter(|o| o.number == number && engine.is_none_or(|at| at == o.engine))
@@ -272,44 +278,44 @@
     }
 
     /// The first attempt that may have run, of those that are over.
-    pub fn first_ran(&self) -> Option<Sent> {
+    pub fn first_ran(&self) -> Option<SentTo> {
         self.first_ran
     }
 
     /// Numbers a further attempt, and says whether it may go out; `repeatable` is whether one may that follows another
     /// which may have run.
-    pub fn next(&mut self, repeatable: bool, cap: u32) -> Result<u16, Barred> {
+    pub fn next(&mut self, repeatable: bool, cap: u32) -> Result<u16, RetryDenied> {
         let number = self.made;
         self.made = self.made.saturating_add(1);
         match self {
-            AttemptHistory { out: Some(_), .. } => Err(Barred::Out),
-            AttemptHistory { ran: true, .. } if !repeatable => Err(Barred::Ran),
-            _ if u32::from(self.counted()) > cap => Err(Barred::Spent),
+            AttemptHistory { out: Some(_), .. } => Err(RetryDenied::AttemptInFlight),
+            AttemptHistory { ran: true, .. } if !repeatable => Err(RetryDenied::MayHaveRun),
+            _ if u32::from(self.counted()) > cap => Err(RetryDenied::AttemptsExhausted),
             _ => Ok(number),
         }
     }
 
     /// It went out.
-    pub fn sent(&mut self, number: u16, engine: EngineId, sent: Sent) {
-        self.out = Some(Out {
+    pub fn sent(&mut self, number: u16, engine: EngineId, sent: SentTo) {
+        self.out = Some(InFlight {
             number,
             engine,
             sent,
-            heard: sent.at,
-            quitting: None,
+            last_heard_ms: sent.at_ms,
+            cancelling: None,
         });
     }
 
     /// The one that is out is given up, and counts as this once that is proven; none where none is, or it is being
     /// given up already.
-    pub fn give_up(&mut self, now: Millis, as_what: Outcome) -> Option<Out> {
-        let out = self.out.as_mut().filter(|o| o.quitting.is_none())?;
-        out.quitting = Some((now, as_what));
+    pub fn give_up(&mut self, now: Millis, as_what: Outcome) -> Option<InFlight> {
+        let out = self.out.as_mut().filter(|o| o.cancelling.is_none())?;
+        out.cancelling = Some((now, as_what));
         Some(*out)
     }
 
     /// The attempt with this number is proven over.
-    pub fn ended(&mut self, number: u16, may_have_run: bool) -> Option<Out> {
+    pub fn ended(&mut self, number: u16, may_have_run: bool) -> Option<InFlight> {
         let out = self.out.take_if(|o| o.number == number)?;
         self.ran |= may_have_run;
         self.first_ran = self.first_ran.or(may_have_run.then_some(out.sent));
--- a/src/bin/magpiechute-simhost/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -80,8 +80,8 @@
         f64::from_le_bytes(self.take(at))
     }
 
-    pub fn engine(self, at: usize) -> magpiechute::EngineId {
-        magpiechute::EngineId {
+    pub fn engine(self, at: usize) -> workload_manager::EngineId {
+        workload_manager::EngineId {
             addr: self.take(at),
             port: self.u16(at + 4),
         }
--- a/src/bin/magpiechute-simhost/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,12 +1,12 @@
 //! The table of instances: events to the library, its actions to reply records.
 
 use crate::frame::{Batch, Bytes, Problem, Reply};
-use magpiechute::settings;
-use magpiechute::{
-    Action, Ended, EngineEntry, Event, Gateway, ListKind, ListState, LoadReport, Note, Outcome,
-    Request,
-};
 use std::collections::BTreeMap;
+use workload_manager::settings_json;
+use workload_manager::{
+    Action, AttemptEnded, EngineEntry, EngineState, Event, Gateway, ListUpdateKind, LoadReport,
+    Outcome, Progress, Request,
+};
 
 const ENTRY: usize = 24;
 const LISTS: u16 = 16;
@@ -68,9 +68,9 @@
             .map(Bytes)
         {
             let state = match line.u8(11) {
-                0 => ListState::Gone,
-                1 => ListState::Ready,
-                2 => ListState::Draining,
+                0 => EngineState::Removed,
+                1 => EngineState::Ready,
+                2 => EngineState::Draining,
                 other => {
                     return Err(Problem(format!(
                         "batch {}, record {i}: health {other}",
@@ -81,12 +81,12 @@
             entries.push(EngineEntry {
                 engine: line.engine(0),
                 zone: line.u8(6),
-                kind: line.u16(7),
+                machine_type: line.u16(7),
                 cell: line.u16(9),
                 state,
-                nominal: line.f32(12),
-                started_ms: line.f64(16),
-                holders: None,
+                nominal_capacity: line.f32(12),
+                started_at_ms: line.f64(16),
+                sharing: None,
             });
         }
         self.lists.insert(slot, entries);
@@ -103,12 +103,12 @@
         let instance = r.u16(1);
         self.instances.remove(&instance);
         let text = batch.tail(r.u32(11), r.u32(15) as usize, "the settings")?;
-        let made = settings::parse(text).and_then(|p| {
+        let made = settings_json::parse(text).and_then(|p| {
             let gateway = Gateway::new(p.settings, r.u64(3)).map_err(|e| e.to_string())?;
             Ok(Instance {
                 gateway,
-                report_names: p.report_names,
-                bills: p.bills,
+                report_names: p.load_report_fields,
+                bills: p.answers_report_work,
             })
         });
         match made {
@@ -141,36 +141,36 @@
         Ok(Some(match code {
             2 => {
                 let kind = match r.u8(3) {
-                    0 => ListKind::Delta,
-                    1 => ListKind::Full,
-                    2 => ListKind::Cached,
-                    3 => ListKind::Failed,
+                    0 => ListUpdateKind::Delta,
+                    1 => ListUpdateKind::Full,
+                    2 => ListUpdateKind::Cached,
+                    3 => ListUpdateKind::PollFailed,
                     other => return Err(wrong("kind of list", other.into())),
                 };
                 let slot = r.u16(12);
                 let entries = match (kind, self.lists.get(&slot)) {
-                    (ListKind::Failed, _) => Vec::new(),
+                    (ListUpdateKind::PollFailed, _) => Vec::new(),
                     (_, Some(list)) => list.clone(),
                     (_, None) => return Err(wrong("list number", slot.into())),
                 };
-                Event::List { kind, entries }
+                Event::EndpointList { kind, entries }
             }
             11 => Event::Request(Request {
                 id: r.u32(3),
                 class: usize::from(r.u8(7)),
-                key: r.u64(10),
-                due_ms: r.f64(18),
-                cost_ms: (r.u8(42) & 1 != 0).then(|| r.f64(26)),
-                dataset: r.u32(38),
-                memory_mb: Some(r.f32(34)).filter(|mb| *mb > 0.0),
-                attempts_cap: None,
+                order_key: r.u64(10),
+                deadline_ms: r.f64(18),
+                estimated_work_ms: (r.u8(42) & 1 != 0).then(|| r.f64(26)),
+                data_set: r.u32(38),
+                estimated_memory_mb: Some(r.f32(34)).filter(|mb| *mb > 0.0),
+                max_attempts: None,
             }),
-            8 => Event::Streaming {
+            8 => Event::ResultStreaming {
                 id: r.u32(3),
                 attempt: r.u16(7),
             },
             4 => Event::Timer { token: r.u64(3) },
-            5 => Event::ClientGone { id: r.u32(3) },
+            5 => Event::ClientDisconnected { id: r.u32(3) },
             1 => Event::PeerMessage {
                 payload: batch
                     .tail(r.u32(7), r.u32(11) as usize, "a message")?
@@ -179,41 +179,41 @@
             10 => {
                 let level = r.f32(10);
                 let note = match (r.u8(9), level as u8) {
-                    (1, _) => Note::Progress(level),
-                    (2, _) => Note::Spills(level),
-                    (3, 2) => Note::WaitsForLoad,
-                    (3, _) => Note::WaitsForMemory,
+                    (1, _) => Progress::ShareDone(level),
+                    (2, _) => Progress::SpillingMb(level),
+                    (3, 2) => Progress::WaitingForBulkLoad,
+                    (3, _) => Progress::WaitingForMemory,
                     (other, _) => return Err(wrong("kind of note", other.into())),
                 };
-                Event::Note {
+                Event::Progress {
                     id: r.u32(3),
                     attempt: r.u16(7),
-                    note,
+                    progress: note,
                 }
             }
             9 => {
                 let code = r.u16(28);
                 let stats = r.u32(24);
                 let bills = inst.is_some_and(|i| i.bills) && code == 100 && stats > 0;
-                Event::Ended(Ended {
+                Event::AttemptEnded(AttemptEnded {
                     id: r.u32(3),
                     attempt: r.u16(22),
                     engine: r.engine(16),
                     outcome: outcome(code).ok_or_else(|| wrong("outcome", code.into()))?,
-                    took_ms: r.f64(7),
-                    finished: r.u8(15) != 0,
-                    billed_ms: bills.then(|| f64::from(stats >> 12)),
-                    billed_mb: bills.then(|| f64::from(stats & 0xfff) * 4.0),
-                    report: report(inst, r, 30),
+                    elapsed_ms: r.f64(7),
+                    answered: r.u8(15) != 0,
+                    measured_work_ms: bills.then(|| f64::from(stats >> 12)),
+                    measured_memory_mb: bills.then(|| f64::from(stats & 0xfff) * 4.0),
+                    load_report: report(inst, r, 30),
                 })
             }
             12 => {
                 let code = r.u16(9);
-                Event::Probed {
+                Event::HealthCheckEnded {
                     engine: r.engine(3),
                     outcome: outcome(code).ok_or_else(|| wrong("outcome", code.into()))?,
-                    took_ms: r.f64(11),
-                    report: report(inst, r, 19),
+                    elapsed_ms: r.f64(11),
+                    load_report: report(inst, r, 19),
                 }
             }
             other => return Err(wrong("event code", other.into())),
@@ -225,12 +225,12 @@
     Some(match code {
         100 => Outcome::Ok,
         301 => Outcome::Error,
-        302 => Outcome::Full,
+        302 => Outcome::Rejected,
         303 => Outcome::TimedOut,
         304 => Outcome::NoConnection,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        307 => Outcome::NotSent,
         _ => return None,
     })
 }
@@ -243,10 +243,10 @@
         let value = Some(r.f32(at + 1 + 4 * i));
         match name.as_str() {
             "rif" => report.inflight = value,
-            "busy" => report.busy = value,
-            "x1" => report.disks = value,
-            "q" => report.queued = value,
-            "x0" => report.granted = value,
+            "busy" => report.cpu_busy = value,
+            "x1" => report.disk_busy = value,
+            "q" => report.memory_queue = value,
+            "x0" => report.memory_granted = value,
             _ => {}
         }
     }
@@ -254,14 +254,14 @@
 }
 
 fn put(reply: &mut Reply, instance: u16, action: &Action) {
-    let address = |e: &magpiechute::EngineId| {
+    let address = |e: &workload_manager::EngineId| {
         let mut field = [0; 6];
         field[..4].copy_from_slice(&e.addr);
         field[4..].copy_from_slice(&e.port.to_le_bytes());
         field
     };
     match action {
-        Action::Send {
+        Action::StartAttempt {
             id,
             engine,
             timeout_ms,
@@ -277,7 +277,10 @@
                 ],
             );
         }
-        Action::Refuse { id, hold_off_ms } => {
+        Action::Reject {
+            id,
+            retry_after_ms: hold_off_ms,
+        } => {
             reply.record(
                 66,
                 instance,
@@ -285,22 +288,22 @@
             );
         }
         Action::Fail { id } => reply.record(67, instance, &[(3, &id.to_le_bytes())]),
-        Action::Cancel { id, attempt } => {
+        Action::CancelAttempt { id, attempt } => {
             reply.record(
                 68,
                 instance,
                 &[(3, &id.to_le_bytes()), (7, &attempt.to_le_bytes())],
             );
         }
-        Action::Timer { after_ms, token } => {
+        Action::SetTimer { after_ms, token } => {
             reply.record(
                 69,
                 instance,
                 &[(3, &after_ms.to_le_bytes()), (11, &token.to_le_bytes())],
             );
         }
-        Action::Probe { engine } => reply.record(70, instance, &[(3, &address(engine))]),
-        Action::Terms {
+        Action::SendHealthCheck { engine } => reply.record(70, instance, &[(3, &address(engine))]),
+        Action::SetAttemptTerms {
             id,
             memory_mb,
             priority,
@@ -316,6 +319,6 @@
             let field = reply.text(line);
             reply.record(73, instance, &[(3, &field)]);
         }
-        Action::Subscribe => reply.record(75, instance, &[(3, &[1])]),
+        Action::SubscribeEndpointList => reply.record(75, instance, &[(3, &[1])]),
     }
 }
--- a/src/bin/magpiechute-simhost/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -16,14 +16,14 @@
             Ok(Some(batch)) => batch,
             Ok(None) => return ExitCode::SUCCESS,
             Err(problem) => {
-                eprintln!("magpiechute-simhost: {problem}");
+                eprintln!("simulator-adapter: {problem}");
                 return ExitCode::FAILURE;
             }
         };
         let reply = match host.answer(&batch) {
             Ok(reply) => reply,
             Err(problem) => {
-                eprintln!("magpiechute-simhost: {problem}");
+                eprintln!("simulator-adapter: {problem}");
                 return ExitCode::FAILURE;
             }
         };
--- a/src/clients/flight.rs
+++ b/src/clients/flight.rs
@@ -3,9 +3,12 @@
 
 use super::Front;
 use super::slots::{Slot, Slots};
-use crate::core::{Answer, Body, ClientPort, Flow, Input, Kind, Taken, Why};
-use crate::interface::{Effect, RequestId};
-use crate::settings::Named;
+use crate::core::{
+    AcceptedRequest, Answer, ClientPort, CoreMessage, FailureReason, ResultBody, ResultChunk,
+    StatementKind,
+};
+use crate::decision::{Idempotency, RequestId};
+use crate::settings_json::NamedClass;
 use crate::{rows, sql};
 use arrow_flight::flight_service_server::{FlightService, FlightServiceServer};
 use arrow_flight::sql::{Any, CommandStatementQuery, CommandStatementUpdate, DoPutUpdateResult};
@@ -42,18 +45,18 @@
 /// Serves the front until the program ends.
 pub(crate) async fn listen(listener: TcpListener, front: Front) {
     let slots = Slots::new(
-        front.limits.flight_conns,
+        front.limits.flight_connections,
         front.limits.clone(),
-        front.counters.clone(),
+        front.metrics.clone(),
     );
     tokio::spawn(slots.clone().follow(front.lifecycle.clone()));
     let (silence, ping, quiet) = (
-        front.limits.client_silence,
-        front.limits.keep_alive,
+        front.limits.client_read_timeout,
+        front.limits.flight_keep_alive,
         front.limits.linger,
     );
-    let counters = front.counters.clone();
-    let streams = front.limits.open_per_client as u32;
+    let metrics = front.metrics.clone();
+    let streams = front.limits.open_requests_per_client as u32;
     let message = front.limits.message_bytes;
     let service = FlightServiceServer::new(Flight {
         tickets: Arc::default(),
@@ -61,8 +64,8 @@
     })
     .max_decoding_message_size(message);
     let incoming = stream::unfold(
-        (listener, slots, counters),
-        move |(listener, slots, counters)| async move {
+        (listener, slots, metrics),
+        move |(listener, slots, metrics)| async move {
             let item = listener.accept().await;
             let item = match item {
                 Ok((stream, _)) => {
@@ -70,7 +73,7 @@
                     slots.room().await;
                     let _ = stream.set_nodelay(true);
                     let slot = Arc::new(slots.take());
-                    let (leaving, counters) = (slot.clone(), counters.clone());
+                    let (leaving, metrics) = (slot.clone(), metrics.clone());
                     let leave = Box::pin(async move {
                         tokio::select! {
                             () = leaving.leaves(quiet) => {}
@@ -79,7 +82,7 @@
                                 if leaving.heard() {
                                     leaving.leaves(quiet).await;
                                 } else {
-                                    counters.client_silent.up();
+                                    metrics.client_read_timeouts.increment();
                                 }
                             }
                         }
@@ -97,7 +100,7 @@
                     Err(e)
                 }
             };
-            Some((item, (listener, slots, counters)))
+            Some((item, (listener, slots, metrics)))
         },
     );
     let server = Server::builder()
@@ -106,7 +109,7 @@
         .http2_keepalive_timeout(Some(ping.1))
         .add_service(service);
     if let Err(e) = server.serve_with_incoming(incoming).await {
-        eprintln!("magpiechute: the Flight SQL front ended: {e}");
+        eprintln!("workload-manager: the Flight SQL front ended: {e}");
     }
 }
 
@@ -175,7 +178,7 @@
 #[derive(Clone)]
 struct Call {
     name: Bytes,
-    class: Arc<Named>,
+    class: Arc<NamedClass>,
     member: Bytes,
     cost_ms: Option<f64>,
     memory_mb: Option<f64>,
@@ -224,13 +227,18 @@
 
 impl Drop for Owed {
     fn drop(&mut self) {
-        self.front.counters.client_conns_owing.down();
+        self.front.metrics.client_connections_pending.decrement();
         self.slot.iter().for_each(|slot| slot.closed());
-        if !self.over && !self.front.core.try_tell(Input::Left(self.id)) {
+        if !self.over
+            && !self
+                .front
+                .core
+                .try_tell(CoreMessage::ClientDisconnected(self.id))
+        {
             let (core, id) = (self.front.core.clone(), self.id);
             // While the program ends there is nobody left to tell.
             if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-                runtime.spawn(async move { core.tell(Input::Left(id)).await });
+                runtime.spawn(async move { core.tell(CoreMessage::ClientDisconnected(id)).await });
             }
         }
     }
@@ -278,10 +286,10 @@
 impl Flight {
     /// Counts what ends in a bad call.
     fn counted<T>(&self, done: Result<T, Status>) -> Result<T, Status> {
-        self.front.counters.flight_calls.up();
+        self.front.metrics.flight_calls.increment();
         done.inspect_err(|status| {
             if matches!(status.code(), Code::InvalidArgument | Code::Unimplemented) {
-                self.front.counters.flight_bad_calls.up();
+                self.front.metrics.flight_bad_calls.increment();
             }
         })
     }
@@ -302,7 +310,7 @@
             .front
             .class(class)
             .ok_or_else(|| invalid(format!("unknown {CLASS}")))?;
-        if class.class.ordered {
+        if class.class.ordered_by_key {
             return Err(invalid(format!(
                 "{CLASS} keeps order by a key, which calls here cannot carry"
             )));
@@ -376,7 +384,9 @@
         }
         tickets.bytes = tickets.held.values().map(|c| c.statement.len()).sum();
         let limits = &self.front.limits;
-        while tickets.order.len() > limits.tickets || tickets.bytes > limits.ticket_bytes {
+        while tickets.order.len() > limits.flight_tickets
+            || tickets.bytes > limits.flight_ticket_bytes
+        {
             let Some(oldest) = tickets.order.pop_front() else {
                 break;
             };
@@ -402,7 +412,7 @@
         let known = tickets.held.get(&handle).cloned();
         let mut call =
             known.ok_or_else(|| invalid("a ticket that is unknown, too old or spent"))?;
-        if call.class.class.effect == Effect::Once {
+        if call.class.class.idempotency == Idempotency::NonIdempotent {
             tickets.held.remove(&handle);
             tickets.order.retain(|h| *h != handle);
         } else {
@@ -421,10 +431,10 @@
     async fn serve(
         &self,
         call: Call,
-        kind: Kind,
+        kind: StatementKind,
         metadata: &MetadataMap,
         slot: Option<Arc<Slot>>,
-    ) -> Result<(Body, Owed), Status> {
+    ) -> Result<(ResultBody, Owed), Status> {
         let now = self.front.core.now();
         let timeout = match metadata.get("grpc-timeout") {
             None => None,
@@ -435,14 +445,14 @@
                     .ok_or_else(|| invalid("grpc-timeout"))?,
             ),
         };
-        let usual = call.class.class.give_up_ms;
+        let usual = call.class.class.client_timeout_ms;
         let left = timeout.map_or(usual, |t| t.as_secs_f64() * 1000.0);
         let (id, ends) = (
             self.front.core.next_id(),
-            self.front.counters.class(&call.class.name),
+            self.front.metrics.class(&call.class.name),
         );
         let (port, answer) = oneshot::channel();
-        self.front.counters.client_conns_owing.up();
+        self.front.metrics.client_connections_pending.increment();
         slot.iter().for_each(|slot| slot.opened());
         let mut owed = Owed {
             front: self.front.clone(),
@@ -450,44 +460,48 @@
             over: false,
             slot,
         };
-        let taken = Taken {
+        let taken = AcceptedRequest {
             id,
-            name: call.name,
-            due_ms: self.front.due(now, &call.class, left),
+            client_reference: call.name,
+            deadline_ms: self.front.due(now, &call.class, left),
             class: call.class,
-            cost_ms: call.cost_ms,
-            memory_mb: call.memory_mb,
-            dataset: sql::dataset(&call.statement).unwrap_or(0),
+            estimated_work_ms: call.cost_ms,
+            estimated_memory_mb: call.memory_mb,
+            data_set: sql::dataset(&call.statement).unwrap_or(0),
             member: call.member,
-            front: crate::attempts::Front::Flight,
+            front: crate::retry_policy::Front::Flight,
             idempotency_key: None,
             order_key: None,
             statement: call.statement,
-            kind,
+            statement_kind: kind,
             client: Arc::new(Port(Mutex::new(Some(port)))),
         };
-        self.front.core.tell(Input::Take(taken)).await;
+        self.front.core.tell(CoreMessage::Request(taken)).await;
         let answer = answer.await;
         owed.over = true;
         match &answer {
             Ok(Answer::Served(_)) => &ends.passed,
-            Ok(Answer::Refused { .. }) => &ends.dropped,
+            Ok(Answer::Rejected { .. }) => &ends.dropped,
             // No answer at all is a failure, too.
             Ok(Answer::Failed(_)) | Err(_) => &ends.bad_gateway,
         }
-        .up();
+        .increment();
         match answer {
             Ok(Answer::Served(body)) => {
-                owed.over = body.rest.is_none();
+                owed.over = body.remaining_chunks.is_none();
                 owed.slot.iter().for_each(|slot| slot.known());
                 Ok((body, owed))
             }
-            Ok(Answer::Refused { hold_off_ms }) => Err(refused(hold_off_ms)),
-            Ok(Answer::Failed(Why::Deadline)) => {
+            Ok(Answer::Rejected {
+                retry_after_ms: hold_off_ms,
+            }) => Err(refused(hold_off_ms)),
+            Ok(Answer::Failed(FailureReason::DeadlineExceeded)) => {
                 Err(Status::deadline_exceeded("no answer within the deadline"))
             }
             // Not UNAVAILABLE, which clients take as leave to repeat: it may have run.
-            Ok(Answer::Failed(Why::Lost)) => Err(Status::internal("failed; it may have run")),
+            Ok(Answer::Failed(FailureReason::AttemptFailed)) => {
+                Err(Status::internal("failed; it may have run"))
+            }
             Err(_) => Err(Status::internal("the workload manager ends")),
         }
     }
@@ -499,7 +513,10 @@
         let slot = request.extensions().get::<Arc<Slot>>().cloned();
         let (metadata, _, ticket) = request.into_parts();
         let (handle, call) = self.redeem(&ticket)?;
-        let (mut body, owed) = match self.serve(call.clone(), Kind::Query, &metadata, slot).await {
+        let (mut body, owed) = match self
+            .serve(call.clone(), StatementKind::Query, &metadata, slot)
+            .await
+        {
             Ok(served) => served,
             Err(status) => {
                 // A refusal says that it never ran, so its ticket is good once more.
@@ -509,7 +526,7 @@
                 return Err(status);
             }
         };
-        let rest = body.rest.take();
+        let rest = body.remaining_chunks.take();
         let held =
             rows::arrow(&body).map_err(|_| Status::internal("a result that cannot be read"))?;
         let held = stream::iter(held.into_iter().map(Ok));
@@ -521,10 +538,10 @@
                 return None;
             }
             let item = match rest.recv().await {
-                Some(Flow::Piece(piece)) => {
+                Some(ResultChunk::Data(piece)) => {
                     FlightData::decode(piece).map_err(|_| Status::internal("an unreadable piece"))
                 }
-                Some(Flow::End) => {
+                Some(ResultChunk::End) => {
                     owed.settle();
                     return None;
                 }
@@ -541,7 +558,7 @@
         let slot = request.extensions().get::<Arc<Slot>>().cloned();
         let (metadata, _, mut input) = request.into_parts();
         // Guard: a call that is opened and brings no command would be held for good.
-        let first = timeout(self.front.limits.client_silence, input.message()).await;
+        let first = timeout(self.front.limits.client_read_timeout, input.message()).await;
         let first = first
             .map_err(|_| invalid("no command in time"))??
             .ok_or_else(|| invalid("no command"))?;
@@ -559,7 +576,9 @@
             return Err(Status::unimplemented("transactions are not offered"));
         }
         let call = self.call(&metadata, update.query)?;
-        let (body, _owed) = self.serve(call, Kind::Update, &metadata, slot).await?;
+        let (body, _owed) = self
+            .serve(call, StatementKind::Update, &metadata, slot)
+            .await?;
         let result = DoPutUpdateResult {
             record_count: rows::count(&body),
         };
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -6,10 +6,10 @@
 pub(crate) mod slots;
 
 use crate::core::Handle;
-use crate::counters::{Counters, Ends};
 use crate::lifecycle::Lifecycle;
 use crate::limits::{Limits, MemoryPool};
-use crate::settings::{Named, Parsed};
+use crate::metrics::{ClassOutcomes, Metrics};
+use crate::settings_json::{NamedClass, PlatformSettings};
 use std::sync::Arc;
 use tokio::sync::watch;
 
@@ -18,9 +18,9 @@
 pub(crate) struct Front {
     pub(crate) core: Handle,
     /// The settings in use.
-    pub(crate) parsed: watch::Receiver<Arc<Parsed>>,
+    pub(crate) parsed: watch::Receiver<Arc<PlatformSettings>>,
     pub(crate) limits: Arc<Limits>,
-    pub(crate) counters: Arc<Counters>,
+    pub(crate) metrics: Arc<Metrics>,
     /// Whether clients are to come or go.
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) pools: Arc<BufferPools>,
@@ -35,7 +35,7 @@
 
 impl Front {
     /// A class by its name.
-    pub(crate) fn class(&self, name: &[u8]) -> Option<Arc<Named>> {
+    pub(crate) fn class(&self, name: &[u8]) -> Option<Arc<NamedClass>> {
         self.parsed
             .borrow()
             .classes
@@ -45,19 +45,19 @@
     }
 
     /// Where the ends of a class's requests are counted; none where there is no such class.
-    pub(crate) fn ends(&self, class: &[u8]) -> Option<Arc<Ends>> {
+    pub(crate) fn ends(&self, class: &[u8]) -> Option<Arc<ClassOutcomes>> {
         self.class(class)
-            .map(|class| self.counters.class(&class.name))
+            .map(|class| self.metrics.class(&class.name))
     }
 
     /// When a client gives up. Guard: none waits for longer than its class does, whatever it says.
-    pub(crate) fn due(&self, now: f64, class: &Named, allow: f64) -> f64 {
-        now + allow.min(class.class.give_up_ms)
+    pub(crate) fn due(&self, now: f64, class: &NamedClass, allow: f64) -> f64 {
+        now + allow.min(class.class.client_timeout_ms)
     }
 
     /// An estimate sent as text. Guard: one that no query has would reach engines and the module's means.
     pub(crate) fn estimate(&self, text: &[u8]) -> Option<f64> {
-        figure(text).filter(|value| *value <= self.limits.estimate)
+        figure(text).filter(|value| *value <= self.limits.max_estimate)
     }
 
     /// A tenant by its name; where there are no tenants any name will do.
--- a/src/clients/platform.rs
+++ b/src/clients/platform.rs
@@ -3,12 +3,15 @@
 use super::msgpack::{self, Message};
 use super::slots::{Slot, Slots};
 use super::{Front, figure, is_ref, is_token};
-use crate::core::{Answer, Body, ClientPort, Input, Kind, OrderKey, Taken, Why};
-use crate::counters::Ends;
-use crate::interface::{Effect, RequestId};
+use crate::core::{
+    AcceptedRequest, Answer, ClientPort, CoreMessage, FailureReason, OrderKey, ResultBody,
+    StatementKind,
+};
+use crate::decision::{Idempotency, RequestId};
 use crate::limits::MemoryReservation;
+use crate::metrics::ClassOutcomes;
 use crate::net::{self, Outbox};
-use crate::settings::Named;
+use crate::settings_json::NamedClass;
 use crate::{rows, sql};
 use bytes::{Bytes, BytesMut};
 use std::collections::HashMap;
@@ -21,9 +24,9 @@
 /// Accepts clients for as long as the program runs, also while it stops.
 pub(crate) async fn listen(listener: TcpListener, front: Front) {
     let slots = Slots::new(
-        front.limits.client_conns,
+        front.limits.client_connections,
         front.limits.clone(),
-        front.counters.clone(),
+        front.metrics.clone(),
     );
     tokio::spawn(slots.clone().follow(front.lifecycle.clone()));
     let mut state = front.lifecycle.follow();
@@ -41,10 +44,10 @@
                 slots.room().await;
                 let (slot, front) = (slots.take(), front.clone());
                 tokio::spawn(async move {
-                    front.counters.client_conns.up();
-                    front.counters.client_conns_open.up();
+                    front.metrics.client_connections.increment();
+                    front.metrics.client_connections_open.increment();
                     Connection::new(stream, slot, front.clone()).run().await;
-                    front.counters.client_conns_open.down();
+                    front.metrics.client_connections_open.decrement();
                 });
                 // What it sent along is read before a next one could ask it to leave.
                 tokio::task::yield_now().await;
@@ -76,7 +79,7 @@
     input: BytesMut,
     out: Outbox,
     /// Message ids of open requests, and where their ends are counted, by the core's id.
-    open: HashMap<RequestId, (u64, Arc<Ends>)>,
+    open: HashMap<RequestId, (u64, Arc<ClassOutcomes>)>,
     last: u64,
     idle_since: Instant,
     /// Since when what is read is no whole message; from the start, as it is to begin with one.
@@ -112,7 +115,7 @@
 impl Connection {
     fn new(stream: TcpStream, slot: Slot, front: Front) -> Connection {
         // One answer for each open request, and as many again for refusals on the spot.
-        let (port, answers) = mpsc::channel(front.limits.open_per_client * 2);
+        let (port, answers) = mpsc::channel(front.limits.open_requests_per_client * 2);
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
@@ -148,7 +151,7 @@
             net::linger(
                 &self.stream,
                 if self.evicted {
-                    limits.linger_evicted
+                    limits.evicted_linger
                 } else {
                     limits.linger
                 },
@@ -158,7 +161,10 @@
         self.answers.close();
         self.owes(false);
         for id in std::mem::take(&mut self.open).into_keys() {
-            self.front.core.tell(Input::Left(id)).await;
+            self.front
+                .core
+                .tell(CoreMessage::ClientDisconnected(id))
+                .await;
         }
     }
 
@@ -176,10 +182,10 @@
                 return Ok(());
             }
             // A slow reader holds at most a few answers here: then nothing more is read from it.
-            let held = self.out.waiting() > 2 * self.front.limits.answer_bytes as u64;
+            let held = self.out.waiting() > 2 * self.front.limits.result_bytes as u64;
             let patience = self.patience();
             let leaving = self.front.lifecycle.now().leaving();
-            let untaken = self.taken_at + self.front.limits.client_idle;
+            let untaken = self.taken_at + self.front.limits.client_idle_timeout;
             tokio::select! {
                 biased;
                 Some((id, answer)) = self.answers.recv() => self.answer(id, answer),
@@ -195,14 +201,14 @@
                     self.hear_last().await?;
                     if self.done() && self.patience() <= Instant::now() {
                         if self.half_since.is_some() {
-                            self.front.counters.client_silent.up();
+                            self.front.metrics.client_read_timeouts.increment();
                         }
                         return Ok(());
                     }
                 }
                 // Guard: clients that never take their answers could hold every place for good.
                 () = sleep_until(untaken), if !self.out.is_empty() => {
-                    self.front.counters.client_silent.up();
+                    self.front.metrics.client_read_timeouts.increment();
                     return Err(End::Closed);
                 }
                 // Guard: half a request is one on its way; it comes whole first, or falls silent.
@@ -227,13 +233,13 @@
 
     /// When it is closed, where nothing is owed and nothing comes.
     fn patience(&self) -> Instant {
-        let idle = self.idle_since + self.front.limits.client_idle;
+        let idle = self.idle_since + self.front.limits.client_idle_timeout;
         let limits = &self.front.limits;
         let evicted = self.evicted && !self.front.lifecycle.now().leaving();
         let silence = if evicted {
-            limits.client_silence_evicted
+            limits.evicted_client_read_timeout
         } else {
-            limits.client_silence
+            limits.client_read_timeout
         };
         self.half_since
             .map_or(idle, |since| idle.min(since + silence))
@@ -276,7 +282,7 @@
             // Guard: what came before is answered, then the connection is closed in order. Dropped at once, with bytes
             // unread, it would be reset, and the answers under way with it.
             _ => {
-                self.front.counters.client_malformed.up();
+                self.front.metrics.client_malformed.increment();
                 self.input.clear();
                 (self.deaf, self.half_since) = (Some(0), None);
                 self.held.0.set(0, usize::MAX);
@@ -298,10 +304,10 @@
     }
 
     fn owes(&mut self, owes: bool) {
-        let gauge = &self.front.counters.client_conns_owing;
+        let gauge = &self.front.metrics.client_connections_pending;
         match (std::mem::replace(&mut self.owing, owes), owes) {
-            (false, true) => gauge.up(),
-            (true, false) => gauge.down(),
+            (false, true) => gauge.increment(),
+            (true, false) => gauge.decrement(),
             _ => {}
         }
     }
@@ -338,20 +344,22 @@
                     }
                     let ends = self.front.ends(&method);
                     match self.taken(now, &method, fields, body) {
-                        Ok(taken) if self.open.len() < self.front.limits.open_per_client => {
+                        Ok(taken)
+                            if self.open.len() < self.front.limits.open_requests_per_client =>
+                        {
                             self.open.insert(taken.id, (id, ends.unwrap_or_default()));
                             self.owe();
-                            self.front.core.tell(Input::Take(taken)).await;
+                            self.front.core.tell(CoreMessage::Request(taken)).await;
                         }
                         Ok(_) => {
-                            self.front.counters.client_over_limit.up();
-                            ends.iter().for_each(|e| e.dropped.up());
+                            self.front.metrics.client_over_limit.increment();
+                            ends.iter().for_each(|e| e.dropped.increment());
                             self.out.push(msgpack::error(id, "Overloaded", None));
                             self.fault()?;
                         }
                         Err(error) => {
-                            self.front.counters.client_bad_calls.up();
-                            ends.iter().for_each(|e| e.bad_gateway.up());
+                            self.front.metrics.client_bad_calls.increment();
+                            ends.iter().for_each(|e| e.bad_gateway.increment());
                             self.out.push(msgpack::error(id, error, None));
                             self.fault()?;
                         }
@@ -365,11 +373,14 @@
                         .map(|(r, _)| *r);
                     if let Some(request) = found {
                         self.open.remove(&request);
-                        self.front.core.tell(Input::Left(request)).await;
+                        self.front
+                            .core
+                            .tell(CoreMessage::ClientDisconnected(request))
+                            .await;
                     }
                 }
                 Message::Notice => {
-                    self.front.counters.client_bad_calls.up();
+                    self.front.metrics.client_bad_calls.increment();
                     self.fault()?;
                 }
             }
@@ -386,7 +397,7 @@
     /// Guard: a client that sends what is no use as fast as it is turned away would take the whole core.
     fn fault(&mut self) -> Result<(), End> {
         self.faults += 1;
-        if self.faults > self.front.limits.client_faults {
+        if self.faults > self.front.limits.client_bad_calls {
             Err(End::Malformed)
         } else {
             Ok(())
@@ -400,7 +411,7 @@
         method: &[u8],
         fields: Option<msgpack::Fields>,
         body: Option<Bytes>,
-    ) -> Result<Taken, &'static str> {
+    ) -> Result<AcceptedRequest, &'static str> {
         let class = self.front.class(method).ok_or("NoMethodError")?;
         let (Some(fields), Some(statement)) = (fields, body) else {
             return Err("ArgumentError");
@@ -418,7 +429,7 @@
             .get("project")
             .filter(|p| self.front.knows_tenant(p))
             .ok_or("ArgumentError")?;
-        let keyed = matches!(class.class.effect, Effect::Keyed(_));
+        let keyed = matches!(class.class.idempotency, Idempotency::WithKey(_));
         let idempotency_key = match fields.get("replay").filter(|_| keyed) {
             Some(key) if !is_token(key, self.front.limits.key_bytes) => {
                 return Err("ArgumentError");
@@ -431,20 +442,20 @@
             None => Ok(None),
             Some(text) => self.front.estimate(text).map(Some).ok_or("ArgumentError"),
         };
-        Ok(Taken {
+        Ok(AcceptedRequest {
             id: self.front.core.next_id(),
-            name: name.clone(),
+            client_reference: name.clone(),
             class,
-            due_ms,
-            cost_ms: estimate("effort")?,
-            memory_mb: estimate("need_mb")?,
-            dataset: sql::dataset(&statement).unwrap_or(0),
+            deadline_ms: due_ms,
+            estimated_work_ms: estimate("effort")?,
+            estimated_memory_mb: estimate("need_mb")?,
+            data_set: sql::dataset(&statement).unwrap_or(0),
             member: Bytes::copy_from_slice(member),
-            front: crate::attempts::Front::Platform,
-            kind: if sql::reads(&statement) {
-                Kind::Query
+            front: crate::retry_policy::Front::Platform,
+            statement_kind: if sql::reads(&statement) {
+                StatementKind::Query
             } else {
-                Kind::Update
+                StatementKind::Update
             },
             idempotency_key,
             order_key,
@@ -457,10 +468,10 @@
     /// beside any other.
     fn order_key(
         &self,
-        class: &Named,
+        class: &NamedClass,
         fields: &msgpack::Fields,
     ) -> Result<Option<OrderKey>, &'static str> {
-        if !class.class.ordered {
+        if !class.class.ordered_by_key {
             return Ok(None);
         }
         let text = fields.get("lookup").ok_or("ArgumentError")?;
@@ -474,7 +485,7 @@
     fn count_retry(&self, fields: &msgpack::Fields) -> Result<(), &'static str> {
         match fields.get("dup").map(|mark| mark.as_ref()) {
             None => {}
-            Some(b"1") => self.front.counters.client_retries.up(),
+            Some(b"1") => self.front.metrics.client_retries.increment(),
             Some(_) => return Err("ArgumentError"),
         }
         Ok(())
@@ -495,17 +506,19 @@
                 } else {
                     &ends.bad_gateway
                 }
-                .up();
+                .increment();
             }
-            Answer::Refused { hold_off_ms } => {
-                ends.dropped.up();
+            Answer::Rejected {
+                retry_after_ms: hold_off_ms,
+            } => {
+                ends.dropped.increment();
                 let wait = format!("{hold_off_ms:.0}");
                 let field = (hold_off_ms >= 1.0).then_some(("cooldown", wait.as_str()));
                 self.out.push(msgpack::error(message, "Overloaded", field));
             }
             Answer::Failed(why) => {
-                ends.bad_gateway.up();
-                let name = if why == Why::Deadline {
+                ends.bad_gateway.increment();
+                let name = if why == FailureReason::DeadlineExceeded {
                     "DeadlineExceeded"
                 } else {
                     "Internal"
@@ -517,10 +530,12 @@
 
     /// Writes a result out in the pieces in which it came; one that this protocol cannot carry has failed, and
     /// that is false.
-    fn result(&mut self, message: u64, body: &Body) -> bool {
-        let pieces = rows::text(body).ok().filter(|_| body.rest.is_none());
+    fn result(&mut self, message: u64, body: &ResultBody) -> bool {
+        let pieces = rows::text(body)
+            .ok()
+            .filter(|_| body.remaining_chunks.is_none());
         let size = |pieces: &Vec<Bytes>| pieces.iter().map(Bytes::len).sum::<usize>();
-        let Some(pieces) = pieces.filter(|p| size(p) <= self.front.limits.answer_bytes) else {
+        let Some(pieces) = pieces.filter(|p| size(p) <= self.front.limits.result_bytes) else {
             self.out.push(msgpack::error(message, "Internal", None));
             return false;
         };
@@ -530,7 +545,7 @@
             waiting,
             self.front.limits.share(self.front.limits.output_bytes),
         ) {
-            self.front.counters.client_over_limit.up();
+            self.front.metrics.client_over_limit.increment();
             self.out.push(msgpack::error(message, "Internal", None));
             return false;
         }
--- a/src/clients/slots.rs
+++ b/src/clients/slots.rs
@@ -2,9 +2,9 @@
 //! likely to be missed is asked to leave for it. So neither clients that keep a connection for good nor those
 //! that connect and say nothing keep others out.
 
-use crate::counters::Counters;
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
+use crate::metrics::Metrics;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -20,7 +20,7 @@
     limits: Arc<Limits>,
     held: Mutex<Held>,
     freed: Notify,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
 }
 
 #[derive(Default)]
@@ -51,14 +51,14 @@
 }
 
 impl Slots {
-    pub(crate) fn new(places: usize, limits: Arc<Limits>, counters: Arc<Counters>) -> Arc<Slots> {
+    pub(crate) fn new(places: usize, limits: Arc<Limits>, metrics: Arc<Metrics>) -> Arc<Slots> {
         let (held, freed) = (Mutex::default(), Notify::new());
         Arc::new(Slots {
             places,
             limits,
             held,
             freed,
-            counters,
+            metrics,
         })
     }
 
@@ -99,7 +99,7 @@
             if let Some(victim) = victim {
                 victim.asked = true;
                 victim.leave.notify_one();
-                self.counters.client_evicted.up();
+                self.metrics.client_connections_evicted.increment();
             }
         }
         held.slots.len() < places
@@ -112,7 +112,7 @@
         if let Some(victim) = idle.min_by_key(|s| (s.known, s.since)) {
             victim.asked = true;
             victim.leave.notify_one();
-            self.counters.client_evicted.up();
+            self.metrics.client_connections_evicted.increment();
         }
     }
 
--- a/src/command.rs
+++ b/src/command.rs
@@ -1,9 +1,9 @@
-//! The sub-commands of `magpiechute` besides serving: `check`, `schema` and `explain`. Each returns what it prints
+//! The sub-commands of `workload-manager` besides serving: `check`, `schema` and `explain`. Each returns what it prints
 //! and its exit code, so that tests need no process.
 
-use crate::attempts::{Front, Where};
-use crate::config::Config;
-use crate::file::{self, Fault, Faults, Known};
+use crate::node_config::NodeConfig;
+use crate::operator_config::{self, Fault, Faults, Known};
+use crate::retry_policy::{Front, RequestAttributes};
 use std::path::Path;
 
 /// What a command printed, and how it ends.
@@ -31,8 +31,8 @@
 fn known(config: Option<&Path>) -> Result<Option<Known>, String> {
     config
         .map(|path| {
-            Config::load(path)
-                .map(|c| Known::of(&c.parsed))
+            NodeConfig::load(path)
+                .map(|c| Known::of(&c.settings))
                 .map_err(|e| e.to_string())
         })
         .transpose()
@@ -51,23 +51,23 @@
 pub fn check(config: Option<&Path>, path: &Path, json: bool) -> Done {
     let known = match known(config) {
         Ok(known) => known,
-        Err(e) => return Done::refused(format!("magpiechute: {e}\n")),
+        Err(e) => return Done::refused(format!("workload-manager: {e}\n")),
     };
     let named = |all| Faults {
         file: path.display().to_string(),
         all,
     };
-    let source = match file::read(path) {
+    let source = match operator_config::read(path) {
         Ok(Some(source)) => source,
         Ok(None) => {
             return Done::refused(format!(
-                "magpiechute: there is no file {}\n",
+                "workload-manager: there is no file {}\n",
                 path.display()
             ));
         }
         Err(fault) => return Done::refused(shown(&named(vec![fault]), json)),
     };
-    let checked = file::judge(&source, known.as_ref()).map(|_| ());
+    let checked = operator_config::judge(&source, known.as_ref()).map(|_| ());
     match checked {
         Ok(()) => {
             let against = if known.is_some() {
@@ -89,7 +89,7 @@
 pub fn schema() -> Done {
     Done {
         code: 0,
-        out: file::schema(),
+        out: operator_config::schema(),
         err: String::new(),
     }
 }
@@ -112,15 +112,15 @@
     let known = match known(Some(config)) {
         Ok(Some(known)) => known,
         Ok(None) => unreachable!("a configuration was given"),
-        Err(e) => return Done::refused(format!("magpiechute: {e}\n")),
+        Err(e) => return Done::refused(format!("workload-manager: {e}\n")),
     };
-    let loaded = match file::load(path, &known) {
+    let loaded = match operator_config::load(path, &known) {
         Ok(loaded) => loaded.unwrap_or_default(),
         Err(faults) => return Done::refused(shown(&faults, false)),
     };
     let Some(class) = known.classes.iter().position(|c| c.name == asked.class) else {
         return Done::refused(format!(
-            "magpiechute: {:?} is no class of the settings\n",
+            "workload-manager: {:?} is no class of the settings\n",
             asked.class
         ));
     };
@@ -130,7 +130,7 @@
             Some(at) => at,
             None => {
                 return Done::refused(format!(
-                    "magpiechute: {name:?} is no member of the settings\n"
+                    "workload-manager: {name:?} is no member of the settings\n"
                 ));
             }
         },
@@ -140,11 +140,11 @@
         Some("flight") => Front::Flight,
         Some(other) => {
             return Done::refused(format!(
-                "magpiechute: {other:?} is no front: platform or flight\n"
+                "workload-manager: {other:?} is no front: platform or flight\n"
             ));
         }
     };
-    let at = Where {
+    let at = RequestAttributes {
         class,
         member,
         front,
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,7 +1,7 @@
 //! The module's actor: one task with a mailbox round the core.
 
-use super::{Core, EnginePort, Input, Urgent};
-use crate::interface::{EngineId, Millis, RequestId};
+use super::{Core, CoreMessage, EnginePort, PriorityMessage};
+use crate::decision::{EngineId, Millis, RequestId};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -49,13 +49,13 @@
 
 /// Where the core's actor reads.
 pub struct Inputs {
-    inputs: mpsc::Receiver<Input>,
-    orders: mpsc::Receiver<Urgent>,
+    inputs: mpsc::Receiver<CoreMessage>,
+    orders: mpsc::Receiver<PriorityMessage>,
 }
 
 impl Inputs {
     /// The next ordinary input, for whoever drives a core without [`start`]; none once every [`Handle`] is dropped.
-    pub async fn input(&mut self) -> Option<Input> {
+    pub async fn input(&mut self) -> Option<CoreMessage> {
         self.inputs.recv().await
     }
 }
@@ -63,8 +63,8 @@
 /// The way into the core's mailbox, for fronts, engines and the list.
 #[derive(Clone)]
 pub struct Handle {
-    mailbox: mpsc::Sender<Input>,
-    urgent: mpsc::Sender<Urgent>,
+    mailbox: mpsc::Sender<CoreMessage>,
+    urgent: mpsc::Sender<PriorityMessage>,
     ids: Arc<AtomicU32>,
     clock: Clock,
 }
@@ -91,11 +91,11 @@
         let (done, said) = oneshot::channel();
         let _ = self
             .urgent
-            .send(Urgent::Ban {
+            .send(PriorityMessage::ManualEjection {
                 engine,
-                out,
-                at,
-                told,
+                ejected: out,
+                at_ms: at,
+                from_peer: told,
                 done,
             })
             .await;
@@ -114,30 +114,36 @@
 
     /// Puts one input into the mailbox, waiting while it is full. The core never waits for its peers, so this
     /// cannot lock up.
-    pub async fn tell(&self, input: Input) {
+    pub async fn tell(&self, input: CoreMessage) {
         let _ = self.mailbox.send(input).await;
     }
 
     /// The same where nothing may wait: false where the mailbox is full.
-    pub fn try_tell(&self, input: Input) -> bool {
+    pub fn try_tell(&self, input: CoreMessage) -> bool {
         self.mailbox.try_send(input).is_ok()
     }
 }
 
 impl Handle {
     /// A place in the mailbox, for what has to be said at one moment to the core and to others.
-    pub async fn place(&self) -> Option<mpsc::Permit<'_, Input>> {
+    pub async fn place(&self) -> Option<mpsc::Permit<'_, CoreMessage>> {
         self.mailbox.reserve().await.ok()
     }
 
     /// The process ends at this time, in Unix ms.
     pub async fn ends(&self, at: Millis) {
-        let _ = self.urgent.send(Urgent::Ends(at)).await;
+        let _ = self
+            .urgent
+            .send(PriorityMessage::ShutdownDeadline(at))
+            .await;
     }
 
     /// Another process of this workload manager works beside this one, or no longer.
     pub async fn beside(&self, parts: f64) {
-        let _ = self.urgent.send(Urgent::Beside(parts)).await;
+        let _ = self
+            .urgent
+            .send(PriorityMessage::PeerProcesses(parts))
+            .await;
     }
 }
 
--- a/src/core/ends.rs
+++ b/src/core/ends.rs
@@ -1,19 +1,19 @@
 //! How attempts and requests come to their ends: results, failures, deadlines, silence, and what is given up.
 
 use super::*;
-use crate::attempt::Out;
-use crate::counters::Count;
+use crate::attempt::InFlight;
+use crate::metrics::Counter;
 
 impl<E: EnginePort> Core<E> {
-    pub(super) fn streaming(&mut self, now: Millis, id: RequestId, attempt: u16, body: Body) {
+    pub(super) fn streaming(&mut self, now: Millis, id: RequestId, attempt: u16, body: ResultBody) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
             return;
         };
         open.streaming = true;
         open.history.streams();
-        self.counters.served.up();
+        self.metrics.requests_served.increment();
         open.taken.client.answer(id, Answer::Served(body));
-        self.tell(now, Event::Streaming { id, attempt });
+        self.tell(now, Event::ResultStreaming { id, attempt });
     }
 
     pub(super) fn served(
@@ -23,10 +23,11 @@
         attempt: u16,
         report: LoadReport,
         billed: (Option<f64>, Option<f64>),
-        body: Option<Body>,
+        body: Option<ResultBody>,
     ) {
         let streaming = self.requests.get(&id).is_some_and(|o| o.streaming);
-        let Some(body) = body.or_else(|| streaming.then(|| Body::whole(Form::Text, Vec::new())))
+        let Some(body) = body
+            .or_else(|| streaming.then(|| ResultBody::complete(ResultFormat::Text, Vec::new())))
         else {
             // A good end without a result has run, and there is nothing to pass on.
             return self.ended(now, id, attempt, (Outcome::Error, true), report, billed);
@@ -38,7 +39,7 @@
             return;
         };
         if !open.over && !open.streaming {
-            self.counters.served.up();
+            self.metrics.requests_served.increment();
             open.taken.client.answer(id, Answer::Served(body));
         }
         self.remove(now, id);
@@ -63,7 +64,7 @@
             return;
         };
         match outcome {
-            Outcome::NoRoom => open.history.uncount(),
+            Outcome::NoConnectionSlot => open.history.uncount(),
             _ => open.last = Some((outcome, out.engine)),
         }
         // The client of a stream was told by the break in it.
@@ -79,40 +80,40 @@
         &mut self,
         now: Millis,
         id: RequestId,
-        out: &Out,
+        out: &InFlight,
         outcome: Outcome,
         finished: bool,
         report: LoadReport,
         (billed_ms, billed_mb): (Option<f64>, Option<f64>),
     ) {
-        self.count_end(outcome).up();
-        let (attempt, engine, took_ms) = (out.number, out.engine, now - out.sent.at);
+        self.count_end(outcome).increment();
+        let (attempt, engine, took_ms) = (out.number, out.engine, now - out.sent.at_ms);
         tracing::debug!(id, %engine, attempt, ?outcome, took_ms, finished, billed_ms, inflight = report.inflight, "ended");
-        let ended = Ended {
+        let ended = AttemptEnded {
             id,
             attempt,
             engine,
             outcome,
-            took_ms,
-            finished,
-            billed_ms,
-            billed_mb,
-            report,
+            elapsed_ms: took_ms,
+            answered: finished,
+            measured_work_ms: billed_ms,
+            measured_memory_mb: billed_mb,
+            load_report: report,
         };
-        self.tell(now, Event::Ended(ended));
+        self.tell(now, Event::AttemptEnded(ended));
     }
 
-    pub(super) fn count_end(&self, outcome: Outcome) -> &Count {
+    pub(super) fn count_end(&self, outcome: Outcome) -> &Counter {
         match outcome {
-            Outcome::Ok => &self.counters.ended_ok,
-            Outcome::Error => &self.counters.ended_error,
-            Outcome::Full => &self.counters.ended_full,
-            Outcome::TimedOut => &self.counters.ended_timeout,
-            Outcome::NoConnection => &self.counters.ended_no_connection,
-            Outcome::Reset => &self.counters.ended_reset,
-            Outcome::Cancelled => &self.counters.ended_cancelled,
-            Outcome::Moot => &self.counters.ended_moot,
-            Outcome::NoRoom => &self.counters.ended_no_room,
+            Outcome::Ok => &self.metrics.attempts_succeeded,
+            Outcome::Error => &self.metrics.attempts_failed,
+            Outcome::Rejected => &self.metrics.attempts_rejected,
+            Outcome::TimedOut => &self.metrics.attempts_timed_out,
+            Outcome::NoConnection => &self.metrics.attempts_no_connection,
+            Outcome::Reset => &self.metrics.attempts_reset,
+            Outcome::Cancelled => &self.metrics.attempts_cancelled,
+            Outcome::NotSent => &self.metrics.attempts_not_sent,
+            Outcome::NoConnectionSlot => &self.metrics.attempts_no_connection_slot,
         }
     }
 
@@ -120,8 +121,13 @@
     /// module that still holds the request, or would send it once more, gets no further say.
     pub(super) fn deadline(&mut self, now: Millis, id: RequestId) {
         if self.requests.get(&id).is_some_and(|o| !o.streaming) {
-            self.answer(now, id, Answer::Failed(Why::Deadline), Outcome::TimedOut);
-            self.tell(now, Event::ClientGone { id });
+            self.answer(
+                now,
+                id,
+                Answer::Failed(FailureReason::DeadlineExceeded),
+                Outcome::TimedOut,
+            );
+            self.tell(now, Event::ClientDisconnected { id });
         }
     }
 
@@ -131,10 +137,10 @@
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
             return;
         };
-        let Some(heard) = open.history.out_as(attempt, None).map(|o| o.heard) else {
+        let Some(heard) = open.history.out_as(attempt, None).map(|o| o.last_heard_ms) else {
             return;
         };
-        let due = heard + self.limits.silence_ms;
+        let due = heard + self.limits.attempt_silence_ms;
         if due > armed {
             self.arm(due, Alarm::Silence(id, attempt));
         } else if self.repeatable(id) {
@@ -152,8 +158,12 @@
             return;
         };
         open.cancellation.cancel();
-        self.engines.quit(out.engine, id, out.number, !open.over);
-        self.arm(now + self.limits.quit_again_ms, Alarm::Quit(id, out.number));
+        self.engines
+            .cancel_attempt(out.engine, id, out.number, !open.over);
+        self.arm(
+            now + self.limits.cancellation_resend_ms,
+            Alarm::Quit(id, out.number),
+        );
     }
 
     /// No proof so far. Guard: an order that found its mailbox full is given again. Guard: without a proof in its time
@@ -166,17 +176,25 @@
         let Some(out) = open.history.out_as(attempt, None) else {
             return;
         };
-        let (engine, Some((since, _))) = (out.engine, out.quitting) else {
+        let (engine, Some((since, _))) = (out.engine, out.cancelling) else {
             return;
         };
-        if now - since < self.limits.unproven_ms {
-            self.engines.quit(engine, id, attempt, !over);
-            return self.arm(now + self.limits.quit_again_ms, Alarm::Quit(id, attempt));
+        if now - since < self.limits.cancellation_timeout_ms {
+            self.engines.cancel_attempt(engine, id, attempt, !over);
+            return self.arm(
+                now + self.limits.cancellation_resend_ms,
+                Alarm::Quit(id, attempt),
+            );
         }
-        self.counters.unproven.up();
+        self.metrics.cancellations_timed_out.increment();
         if !over && !streaming {
-            self.answer(now, id, Answer::Failed(Why::Lost), Outcome::TimedOut);
-            self.tell(now, Event::ClientGone { id });
+            self.answer(
+                now,
+                id,
+                Answer::Failed(FailureReason::AttemptFailed),
+                Outcome::TimedOut,
+            );
+            self.tell(now, Event::ClientDisconnected { id });
         }
         self.ended(
             now,
@@ -194,13 +212,13 @@
             return;
         };
         match answer {
-            Answer::Refused { .. } => self.counters.refused.up(),
-            _ => self.counters.failed.up(),
+            Answer::Rejected { .. } => self.metrics.requests_rejected.increment(),
+            _ => self.metrics.requests_failed.increment(),
         }
         tracing::debug!(
             id,
             ?as_what,
-            refused = matches!(answer, Answer::Refused { .. }),
+            refused = matches!(answer, Answer::Rejected { .. }),
             "answered"
         );
         client.answer(id, answer);
@@ -221,14 +239,14 @@
             open.history.out().is_some(),
             open.waiting.take(),
         );
-        self.counters.open.down();
+        self.metrics.requests_open.decrement();
         match out {
             true => self.give_up(now, id, as_what),
             false => self.remove(now, id),
         }
         // Guard: the module holds a request until it hears how its attempt ended, and this one never went out.
         if let Some((number, engine, _)) = waiting {
-            self.unsent(now, id, number, engine, Outcome::Moot);
+            self.unsent(now, id, number, engine, Outcome::NotSent);
         }
         Some(client)
     }
@@ -237,13 +255,13 @@
         let Some(open) = self.requests.remove(&id) else {
             return;
         };
-        self.names.remove(&open.taken.name);
+        self.names.remove(&open.taken.client_reference);
         self.held_bytes -= open.taken.statement.len();
         if let Some(key) = open.taken.order_key {
             self.leave_lease(now, key, id);
         }
         if !open.over {
-            self.counters.open.down();
+            self.metrics.requests_open.decrement();
         }
     }
 }
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -6,7 +6,7 @@
 //! Sans-I/O: what locks a key is a port, [`OrderLocks`].
 
 use super::OrderKey;
-use crate::interface::{Millis, RequestId};
+use crate::decision::{Millis, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// While another process lives, a key is held for so long, in ms, until further requests of it wait for the next lease.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -19,12 +19,12 @@
 pub use leases::{OrderLocks, Places};
 pub use ports::*;
 
-use crate::attempt::{AttemptHistory, Sent, never_ran};
-use crate::attempts::{Keys, Policy, Where};
-use crate::config::{ListEvent, engine_text};
-use crate::counters::Counters;
-use crate::interface::*;
+use crate::attempt::{AttemptHistory, SentTo, never_ran};
+use crate::decision::*;
 use crate::limits::Limits;
+use crate::metrics::Metrics;
+use crate::node_config::{EndpointListEvent, engine_text};
+use crate::retry_policy::{AttemptPolicy, Policy, RequestAttributes};
 use crate::subset::{Membership, Subset};
 use alarms::{Alarm, At};
 use bytes::Bytes;
@@ -35,7 +35,7 @@
 use std::sync::Arc;
 
 struct Open {
-    taken: Taken,
+    taken: AcceptedRequest,
     history: AttemptHistory,
     streaming: bool,
     /// Its client has the final answer, or has left; it is held for the attempt that is not proven over.
@@ -43,13 +43,13 @@
     memory_mb: f64,
     priority: u8,
     /// What its policy allows, resolved when it was taken; a reload may lower its attempts.
-    keys: Keys,
+    keys: AttemptPolicy,
     /// How, and where, its last attempt ended.
     last: Option<(Outcome, EngineId)>,
     /// An attempt that waits out its back-off: its number, engine and time-out.
     waiting: Option<(u16, EngineId, Option<Millis>)>,
     /// Reaches the attempt that is out, past its engine's mailbox.
-    cancellation: Cancellation,
+    cancellation: CancellationFlag,
 }
 
 /// A repeat by key is written so much before engines may have forgotten the first, in ms.
@@ -60,7 +60,7 @@
     gateway: Gateway,
     engines: E,
     limits: Arc<Limits>,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
     requests: HashMap<RequestId, Open>,
     /// Clients' names of the requests that are open.
     names: HashSet<Bytes>,
@@ -81,7 +81,7 @@
     review_armed: bool,
 }
 
-use crate::choice::Gateway;
+use crate::decision::Gateway;
 
 impl<E: EnginePort> Core<E> {
     /// A core round a new module with these settings.
@@ -90,15 +90,18 @@
         seed: u64,
         engines: E,
         limits: Arc<Limits>,
-        counters: Arc<Counters>,
+        metrics: Arc<Metrics>,
     ) -> Result<Self, SettingsError> {
         let membership = Membership::from(&settings);
         let core = Core {
             gateway: Gateway::new(settings, seed)?,
             engines,
-            roster: Roster::new(limits.engines, Subset::new(limits.subset, membership)),
+            roster: Roster::new(
+                limits.engines,
+                Subset::new(limits.subset_engines, membership),
+            ),
             limits,
-            counters,
+            metrics,
             requests: HashMap::new(),
             names: HashSet::new(),
             held_bytes: 0,
@@ -129,7 +132,7 @@
 
     /// Requests open now: those that owe an answer.
     pub fn open(&self) -> usize {
-        self.counters.open.get() as usize
+        self.metrics.requests_open.get() as usize
     }
 
     /// How many entries are held for requests, engines and alarms: here, and in the module.
@@ -167,28 +170,28 @@
                 Alarm::Leases => self.review_leases(now),
             }
             // The module's timer comes often enough to publish what it believes.
-            self.counters.engines_skipped.set(self.gateway.avoided());
+            self.metrics.engines_ejected.set(self.gateway.avoided());
         }
     }
 
     /// Takes one input.
-    pub fn handle(&mut self, now: Millis, input: Input) {
+    pub fn handle(&mut self, now: Millis, input: CoreMessage) {
         match input {
-            Input::Take(taken) => self.take(now, taken),
-            Input::Left(id) => self.left(now, id),
-            Input::List(event) => self.list(now, event),
-            Input::Settings { settings, policy } => {
+            CoreMessage::Request(taken) => self.take(now, taken),
+            CoreMessage::ClientDisconnected(id) => self.left(now, id),
+            CoreMessage::EndpointList(event) => self.list(now, event),
+            CoreMessage::Settings { settings, policy } => {
                 if let Some(settings) = settings {
                     self.settings(now, settings);
                 }
                 self.policy_in_force(policy);
             }
-            Input::Engine {
+            CoreMessage::Attempt {
                 engine,
                 id,
                 attempt,
-                report,
-                news,
+                load_report: report,
+                event: news,
             } => {
                 let Some(open) = self.requests.get_mut(&id) else {
                     return;
@@ -197,26 +200,31 @@
                 let Some(out) = open.history.out_as(attempt, Some(engine)) else {
                     return; // proven over before this came
                 };
-                out.heard = now;
-                let quitting = out.quitting;
+                out.last_heard_ms = now;
+                let quitting = out.cancelling;
                 match news {
-                    EngineNews::Note(Some(note)) if quitting.is_none() => {
-                        self.tell(now, Event::Note { id, attempt, note })
-                    }
-                    EngineNews::Note(_) => {}
-                    EngineNews::Streaming(_) if over || quitting.is_some() => {}
-                    EngineNews::Streaming(body) => self.streaming(now, id, attempt, body),
+                    AttemptEvent::Progress(Some(note)) if quitting.is_none() => self.tell(
+                        now,
+                        Event::Progress {
+                            id,
+                            attempt,
+                            progress: note,
+                        },
+                    ),
+                    AttemptEvent::Progress(_) => {}
+                    AttemptEvent::ResultStreaming(_) if over || quitting.is_some() => {}
+                    AttemptEvent::ResultStreaming(body) => self.streaming(now, id, attempt, body),
                     // A good answer that crossed the cancellation is one all the same, as long as an answer is owed.
-                    EngineNews::Ended {
+                    AttemptEvent::Ended {
                         outcome: Outcome::Ok,
-                        billed_ms,
-                        billed_mb,
+                        measured_work_ms: billed_ms,
+                        measured_memory_mb: billed_mb,
                         body,
                     } => self.served(now, id, attempt, report, (billed_ms, billed_mb), body),
-                    EngineNews::Ended {
+                    AttemptEvent::Ended {
                         outcome,
-                        billed_ms,
-                        billed_mb,
+                        measured_work_ms: billed_ms,
+                        measured_memory_mb: billed_mb,
                         ..
                     } => {
                         let ran = !never_ran(outcome);
@@ -229,10 +237,10 @@
                             (billed_ms, billed_mb),
                         )
                     }
-                    EngineNews::GivenUp(end) => {
+                    AttemptEvent::Cancelled(end) => {
                         let (since, outcome) = quitting.unwrap_or((now, Outcome::Cancelled));
-                        self.counters.given_up.up();
-                        self.counters.proofs.see(now - since);
+                        self.metrics.cancellations_confirmed.increment();
+                        self.metrics.cancellation_latency.record(now - since);
                         let end = (outcome, end.may_have_run());
                         self.ended(now, id, attempt, end, report, (None, None))
                     }
@@ -242,23 +250,28 @@
     }
 
     /// Takes an order that did not wait in the mailbox.
-    pub fn urgent(&mut self, now: Millis, order: Urgent) {
+    pub fn urgent(&mut self, now: Millis, order: PriorityMessage) {
         match order {
-            Urgent::Ends(at) => {
+            PriorityMessage::ShutdownDeadline(at) => {
                 self.ends = Some(at);
                 for id in self.requests.keys().copied().collect::<Vec<_>>() {
                     self.arm(at, Alarm::Deadline(id));
                 }
             }
-            Urgent::Beside(parts) => {
+            PriorityMessage::PeerProcesses(parts) => {
                 self.look_beside(now);
-                self.tell(now, Event::Beside { parts });
+                self.tell(
+                    now,
+                    Event::PeerProcesses {
+                        capacity_divisor: parts,
+                    },
+                );
             }
-            Urgent::Ban {
+            PriorityMessage::ManualEjection {
                 engine,
-                out,
-                at,
-                told,
+                ejected: out,
+                at_ms: at,
+                from_peer: told,
                 done,
             } => {
                 let held = self.gateway.bans().contains(&engine);
@@ -266,71 +279,89 @@
                 // Guard: what is not listed grows with nothing; it holds a ban only while there is room.
                 let fits = !out || held || self.gateway.bans().len() < self.limits.engines;
                 if known && fits || told && !out {
-                    self.tell(now, Event::Ban { engine, out, at });
+                    self.tell(
+                        now,
+                        Event::ManualEjection {
+                            engine,
+                            ejected: out,
+                            at_ms: at,
+                        },
+                    );
                     if !out {
                         self.roster.given_back(engine, at);
                     }
-                    self.engines.banned(engine, out);
-                    self.counters.engines_skipped.set(self.gateway.avoided());
+                    self.engines.set_manually_ejected(engine, out);
+                    self.metrics.engines_ejected.set(self.gateway.avoided());
                 }
                 let _ = done.send(known && fits);
             }
         }
     }
 
-    fn take(&mut self, now: Millis, mut taken: Taken) {
-        self.counters.taken.up();
+    fn take(&mut self, now: Millis, mut taken: AcceptedRequest) {
+        self.metrics.requests_accepted.increment();
         let id = taken.id;
         // Guard: a kept connection on which there always is something open brings requests to the very end, and what
         // that finds open is lost. So none outlives it.
         if let Some(ends) = self.ends {
-            taken.due_ms = taken.due_ms.min(ends);
+            taken.deadline_ms = taken.deadline_ms.min(ends);
             if ends <= now {
-                self.counters.refused.up();
-                return taken
-                    .client
-                    .answer(id, Answer::Refused { hold_off_ms: 0.0 });
+                self.metrics.requests_rejected.increment();
+                return taken.client.answer(
+                    id,
+                    Answer::Rejected {
+                        retry_after_ms: 0.0,
+                    },
+                );
             }
         }
         // Guard: engines tell attempts apart by this name, so one that is open already may not come again.
-        if self.names.contains(&taken.name) {
-            self.counters.client_bad_calls.up();
-            self.counters.failed.up();
-            return taken.client.answer(id, Answer::Failed(Why::Lost));
+        if self.names.contains(&taken.client_reference) {
+            self.metrics.client_bad_calls.increment();
+            self.metrics.requests_failed.increment();
+            return taken
+                .client
+                .answer(id, Answer::Failed(FailureReason::AttemptFailed));
         }
         let bytes = self.held_bytes + taken.statement.len();
-        if self.requests.len() >= self.limits.open
-            || bytes > self.limits.share(self.limits.open_bytes)
+        if self.requests.len() >= self.limits.open_requests
+            || bytes > self.limits.share(self.limits.open_statement_bytes)
         {
-            self.counters.client_over_limit.up();
-            self.counters.refused.up();
-            return taken
-                .client
-                .answer(id, Answer::Refused { hold_off_ms: 0.0 });
+            self.metrics.client_over_limit.increment();
+            self.metrics.requests_rejected.increment();
+            return taken.client.answer(
+                id,
+                Answer::Rejected {
+                    retry_after_ms: 0.0,
+                },
+            );
         }
         // Guard: a class that went as its request was on its way; nothing of it has run.
         let Some(class) = self
             .gateway
             .settings()
-            .position(&taken.class.name, &taken.class.class)
+            .class_position(&taken.class.name, &taken.class.class)
         else {
-            self.counters.refused.up();
-            return taken
-                .client
-                .answer(id, Answer::Refused { hold_off_ms: 0.0 });
+            self.metrics.requests_rejected.increment();
+            return taken.client.answer(
+                id,
+                Answer::Rejected {
+                    retry_after_ms: 0.0,
+                },
+            );
         };
-        let at = Where {
+        let at = RequestAttributes {
             class,
             member: self.policy.member(&taken.member),
             front: taken.front,
-            data_set: taken.dataset,
+            data_set: taken.data_set,
         };
         let keys = self.policy.resolve(&at);
         if let Some(whole) = keys.timeout_ms {
-            taken.due_ms = taken.due_ms.min(now + whole);
+            taken.deadline_ms = taken.deadline_ms.min(now + whole);
         }
         self.arm(
-            taken.due_ms - self.limits.answer_margin_ms,
+            taken.deadline_ms - self.limits.answer_margin_ms,
             Alarm::Deadline(id),
         );
         let open = Open {
@@ -343,14 +374,17 @@
             keys,
             last: None,
             waiting: None,
-            cancellation: Cancellation::default(),
+            cancellation: CancellationFlag::default(),
         };
         let t = &open.taken;
-        let (name, member) = (|| crate::log::name(&t.name), || crate::log::name(&t.member));
-        tracing::debug!(id, r#ref = %name(), class = %t.class.name, member = %member(), due_ms = t.due_ms, cost_ms = t.cost_ms, data_set = t.dataset, "taken");
-        self.counters.open.up();
+        let (name, member) = (
+            || crate::log::name(&t.client_reference),
+            || crate::log::name(&t.member),
+        );
+        tracing::debug!(id, r#ref = %name(), class = %t.class.name, member = %member(), due_ms = t.deadline_ms, cost_ms = t.estimated_work_ms, data_set = t.data_set, "taken");
+        self.metrics.requests_open.increment();
         self.held_bytes = bytes;
-        self.names.insert(open.taken.name.clone());
+        self.names.insert(open.taken.client_reference.clone());
         self.requests.insert(id, open);
         self.admit(now, id);
     }
@@ -358,41 +392,45 @@
     /// The client left: nothing is owed, and what is out is given up at once, as it would only take room.
     fn left(&mut self, now: Millis, id: RequestId) {
         if self.close(now, id, Outcome::Cancelled).is_some() {
-            self.counters.left.up();
-            self.tell(now, Event::ClientGone { id });
+            self.metrics.client_disconnects.increment();
+            self.tell(now, Event::ClientDisconnected { id });
         }
     }
 
-    fn list(&mut self, now: Millis, event: ListEvent) {
+    fn list(&mut self, now: Millis, event: EndpointListEvent) {
         let step = self.roster.take(&event);
-        step.dropped.iter().for_each(|id| self.engines.dropped(*id));
+        step.dropped
+            .iter()
+            .for_each(|id| self.engines.engine_removed(*id));
         for line in &step.lines {
             // Guard: sends to what drains or is gone end here, whatever the module holds.
-            self.engines.listed(line);
+            self.engines.engine_listed(line);
             if self.gateway.bans().contains(&line.entry.engine) {
-                self.engines.banned(line.entry.engine, true); // a new address has a new actor
+                self.engines.set_manually_ejected(line.entry.engine, true); // a new address has a new actor
             }
         }
-        let counters = &self.counters;
+        let metrics = &self.metrics;
         let (held, waiting) = self.roster.sizes();
-        counters.engines.set(held);
-        counters.engines_waiting.set(waiting);
-        counters.engines_passed.add(step.passed.len());
-        counters.list_unknown.add(step.unknown);
-        counters.list_repeated.add(step.repeated);
-        counters.list_shared.add(step.shared);
-        counters.list_unusable.add(event.unusable.len());
-        counters.list_cut.add(usize::from(step.cut));
+        metrics.engines.set(held);
+        metrics.engines_waiting.set(waiting);
+        metrics.engines_without_slot.add(step.passed.len());
+        metrics.list_unknown_removals.add(step.unknown);
+        metrics.list_duplicate_records.add(step.repeated);
+        metrics.list_address_conflicts.add(step.shared);
+        metrics
+            .list_unusable_records
+            .add(event.unusable_engines.len());
+        metrics.list_large_removals.add(usize::from(step.cut));
         if let [first, rest @ ..] = &step.passed[..] {
             let (first, more, all) = (engine_text(*first), rest.len(), self.limits.engines);
             eprintln!(
-                "magpiechute: engine={first} state=passed_over more={more} why=all {all} places are taken"
+                "workload-manager: engine={first} state=passed_over more={more} why=all {all} places are taken"
             );
         }
-        if let [first, rest @ ..] = &event.unusable[..] {
+        if let [first, rest @ ..] = &event.unusable_engines[..] {
             let (first, more) = (engine_text(*first), rest.len());
             eprintln!(
-                "magpiechute: engine={first} state=unusable more={more} why=unknown state, zone or kind"
+                "workload-manager: engine={first} state=unusable more={more} why=unknown state, zone or kind"
             );
         }
         self.subset_news(now, step.news);
@@ -403,7 +441,7 @@
         let membership = Membership::from(&*settings);
         self.tell(now, Event::Settings(settings));
         if let Some(news) = self.roster.set_membership(membership) {
-            self.counters.subset_recast.up();
+            self.metrics.subset_membership_changes.increment();
             self.check_membership(membership);
             self.subset_news(now, news);
         }
@@ -412,31 +450,31 @@
     /// Shows this manager's place in its fleet, and whether it can be one.
     fn check_membership(&self, membership: Membership) {
         let Membership { instances, ordinal } = membership;
-        self.counters.ordinal.set(ordinal as usize);
+        self.metrics.ordinal.set(ordinal as usize);
         if membership.out_of_range() {
-            self.counters.subset_ordinal_over.up();
+            self.metrics.subset_ordinal_out_of_range.increment();
             eprintln!(
-                "magpiechute: ordinal={ordinal} state=out_of_range why=nInstances is {instances}"
+                "workload-manager: ordinal={ordinal} state=out_of_range why=nInstances is {instances}"
             );
         }
     }
 
     /// Tells the module what it hears of the list, and shows the size of that.
     fn subset_news(&mut self, now: Millis, news: News) {
-        let counters = &self.counters;
+        let metrics = &self.metrics;
         let (size, zones) = self.roster.subset_sizes();
         let all = f64::from(self.gateway.settings().instances);
-        counters.subset_size.set(size);
-        counters.subset_zones.set(zones);
-        counters
-            .subset_holders
+        metrics.subset_size.set(size);
+        metrics.subset_zones.set(zones);
+        metrics
+            .subset_managers_per_engine
             .set(self.roster.holders().unwrap_or(all).round() as usize);
-        counters.subset_joined.add(news.joined);
-        counters.subset_left.add(news.left);
-        counters.subset_lost.add(usize::from(news.lost));
+        metrics.subset_engines_added.add(news.joined);
+        metrics.subset_engines_removed.add(news.left);
+        metrics.subset_all_unavailable.add(usize::from(news.lost));
         self.tell(
             now,
-            Event::List {
+            Event::EndpointList {
                 kind: news.kind,
                 entries: news.entries,
             },
@@ -450,7 +488,7 @@
         let mut moot = Vec::new();
         for action in actions.drain(..) {
             match action {
-                Action::Send {
+                Action::StartAttempt {
                     id,
                     engine,
                     timeout_ms,
@@ -459,12 +497,15 @@
                         moot.push((id, engine, outcome));
                     }
                 }
-                Action::Terms {
+                Action::SetAttemptTerms {
                     id,
                     memory_mb,
                     priority,
                 } => self.terms(id, memory_mb, priority),
-                Action::Refuse { id, hold_off_ms } => {
+                Action::Reject {
+                    id,
+                    retry_after_ms: hold_off_ms,
+                } => {
                     // Guard: a refusal says that a repeat is harmless, so it may not cover a load that may have run.
                     let ran = self
                         .requests
@@ -472,22 +513,27 @@
                         .is_none_or(|o| o.history.may_have_run());
                     let sure = !ran || self.repeatable(id);
                     let answer = if sure {
-                        Answer::Refused { hold_off_ms }
+                        Answer::Rejected {
+                            retry_after_ms: hold_off_ms,
+                        }
                     } else {
-                        Answer::Failed(Why::Lost)
+                        Answer::Failed(FailureReason::AttemptFailed)
                     };
                     self.answer(now, id, answer, Outcome::Cancelled);
                 }
-                Action::Fail { id } => {
-                    self.answer(now, id, Answer::Failed(Why::Lost), Outcome::Cancelled)
-                }
-                Action::Cancel { id, attempt } => self.call_off(now, id, attempt),
-                Action::Timer { after_ms, token } => {
+                Action::Fail { id } => self.answer(
+                    now,
+                    id,
+                    Answer::Failed(FailureReason::AttemptFailed),
+                    Outcome::Cancelled,
+                ),
+                Action::CancelAttempt { id, attempt } => self.call_off(now, id, attempt),
+                Action::SetTimer { after_ms, token } => {
                     self.arm(now + after_ms.max(1.0), Alarm::Module(token))
                 }
-                Action::Log { line } => eprintln!("magpiechute: {line}"),
+                Action::Log { line } => eprintln!("workload-manager: {line}"),
                 // Engines may not be probed, and the feed pushes: nothing to do.
-                Action::Probe { .. } | Action::Subscribe => {}
+                Action::SendHealthCheck { .. } | Action::SubscribeEndpointList => {}
             }
         }
         self.actions = actions;
@@ -509,29 +555,29 @@
         engine: EngineId,
         outcome: Outcome,
     ) {
-        self.count_end(outcome).up();
+        self.count_end(outcome).increment();
         tracing::debug!(id, %engine, attempt, ?outcome, "not sent");
         if let Some(open) = self.requests.get_mut(&id) {
             open.last = Some((outcome, engine));
         }
-        let ended = Ended {
+        let ended = AttemptEnded {
             id,
             attempt,
             engine,
             outcome,
-            took_ms: 0.0,
-            finished: self.requests.get(&id).is_none_or(|o| o.over),
-            billed_ms: None,
-            billed_mb: None,
-            report: LoadReport::default(),
+            elapsed_ms: 0.0,
+            answered: self.requests.get(&id).is_none_or(|o| o.over),
+            measured_work_ms: None,
+            measured_memory_mb: None,
+            load_report: LoadReport::default(),
         };
-        self.tell(now, Event::Ended(ended));
+        self.tell(now, Event::AttemptEnded(ended));
     }
 
     fn repeatable(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
-            .is_some_and(|o| o.taken.class.class.effect == Effect::Repeatable)
+            .is_some_and(|o| o.taken.class.class.idempotency == Idempotency::Idempotent)
     }
 
     /// Until when an attempt may be written at this engine: infinite where none that may have run went before, or the
@@ -540,10 +586,12 @@
     fn repeat_until(&self, now: Millis, id: RequestId, engine: EngineId) -> Option<Millis> {
         let open = self.requests.get(&id)?;
         let class = &open.taken.class.class;
-        if !open.history.has_run() || class.effect == Effect::Repeatable {
+        if !open.history.has_run() || class.idempotency == Idempotency::Idempotent {
             return Some(Millis::INFINITY);
         }
-        let (Effect::Keyed(scope), Some(first)) = (class.effect, open.history.first_ran()) else {
+        let (Idempotency::WithKey(scope), Some(first)) =
+            (class.idempotency, open.history.first_ran())
+        else {
             return None;
         };
         let (zone, cell) = self.roster.group(engine)?;
@@ -554,7 +602,7 @@
         };
         let keyed = remembers && open.taken.idempotency_key.is_some();
         keyed
-            .then_some(first.at + class.memory_span_ms - REPEAT_MARGIN_MS)
+            .then_some(first.at_ms + class.dedup_window_ms - REPEAT_MARGIN_MS)
             .filter(|until| now < *until)
     }
 
@@ -568,7 +616,7 @@
     ) -> Option<Outcome> {
         let repeatable = self.repeat_until(now, id, engine).is_some();
         let ready = self.roster.ready(engine) && !self.gateway.bans().contains(&engine);
-        let cap = self.gateway.settings().attempts_cap;
+        let cap = self.gateway.settings().max_attempts;
         let open = self.requests.get_mut(&id)?;
         // Guards: one attempt out at a time, also while one waits out its back-off; no second run of what may run
         // once, no more than the cap, none for who has an answer.
@@ -578,9 +626,9 @@
             .ok()
             .filter(|_| !open.over && open.waiting.is_none());
         let Some(number) = next.filter(|_| ready) else {
-            self.counters.guarded.up();
+            self.metrics.sends_blocked_by_guard.increment();
             return Some(if next.is_none() {
-                Outcome::Moot
+                Outcome::NotSent
             } else {
                 Outcome::NoConnection
             });
@@ -591,7 +639,7 @@
                 self.wait_out(now, id, (number, engine, timeout_ms), wait);
                 None
             }
-            None => Some(Outcome::Moot),
+            None => Some(Outcome::NotSent),
         }
     }
 
@@ -606,44 +654,49 @@
     ) -> Option<Outcome> {
         // Guard: where it has waited out a back-off, its time may be over.
         let Some(until_ms) = self.repeat_until(now, id, engine) else {
-            return Some(Outcome::Moot);
+            return Some(Outcome::NotSent);
         };
         let (zone, cell) = self.roster.group(engine).unwrap_or_default();
         let open = self.requests.get_mut(&id)?;
         let own = open.keys.attempt_timeout_ms;
         let timeout_ms = timeout_ms.filter(|t| *t > 0.0).or(own);
-        let due_ms = timeout_ms.map_or(open.taken.due_ms, |t| (now + t).min(open.taken.due_ms));
-        open.cancellation = Cancellation::default();
-        let ask = Ask {
+        let due_ms = timeout_ms.map_or(open.taken.deadline_ms, |t| {
+            (now + t).min(open.taken.deadline_ms)
+        });
+        open.cancellation = CancellationFlag::default();
+        let ask = AttemptRequest {
             id,
             attempt: number,
-            name: open.taken.name.clone(),
+            client_reference: open.taken.client_reference.clone(),
             class: open.taken.class.clone(),
-            due_ms,
-            until_ms,
+            deadline_ms: due_ms,
+            send_before_ms: until_ms,
             memory_mb: open.memory_mb,
             priority: open.priority,
             idempotency_key: open.taken.idempotency_key.clone(),
             statement: open.taken.statement.clone(),
-            kind: open.taken.kind,
+            statement_kind: open.taken.statement_kind,
             cancellation: open.cancellation.clone(),
         };
-        if !self.engines.ask(engine, ask) {
+        if !self.engines.start_attempt(engine, ask) {
             return Some(Outcome::NoConnection);
         }
         open.history.sent(
             number,
             engine,
-            Sent {
+            SentTo {
                 zone,
                 cell,
-                at: now,
+                at_ms: now,
             },
         );
         tracing::debug!(id, %engine, attempt = number, due_ms, "sent");
-        self.counters.sent.up();
-        if self.limits.silence_ms.is_finite() {
-            self.arm(now + self.limits.silence_ms, Alarm::Silence(id, number));
+        self.metrics.attempts_started.increment();
+        if self.limits.attempt_silence_ms.is_finite() {
+            self.arm(
+                now + self.limits.attempt_silence_ms,
+                Alarm::Silence(id, number),
+            );
         }
         if let Some(own) = own {
             self.arm(now + own, Alarm::AttemptDue(id, number));
@@ -660,10 +713,10 @@
         if let Some(out) = open
             .history
             .out()
-            .filter(|o| before != open.priority && o.quitting.is_none())
+            .filter(|o| before != open.priority && o.cancelling.is_none())
         {
             self.engines
-                .priority(out.engine, id, out.number, open.priority);
+                .set_priority(out.engine, id, out.number, open.priority);
         }
     }
 }
--- a/src/core/narrow.rs
+++ b/src/core/narrow.rs
@@ -3,7 +3,7 @@
 //! `attempts`; here they meet requests, timers and counters.
 
 use super::*;
-use crate::attempts::Next;
+use crate::retry_policy::RetryDecision;
 
 impl<E: EnginePort> Core<E> {
     /// Whether an attempt may go out now: `Some(Ok)`; after a back-off of so many ms: `Some(Err(wait))`; or not at
@@ -21,28 +21,30 @@
             open.keys.budget.iter().for_each(|budget| budget.first(now));
             return Some(Ok(()));
         }
-        let (end, before) = open.last.unwrap_or((Outcome::Moot, engine));
-        match open.keys.next(made, end, now, chance(id, number)) {
-            Next::Ended => {
+        let (end, before) = open.last.unwrap_or((Outcome::NotSent, engine));
+        match open.keys.retry_decision(made, end, now, chance(id, number)) {
+            RetryDecision::NotRetryable => {
                 tracing::debug!(
                     id,
                     attempt = number,
                     ?end,
                     "no further attempt by the policy"
                 );
-                self.counters.policy_ended.up();
+                self.metrics.retries_denied_by_policy.increment();
                 None
             }
-            Next::Held => {
+            RetryDecision::BudgetExhausted => {
                 tracing::debug!(id, attempt = number, "held: the budget is spent");
-                self.counters.budget_held.up();
+                self.metrics.retries_denied_by_budget.increment();
                 None
             }
             // Guard: what provably never ran loaded nobody; elsewhere it goes at once.
-            Next::After(wait) if wait > 0.0 && !(never_ran(end) && before != engine) => {
+            RetryDecision::RetryAfter(wait)
+                if wait > 0.0 && !(never_ran(end) && before != engine) =>
+            {
                 Some(Err(wait))
             }
-            Next::After(_) => Some(Ok(())),
+            RetryDecision::RetryAfter(_) => Some(Ok(())),
         }
     }
 
@@ -59,7 +61,7 @@
         };
         open.waiting = Some(attempt);
         tracing::debug!(id, attempt = attempt.0, wait_ms = wait, "backs off");
-        self.counters.backed_off.up();
+        self.metrics.retries_delayed_by_backoff.increment();
         self.arm(now + wait, Alarm::BackOff(id, attempt.0));
     }
 
@@ -95,9 +97,9 @@
         if open
             .history
             .out_as(number, None)
-            .is_some_and(|out| out.quitting.is_none())
+            .is_some_and(|out| out.cancelling.is_none())
         {
-            self.counters.attempt_timeouts.up();
+            self.metrics.attempt_timeouts.increment();
             self.give_up(now, id, Outcome::TimedOut);
         }
     }
@@ -113,11 +115,11 @@
         }
         if open
             .keys
-            .may_follow(open.history.counted(), Outcome::Cancelled)
+            .allows_retry_after(open.history.counted(), Outcome::Cancelled)
         {
             self.give_up(now, id, Outcome::Cancelled);
         } else {
-            self.counters.policy_kept.up();
+            self.metrics.cancellations_denied_by_policy.increment();
         }
     }
 
@@ -125,15 +127,15 @@
     pub(super) fn policy_in_force(&mut self, policy: Arc<Policy>) {
         policy.carry(&self.policy);
         for open in self.requests.values_mut() {
-            let at = Where {
+            let at = RequestAttributes {
                 class: self
                     .gateway
                     .settings()
-                    .position(&open.taken.class.name, &open.taken.class.class)
+                    .class_position(&open.taken.class.name, &open.taken.class.class)
                     .unwrap_or(usize::MAX),
                 member: policy.member(&open.taken.member),
                 front: open.taken.front,
-                data_set: open.taken.dataset,
+                data_set: open.taken.data_set,
             };
             if let Some(lower) = policy.resolve(&at).max_attempts {
                 open.keys.max_attempts =
--- a/src/core/order.rs
+++ b/src/core/order.rs
@@ -14,7 +14,7 @@
 
     /// Makes keys rest after a process that died before this one started.
     pub(super) fn begin_leases(&mut self, now: Millis) {
-        let pause = self.gateway.settings().order_pause_ms;
+        let pause = self.gateway.settings().order_key_pause_ms;
         self.leases.begin(now, pause);
     }
 
@@ -23,19 +23,19 @@
         let Some(key) = self.order_key(id) else {
             return self.submit(now, id);
         };
-        let pause = self.gateway.settings().order_pause_ms;
+        let pause = self.gateway.settings().order_key_pause_ms;
         if self.leases.admit(now, pause, key, id) {
             return self.submit(now, id);
         }
         tracing::debug!(id, "waits for the lease on its order key");
-        self.counters.order_held.up();
+        self.metrics.requests_held_for_order_key.increment();
         self.arm_review(now);
     }
 
     /// Sends on what waited for a lease that this process has now.
     pub(super) fn review_leases(&mut self, now: Millis) {
         self.review_armed = false;
-        let pause = self.gateway.settings().order_pause_ms;
+        let pause = self.gateway.settings().order_key_pause_ms;
         for id in self.leases.review(now, pause) {
             self.submit(now, id);
         }
@@ -44,7 +44,7 @@
 
     /// Another process came or went.
     pub(super) fn look_beside(&mut self, now: Millis) {
-        let pause = self.gateway.settings().order_pause_ms;
+        let pause = self.gateway.settings().order_key_pause_ms;
         self.leases.look(now, pause);
     }
 
@@ -56,7 +56,7 @@
         );
         if let Some(key) = self.order_key(id).filter(|_| may_run) {
             self.leases
-                .rest(key, now + self.gateway.settings().order_pause_ms);
+                .rest(key, now + self.gateway.settings().order_key_pause_ms);
         }
     }
 
@@ -75,7 +75,7 @@
         if !self.review_armed && self.leases.pending() {
             self.review_armed = true;
             self.arm(
-                now + self.limits.state_look.as_secs_f64() * 1000.0,
+                now + self.limits.state_poll_interval.as_secs_f64() * 1000.0,
                 Alarm::Leases,
             );
         }
@@ -88,21 +88,28 @@
         };
         let (taken, settings) = (&open.taken, self.gateway.settings());
         // Guard: a class that went while its request waited; nothing of it has run.
-        let Some(class) = settings.position(&taken.class.name, &taken.class.class) else {
-            return self.answer(now, id, Answer::Refused { hold_off_ms: 0.0 }, Outcome::Moot);
+        let Some(class) = settings.class_position(&taken.class.name, &taken.class.class) else {
+            return self.answer(
+                now,
+                id,
+                Answer::Rejected {
+                    retry_after_ms: 0.0,
+                },
+                Outcome::NotSent,
+            );
         };
         let request = Request {
             id,
             class,
-            key: taken.order_key.map_or(0, OrderKey::get),
-            due_ms: taken.due_ms,
-            cost_ms: taken.cost_ms,
-            dataset: taken.dataset,
-            memory_mb: taken.memory_mb,
-            attempts_cap: open
+            order_key: taken.order_key.map_or(0, OrderKey::get),
+            deadline_ms: taken.deadline_ms,
+            estimated_work_ms: taken.estimated_work_ms,
+            data_set: taken.data_set,
+            estimated_memory_mb: taken.estimated_memory_mb,
+            max_attempts: open
                 .keys
                 .max_attempts
-                .map(|most| most.min(settings.attempts_cap)),
+                .map(|most| most.min(settings.max_attempts)),
         };
         self.tell(now, Event::Request(request));
     }
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -1,9 +1,9 @@
 //! What passes between the core and its peers: requests and answers, attempts and their news, orders of staff.
 
-use crate::attempt::End;
-use crate::config::{ListEvent, Listed};
-use crate::interface::*;
-use crate::settings::Named;
+use crate::attempt::AttemptEnd;
+use crate::decision::*;
+use crate::node_config::{EndpointListEvent, EngineRecord};
+use crate::settings_json::NamedClass;
 use bytes::Bytes;
 use std::num::NonZeroU64;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 /// In which form the pieces of a result stand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum ResultFormat {
     /// Rows as text: a tab between columns, a line feed after each row.
     Text,
     /// Arrow data as the Flight format frames it, one message a piece.
@@ -21,16 +21,16 @@
 
 /// What follows of a result that streams. A channel that closes without [`Flow::End`] is a result cut off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Flow {
+pub enum ResultChunk {
     /// The next piece.
-    Piece(Bytes),
+    Data(Bytes),
     /// All pieces have come.
     End,
 }
 
 /// What a statement is to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum StatementKind {
     /// Rows are wanted.
     Query,
     /// A count of changed rows is wanted.
@@ -39,22 +39,22 @@
 
 /// A result, in pieces that pass on unchanged.
 #[derive(Debug)]
-pub struct Body {
+pub struct ResultBody {
     /// Their form.
-    pub form: Form,
+    pub format: ResultFormat,
     /// The pieces held.
-    pub pieces: Vec<Bytes>,
+    pub chunks: Vec<Bytes>,
     /// Further pieces of a result too large to hold.
-    pub rest: Option<mpsc::Receiver<Flow>>,
+    pub remaining_chunks: Option<mpsc::Receiver<ResultChunk>>,
 }
 
-impl Body {
+impl ResultBody {
     /// A result that is held whole.
-    pub fn whole(form: Form, pieces: Vec<Bytes>) -> Body {
-        Body {
-            form,
-            pieces,
-            rest: None,
+    pub fn complete(form: ResultFormat, pieces: Vec<Bytes>) -> ResultBody {
+        ResultBody {
+            format: form,
+            chunks: pieces,
+            remaining_chunks: None,
         }
     }
 }
@@ -63,23 +63,23 @@
 #[derive(Debug)]
 pub enum Answer {
     /// Served, with the result as the engine gave it.
-    Served(Body),
+    Served(ResultBody),
     /// Refused: trying again is harmless. The client may come back after this many milliseconds, if any.
-    Refused {
+    Rejected {
         /// Advice to stay away this long; 0 for none.
-        hold_off_ms: Millis,
+        retry_after_ms: Millis,
     },
     /// Failed; it may have run.
-    Failed(Why),
+    Failed(FailureReason),
 }
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum FailureReason {
     /// Its client's deadline.
-    Deadline,
+    DeadlineExceeded,
     /// Anything else: an engine's error, a lost attempt, a module that gave it up.
-    Lost,
+    AttemptFailed,
 }
 
 /// Where answers go: a client's connection, of whatever protocol.
@@ -112,25 +112,25 @@
 }
 
 /// A request as a front took it.
-pub struct Taken {
+pub struct AcceptedRequest {
     /// The id that the core's handle gave out.
     pub id: RequestId,
     /// The client's own name for it: passed to engines unchanged.
-    pub name: Bytes,
+    pub client_reference: Bytes,
     /// Its class.
-    pub class: Arc<Named>,
+    pub class: Arc<NamedClass>,
     /// Unix time in ms at which the client gives up.
-    pub due_ms: Millis,
+    pub deadline_ms: Millis,
     /// Estimated work over all threads.
-    pub cost_ms: Option<f64>,
+    pub estimated_work_ms: Option<f64>,
     /// Estimated memory in MB.
-    pub memory_mb: Option<f64>,
+    pub estimated_memory_mb: Option<f64>,
     /// Its group of tables.
-    pub dataset: u32,
+    pub data_set: u32,
     /// Its member's name; empty where the platform names none.
     pub member: Bytes,
     /// The front that it came over.
-    pub front: crate::attempts::Front,
+    pub front: crate::retry_policy::Front,
     /// The key by which engines tell a repeat of it, where its class may be repeated by key.
     pub idempotency_key: Option<Bytes>,
     /// The key whose requests run one at a time, where its class keeps order.
@@ -138,7 +138,7 @@
     /// The statement.
     pub statement: Bytes,
     /// What its client wants of it.
-    pub kind: Kind,
+    pub statement_kind: StatementKind,
     /// Where its answer goes.
     pub client: Arc<dyn ClientPort>,
 }
@@ -146,9 +146,9 @@
 /// Whether an attempt was given up: shared by the core and the actor that is to write the attempt, which reads it just
 /// before. So a client that has left is heeded also where the order that says so waits in a mailbox, or found it full.
 #[derive(Clone, Debug, Default)]
-pub struct Cancellation(Arc<AtomicBool>);
+pub struct CancellationFlag(Arc<AtomicBool>);
 
-impl Cancellation {
+impl CancellationFlag {
     /// The attempt is not to begin any more.
     pub fn cancel(&self) {
         self.0.store(true, Ordering::Relaxed);
@@ -162,20 +162,20 @@
 
 /// One attempt, for an engine.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct AttemptRequest {
     /// The core's id of the request.
     pub id: RequestId,
     /// Which attempt.
     pub attempt: u16,
     /// The client's name for the request.
-    pub name: Bytes,
+    pub client_reference: Bytes,
     /// Its class.
-    pub class: Arc<Named>,
+    pub class: Arc<NamedClass>,
     /// Unix time in ms at which the attempt is over.
-    pub due_ms: Millis,
+    pub deadline_ms: Millis,
     /// Unix time in ms from which it may not be written any more, as engines drop a repeat only for a while; infinite
     /// where it is none, or may be repeated at any time.
-    pub until_ms: Millis,
+    pub send_before_ms: Millis,
     /// Memory to grant in MB; 0 for the engine's choice.
     pub memory_mb: f64,
     /// Priority, 0 to 3.
@@ -185,81 +185,81 @@
     /// The statement.
     pub statement: Bytes,
     /// What its client wants of it.
-    pub kind: Kind,
+    pub statement_kind: StatementKind,
     /// Whether it was given up meanwhile.
-    pub cancellation: Cancellation,
+    pub cancellation: CancellationFlag,
 }
 
-impl Ask {
+impl AttemptRequest {
     /// Why it may not be written any more, if so: it was given up, its request's time is over, or engines may have
     /// forgotten the attempt that it repeats. It never ran then.
-    pub fn late(&self, now: Millis) -> Option<EngineNews> {
-        if self.cancellation.is_cancelled() || now >= self.due_ms {
-            return Some(EngineNews::GivenUp(End::Unsent));
+    pub fn expired(&self, now: Millis) -> Option<AttemptEvent> {
+        if self.cancellation.is_cancelled() || now >= self.deadline_ms {
+            return Some(AttemptEvent::Cancelled(AttemptEnd::NeverSent));
         }
-        (now >= self.until_ms).then(|| EngineNews::end(Outcome::Moot))
+        (now >= self.send_before_ms).then(|| AttemptEvent::end(Outcome::NotSent))
     }
 }
 
 /// Where attempts go: all engines, of whatever protocol. No call blocks.
 pub trait EnginePort: Send {
     /// Starts an attempt; false where it provably was not sent.
-    fn ask(&mut self, engine: EngineId, ask: Ask) -> bool;
+    fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool;
     /// Gives an attempt up. [`EngineNews::GivenUp`] comes back once that is proven, unless an end of its own does;
     /// given twice it is done once. Where another attempt may follow, `again`, the proof is that the engine has read it.
-    fn quit(&mut self, engine: EngineId, id: RequestId, attempt: u16, again: bool);
+    fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, again: bool);
     /// Names a new priority for an attempt that is out.
-    fn priority(&mut self, engine: EngineId, id: RequestId, attempt: u16, priority: u8);
+    fn set_priority(&mut self, engine: EngineId, id: RequestId, attempt: u16, priority: u8);
     /// What the list says of an engine: nothing new may go where it is not ready.
-    fn listed(&mut self, line: &Listed);
+    fn engine_listed(&mut self, line: &EngineRecord);
     /// The list names it no longer.
-    fn dropped(&mut self, engine: EngineId);
+    fn engine_removed(&mut self, engine: EngineId);
     /// Staff took it out, or gave it back: nothing new, not even what waits for a connection.
-    fn banned(&mut self, engine: EngineId, out: bool);
+    fn set_manually_ejected(&mut self, engine: EngineId, out: bool);
 }
 
 /// What an engine's actor tells the core of an attempt.
 #[derive(Debug)]
-pub enum EngineNews {
+pub enum AttemptEvent {
     /// A running attempt's note, or a mere sign of life.
-    Note(Option<Note>),
+    Progress(Option<Progress>),
     /// The result outgrew what is held and streams to the client from now on.
-    Streaming(Body),
+    ResultStreaming(ResultBody),
     /// What was given up is proven over.
-    GivenUp(End),
+    Cancelled(AttemptEnd),
     /// The end of an attempt.
     Ended {
         /// How.
         outcome: Outcome,
         /// The work it needed, where told.
-        billed_ms: Option<f64>,
+        measured_work_ms: Option<f64>,
         /// The memory it needed in MB, where told.
-        billed_mb: Option<f64>,
+        measured_memory_mb: Option<f64>,
         /// The result, where it ended well and did not stream.
-        body: Option<Body>,
+        body: Option<ResultBody>,
     },
 }
 
-impl EngineNews {
+impl AttemptEvent {
     /// An end that brings neither a result nor figures.
-    pub fn end(outcome: Outcome) -> EngineNews {
-        EngineNews::Ended {
+    pub fn end(outcome: Outcome) -> AttemptEvent {
+        AttemptEvent::Ended {
             outcome,
-            billed_ms: None,
-            billed_mb: None,
+            measured_work_ms: None,
+            measured_memory_mb: None,
             body: None,
         }
     }
 }
 
 /// What comes into the core's mailbox.
-pub enum Input {
+pub enum CoreMessage {
     /// A client's request.
-    Take(Taken),
+    Request(AcceptedRequest),
     /// The client of a request left or no longer waits.
-    Left(RequestId),
+    ClientDisconnected(RequestId),
     /// News of an attempt.
-    Engine {
+    Attempt {
         /// Which engine.
         engine: EngineId,
         /// Which request.
@@ -267,38 +267,38 @@
         /// Which attempt.
         attempt: u16,
         /// The engine's load report, if one came along.
-        report: LoadReport,
+        load_report: LoadReport,
         /// The news.
-        news: EngineNews,
+        event: AttemptEvent,
     },
     /// An event of the list.
-    List(ListEvent),
+    EndpointList(EndpointListEvent),
     /// New settings and policy of attempts, swapped together: in the mailbox's order, so that what came under the
     /// old ones is taken under them.
     Settings {
         /// The platform's settings, where they changed.
         settings: Option<Box<Settings>>,
         /// The operators' policy of attempts.
-        policy: Arc<crate::attempts::Policy>,
+        policy: Arc<crate::retry_policy::Policy>,
     },
 }
 
 /// What overtakes the mailbox.
-pub enum Urgent {
+pub enum PriorityMessage {
     /// Another process of this workload manager works beside this one, or no longer; see [`Event::Beside`].
-    Beside(f64),
+    PeerProcesses(f64),
     /// The process is ended at this Unix time in ms: what is not answered by then is lost.
-    Ends(Millis),
+    ShutdownDeadline(Millis),
     /// Staff take an engine out, or give it back.
-    Ban {
+    ManualEjection {
         /// Which engine.
         engine: EngineId,
         /// Taken out, or given back.
-        out: bool,
+        ejected: bool,
         /// Unix time in ms at which it was said.
-        at: Millis,
+        at_ms: Millis,
         /// It was said elsewhere, and holds for an engine that is not known here too.
-        told: bool,
+        from_peer: bool,
         /// Whether it was known, once the module has it.
         done: oneshot::Sender<bool>,
     },
