--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -5,8 +5,8 @@
 //! All that are taken up can be reached, and their drains and ends are known. The decision module hears of them all
 //! where the list is short, else of a subset.
 
-use crate::config::{ListEvent, Listed};
-use crate::interface::{EngineEntry, EngineId, Holders, ListKind, ListState, Millis};
+use crate::decision::{EngineEntry, EngineId, EngineSharing, EngineState, ListUpdateKind, Millis};
+use crate::node_config::{EndpointListEvent, EngineRecord};
 use crate::subset::{Members, Membership, Subset};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 #[derive(Debug)]
 pub(super) struct Roster {
     places: usize,
-    held: BTreeMap<EngineId, Listed>,
+    held: BTreeMap<EngineId, EngineRecord>,
     /// Passed over; as many as there are places at most, and the rest is known again with the next whole list.
-    waiting: BTreeMap<EngineId, Listed>,
+    waiting: BTreeMap<EngineId, EngineRecord>,
     /// Who was last listed as ready at an address.
     at: HashMap<SocketAddr, EngineId>,
     subset: Subset,
@@ -28,7 +28,7 @@
 /// What the decision module is told after an event.
 #[derive(Debug)]
 pub(super) struct News {
-    pub(super) kind: ListKind,
+    pub(super) kind: ListUpdateKind,
     pub(super) entries: Vec<EngineEntry>,
     /// Engines that the subset gained and lost.
     pub(super) joined: usize,
@@ -45,7 +45,7 @@
     /// A whole list leaves more than half of them out.
     pub(super) cut: bool,
     /// Lines for the engines' actors, in order.
-    pub(super) lines: Vec<Listed>,
+    pub(super) lines: Vec<EngineRecord>,
     /// What the module is told.
     pub(super) news: News,
     /// Engines that found no place.
@@ -87,7 +87,7 @@
     /// The mean number of managers that hold an engine, where the module hears of a subset.
     pub(super) fn holders(&self) -> Option<f64> {
         let entry = self.told.as_ref()?.values().next()?;
-        entry.holders.map(|holders| holders.mean)
+        entry.sharing.map(|holders| holders.mean_managers)
     }
 
     /// How many entries it holds in all.
@@ -99,7 +99,7 @@
     pub(super) fn ready(&self, engine: EngineId) -> bool {
         self.held
             .get(&engine)
-            .is_some_and(|line| line.entry.state == ListState::Ready)
+            .is_some_and(|line| line.entry.state == EngineState::Ready)
     }
 
     /// The zone and cell of one that is taken up.
@@ -115,14 +115,14 @@
     }
 
     /// Takes an event of the list in.
-    pub(super) fn take(&mut self, event: &ListEvent) -> Step {
+    pub(super) fn take(&mut self, event: &EndpointListEvent) -> Step {
         let mut step = self.take_up(event);
         let touched: Vec<EngineId> = step.lines.iter().map(|line| line.entry.engine).collect();
         for id in step.dropped.iter().chain(&touched) {
             let ready = self
                 .held
                 .get(id)
-                .filter(|line| line.entry.state == ListState::Ready);
+                .filter(|line| line.entry.state == EngineState::Ready);
             self.subset.set(*id, ready.map(|line| line.entry.zone));
         }
         let entries = step.lines.iter().map(|line| line.entry.clone()).collect();
@@ -133,7 +133,7 @@
     /// Takes new settings; what the module is to be told, if they change the subset.
     pub(super) fn set_membership(&mut self, membership: Membership) -> Option<News> {
         let changed = self.subset.set_membership(membership);
-        changed.then(|| self.news(ListKind::Delta, Vec::new()))
+        changed.then(|| self.news(ListUpdateKind::Delta, Vec::new()))
     }
 
     /// An engine was given back by hand, so it counts as started then, whatever the list says. Where the module hears
@@ -144,12 +144,12 @@
             .as_ref()
             .is_some_and(|told| !told.contains_key(&engine));
         if let Some(line) = self.held.get_mut(&engine).filter(|_| unheard) {
-            line.entry.started_ms = line.entry.started_ms.max(at);
+            line.entry.started_at_ms = line.entry.started_at_ms.max(at);
         }
     }
 
     /// What the module is told: of the whole list its `changes`, of a subset how it differs from what was told.
-    fn news(&mut self, kind: ListKind, changes: Vec<EngineEntry>) -> News {
+    fn news(&mut self, kind: ListUpdateKind, changes: Vec<EngineEntry>) -> News {
         let members = self.subset.members();
         let before = self.told.take();
         let lost = before.as_ref().is_some_and(|told| {
@@ -165,7 +165,7 @@
         match (members, before) {
             (None, None) => whole(kind, changes),
             (None, Some(_)) => whole(
-                ListKind::Full,
+                ListUpdateKind::Full,
                 self.held.values().map(|line| line.entry.clone()).collect(),
             ),
             (Some(members), before) => {
@@ -178,12 +178,12 @@
     }
 
     fn member_entries(&self, members: &Members) -> BTreeMap<EngineId, EngineEntry> {
-        let entry = |(engine, holders): (&EngineId, &Holders)| {
+        let entry = |(engine, holders): (&EngineId, &EngineSharing)| {
             let line = self.held.get(engine)?;
             Some((
                 *engine,
                 EngineEntry {
-                    holders: Some(*holders),
+                    sharing: Some(*holders),
                     ..line.entry.clone()
                 },
             ))
@@ -191,33 +191,37 @@
         members.iter().filter_map(entry).collect()
     }
 
-    fn take_up(&mut self, event: &ListEvent) -> Step {
+    fn take_up(&mut self, event: &EndpointListEvent) -> Step {
         let mut step = Step::default();
         let mut last = HashMap::new();
-        for (i, line) in event.entries.iter().enumerate() {
+        for (i, line) in event.records.iter().enumerate() {
             step.repeated += usize::from(last.insert(line.entry.engine, i).is_some());
         }
-        if event.kind == ListKind::Full {
+        if event.kind == ListUpdateKind::Full {
             // Guard: an engine that a whole list leaves out is gone for good; nothing of it stays. One that it names in
             // a record that cannot be used is not left out, and stays as it was.
-            let named = |id: &EngineId| last.contains_key(id) || event.unusable.contains(id);
+            let named =
+                |id: &EngineId| last.contains_key(id) || event.unusable_engines.contains(id);
             self.waiting.retain(|id, _| named(id));
             step.dropped = self.held.keys().copied().filter(|id| !named(id)).collect();
             step.cut = step.dropped.len() > self.held.len() / 2;
             step.dropped.iter().for_each(|id| self.leave(*id));
-            let stays = event.unusable.iter().filter(|id| !last.contains_key(id));
+            let stays = event
+                .unusable_engines
+                .iter()
+                .filter(|id| !last.contains_key(id));
             step.lines
                 .extend(stays.filter_map(|id| self.held.get(id)).cloned());
         }
         // Ends first, so that what comes in the same event finds their places.
         let lines = event
-            .entries
+            .records
             .iter()
             .enumerate()
             .filter(|(i, line)| last[&line.entry.engine] == *i);
         let (gone, others): (Vec<_>, Vec<_>) = lines
             .map(|(_, line)| line)
-            .partition(|line| line.entry.state == ListState::Gone);
+            .partition(|line| line.entry.state == EngineState::Removed);
         for line in gone {
             let id = line.entry.engine;
             let waited = self.waiting.remove(&id).is_some();
@@ -249,7 +253,7 @@
             let ready = self
                 .waiting
                 .iter()
-                .find(|(_, l)| l.entry.state == ListState::Ready);
+                .find(|(_, l)| l.entry.state == EngineState::Ready);
             let next = ready.or(self.waiting.iter().next()).map(|(id, _)| *id);
             let Some(line) = next.and_then(|id| self.waiting.remove(&id)) else {
                 return;
@@ -261,22 +265,22 @@
     /// Guard: one address is one process, so whoever started there last has taken the place of the other. The list may
     /// tell that later; until then the earlier one takes nothing new, as its attempts would reach the newcomer, which
     /// is cold.
-    fn enter(&mut self, mut line: Listed, step: &mut Step) {
+    fn enter(&mut self, mut line: EngineRecord, step: &mut Step) {
         let (id, address) = (line.entry.engine, line.address);
         self.leave(id);
-        if line.entry.state == ListState::Ready {
+        if line.entry.state == EngineState::Ready {
             let other = self
                 .at
                 .get(&address)
                 .and_then(|other| self.held.get_mut(other));
             step.shared += usize::from(other.is_some());
             match other {
-                Some(other) if other.entry.started_ms > line.entry.started_ms => {
-                    line.entry.state = ListState::Draining;
+                Some(other) if other.entry.started_at_ms > line.entry.started_at_ms => {
+                    line.entry.state = EngineState::Draining;
                 }
                 Some(other) => {
-                    if other.entry.state == ListState::Ready {
-                        other.entry.state = ListState::Draining;
+                    if other.entry.state == EngineState::Ready {
+                        other.entry.state = EngineState::Draining;
                         step.lines.push(other.clone());
                     }
                     self.at.insert(address, id);
@@ -299,7 +303,7 @@
 impl Default for News {
     fn default() -> News {
         News {
-            kind: ListKind::Delta,
+            kind: ListUpdateKind::Delta,
             entries: Vec::new(),
             joined: 0,
             left: 0,
@@ -318,7 +322,7 @@
     let Some(before) = before else {
         let entries: Vec<EngineEntry> = told.values().cloned().collect();
         return News {
-            kind: ListKind::Full,
+            kind: ListUpdateKind::Full,
             joined: entries.len(),
             entries,
             ..News::default()
@@ -329,7 +333,7 @@
         .filter(|(engine, _)| !told.contains_key(engine));
     let mut entries: Vec<EngineEntry> = left
         .map(|(_, entry)| EngineEntry {
-            state: ListState::Gone,
+            state: EngineState::Removed,
             ..entry.clone()
         })
         .collect();
@@ -343,7 +347,7 @@
         .filter(|(engine, entry)| before.get(engine) != Some(entry));
     entries.extend(changed.map(|(_, entry)| entry.clone()));
     News {
-        kind: ListKind::Delta,
+        kind: ListUpdateKind::Delta,
         entries,
         joined,
         left,
--- a/src/interface.rs
+++ b/src/decision/interface.rs
@@ -25,13 +25,13 @@
 
 /// How safe a repeat of a request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
-    Repeatable,
+    Idempotent,
     /// A group of engines drops repeats for a while.
-    Keyed(DedupScope),
+    WithKey(DedupScope),
     /// May run once only.
-    Once,
+    NonIdempotent,
 }
 
 /// The engines that drop repeats of a keyed request together.
@@ -49,54 +49,54 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth kept by an answer after the aim.
-    pub late_worth: f64,
+    pub late_weight_factor: f64,
     /// An answer within this time, plus `aim_stretch` times work over threads, has full worth.
-    pub promise_ms: Millis,
+    pub latency_objective_ms: Millis,
     /// Growth of the aim by the request's work over its threads.
-    pub aim_stretch: f64,
+    pub objective_work_factor: f64,
     /// Total time a client waits.
-    pub give_up_ms: Millis,
+    pub client_timeout_ms: Millis,
     /// Threads a query runs on.
     pub threads: u32,
     /// Whether and where repeats are harmless.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long a repeat is dropped, from the first send that may have run.
-    pub memory_span_ms: Millis,
+    pub dedup_window_ms: Millis,
     /// Requests with one key run one at a time, in order.
-    pub ordered: bool,
+    pub ordered_by_key: bool,
     /// It holds its data set on its engine until it ends.
-    pub loads: bool,
+    pub is_bulk_load: bool,
     /// It stands still where a load holds its data set.
-    pub waits: bool,
+    pub waits_for_bulk_loads: bool,
     /// The only zones allowed, if bound.
-    pub zones: Option<Vec<u8>>,
+    pub allowed_zones: Option<Vec<u8>>,
     /// The only machine kinds allowed, if bound.
-    pub kinds: Option<Vec<u16>>,
+    pub allowed_machine_types: Option<Vec<u16>>,
 }
 
 /// A budget of attempts beyond each request's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExtraBudget {
+pub struct RetryBudget {
     /// Attempts free in any window.
-    pub free: f64,
+    pub free_retries: f64,
     /// Further attempts per request taken in the window.
-    pub ratio: f64,
+    pub retries_per_request: f64,
     /// The window.
     pub window_ms: Millis,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ReportMode {
+pub enum LoadReportMode {
     /// Nowhere.
     #[default]
     Off,
     /// With every answer and probe.
     Inline,
     /// With probes only.
-    OnProbe,
+    OnHealthCheck,
 }
 
 /// What a gateway is told when it starts.
@@ -109,43 +109,43 @@
     /// Request classes.
     pub classes: Vec<Class>,
     /// Their names, by which new settings find them.
-    pub names: Vec<String>,
+    pub class_names: Vec<String>,
     /// Cores of each machine kind.
-    pub kind_cores: Vec<f64>,
+    pub machine_type_cores: Vec<f64>,
     /// Engines heed a memory grant.
-    pub takes_grants: bool,
+    pub memory_grants_supported: bool,
     /// Time between notes of progress; 0 for none.
-    pub progress_ms: Millis,
+    pub progress_interval_ms: Millis,
     /// Requests a second within each tenant's share, over all gateways; empty where there are no tenants.
-    pub tenant_quotas: Vec<f64>,
+    pub tenant_quotas_per_s: Vec<f64>,
     /// This gateway's zone.
     pub zone: u8,
     /// Price of an attempt that crosses zones, in shares of all worth.
-    pub crossing_price: f64,
+    pub cross_zone_cost: f64,
     /// Engine lists come only when asked for.
-    pub must_ask: bool,
+    pub must_poll_list: bool,
     /// Attempts a request may have.
-    pub attempts_cap: u32,
+    pub max_attempts: u32,
     /// Attempts may be called off.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// Engines may be probed.
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
     /// Longest hold-off that clients honour; 0 where they are told none.
-    pub max_hold_off_ms: Millis,
+    pub max_retry_after_ms: Millis,
     /// Where load reports come from.
-    pub reports: ReportMode,
+    pub load_reports: LoadReportMode,
     /// A cold engine starts at this share of its capacity or more.
-    pub cold_share: f64,
+    pub slow_start_initial_share: f64,
     /// And is warm within this time.
-    pub cold_ms: Millis,
+    pub slow_start_ms: Millis,
     /// A cold engine sent more than this multiple of its capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long falls over.
-    pub overload_for_ms: Millis,
+    pub overload_window_ms: Millis,
     /// A key rests this long after an attempt that may still run.
-    pub order_pause_ms: Millis,
+    pub order_key_pause_ms: Millis,
     /// Budget of further attempts, if rationed.
-    pub extra: Option<ExtraBudget>,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// Why settings cannot be used.
@@ -174,31 +174,36 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let fine = |all: &[f64]| all.iter().all(|x| x.is_finite() && *x >= 0.0);
         let class = |c: &Class| {
-            let times = [c.promise_ms, c.aim_stretch, c.give_up_ms, c.memory_span_ms];
-            fine(&times) && fine(&[c.worth, c.late_worth]) && c.threads > 0
+            let times = [
+                c.latency_objective_ms,
+                c.objective_work_factor,
+                c.client_timeout_ms,
+                c.dedup_window_ms,
+            ];
+            fine(&times) && fine(&[c.priority_weight, c.late_weight_factor]) && c.threads > 0
         };
         let rules = [
-            self.cold_share,
-            self.cold_ms,
-            self.tip_multiple,
-            self.overload_for_ms,
+            self.slow_start_initial_share,
+            self.slow_start_ms,
+            self.overload_multiple,
+            self.overload_window_ms,
         ];
-        let budget = self
-            .extra
-            .map_or([0.0; 3], |x| [x.free, x.ratio, x.window_ms]);
+        let budget = self.retry_budget.map_or([0.0; 3], |x| {
+            [x.free_retries, x.retries_per_request, x.window_ms]
+        });
         match self {
             s if s.classes.is_empty() => Err(SettingsError::NoClasses),
             s if s.instances == 0 => Err(SettingsError::NoInstances),
             s if !s.classes.iter().all(class) => Err(SettingsError::BadFigure("classes")),
-            s if !fine(&rules) || !fine(&[s.order_pause_ms, s.max_hold_off_ms]) => {
+            s if !fine(&rules) || !fine(&[s.order_key_pause_ms, s.max_retry_after_ms]) => {
                 Err(SettingsError::BadFigure("guarantees or limits"))
             }
             _ if !fine(&budget) => Err(SettingsError::BadFigure("budget of further attempts")),
-            s if !fine(&[s.progress_ms, s.crossing_price]) => {
+            s if !fine(&[s.progress_interval_ms, s.cross_zone_cost]) => {
                 Err(SettingsError::BadFigure("notes or prices"))
             }
-            s if !fine(&s.tenant_quotas) => Err(SettingsError::BadFigure("tenants")),
-            s if !fine(&s.kind_cores) => Err(SettingsError::BadFigure("cores")),
+            s if !fine(&s.tenant_quotas_per_s) => Err(SettingsError::BadFigure("tenants")),
+            s if !fine(&s.machine_type_cores) => Err(SettingsError::BadFigure("cores")),
             _ => Ok(()),
         }
     }
@@ -206,7 +211,7 @@
 
 impl Settings {
     /// Threads of the widest class.
-    pub fn widest(&self) -> f64 {
+    pub fn max_class_threads(&self) -> f64 {
         self.classes
             .iter()
             .map(|c| f64::from(c.threads))
@@ -214,18 +219,18 @@
     }
 
     /// The gateways that hold an engine.
-    pub fn holders(&self, line: &EngineEntry) -> Holders {
-        let all = Holders {
-            mean: f64::from(self.instances),
-            most: self.instances,
-            place: self.ordinal,
+    pub fn sharing(&self, line: &EngineEntry) -> EngineSharing {
+        let all = EngineSharing {
+            mean_managers: f64::from(self.instances),
+            max_managers: self.instances,
+            rank: self.ordinal,
         };
-        line.holders.unwrap_or(all)
+        line.sharing.unwrap_or(all)
     }
 
     /// The position of a class that has this name and reads just so.
-    pub fn position(&self, name: &str, class: &Class) -> Option<usize> {
-        self.names
+    pub fn class_position(&self, name: &str, class: &Class) -> Option<usize> {
+        self.class_names
             .iter()
             .zip(&self.classes)
             .position(|(n, c)| n == name && c == class)
@@ -233,17 +238,19 @@
 
     /// These settings in place of `old`, with the classes of those that are still used and are not in these behind
     /// their own; and for each position in `old` the one here, as far as it is used.
-    pub fn in_place_of(
+    pub fn replacing(
         mut self,
         old: &Settings,
         used: impl Fn(usize) -> bool,
     ) -> (Settings, Vec<usize>) {
         let mut places = Vec::new();
-        for (at, (name, class)) in old.names.iter().zip(&old.classes).enumerate() {
-            let place = self.position(name, class).unwrap_or(self.classes.len());
+        for (at, (name, class)) in old.class_names.iter().zip(&old.classes).enumerate() {
+            let place = self
+                .class_position(name, class)
+                .unwrap_or(self.classes.len());
             places.push(place);
             if place == self.classes.len() && used(at) {
-                self.names.push(name.clone());
+                self.class_names.push(name.clone());
                 self.classes.push(class.clone());
             }
         }
@@ -255,25 +262,25 @@
 
 /// An engine's state in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ListState {
+pub enum EngineState {
     /// Takes work.
     #[default]
     Ready,
     /// Completes its work; nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// The gateways that hold an engine, where they hold subsets of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Holders {
+pub struct EngineSharing {
     /// Their mean number over the engines of the list.
-    pub mean: f64,
+    pub mean_managers: f64,
     /// A bound on their number, also while their lists differ.
-    pub most: u32,
+    pub max_managers: u32,
     /// This gateway's place among them, from 0.
-    pub place: u32,
+    pub rank: u32,
 }
 
 /// One line of an engine list.
@@ -284,22 +291,22 @@
     /// Its zone.
     pub zone: u8,
     /// Its machine kind.
-    pub kind: u16,
+    pub machine_type: u16,
     /// Its cell.
     pub cell: u16,
     /// Its state.
-    pub state: ListState,
+    pub state: EngineState,
     /// Its listed size, comparable between engines.
-    pub nominal: f64,
+    pub nominal_capacity: f64,
     /// Time of its latest start; 0 for long ago.
-    pub started_ms: Millis,
+    pub started_at_ms: Millis,
     /// The gateways that hold it; none where all do.
-    pub holders: Option<Holders>,
+    pub sharing: Option<EngineSharing>,
 }
 
 /// How a list event relates to the list held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdateKind {
     /// Changed entries only.
     Delta,
     /// The complete list.
@@ -307,7 +314,7 @@
     /// The complete list as last held; may be stale.
     Cached,
     /// Asking failed; the held list stays.
-    Failed,
+    PollFailed,
 }
 
 /// An engine's load report.
@@ -316,13 +323,13 @@
     /// Queries in hand.
     pub inflight: Option<f64>,
     /// Share of cores busy.
-    pub busy: Option<f64>,
+    pub cpu_busy: Option<f64>,
     /// Share of disks busy.
-    pub disks: Option<f64>,
+    pub disk_busy: Option<f64>,
     /// Queries waiting for memory.
-    pub queued: Option<f64>,
+    pub memory_queue: Option<f64>,
     /// Share of memory granted.
-    pub granted: Option<f64>,
+    pub memory_granted: Option<f64>,
 }
 
 /// How an attempt or probe ended.
@@ -333,7 +340,7 @@
     /// The engine returned an error; may have run.
     Error,
     /// Turned away unseen; never ran.
-    Full,
+    Rejected,
     /// No timely answer; may have run or still run.
     TimedOut,
     /// No connection; never ran.
@@ -343,22 +350,22 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// The host had no descriptor for a connection there; never sent, no attempt, and no word of the engine.
-    NoRoom,
+    NoConnectionSlot,
 }
 
 /// News of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Progress {
     /// Rough share done.
-    Progress(f64),
+    ShareDone(f64),
     /// It spills: MB missing.
-    Spills(f64),
+    SpillingMb(f64),
     /// It waits for memory.
-    WaitsForMemory,
+    WaitingForMemory,
     /// It waits for a load.
-    WaitsForLoad,
+    WaitingForBulkLoad,
 }
 
 /// A client's request.
@@ -369,22 +376,22 @@
     /// Its class, by position.
     pub class: usize,
     /// Its key; 0 for none.
-    pub key: u64,
+    pub order_key: u64,
     /// When the client gives up.
-    pub due_ms: Millis,
+    pub deadline_ms: Millis,
     /// Estimated work over all threads, if given.
-    pub cost_ms: Option<f64>,
+    pub estimated_work_ms: Option<f64>,
     /// Its data set.
-    pub dataset: u32,
+    pub data_set: u32,
     /// Estimated memory in MB, if given.
-    pub memory_mb: Option<f64>,
+    pub estimated_memory_mb: Option<f64>,
     /// Attempts that it may have, the first included, where its own policy says so; none for the settings' cap.
-    pub attempts_cap: Option<u32>,
+    pub max_attempts: Option<u32>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// Which request.
     pub id: RequestId,
     /// Which attempt.
@@ -394,15 +401,15 @@
     /// How.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub took_ms: Millis,
+    pub elapsed_ms: Millis,
     /// The request has its final answer.
-    pub finished: bool,
+    pub answered: bool,
     /// The work it needed, where answers bill it.
-    pub billed_ms: Option<f64>,
+    pub measured_work_ms: Option<f64>,
     /// The memory it needed in MB, where answers bill it.
-    pub billed_mb: Option<f64>,
+    pub measured_memory_mb: Option<f64>,
     /// The engine's load report, if attached.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
 }
 
 /// What happened.
@@ -411,32 +418,32 @@
     /// The host's first event: the gateway may set timers.
     Started,
     /// The engine list, or changes to it.
-    List {
+    EndpointList {
         /// How the entries relate to the held list.
-        kind: ListKind,
+        kind: ListUpdateKind,
         /// The entries.
         entries: Vec<EngineEntry>,
     },
     /// Staff took an engine out, or gave it back, at this time. It holds whatever the list says.
-    Ban {
+    ManualEjection {
         /// Which engine.
         engine: EngineId,
         /// Taken out, or given back.
-        out: bool,
+        ejected: bool,
         /// When.
-        at: Millis,
+        at_ms: Millis,
     },
     /// Another process of this gateway works beside it, as in an upgrade, or no longer.
-    Beside {
+    PeerProcesses {
         /// Its own part of what both have together is one in so many; 1 where it is alone.
-        parts: f64,
+        capacity_divisor: f64,
     },
     /// New settings; what is under way keeps its class.
     Settings(Box<Settings>),
     /// A client's request.
     Request(Request),
     /// The answer has begun to stream; the attempt belongs to the client.
-    Streaming {
+    ResultStreaming {
         /// Which request.
         id: RequestId,
         /// Which attempt.
@@ -448,7 +455,7 @@
         token: u64,
     },
     /// The client left; no answer is owed.
-    ClientGone {
+    ClientDisconnected {
         /// Which request.
         id: RequestId,
     },
@@ -458,26 +465,26 @@
         payload: Vec<u8>,
     },
     /// News of a running attempt.
-    Note {
+    Progress {
         /// Which request.
         id: RequestId,
         /// Which attempt.
         attempt: u16,
         /// The news.
-        note: Note,
+        progress: Progress,
     },
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// A probe ended.
-    Probed {
+    HealthCheckEnded {
         /// Which engine.
         engine: EngineId,
         /// How.
         outcome: Outcome,
         /// Time since it was sent.
-        took_ms: Millis,
+        elapsed_ms: Millis,
         /// The engine's load report, if attached.
-        report: LoadReport,
+        load_report: LoadReport,
     },
 }
 
@@ -485,7 +492,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Send {
+    StartAttempt {
         /// Which request.
         id: RequestId,
         /// Where.
@@ -494,7 +501,7 @@
         timeout_ms: Option<Millis>,
     },
     /// Names what a request's next attempts get.
-    Terms {
+    SetAttemptTerms {
         /// Which request.
         id: RequestId,
         /// Memory in MB; 0 for the engine's choice.
@@ -503,11 +510,11 @@
         priority: u8,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// Which request.
         id: RequestId,
         /// Advice to stay away this long; 0 for none.
-        hold_off_ms: Millis,
+        retry_after_ms: Millis,
     },
     /// Final answer: failed; promises nothing.
     Fail {
@@ -515,26 +522,26 @@
         id: RequestId,
     },
     /// Quit waiting on an attempt.
-    Cancel {
+    CancelAttempt {
         /// Which request.
         id: RequestId,
         /// Which attempt.
         attempt: u16,
     },
     /// Ask for a timer.
-    Timer {
+    SetTimer {
         /// From now.
         after_ms: Millis,
         /// Returned with the timer.
         token: u64,
     },
     /// Probe an engine.
-    Probe {
+    SendHealthCheck {
         /// Which engine.
         engine: EngineId,
     },
     /// Ask for list changes from now on.
-    Subscribe,
+    SubscribeEndpointList,
     /// A line for the operators.
     Log {
         /// The line.
--- a/src/choice.rs
+++ b/src/decision/mod.rs
@@ -1,7 +1,10 @@
 //! All decisions of the gateway. Its types are in `src/interface.rs`, its design in `docs/design.md`.
 //! In order: constants, state, events, admission, choice of engine, health, ends and guards, the fit.
 
-use crate::interface::*;
+mod interface;
+
+pub use interface::*;
+
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 // Tuned constants: unit and reason behind each. None is read off a deployment; all hold at nine.
@@ -200,7 +203,7 @@
             stats: set.classes.iter().map(ClassStat::first).collect(),
             pool: Fit::new(1.0, 0.0),
             probes: PROBES_SAVED,
-            widest: set.widest(),
+            widest: set.max_class_threads(),
             best: f64::INFINITY,
             set,
             seed,
@@ -212,21 +215,31 @@
     pub fn handle(&mut self, now_ms: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now_ms);
         match event {
-            Event::List { kind, entries } => self.on_list(kind, entries),
-            Event::Ban { engine, out, at } => self.on_ban(engine, out, at),
-            Event::Beside { parts } => self.beside = parts,
+            Event::EndpointList { kind, entries } => self.on_list(kind, entries),
+            Event::ManualEjection {
+                engine,
+                ejected: out,
+                at_ms: at,
+            } => self.on_ban(engine, out, at),
+            Event::PeerProcesses {
+                capacity_divisor: parts,
+            } => self.beside = parts,
             Event::Settings(new) => self.on_settings(*new),
             Event::Request(r) => self.on_request(&r, actions),
-            Event::Streaming { id, attempt: n } => self
+            Event::ResultStreaming { id, attempt: n } => self
                 .try_of(id, n)
                 .iter_mut()
                 .for_each(|t| t.streaming = true),
             Event::Started | Event::Timer { token: TICK } => self.on_tick(actions),
             Event::Timer { .. } | Event::PeerMessage { .. } => {}
-            Event::ClientGone { id } => self.finish(id),
-            Event::Note { id, attempt, note } => self.on_note(id, attempt, note, actions),
-            Event::Ended(e) => {
-                self.on_report(e.engine, e.report);
+            Event::ClientDisconnected { id } => self.finish(id),
+            Event::Progress {
+                id,
+                attempt,
+                progress: note,
+            } => self.on_note(id, attempt, note, actions),
+            Event::AttemptEnded(e) => {
+                self.on_report(e.engine, e.load_report);
                 if self
                     .try_of(e.id, e.attempt)
                     .is_some_and(|t| t.engine == e.engine)
@@ -234,10 +247,10 @@
                     self.on_ended(&e, actions);
                 }
             }
-            Event::Probed {
+            Event::HealthCheckEnded {
                 engine,
                 outcome,
-                report,
+                load_report: report,
                 ..
             } => {
                 self.on_report(engine, report);
@@ -247,7 +260,7 @@
                     .for_each(|e| e.asking = false);
                 match outcome {
                     Outcome::Ok => self.answers(engine, actions),
-                    Outcome::Full | Outcome::Moot => {}
+                    Outcome::Rejected | Outcome::NotSent => {}
                     _ => self.fails(engine, "probe", actions),
                 }
             }
@@ -260,7 +273,7 @@
         let listed = self
             .engines
             .values()
-            .filter(|e| e.line.state != ListState::Gone);
+            .filter(|e| e.line.state != EngineState::Removed);
         listed
             .filter(|e| e.banned || e.usable() && self.now < e.shut_until.max(e.stalled_until))
             .count()
@@ -289,7 +302,7 @@
         };
         e.banned = out;
         if !out {
-            e.restart(at, at + self.set.cold_ms, e.fit.start, self.now);
+            e.restart(at, at + self.set.slow_start_ms, e.fit.start, self.now);
         }
     }
 
@@ -303,28 +316,32 @@
         ]
     }
 
-    fn on_list(&mut self, kind: ListKind, entries: Vec<EngineEntry>) {
-        if kind == ListKind::Failed {
+    fn on_list(&mut self, kind: ListUpdateKind, entries: Vec<EngineEntry>) {
+        if kind == ListUpdateKind::PollFailed {
             self.asked = false;
             return;
         }
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+        if matches!(kind, ListUpdateKind::Full | ListUpdateKind::Cached) {
             let named: BTreeSet<EngineId> = entries.iter().map(|e| e.engine).collect();
             let missing = self
                 .engines
                 .iter_mut()
                 .filter(|(id, _)| !named.contains(id));
-            missing.for_each(|(_, e)| e.line.state = ListState::Gone);
+            missing.for_each(|(_, e)| e.line.state = EngineState::Removed);
         }
         for line in entries {
-            let listed = if line.nominal.is_finite() {
-                line.nominal.max(1.0)
+            let listed = if line.nominal_capacity.is_finite() {
+                line.nominal_capacity.max(1.0)
             } else {
                 1.0
             };
-            let named = self.set.kind_cores.get(usize::from(line.kind)).copied();
+            let named = self
+                .set
+                .machine_type_cores
+                .get(usize::from(line.machine_type))
+                .copied();
             let cores = named.filter(|c| *c > 0.0).unwrap_or(listed);
-            let share = cores * START_PER_CORE / self.set.holders(&line).mean;
+            let share = cores * START_PER_CORE / self.set.sharing(&line).mean_managers;
             let start = share.max(self.widest);
             let (now, fresh) = (self.now, !self.engines.contains_key(&line.engine));
             let e = self.engines.entry(line.engine).or_default();
@@ -335,9 +352,9 @@
                 let EngineId { addr, port } = line.engine;
                 e.hash = mix(u64::from(u32::from_be_bytes(addr)) ^ u64::from(port) << 32);
             }
-            let at = line.started_ms;
-            if at > 0.0 && (fresh || at != e.line.started_ms) {
-                e.restart(at, at + self.set.cold_ms, start, now);
+            let at = line.started_at_ms;
+            if at > 0.0 && (fresh || at != e.line.started_at_ms) {
+                e.restart(at, at + self.set.slow_start_ms, start, now);
             }
             (e.cores, e.share, e.line) = (cores, share, line);
         }
@@ -346,22 +363,22 @@
     /// What was learned of a class goes by its name, and a request's class is the one that it came with.
     fn on_settings(&mut self, new: Settings) {
         let (set, places) =
-            new.in_place_of(&self.set, |at| self.reqs.values().any(|r| r.class == at));
+            new.replacing(&self.set, |at| self.reqs.values().any(|r| r.class == at));
         let known = |name| {
             self.set
-                .names
+                .class_names
                 .iter()
                 .position(|n| n == name)
                 .map(|at| self.stats[at].clone())
         };
-        let stats = set.names.iter().zip(&set.classes);
+        let stats = set.class_names.iter().zip(&set.classes);
         self.stats = stats
             .map(|(name, c)| known(name).unwrap_or_else(|| ClassStat::first(c)))
             .collect();
         self.reqs
             .values_mut()
             .for_each(|r| r.class = places[r.class]);
-        (self.widest, self.set) = (set.widest(), set);
+        (self.widest, self.set) = (set.max_class_threads(), set);
     }
 
     fn on_request(&mut self, q: &Request, actions: &mut Vec<Action>) {
@@ -369,7 +386,7 @@
         if self.reqs.contains_key(&id) {
             return;
         }
-        let window = self.set.extra.map_or(0.0, |b| b.window_ms + 10.0);
+        let window = self.set.retry_budget.map_or(0.0, |b| b.window_ms + 10.0);
         for list in [&mut self.taken, &mut self.extras] {
             list.drain(..list.partition_point(|t| now - t > window));
         }
@@ -378,29 +395,31 @@
         let Some(c) = self.set.classes.get(class) else {
             return actions.push(Action::Fail { id });
         };
-        let due = if q.due_ms.is_finite() {
-            q.due_ms
+        let due = if q.deadline_ms.is_finite() {
+            q.deadline_ms
         } else {
-            now + c.give_up_ms
+            now + c.client_timeout_ms
         };
-        let est = q.cost_ms.filter(|w| w.is_finite() && *w > 0.0 && *w < 1e9);
+        let est = q
+            .estimated_work_ms
+            .filter(|w| w.is_finite() && *w > 0.0 && *w < 1e9);
         let memory = q
-            .memory_mb
+            .estimated_memory_mb
             .filter(|mb| mb.is_finite() && *mb > 0.0)
             .unwrap_or(0.0);
         self.seq += 1;
         let (seq, key, cap) = (
             self.seq,
-            q.key,
-            q.attempts_cap.unwrap_or(self.set.attempts_cap),
+            q.order_key,
+            q.max_attempts.unwrap_or(self.set.max_attempts),
         );
-        if c.ordered && key != 0 {
+        if c.ordered_by_key && key != 0 {
             self.keys.entry(key).or_default().0.insert(seq, id);
         }
         let s = &mut self.stats[class];
         // What lacks of its client's patience has passed: on an earlier try, or in a pause of this gateway's
         // (id20f69). Its aim runs from there. Harms where a class's clients differ in patience.
-        s.window = s.window.max((due - now).min(c.give_up_ms));
+        s.window = s.window.max((due - now).min(c.client_timeout_ms));
         let arrived = now.min(due - s.window);
         let r = Req {
             seq,
@@ -410,7 +429,7 @@
             arrived,
             due,
             est,
-            dataset: q.dataset,
+            dataset: q.data_set,
             memory,
             ..Req::default()
         };
@@ -426,14 +445,14 @@
         }
     }
 
-    fn on_ended(&mut self, ended: &Ended, actions: &mut Vec<Action>) {
-        let Ended {
+    fn on_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
+        let AttemptEnded {
             id,
             outcome,
-            took_ms: took,
-            finished,
-            billed_ms: billed,
-            billed_mb,
+            elapsed_ms: took,
+            answered: finished,
+            measured_work_ms: billed,
+            measured_memory_mb: billed_mb,
             ..
         } = *ended;
         let now = self.now;
@@ -466,7 +485,7 @@
             .get_mut(&key)
             .filter(|_| ran && outcome != Outcome::Error)
         {
-            *rest = rest.max(now + self.set.order_pause_ms);
+            *rest = rest.max(now + self.set.order_key_pause_ms);
         }
         match outcome {
             Outcome::Ok => {
@@ -487,7 +506,7 @@
                 }
                 self.reqs.get_mut(&id).expect("ended").erred.push(t.engine);
             }
-            Outcome::Full => {
+            Outcome::Rejected => {
                 self.engines
                     .get_mut(&t.engine)
                     .into_iter()
@@ -495,7 +514,7 @@
                 self.crowded(t.engine);
             }
             Outcome::NoConnection => self.fails(t.engine, "no_connection", actions),
-            Outcome::NoRoom => {
+            Outcome::NoConnectionSlot => {
                 // It was none. Who has a query there has a connection; for a tick no other engine is reached.
                 let none = |e: &&mut Engine| e.running.is_empty() || e.line.engine == t.engine;
                 let shut = |e: &mut Engine| e.shut_until = e.shut_until.max(now + TICK_MS);
@@ -508,7 +527,7 @@
             return self.finish(id);
         }
         self.line.insert(seq, id); // at its first age
-        if outcome == Outcome::Moot || !self.may_repeat(id) || self.hopeless(id) {
+        if outcome == Outcome::NotSent || !self.may_repeat(id) || self.hopeless(id) {
             return self.end(id, actions);
         }
         self.ask(id, actions);
@@ -604,7 +623,7 @@
     fn on_report(&mut self, engine: EngineId, report: LoadReport) {
         let sane = |x: &f64| x.is_finite() && *x >= 0.0;
         // What hangs holds memory while cores and disks idle: its engine must not look free (29742104).
-        let shares = [report.busy, report.disks, report.granted];
+        let shares = [report.cpu_busy, report.disk_busy, report.memory_granted];
         let busy = shares.into_iter().flatten().filter(sane).reduce(f64::max);
         let each = if self.held.1 > 0.0 {
             self.held.0 / self.held.1
@@ -617,7 +636,7 @@
         };
         // Busy cores or disks stand in for threads; at the ceiling, where more do not show, for all that fit.
         let by_busy = |b: f64| e.cores * if b < PRESSURE_BUSY { b } else { full };
-        let waiting = report.queued.filter(sane).unwrap_or(0.0) * each;
+        let waiting = report.memory_queue.filter(sane).unwrap_or(0.0) * each;
         let told = report
             .inflight
             .filter(sane)
@@ -639,7 +658,7 @@
             }
         }
         let busy = if told.is_some() {
-            report.busy.filter(sane)
+            report.cpu_busy.filter(sane)
         } else {
             busy
         }; // a count tells more
@@ -657,15 +676,15 @@
     }
 
     /// A query on a bad plan is called off and sent again: the one case in which a healthy engine's query is.
-    fn on_note(&mut self, id: RequestId, attempt: u16, note: Note, actions: &mut Vec<Action>) {
+    fn on_note(&mut self, id: RequestId, attempt: u16, note: Progress, actions: &mut Vec<Action>) {
         // A wait for memory reports the engine as crowded, whatever its cores tell; so where nothing reports.
         let Some(engine) = self.try_of(id, attempt).map(|t| t.engine) else {
             return;
         };
-        if note == Note::WaitsForMemory {
+        if note == Progress::WaitingForMemory {
             self.crowded(engine);
         }
-        let (Note::Progress(share), Some(r)) = (note, self.reqs.get(&id)) else {
+        let (Progress::ShareDone(share), Some(r)) = (note, self.reqs.get(&id)) else {
             return;
         };
         let Some(t) = r.out.as_ref() else { return };
@@ -686,7 +705,7 @@
     }
 
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer {
+        actions.push(Action::SetTimer {
             after_ms: TICK_MS,
             token: TICK,
         });
@@ -696,8 +715,8 @@
             .retain(|_, (held, rest)| !held.is_empty() || *rest > self.now);
         self.came.0 *= 1.0 - TICK_MS / TRAFFIC_MS;
         self.came.1 += TICK_MS - self.came.1 * TICK_MS / TRAFFIC_MS;
-        if self.set.must_ask && !std::mem::replace(&mut self.asked, true) {
-            actions.push(Action::Subscribe);
+        if self.set.must_poll_list && !std::mem::replace(&mut self.asked, true) {
+            actions.push(Action::SubscribeEndpointList);
         }
         let mut slow: Vec<f64> = self
             .engines
@@ -769,7 +788,7 @@
 
     /// This gateway's traffic against the mean one's, where the tenants' quotas tell what all take together.
     fn weight(&self) -> f64 {
-        let quota: f64 = self.set.tenant_quotas.iter().sum();
+        let quota: f64 = self.set.tenant_quotas_per_s.iter().sum();
         let usual = quota / 1000.0 / f64::from(self.set.instances) * self.came.1;
         if quota > 0.0 {
             (1.0 + self.came.0) / (1.0 + usual)
@@ -800,7 +819,7 @@
         let Some(r) = self
             .reqs
             .get(&id)
-            .filter(|r| self.set.may_probe && r.out.is_none() && !r.done)
+            .filter(|r| self.set.health_checks_allowed && r.out.is_none() && !r.done)
         else {
             return;
         };
@@ -846,7 +865,7 @@
         self.own += f64::from(threads);
         e.running.insert(id);
         e.cold_sends
-            .retain(|(t, _)| now - t <= self.set.overload_for_ms);
+            .retain(|(t, _)| now - t <= self.set.overload_window_ms);
         e.cold_sends.push((now, (usual / 4.0).max(work)));
         if e.fails > 0 {
             e.shut_until = now + e.pause();
@@ -866,15 +885,15 @@
         (r.attempts, r.sends, r.aside) = (r.attempts + 1, r.sends.saturating_add(1), false);
         self.line.remove(&r.seq);
         let error = &self.stats[class].memory;
-        if self.set.takes_grants && r.memory > 0.0 && error.seen > 4 {
+        if self.set.memory_grants_supported && r.memory > 0.0 && error.seen > 4 {
             let memory_mb = r.memory * (error.middle + GRANT_SPREADS * error.spread).exp();
-            actions.push(Action::Terms {
+            actions.push(Action::SetAttemptTerms {
                 id,
                 memory_mb,
                 priority: 1,
             });
         }
-        actions.push(Action::Send {
+        actions.push(Action::StartAttempt {
             id,
             engine,
             timeout_ms: None,
@@ -882,7 +901,7 @@
     }
 
     fn turn(&self, id: RequestId, r: &Req) -> bool {
-        let free = !self.set.classes[r.class].ordered || r.key == 0;
+        let free = !self.set.classes[r.class].ordered_by_key || r.key == 0;
         free || self.keys.get(&r.key).is_none_or(|(held, rest)| {
             held.values().next() == Some(&id) && (r.attempts > 0 || self.now >= *rest)
         })
@@ -891,16 +910,21 @@
     /// Whether the rules and the engine's health let this request go there.
     fn takes(&self, r: &Req, e: &Engine) -> bool {
         let c = &self.set.classes[r.class];
-        let placed = c.zones.as_ref().is_none_or(|z| z.contains(&e.line.zone))
-            && c.kinds.as_ref().is_none_or(|k| k.contains(&e.line.kind));
-        let group = match (c.effect, r.ran) {
-            (Effect::Keyed(DedupScope::Zone), Some((zone, _, _))) => e.line.zone == zone,
-            (Effect::Keyed(DedupScope::Cell), Some((_, cell, _))) => e.line.cell == cell,
+        let placed = c
+            .allowed_zones
+            .as_ref()
+            .is_none_or(|z| z.contains(&e.line.zone))
+            && c.allowed_machine_types
+                .as_ref()
+                .is_none_or(|k| k.contains(&e.line.machine_type));
+        let group = match (c.idempotency, r.ran) {
+            (Idempotency::WithKey(DedupScope::Zone), Some((zone, _, _))) => e.line.zone == zone,
+            (Idempotency::WithKey(DedupScope::Cell), Some((_, cell, _))) => e.line.cell == cell,
             _ => true,
         };
         // One in doubt is tried with one query at a time that may be sent again.
-        let doubt =
-            e.proofs >= ERROR_PROOFS && !(e.running.is_empty() && c.effect == Effect::Repeatable);
+        let doubt = e.proofs >= ERROR_PROOFS
+            && !(e.running.is_empty() && c.idempotency == Idempotency::Idempotent);
         e.usable() && placed && group && !doubt && self.now >= e.shut_until.max(e.stalled_until)
     }
 
@@ -909,8 +933,8 @@
         // Readers of a data set may stand still behind its loads: a hash that all gateways share parts them.
         let c = &self.set.classes[r.class];
         let kept = mix(e.hash.rotate_left(17) ^ u64::from(r.dataset)).is_multiple_of(LOAD_PART);
-        let load = c.loads && self.set.classes.iter().any(|c| c.waits);
-        let apart = if load && !kept || c.waits && kept {
+        let load = c.is_bulk_load && self.set.classes.iter().any(|c| c.waits_for_bulk_loads);
+        let apart = if load && !kept || c.waits_for_bulk_loads && kept {
             APART_PRICE
         } else {
             1.0
@@ -920,13 +944,13 @@
             .position(|at| *at == e.line.engine)
             .map_or(1.0, |k| k as f64 / HOME_RANKS);
         // With no reports nothing tells a crowded home, and a hot data set would sink its four (04dbf6b8).
-        let homeless = load || self.set.reports == ReportMode::Off;
+        let homeless = load || self.set.load_reports == LoadReportMode::Off;
         let home = if homeless {
             1.0
         } else {
             WARM_PRICE + (1.0 - WARM_PRICE) * rank
         };
-        let near = self.set.crossing_price <= 0.0 || e.line.zone == self.set.zone;
+        let near = self.set.cross_zone_cost <= 0.0 || e.line.zone == self.set.zone;
         let crossing = if near { 1.0 } else { CROSS_PRICE };
         // It goes elsewhere after an error, where there is another engine.
         let again = if r.erred.contains(&e.line.engine) {
@@ -936,7 +960,11 @@
         };
         let errors = 1.0 + ERROR_PRICE * e.errors + again;
         let tie = 1.0 + TIE_PRICE * (mix(e.hash ^ self.seed ^ r.seq) >> 11) as f64 / 2f64.powi(53);
-        let held = if c.loads { self.load_price(r, e) } else { 1.0 };
+        let held = if c.is_bulk_load {
+            self.load_price(r, e)
+        } else {
+            1.0
+        };
         let crowd = (IDLE_PRICE + after / self.cores(e)) * self.slowness(e);
         crowd * home * tie * apart * crossing * errors * held
     }
@@ -944,8 +972,13 @@
     /// A load stands still while another one of its data set runs there. Own ones are known; those of other
     /// holders are kept apart by a hash that all share: each has its part of the engines for a data set.
     fn load_price(&self, r: &Req, e: &Engine) -> f64 {
-        let same = |other: &Req| other.dataset == r.dataset && self.set.classes[other.class].loads;
-        let Holders { most, place, .. } = self.set.holders(&e.line);
+        let same =
+            |other: &Req| other.dataset == r.dataset && self.set.classes[other.class].is_bulk_load;
+        let EngineSharing {
+            max_managers: most,
+            rank: place,
+            ..
+        } = self.set.sharing(&e.line);
         let own = mix(e.hash.rotate_left(11) ^ u64::from(r.dataset)) % u64::from(most)
             == u64::from(place);
         let held = if e.running.iter().any(|id| same(&self.reqs[id])) {
@@ -975,12 +1008,12 @@
     fn cores(&self, e: &Engine) -> f64 {
         let cold = e
             .cold
-            .filter(|_| !e.warm(self.now) && self.set.cold_ms > 0.0);
+            .filter(|_| !e.warm(self.now) && self.set.slow_start_ms > 0.0);
         let Some((from, _)) = cold else {
             return e.cores;
         };
-        let age = ((self.now - from) / self.set.cold_ms).clamp(0.0, 1.0);
-        let share = self.set.cold_share.clamp(0.01, 1.0);
+        let age = ((self.now - from) / self.set.slow_start_ms).clamp(0.0, 1.0);
+        let share = self.set.slow_start_initial_share.clamp(0.01, 1.0);
         e.cores * (share + (1.0 - share) * age * age)
     }
 
@@ -1029,7 +1062,7 @@
         if e.fails >= DOWN_FAILS {
             // It may have restarted, and the list tells so seconds late: for that long it is taken as cold.
             let cold = e.cold.filter(|(_, until)| *until >= now);
-            e.cold = cold.or(Some((now, now + RETURN_MS.min(self.set.cold_ms))));
+            e.cold = cold.or(Some((now, now + RETURN_MS.min(self.set.slow_start_ms))));
             actions.push(Action::Log {
                 line: format!("engine={at} state=back why=answered"),
             });
@@ -1057,8 +1090,9 @@
     /// fleet where that is a small share of the traffic.
     fn watch(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        let round = self.set.reports == ReportMode::OnProbe && self.probes > PROBES_SAVED / 2.0;
-        let untold = self.set.progress_ms == 0.0 && !self.bills;
+        let round = self.set.load_reports == LoadReportMode::OnHealthCheck
+            && self.probes > PROBES_SAVED / 2.0;
+        let untold = self.set.progress_interval_ms == 0.0 && !self.bills;
         let ids: Vec<EngineId> = self.engines.keys().copied().collect();
         for at in ids {
             let e = &self.engines[&at];
@@ -1087,7 +1121,7 @@
             }
         }
         self.engines
-            .retain(|_, e| e.line.state != ListState::Gone || !e.running.is_empty());
+            .retain(|_, e| e.line.state != EngineState::Removed || !e.running.is_empty());
     }
 
     /// Times its usual time from which an attempt is given up. Where neither notes nor bills tell of bad
@@ -1107,22 +1141,27 @@
 
     /// Probes an engine that was not heard of lately, if a probe is to be had.
     fn probe(&mut self, at: EngineId, actions: &mut Vec<Action>) -> bool {
-        let (now, usable) = (self.now, self.set.may_probe && self.probes >= 1.0);
+        let (now, usable) = (
+            self.now,
+            self.set.health_checks_allowed && self.probes >= 1.0,
+        );
         let due = |e: &&mut Engine| usable && e.usable() && now - e.probed_at >= PROBE_MS;
         let Some(e) = self.engines.get_mut(&at).filter(due) else {
             return false;
         };
         self.probes -= 1.0;
         (e.probed_at, e.asking) = (now, true);
-        actions.push(Action::Probe { engine: at });
+        actions.push(Action::SendHealthCheck { engine: at });
         true
     }
 
     fn call_off(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let out = self.reqs.get_mut(&id).and_then(|r| r.out.as_mut());
-        if let Some(t) = out.filter(|t| self.set.may_cancel && !t.called_off && !t.streaming) {
+        if let Some(t) =
+            out.filter(|t| self.set.cancellation_allowed && !t.called_off && !t.streaming)
+        {
             t.called_off = true;
-            actions.push(Action::Cancel {
+            actions.push(Action::CancelAttempt {
                 id,
                 attempt: t.number,
             });
@@ -1135,11 +1174,11 @@
         if e.warm(self.now) {
             return true;
         }
-        let window = self.set.overload_for_ms;
+        let window = self.set.overload_window_ms;
         let w = (self.stats[r.class].mean / 4.0).max(self.work_of(r));
-        let holders = self.set.holders(&e.line);
-        let all = f64::from(holders.most);
-        let whole = self.set.tip_multiple * self.cores(e) * window;
+        let holders = self.set.sharing(&e.line);
+        let all = f64::from(holders.max_managers);
+        let whole = self.set.overload_multiple * self.cores(e) * window;
         let sent: f64 = e
             .cold_sends
             .iter()
@@ -1148,27 +1187,30 @@
             .sum();
         // A share of less than one query comes in turn, by a clock and a hash that all share.
         let room = whole * COLD_MARGIN / all / self.beside.max(1.0); // two processes share one part
-        let at = self.now / window * COLD_TURNS + f64::from(holders.place) + (e.hash % 4096) as f64;
+        let at = self.now / window * COLD_TURNS + f64::from(holders.rank) + (e.hash % 4096) as f64;
         let place = at.rem_euclid(all);
         sent + w <= room || sent == 0.0 && w * COLD_PARTS <= whole && place * w < room * all
     }
 
     /// Rule 7: whether a further attempt stays within its budget.
     fn may_extra(&self) -> bool {
-        let Some(b) = self.set.extra else { return true };
+        let Some(b) = self.set.retry_budget else {
+            return true;
+        };
         let from = self.now - b.window_ms;
         // The window's edge is drawn tight for what is taken and wide for what is spent.
         let taken = (self.taken.len() - self.taken.partition_point(|t| *t <= from)) as f64;
         let spent = (self.extras.len() - self.extras.partition_point(|t| *t < from - 1.0)) as f64;
-        spent + 1.0 <= (b.free + b.ratio * taken).floor()
+        spent + 1.0 <= (b.free_retries + b.retries_per_request * taken).floor()
     }
 
     fn repeatable(&self, r: &Req) -> bool {
         let c = &self.set.classes[r.class];
         let remembered = r
             .ran
-            .is_none_or(|(_, _, sent)| self.now < sent + c.memory_span_ms - 1.0);
-        c.effect == Effect::Repeatable || c.effect != Effect::Once && remembered
+            .is_none_or(|(_, _, sent)| self.now < sent + c.dedup_window_ms - 1.0);
+        c.idempotency == Idempotency::Idempotent
+            || c.idempotency != Idempotency::NonIdempotent && remembered
     }
 
     /// Whether an attempt that is out may be given up for another.
@@ -1199,7 +1241,7 @@
         }
         !r.aside
             && self.now + lone * self.usual_stretch()
-                > r.arrived + (c.promise_ms + c.aim_stretch * lone)
+                > r.arrived + (c.latency_objective_ms + c.objective_work_factor * lone)
     }
 
     /// Past the backlog that the most urgent class stands, the least worth for its work is refused.
@@ -1218,8 +1260,9 @@
                 let w = self.work_of(r);
                 work += w;
                 let lone = self.stats[r.class].mean / self.threads(r.class);
-                slack = slack.min(c.promise_ms + (c.aim_stretch - middle) * lone);
-                let density = c.worth / w;
+                slack =
+                    slack.min(c.latency_objective_ms + (c.objective_work_factor - middle) * lone);
+                let density = c.priority_weight / w;
                 if self.refusable(r) && worst.is_none_or(|(d, _)| density <= d) {
                     worst = Some((density, id));
                 }
@@ -1235,7 +1278,8 @@
     /// Work served a millisecond, as measured, but no less than a part of what the usable cores give.
     fn service_rate(&self) -> f64 {
         let part = |e: &Engine| {
-            self.cores(e) * (f64::from(self.set.instances) / self.set.holders(&e.line).mean)
+            self.cores(e)
+                * (f64::from(self.set.instances) / self.set.sharing(&e.line).mean_managers)
         };
         let cores: f64 = self.engines.values().filter(|e| e.usable()).map(part).sum();
         self.rate
@@ -1244,9 +1288,9 @@
     }
 
     fn refusable(&self, r: &Req) -> bool {
-        let anywhere = Effect::Keyed(DedupScope::All);
+        let anywhere = Idempotency::WithKey(DedupScope::All);
         r.ran.is_none()
-            || [Effect::Repeatable, anywhere].contains(&self.set.classes[r.class].effect)
+            || [Idempotency::Idempotent, anywhere].contains(&self.set.classes[r.class].idempotency)
     }
 
     /// The final answer, at once: refused with advice where the rules allow, else failed.
@@ -1263,10 +1307,10 @@
                 .sum();
             let wait = (2.0 * work / self.service_rate())
                 .max(HOLD_OFF_MS)
-                .min(self.set.max_hold_off_ms);
-            actions.push(Action::Refuse {
+                .min(self.set.max_retry_after_ms);
+            actions.push(Action::Reject {
                 id,
-                hold_off_ms: wait,
+                retry_after_ms: wait,
             });
         } else {
             actions.push(Action::Fail { id });
@@ -1316,7 +1360,7 @@
 
 impl ClassStat {
     fn first(c: &Class) -> Self {
-        let mean = (c.promise_ms * FIRST_WORK * f64::from(c.threads)).max(1.0);
+        let mean = (c.latency_objective_ms * FIRST_WORK * f64::from(c.threads)).max(1.0);
         let error = Scatter {
             spread: SCATTER_FIRST,
             ..Scatter::default()
@@ -1356,7 +1400,7 @@
     }
 
     fn usable(&self) -> bool {
-        self.line.state == ListState::Ready && !self.banned
+        self.line.state == EngineState::Ready && !self.banned
     }
 
     fn pause(&self) -> Millis {
--- a/src/list.rs
+++ b/src/discovery.rs
@@ -1,11 +1,11 @@
 //! The list of engines: the control feed, followed by one actor that connects anew whenever it fails.
 
-use crate::config::{ListEvent, Listed, address, engine_id};
-use crate::core::{Handle, Input};
-use crate::counters::Counters;
-use crate::interface::{EngineEntry, EngineId, ListKind, ListState};
+use crate::core::{CoreMessage, Handle};
+use crate::decision::{EngineEntry, EngineId, EngineState, ListUpdateKind};
 use crate::limits::Limits;
-use crate::settings::Parsed;
+use crate::metrics::Metrics;
+use crate::node_config::{EndpointListEvent, EngineRecord, address, engine_id};
+use crate::settings_json::PlatformSettings;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -46,11 +46,11 @@
     mut last: u64,
     core: Handle,
     limits: Arc<Limits>,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
     spoken: watch::Sender<bool>,
-    settings: watch::Receiver<Arc<Parsed>>,
+    settings: watch::Receiver<Arc<PlatformSettings>>,
 ) {
-    let (first, longest) = limits.feed_retry;
+    let (first, longest) = limits.feed_reconnect_backoff;
     let mut wait = first;
     loop {
         let (before, at) = (last, *feed.borrow_and_update());
@@ -59,11 +59,11 @@
         let moved = tokio::select! {
             biased;
             moved = feed.changed() => Some(moved),
-            done = session(at, &mut last, &core, &limits, &counters, &spoken, &settings) => {
+            done = session(at, &mut last, &core, &limits, &metrics, &spoken, &settings) => {
                 match done {
                     Ok(()) | Err(Fault::Lost) => {}
-                    Err(Fault::Silent) => counters.feed_silences.up(),
-                    Err(Fault::Malformed) => counters.feed_malformed.up(),
+                    Err(Fault::Silent) => metrics.feed_timeouts.increment(),
+                    Err(Fault::Malformed) => metrics.feed_malformed.increment(),
                 }
                 wait = if last > before { first } else { (wait * 2).min(longest) };
                 tokio::select! {
@@ -85,21 +85,21 @@
     last: &mut u64,
     core: &Handle,
     limits: &Limits,
-    counters: &Counters,
+    metrics: &Metrics,
     spoken: &watch::Sender<bool>,
-    settings: &watch::Receiver<Arc<Parsed>>,
+    settings: &watch::Receiver<Arc<PlatformSettings>>,
 ) -> Result<(), Fault> {
     // A feed that accepts nothing, or says nothing, may have been cut off while engines drain: go elsewhere in
     // time, as what it has to tell counts as told.
-    let mut stream = timeout(limits.feed_connect, TcpStream::connect(feed)).await??;
-    counters.feed_conns.up();
+    let mut stream = timeout(limits.feed_connect_timeout, TcpStream::connect(feed)).await??;
+    metrics.feed_connections.increment();
     stream.write_all(&last.to_be_bytes()).await?;
     let mut frame = Vec::new();
     loop {
         // Guard: the whole frame is due in time; one that comes byte by byte is as good as none.
         timeout(
-            limits.feed_silence,
-            receive(&mut stream, &mut frame, limits.frame_bytes),
+            limits.feed_read_timeout,
+            receive(&mut stream, &mut frame, limits.feed_frame_bytes),
         )
         .await??;
         let event = read_frame(&frame, &settings.borrow()).ok_or(Fault::Malformed)?;
@@ -110,9 +110,9 @@
             continue; // told already, over an earlier connection
         }
         let number = event.number;
-        core.tell(Input::List(event)).await;
+        core.tell(CoreMessage::EndpointList(event)).await;
         *last = number; // only now: where this was dropped before, the event is asked for again
-        counters.feed_events.up();
+        metrics.feed_events.increment();
         // A whole list is much larger than a change, and comes once.
         frame.shrink_to(FRAME_KEPT);
     }
@@ -129,13 +129,13 @@
 }
 
 /// One frame behind its length; `Some(None)` where it tells nothing new, `None` where it cannot be read.
-fn read_frame(frame: &[u8], settings: &Parsed) -> Option<Option<ListEvent>> {
+fn read_frame(frame: &[u8], settings: &PlatformSettings) -> Option<Option<EndpointListEvent>> {
     let (head, payload) = frame.split_at_checked(FRAME_HEAD)?;
     let number = u64::from_be_bytes(head[..8].try_into().ok()?);
     let kind = match head[8] {
         0 if payload.is_empty() => return Some(None),
-        1 => ListKind::Full,
-        2 => ListKind::Delta,
+        1 => ListUpdateKind::Full,
+        2 => ListUpdateKind::Delta,
         _ => return None,
     };
     let records = payload.chunks_exact(RECORD);
@@ -152,15 +152,15 @@
             None => unusable.push(engine),
         }
     }
-    Some(Some(ListEvent {
+    Some(Some(EndpointListEvent {
         number,
         kind,
-        entries,
-        unusable,
+        records: entries,
+        unusable_engines: unusable,
     }))
 }
 
-fn read_record(engine: EngineId, r: &[u8], settings: &Parsed) -> Option<Listed> {
+fn read_record(engine: EngineId, r: &[u8], settings: &PlatformSettings) -> Option<EngineRecord> {
     let four = |at: usize| r.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
     let two = |at: usize| {
         r.get(at..at + 2)
@@ -168,28 +168,28 @@
             .map(u16::from_be_bytes)
     };
     let state = match r[10] {
-        0 => ListState::Ready,
-        1 => ListState::Draining,
-        2 => ListState::Gone,
+        0 => EngineState::Ready,
+        1 => EngineState::Draining,
+        2 => EngineState::Removed,
         _ => return None,
     };
     let among = |names: &[String], at: u8| names.is_empty() || usize::from(at) < names.len();
-    let known = among(&settings.zones, r[11]) && among(&settings.kinds, r[12]);
-    if state == ListState::Ready && !known {
+    let known = among(&settings.zones, r[11]) && among(&settings.machine_types, r[12]);
+    if state == EngineState::Ready && !known {
         return None;
     }
     let started = u64::from_be_bytes(r.get(19..27)?.try_into().ok()?);
     let entry = EngineEntry {
         engine,
         zone: r[11],
-        kind: u16::from(r[12]),
+        machine_type: u16::from(r[12]),
         cell: two(13)?,
         state,
-        nominal: f64::from(u32::from_be_bytes(four(15)?)) / 1000.0,
-        started_ms: started as f64,
-        holders: None,
+        nominal_capacity: f64::from(u32::from_be_bytes(four(15)?)) / 1000.0,
+        started_at_ms: started as f64,
+        sharing: None,
     };
-    Some(Listed {
+    Some(EngineRecord {
         entry,
         address: address(four(4)?, two(8)?),
     })
--- a/src/engines/flight/mod.rs
+++ b/src/engines/flight/mod.rs
@@ -7,10 +7,12 @@
 use super::context::{EngineContext, Order};
 use super::load::Load;
 use super::slots::Need;
-use crate::attempt::{End, Life};
+use crate::attempt::{AttemptEnd, AttemptState};
 use crate::clients::flight::{CLASS, REF};
-use crate::core::{Ask, Body, EngineNews, Flow, Form, Kind};
-use crate::interface::{EngineId, ListState, LoadReport, Outcome, RequestId};
+use crate::core::{
+    AttemptEvent, AttemptRequest, ResultBody, ResultChunk, ResultFormat, StatementKind,
+};
+use crate::decision::{EngineId, EngineState, LoadReport, Outcome, RequestId};
 use crate::limits::MemoryReservation;
 use crate::rows;
 use arrow_flight::flight_service_client::FlightServiceClient;
@@ -79,7 +81,7 @@
     while engine.listed || !engine.tasks.is_empty() {
         let wake = engine
             .cut
-            .unwrap_or_else(|| Instant::now() + engine.link.context.limits.engine_idle);
+            .unwrap_or_else(|| Instant::now() + engine.link.context.limits.engine_idle_timeout);
         tokio::select! {
             order = orders.recv(), if engine.listed => match order {
                 Some(order) => engine.order(order),
@@ -133,7 +135,7 @@
             }
             // Flight SQL has no message for a query's new priority.
             Order::Priority(..) | Order::Banned => {}
-            Order::Listed(ListState::Gone) => self.cut_later(),
+            Order::Listed(EngineState::Removed) => self.cut_later(),
             Order::Listed(_) => self.cut = None,
         }
     }
@@ -146,7 +148,7 @@
 
     /// What a gone engine holds gets a moment to end.
     fn cut_later(&mut self) {
-        let grace = self.link.context.limits.gone_grace;
+        let grace = self.link.context.limits.removed_engine_grace;
         self.cut.get_or_insert_with(|| Instant::now() + grace);
     }
 
@@ -189,13 +191,15 @@
 async fn prove(link: Arc<Link>, key: Key, wire: Arc<OnceLock<Wire>>, quit: Option<bool>) {
     let again = quit.unwrap_or(false);
     let end = match wire.get() {
-        None => Life::default().give_up(again, || 0).unwrap_or(End::Unsent),
+        None => AttemptState::default()
+            .give_up(again, || 0)
+            .unwrap_or(AttemptEnd::NeverSent),
         Some(wire) => prove_on(&link, wire.clone(), again).await,
     };
     let news = match (quit, end) {
-        (Some(_), end) => EngineNews::GivenUp(end),
-        (None, End::Unsent) => EngineNews::end(Outcome::NoConnection),
-        (None, _) => EngineNews::end(Outcome::Reset),
+        (Some(_), end) => AttemptEvent::Cancelled(end),
+        (None, AttemptEnd::NeverSent) => AttemptEvent::end(Outcome::NoConnection),
+        (None, _) => AttemptEvent::end(Outcome::Reset),
     };
     link.tell(key, LoadReport::default(), news).await;
 }
@@ -203,23 +207,28 @@
 /// The end of a dropped attempt that had a connection, once its reset was sent and, where another attempt may follow,
 /// confirmed. Guard: a peer that takes no more would keep the attempt out for ever, so its connection is closed; what
 /// else is on it ends as on any broken one.
-async fn prove_on(link: &Link, mut wire: Wire, again: bool) -> End {
+async fn prove_on(link: &Link, mut wire: Wire, again: bool) -> AttemptEnd {
     let limits = &link.context.limits;
-    let mut life = Life::default();
+    let mut life = AttemptState::default();
     let mark = wire.mark();
     // When the attempt itself was sent is not known: it may have been, from the moment that it had a connection.
     life.write(0);
     life.give_up(again, || mark);
-    let mut end = match timeout(limits.quit_write, wire.left(mark)).await {
+    let mut end = match timeout(limits.cancellation_write_timeout, wire.left(mark)).await {
         Ok(true) => life.left(mark),
         _ => None,
     };
-    if end.is_none() && again && matches!(timeout(limits.quit_heard, wire.heard()).await, Ok(true))
+    if end.is_none()
+        && again
+        && matches!(
+            timeout(limits.cancellation_confirm_timeout, wire.heard()).await,
+            Ok(true)
+        )
     {
         end = life.confirmed();
     }
     if end.is_none() && !wire.closed() {
-        link.context.counters.quits_stuck.up();
+        link.context.metrics.cancellations_unconfirmed.increment();
         wire.cut();
         let _ = wire.left(u64::MAX).await;
     }
@@ -256,19 +265,25 @@
             .context
             .slots
             .take(&load, Need::First)
-            .ok_or(Lost(Outcome::NoRoom))?;
+            .ok_or(Lost(Outcome::NoConnectionSlot))?;
         let wire = Wire::connect(self.address, &self.context.limits, slot).await;
         let wire = wire.ok_or(Lost(Outcome::NoConnection))?;
-        self.context.counters.engine_conns.up();
+        self.context.metrics.engine_connections.increment();
         *held = Some((wire.clone(), load));
         Ok((wire, carried))
     }
 
-    async fn tell(&self, key: Key, report: LoadReport, news: EngineNews) {
+    async fn tell(&self, key: Key, report: LoadReport, news: AttemptEvent) {
         self.context.tell(self.engine, key, report, news).await;
     }
 
-    async fn ended(&self, key: Key, outcome: Outcome, told: &MetadataMap, body: Option<Body>) {
+    async fn ended(
+        &self,
+        key: Key,
+        outcome: Outcome,
+        told: &MetadataMap,
+        body: Option<ResultBody>,
+    ) {
         let figure = |key| {
             told.get(key)
                 .and_then(|v| crate::clients::figure(v.as_bytes()))
@@ -277,10 +292,10 @@
             inflight: figure(INFLIGHT),
             ..LoadReport::default()
         };
-        let news = EngineNews::Ended {
+        let news = AttemptEvent::Ended {
             outcome,
-            billed_ms: figure(WORK_MS),
-            billed_mb: figure(USED_MB),
+            measured_work_ms: figure(WORK_MS),
+            measured_memory_mb: figure(USED_MB),
             body,
         };
         self.tell(key, report, news).await;
@@ -325,7 +340,7 @@
         cause = e.source();
     }
     match status.code() {
-        Code::ResourceExhausted => Outcome::Full, // the engine says itself that it never ran
+        Code::ResourceExhausted => Outcome::Rejected, // the engine says itself that it never ran
         Code::DeadlineExceeded => Outcome::TimedOut,
         Code::Unavailable | Code::Cancelled => Outcome::Reset,
         _ => Outcome::Error,
@@ -338,12 +353,12 @@
     }
 }
 
-async fn attempt(link: Arc<Link>, ask: Ask, on: Arc<OnceLock<Wire>>) {
+async fn attempt(link: Arc<Link>, ask: AttemptRequest, on: Arc<OnceLock<Wire>>) {
     let key = (ask.id, ask.attempt);
     let mut told = MetadataMap::new();
     let done = match link.wire().await {
         // Guard: a drain that came while the connection did stops the attempt before its first byte.
-        Ok(_) if let Some(late) = ask.late(link.context.core.now()) => {
+        Ok(_) if let Some(late) = ask.expired(link.context.core.now()) => {
             return link.tell(key, LoadReport::default(), late).await;
         }
         Ok((wire, _carried)) if !link.closed() => {
@@ -366,12 +381,12 @@
 }
 
 /// A request with the metadata that every call of an attempt carries.
-fn request<T>(link: &Link, ask: &Ask, message: T) -> Request<T> {
+fn request<T>(link: &Link, ask: &AttemptRequest, message: T) -> Request<T> {
     let mut request = Request::new(message);
-    let left = (ask.due_ms - link.context.core.now()).max(1.0);
+    let left = (ask.deadline_ms - link.context.core.now()).max(1.0);
     request.set_timeout(Duration::from_micros((left * 1000.0) as u64));
     let class = ask.class.name.clone();
-    let name = String::from_utf8_lossy(&ask.name).into_owned();
+    let name = String::from_utf8_lossy(&ask.client_reference).into_owned();
     let mut put = |key: &'static str, value: String| {
         if let Ok(value) = value.parse() {
             request.metadata_mut().insert(key, value);
@@ -392,32 +407,32 @@
 /// One attempt: a result that is held whole, or `None` where it streamed to the client.
 async fn send(
     link: &Link,
-    ask: &Ask,
+    ask: &AttemptRequest,
     wire: Wire,
     told: &mut MetadataMap,
-) -> Result<Option<Body>, Lost> {
+) -> Result<Option<ResultBody>, Lost> {
     let origin = format!("http://{}", link.address)
         .parse()
         .map_err(|_| Lost(Outcome::NoConnection))?;
     let client = FlightServiceClient::with_origin(wire, origin)
         .max_decoding_message_size(link.context.limits.flight_message_bytes);
     // The call follows at once; a stream hands over nothing that tells when its last byte was sent.
-    link.context.counters.written.up();
-    let text = String::from_utf8(ask.statement.to_vec()).map_err(|_| Lost(Outcome::Moot))?;
-    match ask.kind {
-        Kind::Update => update(link, ask, client, text, told).await.map(Some),
-        Kind::Query => query(link, ask, client, text, told).await,
+    link.context.metrics.attempts_written.increment();
+    let text = String::from_utf8(ask.statement.to_vec()).map_err(|_| Lost(Outcome::NotSent))?;
+    match ask.statement_kind {
+        StatementKind::Update => update(link, ask, client, text, told).await.map(Some),
+        StatementKind::Query => query(link, ask, client, text, told).await,
     }
 }
 
 /// An update, with the count of rows that it changed.
 async fn update(
     link: &Link,
-    ask: &Ask,
+    ask: &AttemptRequest,
     mut client: FlightServiceClient<Wire>,
     query: String,
     told: &mut MetadataMap,
-) -> Result<Body, Lost> {
+) -> Result<ResultBody, Lost> {
     let command = CommandStatementUpdate {
         query,
         transaction_id: None,
@@ -439,11 +454,11 @@
 /// A query, with the rows of all its endpoints.
 async fn query(
     link: &Link,
-    ask: &Ask,
+    ask: &AttemptRequest,
     mut client: FlightServiceClient<Wire>,
     query: String,
     told: &mut MetadataMap,
-) -> Result<Option<Body>, Lost> {
+) -> Result<Option<ResultBody>, Lost> {
     let command = CommandStatementQuery {
         query,
         transaction_id: None,
@@ -483,7 +498,7 @@
     size: usize,
     reservation: MemoryReservation,
     /// The way to the client, once they stream.
-    stream: Option<mpsc::Sender<Flow>>,
+    stream: Option<mpsc::Sender<ResultChunk>>,
 }
 
 impl<'a> Rows<'a> {
@@ -504,7 +519,7 @@
         self.size += piece.len();
         if let Some(stream) = &self.stream {
             return stream
-                .send(Flow::Piece(piece))
+                .send(ResultChunk::Data(piece))
                 .await
                 .map_err(|_| Lost(Outcome::Cancelled));
         }
@@ -513,11 +528,11 @@
         // Guard: results that are not whole yet could fill the memory together.
         if !self
             .reservation
-            .set(self.size, limits.share(limits.held_bytes))
+            .set(self.size, limits.share(limits.partial_result_bytes))
         {
             return Err(Lost(Outcome::Error));
         }
-        if self.size > limits.flight_held_bytes {
+        if self.size > limits.flight_buffered_bytes {
             self.begin_stream().await;
         }
         Ok(())
@@ -526,26 +541,31 @@
     /// Hands what is held to the client, which gets the rest as it comes.
     async fn begin_stream(&mut self) {
         let limits = &self.link.context.limits;
-        let (stream, rest) = mpsc::channel(limits.flight_pieces);
-        let body = Body {
-            form: Form::Arrow,
-            pieces: std::mem::take(&mut self.held),
-            rest: Some(rest),
+        let (stream, rest) = mpsc::channel(limits.flight_chunks);
+        let body = ResultBody {
+            format: ResultFormat::Arrow,
+            chunks: std::mem::take(&mut self.held),
+            remaining_chunks: Some(rest),
         };
         self.link
-            .tell(self.key, LoadReport::default(), EngineNews::Streaming(body))
+            .tell(
+                self.key,
+                LoadReport::default(),
+                AttemptEvent::ResultStreaming(body),
+            )
             .await;
         self.stream = Some(stream);
-        self.reservation.set(0, limits.share(limits.held_bytes));
+        self.reservation
+            .set(0, limits.share(limits.partial_result_bytes));
     }
 
     /// All pieces have come. Only what ended well says so: a task that fails or is dropped leaves the result cut off.
-    async fn finish(self) -> Result<Option<Body>, Lost> {
+    async fn finish(self) -> Result<Option<ResultBody>, Lost> {
         let Some(stream) = self.stream else {
-            return Ok(Some(Body::whole(Form::Arrow, self.held)));
+            return Ok(Some(ResultBody::complete(ResultFormat::Arrow, self.held)));
         };
         stream
-            .send(Flow::End)
+            .send(ResultChunk::End)
             .await
             .map_err(|_| Lost(Outcome::Cancelled))?;
         Ok(None)
--- a/src/engines/flight/wire.rs
+++ b/src/engines/flight/wire.rs
@@ -78,7 +78,7 @@
                 connection,
                 shared.clone(),
                 pongs,
-                limits.keep_alive,
+                limits.flight_keep_alive,
             ));
             Some(Wire {
                 send,
@@ -87,7 +87,10 @@
                 shared,
             })
         };
-        timeout(limits.connect, up).await.ok().flatten()
+        timeout(limits.engine_connect_timeout, up)
+            .await
+            .ok()
+            .flatten()
     }
 
     /// Whether it is over.
--- a/src/engines/lines/answers.rs
+++ b/src/engines/lines/answers.rs
@@ -1,10 +1,10 @@
 //! What an engine answers on a connection: ends, pages of results and notes.
 
 use super::connection::{Attempt, Connection, Pages, once};
-use crate::attempt::{End, never_ran};
-use crate::core::{Body, EngineNews, Form};
+use crate::attempt::{AttemptEnd, never_ran};
+use crate::core::{AttemptEvent, ResultBody, ResultFormat};
+use crate::decision::{LoadReport, Outcome, Progress};
 use crate::engines::reply::{Broken, Reply, number_of, rows_of, take};
-use crate::interface::{LoadReport, Note, Outcome};
 use crate::limits::MemoryReservation;
 use bytes::Bytes;
 use std::sync::atomic::Ordering;
@@ -22,7 +22,7 @@
                     self.half_since = None;
                     self.reply(reply).await?;
                     // Guard: answers that never come to an end would keep the attempts behind them out, and the core busy.
-                    if self.idle_words > self.context.limits.idle_words {
+                    if self.idle_words > self.context.limits.uneventful_answers {
                         return Err(self.malformed());
                     }
                 }
@@ -35,7 +35,7 @@
                     return Ok(());
                 }
                 Err(broken) => {
-                    self.context.counters.engine_malformed.up();
+                    self.context.metrics.engine_malformed.increment();
                     return Err(broken);
                 }
             }
@@ -70,9 +70,12 @@
             b"update" => self.note(&reply, report).await,
             // An answer after the pages began says that they are lost, and the query has run.
             _ if has_pages => self.not_served(&reply.name, report, Outcome::Error).await,
-            b"overload" => self.not_served(&reply.name, report, Outcome::Full).await,
+            b"overload" => {
+                self.not_served(&reply.name, report, Outcome::Rejected)
+                    .await
+            }
             b"crashed" => self.not_served(&reply.name, report, Outcome::Error).await,
-            b"nobody" => self.not_served(&reply.name, report, Outcome::Moot).await,
+            b"nobody" => self.not_served(&reply.name, report, Outcome::NotSent).await,
             _ => Err(self.malformed()),
         }
     }
@@ -80,7 +83,7 @@
     /// A good answer with its first page; asks for the others.
     async fn first_page(&mut self, reply: &Reply, report: LoadReport) -> Result<(), Broken> {
         let all = reply.field("batches").and_then(number_of).unwrap_or(0) as usize;
-        if all == 0 || all > self.context.limits.pages || !rows_of(&reply.body) {
+        if all == 0 || all > self.context.limits.pages_per_result || !rows_of(&reply.body) {
             return Err(self.malformed());
         }
         let Some(attempt) = self.attempts.get_mut(&reply.name) else {
@@ -89,17 +92,21 @@
         // Of one that is being given up the engine has let its pages go; what fits the answer is a result.
         if !attempt.life.tell() && all > 1 {
             return self
-                .over(&reply.name, report, EngineNews::GivenUp(End::Answered))
+                .over(
+                    &reply.name,
+                    report,
+                    AttemptEvent::Cancelled(AttemptEnd::Answered),
+                )
                 .await;
         }
         let mut got = vec![None; all];
         got[0] = Some(reply.body.clone());
         let limits = &self.context.limits;
-        let until = Instant::now() + limits.page_wait;
+        let until = Instant::now() + limits.page_timeout;
         let figure = |name| reply.field(name).and_then(crate::clients::figure);
         let (billed_ms, billed_mb) = (figure("cpu"), figure("used"));
         let mut reservation = MemoryReservation::new(&self.context.held);
-        reservation.set(reply.body.len(), limits.share(limits.held_bytes));
+        reservation.set(reply.body.len(), limits.share(limits.partial_result_bytes));
         attempt.pages = Some(Pages {
             all,
             got,
@@ -110,7 +117,7 @@
             reservation,
         });
         for n in 1..all {
-            self.context.counters.pages.up();
+            self.context.metrics.result_pages.increment();
             self.line("NEXT", &reply.name, Some(n));
         }
         self.whole(&reply.name).await
@@ -137,12 +144,14 @@
         }
         let limits = &self.context.limits;
         pages.got[number] = Some(reply.body.clone());
-        pages.until = Instant::now() + limits.page_wait;
+        pages.until = Instant::now() + limits.page_timeout;
         // Guard: a result that outgrew what a client takes is not collected to its end.
         let size: usize = pages.got.iter().flatten().map(Bytes::len).sum();
         // Nor where all results together outgrow the memory.
-        let fits = pages.reservation.set(size, limits.share(limits.held_bytes));
-        if size > limits.answer_bytes || !fits {
+        let fits = pages
+            .reservation
+            .set(size, limits.share(limits.partial_result_bytes));
+        if size > limits.result_bytes || !fits {
             self.free(&reply.name, Outcome::Error);
             return Ok(());
         }
@@ -157,16 +166,16 @@
         let key = (attempt.ask.id, attempt.ask.attempt);
         let level = reply.field("num").and_then(crate::clients::figure);
         let note = match (reply.field("n"), level) {
-            (Some(b"pct"), Some(share)) => Some(Note::Progress(share)),
-            (Some(b"overflow"), Some(mb)) => Some(Note::Spills(mb)),
-            (Some(b"queued"), Some(2.0)) => Some(Note::WaitsForLoad),
-            (Some(b"queued"), Some(_)) => Some(Note::WaitsForMemory),
+            (Some(b"pct"), Some(share)) => Some(Progress::ShareDone(share)),
+            (Some(b"overflow"), Some(mb)) => Some(Progress::SpillingMb(mb)),
+            (Some(b"queued"), Some(2.0)) => Some(Progress::WaitingForBulkLoad),
+            (Some(b"queued"), Some(_)) => Some(Progress::WaitingForMemory),
             _ => None,
         };
-        self.context.counters.notes.up();
+        self.context.metrics.progress_notes.increment();
         self.idle_words += 1;
         self.context
-            .tell(self.engine, key, report, EngineNews::Note(note))
+            .tell(self.engine, key, report, AttemptEvent::Progress(note))
             .await;
         Ok(())
     }
@@ -184,9 +193,9 @@
         let given_up = attempt.life.giving_up();
         let end = attempt.life.answered(!never_ran(outcome));
         let told = if given_up {
-            EngineNews::GivenUp(end)
+            AttemptEvent::Cancelled(end)
         } else {
-            EngineNews::end(outcome)
+            AttemptEvent::end(outcome)
         };
         self.over(name, report, told).await
     }
@@ -196,7 +205,7 @@
         &mut self,
         name: &Bytes,
         report: LoadReport,
-        news: EngineNews,
+        news: AttemptEvent,
     ) -> Result<(), Broken> {
         let Some(attempt) = self.answered(name) else {
             return Ok(());
@@ -215,12 +224,12 @@
 
     /// Counts an answer that nothing asked for, or that was given already.
     pub(super) fn unasked(&mut self) {
-        self.context.counters.engine_unasked.up();
-        self.idle_words += self.context.limits.idle_word_unasked;
+        self.context.metrics.engine_unexpected_answers.increment();
+        self.idle_words += self.context.limits.unexpected_answer_weight;
     }
 
     pub(super) fn malformed(&self) -> Broken {
-        self.context.counters.engine_malformed.up();
+        self.context.metrics.engine_malformed.increment();
         Broken
     }
 
@@ -233,17 +242,20 @@
         };
         let pieces: Vec<Bytes> = pages.got.into_iter().flatten().collect();
         let fits = pages.all == pieces.len()
-            && pieces.iter().map(Bytes::len).sum::<usize>() <= self.context.limits.answer_bytes;
+            && pieces.iter().map(Bytes::len).sum::<usize>() <= self.context.limits.result_bytes;
         let (outcome, body) = if fits {
-            (Outcome::Ok, Some(Body::whole(Form::Text, pieces)))
+            (
+                Outcome::Ok,
+                Some(ResultBody::complete(ResultFormat::Text, pieces)),
+            )
         } else {
             (Outcome::Error, None)
         };
         let (billed_ms, billed_mb) = (pages.billed_ms, pages.billed_mb);
-        let news = EngineNews::Ended {
+        let news = AttemptEvent::Ended {
             outcome,
-            billed_ms,
-            billed_mb,
+            measured_work_ms: billed_ms,
+            measured_memory_mb: billed_mb,
             body,
         };
         self.over(name, pages.report, news).await
@@ -273,10 +285,10 @@
             let value = crate::clients::figure(&part[colon + 1..]);
             match &part[..colon] {
                 b"rif" | b"inflight" => report.inflight = value,
-                b"busy" | b"util" => report.busy = value,
-                b"x1" => report.disks = value,
-                b"q" | b"queue" => report.queued = value,
-                b"x0" => report.granted = value,
+                b"busy" | b"util" => report.cpu_busy = value,
+                b"x1" => report.disk_busy = value,
+                b"q" | b"queue" => report.memory_queue = value,
+                b"x0" => report.memory_granted = value,
                 _ => {}
             }
         }
--- a/src/engines/lines/connection.rs
+++ b/src/engines/lines/connection.rs
@@ -1,13 +1,13 @@
 //! One connection to an engine: an actor that writes attempts, priorities and cancellations, and reads the answers.
 
-use crate::attempt::{End, Life};
-use crate::core::{Ask, EngineNews};
+use crate::attempt::{AttemptEnd, AttemptState};
+use crate::core::{AttemptEvent, AttemptRequest};
+use crate::decision::{EngineId, EngineState, Idempotency, LoadReport, Millis, Outcome, RequestId};
 use crate::engines::admission::Admission;
 use crate::engines::context::{EngineContext, Order};
 use crate::engines::load::Load;
 use crate::engines::reply::Broken;
 use crate::engines::slots::Slot;
-use crate::interface::{Effect, EngineId, ListState, LoadReport, Millis, Outcome, RequestId};
 use crate::limits::MemoryReservation;
 use crate::net::{self, Outbox};
 use bytes::{Bytes, BytesMut};
@@ -22,16 +22,16 @@
 /// The way back from a connection, for attempts that it was never sent; nothing where it is over.
 #[derive(Clone)]
 pub(super) struct ReturnPath {
-    pub(super) asks: mpsc::UnboundedSender<Option<Box<Ask>>>,
+    pub(super) asks: mpsc::UnboundedSender<Option<Box<AttemptRequest>>>,
     /// Connections that ended since the engine last answered: where there are several, it is the engine's fault.
     pub(super) broken: Arc<AtomicUsize>,
 }
 
 /// An attempt on this connection, by the client's name for its request.
 pub(super) struct Attempt {
-    pub(super) ask: Box<Ask>,
+    pub(super) ask: Box<AttemptRequest>,
     /// Its marks are counts of bytes written.
-    pub(super) life: Life,
+    pub(super) life: AttemptState,
     /// Pages, once the first one is in: what is still to come follows in order.
     pub(super) pages: Option<Pages>,
 }
@@ -97,7 +97,7 @@
     pub(super) load: Arc<Load>,
     pub(super) context: EngineContext,
     /// Attempts of which nothing is written yet.
-    waiting: VecDeque<Box<Ask>>,
+    waiting: VecDeque<Box<AttemptRequest>>,
     pub(super) attempts: HashMap<Bytes, Attempt>,
     pub(super) input: BytesMut,
     out: Outbox,
@@ -108,7 +108,7 @@
     /// Tags given out.
     tags: u64,
     /// Ends that the core is to be told.
-    ends: Vec<(Box<Ask>, EngineNews)>,
+    ends: Vec<(Box<AttemptRequest>, AttemptEvent)>,
     pub(super) idle_since: Instant,
     /// Since when what is read is no whole answer.
     pub(super) half_since: Option<Instant>,
@@ -173,14 +173,14 @@
     /// Connects; none where that fails, takes too long, or nothing waits for it any more. Orders are heard while the
     /// connection comes up: an attempt given up or drained by then is not sent.
     async fn connect(&mut self, address: SocketAddr, slot: &mut Slot) -> Option<TcpStream> {
-        let until = Instant::now() + self.context.limits.connect;
+        let until = Instant::now() + self.context.limits.engine_connect_timeout;
         let free = slot.free();
         let connect = async move {
             free.await;
             TcpStream::connect(address).await
         };
         // Dropped on return: a socket that is not up holds a descriptor.
-        let mut connecting = Box::pin(timeout(self.context.limits.connect, connect));
+        let mut connecting = Box::pin(timeout(self.context.limits.engine_connect_timeout, connect));
         loop {
             tokio::select! {
                 up = &mut connecting => return up.ok().and_then(Result::ok),
@@ -196,7 +196,7 @@
 
     async fn serve_and_close(&mut self, stream: TcpStream, slot: &Slot) {
         let _ = stream.set_nodelay(true);
-        self.context.counters.engine_conns.up();
+        self.context.metrics.engine_connections.increment();
         let _ = self.serve(&stream, slot).await;
         // Guard: what its peer has not taken by now it shall not take after the ends that follow from here.
         if !self.out.is_empty() {
@@ -210,7 +210,7 @@
         // One that carried nothing was closed in order, and says nothing of its engine.
         let carried = usize::from(!self.attempts.is_empty() || !self.waiting.is_empty());
         let broken = self.back.broken.fetch_add(carried, Ordering::Relaxed);
-        if !was_up || self.closed() || broken >= self.context.limits.give_backs {
+        if !was_up || self.closed() || broken >= self.context.limits.returned_connections {
             return;
         }
         for ask in std::mem::take(&mut self.waiting) {
@@ -229,17 +229,17 @@
         for (_, mut attempt) in std::mem::take(&mut self.attempts) {
             let given_up = attempt.life.giving_up();
             let told = match attempt.life.closed(written) {
-                end if given_up => EngineNews::GivenUp(end),
+                end if given_up => AttemptEvent::Cancelled(end),
                 // An attempt that was not written whole provably never ran; any other may have.
-                End::Unsent => EngineNews::end(Outcome::NoConnection),
-                _ => EngineNews::end(Outcome::Reset),
+                AttemptEnd::NeverSent => AttemptEvent::end(Outcome::NoConnection),
+                _ => AttemptEvent::end(Outcome::Reset),
             };
             self.end(attempt.ask, told);
         }
     }
 
     /// Counts an attempt off; the core hears of it with the next report.
-    pub(super) fn end(&mut self, ask: Box<Ask>, told: EngineNews) {
+    pub(super) fn end(&mut self, ask: Box<AttemptRequest>, told: AttemptEvent) {
         self.load.take_off(once(&ask));
         self.ends.push((ask, told));
     }
@@ -248,14 +248,14 @@
     pub(super) fn free(&mut self, name: &Bytes, outcome: Outcome) {
         if let Some(attempt) = self.attempts.remove(name) {
             line(&mut self.out, "FREE", name, None);
-            self.end(attempt.ask, EngineNews::end(outcome));
+            self.end(attempt.ask, AttemptEvent::end(outcome));
         }
     }
 
     /// What waits is not sent at all.
     fn unsent(&mut self) {
         for ask in std::mem::take(&mut self.waiting) {
-            self.end(ask, EngineNews::end(Outcome::NoConnection));
+            self.end(ask, AttemptEvent::end(Outcome::NoConnection));
         }
     }
 
@@ -284,7 +284,7 @@
             let timers = self.timers();
             let wake = timers
                 .first()
-                .unwrap_or_else(|| Instant::now() + self.context.limits.engine_idle);
+                .unwrap_or_else(|| Instant::now() + self.context.limits.engine_idle_timeout);
             tokio::select! {
                 biased;
                 // First: a connection that broke while it idled is seen before anything is written to it.
@@ -338,9 +338,13 @@
         let limits = &self.context.limits;
         let pages = self.attempts.values().filter_map(|a| a.pages.as_ref());
         Timers {
-            idle: self.idle().then_some(self.idle_since + limits.engine_idle),
+            idle: self
+                .idle()
+                .then_some(self.idle_since + limits.engine_idle_timeout),
             cut: self.cut,
-            half_answer: self.half_since.map(|since| since + limits.answer_stall),
+            half_answer: self
+                .half_since
+                .map(|since| since + limits.partial_answer_timeout),
             cancellation: self.cancellations.iter().map(|c| c.until).min(),
             page: pages.map(|p| p.until).min(),
         }
@@ -353,7 +357,7 @@
         }
         // Guard: a peer that takes nothing, or says nothing, would keep the attempt out for ever.
         if due(timers.cancellation, now) {
-            self.context.counters.quits_stuck.up();
+            self.context.metrics.cancellations_unconfirmed.increment();
             return Err(Broken);
         }
         // Guard: an answer that stops short leaves nothing behind it that could be read.
@@ -373,12 +377,12 @@
     }
 
     /// What was given up is over.
-    fn given_up(&mut self, name: &Bytes, end: End) {
+    fn given_up(&mut self, name: &Bytes, end: AttemptEnd) {
         let Some(attempt) = self.attempts.remove(name) else {
             return;
         };
         self.idle_since = Instant::now();
-        self.end(attempt.ask, EngineNews::GivenUp(end));
+        self.end(attempt.ask, AttemptEvent::Cancelled(end));
     }
 
     /// An attempt ended by an answer, so that nothing waits for its cancellation any more. Guard: a connection is not
@@ -427,16 +431,16 @@
         unconfirmed.append(&mut self.cancellations);
         self.cancellations = unconfirmed;
         if let Some((_, name)) = self.unwritten.take_if(|(whole, _)| *whole <= written) {
-            self.context.counters.written.up();
+            self.context.metrics.attempts_written.increment();
             self.attempts.get_mut(&name).map(|a| a.life.left(written));
         }
     }
 
     /// The engine is no longer listed: what it holds gets a moment to end.
     fn gone(&mut self) {
-        self.cut = self
-            .cut
-            .or(Some(Instant::now() + self.context.limits.gone_grace));
+        self.cut = self.cut.or(Some(
+            Instant::now() + self.context.limits.removed_engine_grace,
+        ));
     }
 
     /// Puts the next attempt into the queue for the socket, one at a time: so at most one can be caught half
@@ -452,18 +456,18 @@
             let now = self.context.core.now();
             // Guard: it was chosen a while ago, and a connection may come up late or take nothing for long; its client may
             // have left meanwhile.
-            if let Some(late) = ask.late(now) {
+            if let Some(late) = ask.expired(now) {
                 self.end(ask, late);
                 continue;
             }
             self.out.push(ask_line(&ask, now));
             self.out.push(ask.statement.clone());
             let whole = self.out.push(&b"\r\n"[..]);
-            self.unwritten = Some((whole, ask.name.clone()));
-            let mut life = Life::default();
+            self.unwritten = Some((whole, ask.client_reference.clone()));
+            let mut life = AttemptState::default();
             life.write(whole);
             self.attempts.insert(
-                ask.name.clone(),
+                ask.client_reference.clone(),
                 Attempt {
                     ask,
                     life,
@@ -476,7 +480,7 @@
     fn order(&mut self, order: Order) {
         match order {
             Order::Ask(ask) if self.closed() => {
-                self.end(ask, EngineNews::end(Outcome::NoConnection))
+                self.end(ask, AttemptEvent::end(Outcome::NoConnection))
             }
             Order::Ask(ask) => self.waiting.push_back(ask),
             Order::Quit(id, attempt, again) => self.quit(id, attempt, again),
@@ -493,11 +497,11 @@
             }
             Order::Banned if self.closed() => self.unsent(),
             Order::Banned => {}
-            Order::Listed(ListState::Ready) => self.cut = None,
+            Order::Listed(EngineState::Ready) => self.cut = None,
             Order::Listed(state) => {
                 // Guard: what is not begun when the drain is heard of is not begun at all.
                 self.unsent();
-                if state == ListState::Gone {
+                if state == EngineState::Removed {
                     self.gone();
                 }
             }
@@ -536,9 +540,9 @@
                 Bytes::from(format!("{:016x}", self.tags))
             });
             let patience = if again {
-                limits.quit_heard
+                limits.cancellation_confirm_timeout
             } else {
-                limits.quit_write
+                limits.cancellation_write_timeout
             };
             // Lines are read in order: what answers this has read the cancellation.
             if let Some(tag) = &tag {
@@ -565,9 +569,9 @@
         else {
             return;
         };
-        let end = Life::default().give_up(again, || 0);
+        let end = AttemptState::default().give_up(again, || 0);
         if let (Some(end), Some(ask)) = (end, self.waiting.remove(i)) {
-            self.end(ask, EngineNews::GivenUp(end));
+            self.end(ask, AttemptEvent::Cancelled(end));
         }
     }
 
@@ -577,11 +581,11 @@
 }
 
 /// The line that begins an attempt; its statement follows.
-fn ask_line(ask: &Ask, now: Millis) -> Vec<u8> {
-    let left = (ask.due_ms - now).max(1.0);
+fn ask_line(ask: &AttemptRequest, now: Millis) -> Vec<u8> {
+    let left = (ask.deadline_ms - now).max(1.0);
     let mut head = Vec::with_capacity(96);
     head.extend_from_slice(b"ASK ");
-    head.extend_from_slice(&ask.name);
+    head.extend_from_slice(&ask.client_reference);
     head.extend_from_slice(format!(" sort={},patience={left:.0}", ask.class.name).as_bytes());
     if ask.memory_mb > 0.0 {
         head.extend_from_slice(format!(",mb={:.0}", ask.memory_mb.ceil()).as_bytes());
@@ -611,6 +615,6 @@
 }
 
 /// Whether it may run once only.
-pub(super) fn once(ask: &Ask) -> bool {
-    ask.class.class.effect == Effect::Once
+pub(super) fn once(ask: &AttemptRequest) -> bool {
+    ask.class.class.idempotency == Idempotency::NonIdempotent
 }
--- a/src/engines/lines/mod.rs
+++ b/src/engines/lines/mod.rs
@@ -9,8 +9,8 @@
 use super::load::Load;
 use super::place::{Conn, Place, place};
 use super::slots::Slot;
-use crate::core::{Ask, EngineNews};
-use crate::interface::{Effect, EngineId, Outcome};
+use crate::core::{AttemptEvent, AttemptRequest};
+use crate::decision::{EngineId, Idempotency, Outcome};
 use connection::{Connection, ReturnPath};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -79,16 +79,16 @@
     }
 
     /// Hands an attempt to one of the connections, or to a new one.
-    async fn ask(&mut self, ask: Box<Ask>) {
+    async fn ask(&mut self, ask: Box<AttemptRequest>) {
         // Guard: what a broken connection gave back finds no new one to what drains or was taken out meanwhile.
         if self.admission.closed() {
             return self.turn_down(&ask, Outcome::NoConnection).await;
         }
-        let once = ask.class.class.effect == Effect::Once;
+        let once = ask.class.class.idempotency == Idempotency::NonIdempotent;
         let conn = match place(&self.conns, once, &self.context) {
             Place::On(conn) => conn,
             Place::New(slot, load) => self.connect(slot, load),
-            Place::Nowhere => return self.turn_down(&ask, Outcome::NoRoom).await,
+            Place::Nowhere => return self.turn_down(&ask, Outcome::NoConnectionSlot).await,
         };
         let conn = &self.conns[conn];
         conn.load.add(once, self.context.core.now());
@@ -102,7 +102,7 @@
 
     /// Starts a connection; returns its place.
     fn connect(&mut self, slot: Slot, load: Arc<Load>) -> usize {
-        let (orders, mailbox) = mpsc::channel(self.context.limits.mailbox);
+        let (orders, mailbox) = mpsc::channel(self.context.limits.mailbox_messages);
         let (back, context, admission) = (
             self.back.clone(),
             self.context.clone(),
@@ -115,14 +115,14 @@
     }
 
     /// Tells the end of an attempt that finds no connection; an engine without any is over then.
-    async fn turn_down(&self, ask: &Ask, outcome: Outcome) {
+    async fn turn_down(&self, ask: &AttemptRequest, outcome: Outcome) {
         self.tell_unsent(ask, outcome).await;
         let _ = self.back.asks.send(None);
     }
 
-    async fn tell_unsent(&self, ask: &Ask, outcome: Outcome) {
+    async fn tell_unsent(&self, ask: &AttemptRequest, outcome: Outcome) {
         self.context
-            .tell_end(self.id, ask, EngineNews::end(outcome))
+            .tell_end(self.id, ask, AttemptEvent::end(outcome))
             .await;
     }
 
@@ -132,7 +132,7 @@
         orders.close();
         while let Ok(order) = orders.try_recv() {
             if let Order::Ask(ask) = order {
-                self.tell_unsent(&ask, Outcome::NoRoom).await;
+                self.tell_unsent(&ask, Outcome::NoConnectionSlot).await;
             }
         }
     }
--- a/src/engines/load.rs
+++ b/src/engines/load.rs
@@ -65,11 +65,11 @@
     /// Whether what it carries should have been heard of by now, if only by a note. Guard: a machine that vanished
     /// leaves its connections open and silent; only a new one, which never comes up, tells that it has.
     pub(super) fn mute(&self, now: f64, limits: &Limits) -> bool {
-        self.now().0 > 0 && now - self.last() as f64 > limits.conn_mute_ms
+        self.now().0 > 0 && now - self.last() as f64 > limits.connection_silent_ms
     }
 
     /// Whether it answered so lately that it can be relied on.
     pub(super) fn proven(&self, now: f64, limits: &Limits) -> bool {
-        now - self.heard.load(Ordering::Relaxed) as f64 <= limits.conn_proven_ms
+        now - self.heard.load(Ordering::Relaxed) as f64 <= limits.connection_proven_ms
     }
 }
--- a/src/engines/mod.rs
+++ b/src/engines/mod.rs
@@ -14,9 +14,9 @@
 #[cfg(test)]
 mod tests;
 
-use crate::config::Listed;
-use crate::core::{Ask, EnginePort};
-use crate::interface::{EngineId, ListState, RequestId};
+use crate::core::{AttemptRequest, EnginePort};
+use crate::decision::{EngineId, EngineState, RequestId};
+use crate::node_config::EngineRecord;
 use admission::Admission;
 pub(crate) use context::EngineContext;
 use context::Order;
@@ -55,7 +55,7 @@
 }
 
 impl EnginePort for Fleet {
-    fn ask(&mut self, engine: EngineId, ask: Ask) -> bool {
+    fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool {
         let Some(peer) = self.peers.get_mut(&engine) else {
             return false;
         };
@@ -67,7 +67,7 @@
                 Err(TrySendError::Closed(unread)) => order = unread,
             }
         }
-        let (orders, mailbox) = mpsc::channel(self.context.limits.mailbox);
+        let (orders, mailbox) = mpsc::channel(self.context.limits.mailbox_messages);
         let (context, admission) = (self.context.clone(), peer.admission.clone());
         match context.flight {
             true => tokio::spawn(flight::run(
@@ -88,23 +88,23 @@
         peer.orders.insert(orders).try_send(order).is_ok()
     }
 
-    fn quit(&mut self, engine: EngineId, id: RequestId, attempt: u16, again: bool) {
+    fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, again: bool) {
         self.tell(engine, Order::Quit(id, attempt, again));
     }
 
-    fn priority(&mut self, engine: EngineId, id: RequestId, attempt: u16, priority: u8) {
+    fn set_priority(&mut self, engine: EngineId, id: RequestId, attempt: u16, priority: u8) {
         self.tell(engine, Order::Priority(id, attempt, priority));
     }
 
-    fn listed(&mut self, line: &Listed) {
+    fn engine_listed(&mut self, line: &EngineRecord) {
         let (engine, state) = (line.entry.engine, line.entry.state);
         let moved = self
             .peers
             .get(&engine)
             .is_none_or(|p| p.address != line.address);
-        if moved && state == ListState::Ready {
+        if moved && state == EngineState::Ready {
             // Guard: what is on its way to the old address would reach whoever has it now, if anybody.
-            self.dropped(engine);
+            self.engine_removed(engine);
             let peer = Peer {
                 address: line.address,
                 orders: None,
@@ -113,15 +113,15 @@
             self.peers.insert(engine, peer);
         }
         if let Some(peer) = self.peers.get(&engine) {
-            peer.admission.drain(state != ListState::Ready);
+            peer.admission.drain(state != EngineState::Ready);
         }
         self.tell(engine, Order::Listed(state));
-        if state == ListState::Gone {
-            self.dropped(engine);
+        if state == EngineState::Removed {
+            self.engine_removed(engine);
         }
     }
 
-    fn banned(&mut self, engine: EngineId, out: bool) {
+    fn set_manually_ejected(&mut self, engine: EngineId, out: bool) {
         if let Some(peer) = self.peers.get(&engine) {
             peer.admission.ban(out);
         }
@@ -129,7 +129,7 @@
     }
 
     /// Its actor ends with its mailbox, once its attempts are over.
-    fn dropped(&mut self, engine: EngineId) {
+    fn engine_removed(&mut self, engine: EngineId) {
         if let Some(peer) = self.peers.remove(&engine) {
             peer.admission.drain(true);
         }
--- a/src/engines/place.rs
+++ b/src/engines/place.rs
@@ -40,7 +40,9 @@
             .map(|(i, c)| (i, c.load.now()))
     };
     let loads = || all().filter(|(i, _)| heard(*i));
-    let shared = limits.streams_shared.min(limits.streams_per_conn);
+    let shared = limits
+        .shared_attempts_per_connection
+        .min(limits.attempts_per_connection);
     let fits = |(i, (all, loads)): (usize, (usize, usize))| match once {
         true => all == 0 && conns[i].load.proven(now, limits),
         false => loads == 0 && all < shared,
@@ -58,13 +60,13 @@
         (_, true) => Need::Own,
         (_, false) => Need::More,
     };
-    if conns.len() < limits.conns_per_engine {
+    if conns.len() < limits.connections_per_engine {
         let load = Arc::<Load>::default();
         if let Some(slot) = context.slots.take(&load, need) {
             return Place::New(slot, load);
         }
     }
-    let room = all().filter(|(_, (all, _))| *all < limits.streams_per_conn);
+    let room = all().filter(|(_, (all, _))| *all < limits.attempts_per_connection);
     let least = room.min_by_key(|(i, (all, loads))| (!heard(*i), *loads, *all));
     least.map_or(Place::Nowhere, |(i, _)| Place::On(i))
 }
--- a/src/engines/slots.rs
+++ b/src/engines/slots.rs
@@ -3,8 +3,8 @@
 //! the one that is needed now, the longest idle first.
 
 use super::load::Load;
-use crate::counters::Counters;
 use crate::limits::Limits;
+use crate::metrics::Metrics;
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct Slots {
     limits: Arc<Limits>,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
     held: Mutex<Held>,
 }
 
@@ -55,10 +55,10 @@
 }
 
 impl Slots {
-    pub(crate) fn new(limits: Arc<Limits>, counters: Arc<Counters>) -> Arc<Slots> {
+    pub(crate) fn new(limits: Arc<Limits>, metrics: Arc<Metrics>) -> Arc<Slots> {
         Arc::new(Slots {
             limits,
-            counters,
+            metrics,
             held: Mutex::default(),
         })
     }
@@ -69,8 +69,8 @@
 
     /// Connections that have a descriptor, waiting ones left out.
     fn told(&self, held: &Held) {
-        self.counters
-            .engine_conns_open
+        self.metrics
+            .engine_connections_open
             .set(held.all.values().filter(|e| !e.waits).count());
     }
 
@@ -80,8 +80,8 @@
         let mut held = self.held();
         // Whoever was asked to give way hands its descriptor on.
         let open = held.all.values().filter(|e| e.heir.is_none()).count();
-        let most = self.limits.share(self.limits.engine_conns);
-        let kept = self.limits.share(self.limits.engine_conns_kept);
+        let most = self.limits.share(self.limits.engine_connections);
+        let kept = self.limits.share(self.limits.engine_connections_reserved);
         let bound = if need == Need::First {
             most + kept
         } else {
@@ -101,7 +101,7 @@
             victim.heir = Some(heir);
             victim.load.leave();
             victim.leave.notify_one();
-            self.counters.engine_evicted.up();
+            self.metrics.engine_connections_evicted.increment();
             Some(free)
         };
         let (id, leave) = (held.next, Arc::new(Notify::new()));
