--- a/src/successor.rs
+++ b/src/hot_restart.rs
@@ -4,11 +4,11 @@
 
 mod order_locks;
 
-use crate::config::{engine_named, engine_text};
 use crate::core::{Handle, OrderLocks};
-use crate::counters::Counters;
-use crate::interface::{EngineId, Millis};
+use crate::decision::{EngineId, Millis};
 use crate::limits::Limits;
+use crate::metrics::Metrics;
+use crate::node_config::{engine_named, engine_text};
 use order_locks::OrderLockFile;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -61,7 +61,7 @@
     /// What the state's file looked like when it was last read.
     seen: Option<(u64, i64, i64, u64)>,
     limits: Arc<Limits>,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
 }
 
 impl Store {
@@ -70,7 +70,7 @@
         dir: &Path,
         name: &str,
         limits: Arc<Limits>,
-        counters: Arc<Counters>,
+        metrics: Arc<Metrics>,
     ) -> io::Result<Store> {
         let path = |what: &str| file_in(dir, name, what);
         let open = |what| {
@@ -83,12 +83,12 @@
         let (lock, mut places) = (open("lock")?, vec![open("place-0")?, open("place-1")?]);
         let mut place = None;
         // A place may be tried for a moment by the process that holds the other one.
-        for _ in 0..limits.state_tries {
+        for _ in 0..limits.state_lock_attempts {
             place = places.iter().position(|p| p.try_lock().is_ok());
             if place.is_some() {
                 break;
             }
-            sleep(limits.state_wait).await;
+            sleep(limits.state_lock_retry_delay).await;
         }
         let place = place.map(|i| places.remove(i));
         let other = if place.is_some() { places.pop() } else { None };
@@ -104,7 +104,7 @@
             news,
             seen,
             limits,
-            counters,
+            metrics,
         };
         store.succeeds = store.another();
         Ok(store)
@@ -149,12 +149,12 @@
         let written = read.ok().filter(|text| text.len() as u64 <= most);
         let written = written.and_then(|text| serde_json::from_slice::<Written>(&text).ok());
         let Some(written) = written.filter(|w| w.version == VERSION) else {
-            return self.counters.states_bad.up();
+            return self.metrics.state_errors.increment();
         };
         for (id, mark) in written.engines {
             let known = engine_named(&id).filter(|_| mark.at >= 0.0 && mark.at <= now + 1000.0);
             let Some(engine) = known else {
-                self.counters.states_bad.up();
+                self.metrics.state_errors.increment();
                 continue;
             };
             if self.marks.get(&engine).is_none_or(|held| held.at < mark.at) {
@@ -167,22 +167,22 @@
     /// Records one more call by hand, beside what the other process has written.
     pub(crate) async fn record(&mut self, engine: EngineId, mark: Mark) {
         let mut locked = false;
-        for _ in 0..self.limits.state_tries {
+        for _ in 0..self.limits.state_lock_attempts {
             locked = self.lock.try_lock().is_ok();
             if locked {
                 break;
             }
-            sleep(self.limits.state_wait).await;
+            sleep(self.limits.state_lock_retry_delay).await;
         }
         self.look(mark.at);
         self.marks.insert(engine, mark);
         // What was given back long ago is of no more use; this also keeps the file small.
-        let kept = self.limits.state_kept.as_secs_f64() * 1000.0;
+        let kept = self.limits.state_retention.as_secs_f64() * 1000.0;
         self.marks.retain(|_, m| m.out || mark.at - m.at < kept);
         if let Err(problem) = self.write() {
-            self.counters.states_bad.up();
+            self.metrics.state_errors.increment();
             eprintln!(
-                "magpiechute: cannot write {}: {problem}",
+                "workload-manager: cannot write {}: {problem}",
                 self.state.display()
             );
         }
@@ -218,11 +218,11 @@
 pub(crate) fn order_locks(
     dir: &Path,
     name: &str,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
 ) -> io::Result<Box<dyn OrderLocks>> {
     Ok(Box::new(OrderLockFile::open(
         &file_in(dir, name, "order"),
-        counters,
+        metrics,
     )?))
 }
 
@@ -233,7 +233,7 @@
     core: Handle,
     limits: Arc<Limits>,
 ) {
-    let mut look = interval(limits.state_look);
+    let mut look = interval(limits.state_poll_interval);
     look.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -251,13 +251,13 @@
     pub(crate) async fn pass_on(&mut self, core: &Handle) {
         let both = self.another();
         if self.limits.set_both(both) != both {
-            self.counters.beside.set(usize::from(both));
+            self.metrics.peer_processes.set(usize::from(both));
             // The old one stops accepting as soon as the successor is ready, and what it does with a cold engine
             // falls off from then on; the successor has nearly all that comes.
             let part = if self.succeeds { 4.0 / 3.0 } else { 4.0 };
             core.beside(if both { part } else { 1.0 }).await;
             eprintln!(
-                "magpiechute: another process of this workload manager {}",
+                "workload-manager: another process of this workload manager {}",
                 if both { "lives" } else { "has gone" }
             );
         }
@@ -280,11 +280,11 @@
 
 impl StateWriter {
     pub(crate) fn new(limits: &Limits) -> (StateWriter, mpsc::Receiver<RecordRequest>) {
-        let (said, mailbox) = mpsc::channel(limits.ops_callers);
+        let (said, mailbox) = mpsc::channel(limits.admin_connections);
         (
             StateWriter {
                 said,
-                patience: limits.state_patience,
+                patience: limits.state_write_timeout,
             },
             mailbox,
         )
--- a/src/successor/order_locks.rs
+++ b/src/hot_restart/order_locks.rs
@@ -8,7 +8,7 @@
 //! end.
 
 use crate::core::{OrderKey, OrderLocks, Places};
-use crate::counters::Counters;
+use crate::metrics::Metrics;
 use nix::errno::Errno;
 use nix::fcntl::{FcntlArg, fcntl};
 use nix::libc;
@@ -35,12 +35,12 @@
     /// Places whose processes were gone before this one started, and had ended with keys. They are marked clean at this
     /// one's end, when every other process that lives has long noticed.
     left_behind: Places,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
 }
 
 impl OrderLockFile {
     /// Opens the file and takes a place. Errors: the file cannot be opened or locked, or every place is taken.
-    pub(crate) fn open(path: &Path, counters: Arc<Counters>) -> io::Result<OrderLockFile> {
+    pub(crate) fn open(path: &Path, metrics: Arc<Metrics>) -> io::Result<OrderLockFile> {
         let file = File::options()
             .create(true)
             .truncate(false)
@@ -55,7 +55,7 @@
                     place,
                     held: 0,
                     left_behind: 0,
-                    counters,
+                    metrics,
                 };
                 // What the place's former process left is this one's to take note of.
                 let free = !locks.others();
@@ -97,7 +97,7 @@
                 self.add_others(first, at, found);
                 self.add_others(at + 1, end, found);
             }
-            Err(_) => self.counters.states_bad.up(),
+            Err(_) => self.metrics.state_errors.increment(),
         }
     }
 }
@@ -106,7 +106,7 @@
     fn try_lock(&mut self, key: OrderKey) -> bool {
         // Guard: where the system can keep no further lock, requests go on as without a folder.
         let locked = set(&self.file, libc::F_WRLCK, byte_of(key)).unwrap_or_else(|_| {
-            self.counters.states_bad.up();
+            self.metrics.state_errors.increment();
             true
         });
         self.held += usize::from(locked);
@@ -116,7 +116,7 @@
     fn unlock(&mut self, key: OrderKey) {
         self.held = self.held.saturating_sub(1);
         if set(&self.file, libc::F_UNLCK, byte_of(key)).is_err() {
-            self.counters.states_bad.up();
+            self.metrics.state_errors.increment();
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,34 +9,32 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod admin;
 pub mod attempt;
-pub mod attempts;
-mod choice;
 mod clients;
 pub mod command;
-pub mod config;
 pub mod core;
-pub mod counters;
+mod decision;
+pub mod discovery;
 mod engines;
-pub mod file;
-mod interface;
+mod hot_restart;
 mod lifecycle;
 pub mod limits;
-pub mod list;
 pub mod log;
+pub mod metrics;
 mod net;
 pub mod node;
-mod operations;
+pub mod node_config;
+pub mod operator_config;
+pub mod retry_policy;
 mod rows;
-pub mod settings;
+pub mod settings_json;
 pub mod signals;
 mod snmp;
 mod sql;
 pub mod subset;
-mod successor;
 
-pub use choice::Gateway;
-pub use interface::*;
+pub use decision::*;
 
 /// The README's example, kept compiling.
 #[cfg(doctest)]
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,9 +1,9 @@
-//! Structured logs, on tracing. The program's usual lines stay as they are, one `magpiechute: ...` line each on
+//! Structured logs, on tracing. The program's usual lines stay as they are, one `workload-manager: ...` line each on
 //! standard error; the operators' file may ask for more (`[log] level = "debug"`: one line for each decision about
 //! a request, with its ref, class, member, engine and attempt as fields) and for JSON lines. At the usual level
 //! no event on the path of a request is enabled, which costs a load of the level's bound and no more.
 
-use crate::file::text::{Format, Level, LogText};
+use crate::operator_config::text::{Format, Level, LogText};
 use tracing::level_filters::LevelFilter;
 
 /// Sets up the log for the life of the process. Errors: a log was set up already.
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,14 +2,14 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use magpiechute::command::{self, Asked, Done};
-use magpiechute::config::{Config, ConfigError};
-use magpiechute::file::{Known, Operators};
-use magpiechute::node::Node;
-use magpiechute::signals::{Heard, Signals};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use workload_manager::command::{self, Asked, Done};
+use workload_manager::node::Node;
+use workload_manager::node_config::{ConfigError, NodeConfig};
+use workload_manager::operator_config::{Known, Operators};
+use workload_manager::signals::{Heard, Signals};
 
 /// A workload manager: when, and on which shared SQL engine, each query runs.
 #[derive(Parser)]
@@ -110,7 +110,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("magpiechute: {problem}");
+            eprintln!("workload-manager: {problem}");
             ExitCode::FAILURE
         }
     }
@@ -127,25 +127,25 @@
         std::env::var_os("MAGPIECHUTE_FRONTS").unwrap_or_else(|| "deploy/fronts.toml".into());
     let file =
         std::env::var_os("MAGPIECHUTE_FILE").unwrap_or_else(|| "deploy/magpiechute.toml".into());
-    let known = Known::of(&config.parsed);
+    let known = Known::of(&config.settings);
     let operators =
         Operators::load(Path::new(&file), Path::new(&fronts), &known).map_err(ConfigError)?;
-    magpiechute::log::init(&operators.log).map_err(ConfigError)?;
+    workload_manager::log::init(&operators.log).map_err(ConfigError)?;
     let name = config.name.clone();
     let node = Node::start(config, operators).await?;
     let ops = node
         .ops
         .map_or(String::new(), |at| format!(", is operated at {at}"));
-    eprintln!("magpiechute: {name} serves on {}{ops}", node.listen);
+    eprintln!("workload-manager: {name} serves on {}{ops}", node.listen);
     loop {
         match signals.next().await {
             Ok(Heard::Terminate | Heard::Interrupt) => break,
             Ok(Heard::Reload) => node.reload(load(Path::new(&path))).await,
-            Ok(Heard::Print) => say(format!("magpiechute: {}", node.counters)),
+            Ok(Heard::Print) => say(format!("workload-manager: {}", node.metrics)),
             Err(problem) => {
                 // A program that cannot be told to end would have to be killed: it ends now, as planned.
                 say(format!(
-                    "magpiechute: no longer hears signals ({problem}), and ends as planned"
+                    "workload-manager: no longer hears signals ({problem}), and ends as planned"
                 ));
                 break;
             }
@@ -159,7 +159,7 @@
             // and where that goes meanwhile it is followed, or word of drains would not be heard any more.
             heard = signals.next() => match heard {
                 Ok(Heard::Reload) => node.reload(load(Path::new(&path))).await,
-                Ok(Heard::Print) => say(format!("magpiechute: {}", node.counters)),
+                Ok(Heard::Print) => say(format!("workload-manager: {}", node.metrics)),
                 Ok(Heard::Terminate | Heard::Interrupt) => {}
                 Err(_) => {
                     (&mut end).await;
@@ -168,7 +168,7 @@
             }
         }
     }
-    say(format!("magpiechute: {}", node.counters));
+    say(format!("workload-manager: {}", node.metrics));
     Ok(())
 }
 
@@ -180,8 +180,8 @@
 }
 
 /// The configuration, whole and checked, as a start or SIGHUP finds it.
-fn load(path: &Path) -> Result<Config, ConfigError> {
-    let mut config = Config::load(path)?;
+fn load(path: &Path) -> Result<NodeConfig, ConfigError> {
+    let mut config = NodeConfig::load(path)?;
     if let Ok(listen) = std::env::var("NODE_LISTEN") {
         config.listen = listen
             .parse()
@@ -198,6 +198,6 @@
         config.listen_fd =
             Some(fd.ok_or_else(|| ConfigError("NODE_LISTEN_FD is not a descriptor".to_owned()))?);
     }
-    config.folder = std::env::var_os("TMPDIR").map(Into::into);
+    config.shared_folder = std::env::var_os("TMPDIR").map(Into::into);
     Ok(config)
 }
--- a/src/counters.rs
+++ b/src/metrics.rs
@@ -6,18 +6,18 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
-macro_rules! counters {
+macro_rules! metrics {
     ($($(#[$doc:meta])* $name:ident,)*) => {
         /// One table of counters, shared by all actors of a process.
         #[derive(Debug, Default)]
-        pub struct Counters {
-            $($(#[$doc])* pub $name: Count,)*
+        pub struct Metrics {
+            $($(#[$doc])* pub $name: Counter,)*
             /// From giving an attempt up to the proof of its end.
-            pub proofs: Spans,
+            pub cancellation_latency: LatencyHistogram,
             by_class: ByClass,
         }
 
-        impl Counters {
+        impl Metrics {
             /// All counters with their names, in the order of the MIB.
             pub fn all(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name.get()),)*]
@@ -30,15 +30,15 @@
 const GAUGES: [&str; 12] = [
     "engines",
     "engines_waiting",
-    "client_conns_open",
-    "client_conns_owing",
-    "engine_conns_open",
-    "open",
-    "engines_skipped",
-    "beside",
+    "client_connections_open",
+    "client_connections_pending",
+    "engine_connections_open",
+    "requests_open",
+    "engines_ejected",
+    "peer_processes",
     "subset_size",
     "subset_zones",
-    "subset_holders",
+    "subset_managers_per_engine",
     "ordinal",
 ];
 
@@ -49,11 +49,11 @@
 
 /// One counter, or a gauge where it also goes down.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     /// Adds one.
-    pub fn up(&self) {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Takes one off: for gauges.
-    pub fn down(&self) {
+    pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -78,47 +78,47 @@
     }
 }
 
-counters! {
+metrics! {
     /// Requests taken from clients.
-    taken,
+    requests_accepted,
     /// Final answers: served.
-    served,
+    requests_served,
     /// Final answers: refused.
-    refused,
+    requests_rejected,
     /// Final answers: failed.
-    failed,
+    requests_failed,
     /// Requests whose client left first.
-    left,
+    client_disconnects,
     /// Attempts sent to engines.
-    sent,
+    attempts_started,
     /// Attempts that ended well.
-    ended_ok,
+    attempts_succeeded,
     /// Attempts that ended with the engine's error.
-    ended_error,
+    attempts_failed,
     /// Attempts that an engine turned away.
-    ended_full,
+    attempts_rejected,
     /// Attempts that were not answered in time.
-    ended_timeout,
+    attempts_timed_out,
     /// Attempts for which no connection was had.
-    ended_no_connection,
+    attempts_no_connection,
     /// Attempts whose connection broke.
-    ended_reset,
+    attempts_reset,
     /// Attempts that were called off.
-    ended_cancelled,
+    attempts_cancelled,
     /// Attempts that were never sent.
-    ended_moot,
+    attempts_not_sent,
     /// Sends that a guard of the core stopped.
-    guarded,
+    sends_blocked_by_guard,
     /// Notes of progress read.
-    notes,
+    progress_notes,
     /// Pages of results asked for.
-    pages,
+    result_pages,
     /// Client connections accepted.
-    client_conns,
+    client_connections,
     /// Client connections open now.
-    client_conns_open,
+    client_connections_open,
     /// Client connections that still owe an answer or a part of one.
-    client_conns_owing,
+    client_connections_pending,
     /// Client connections closed for input that cannot be read.
     client_malformed,
     /// Client calls answered with an error for what they lack or name.
@@ -126,25 +126,25 @@
     /// Client calls refused as one connection or the program held too many.
     client_over_limit,
     /// Connections to engines opened.
-    engine_conns,
+    engine_connections,
     /// Connections to engines open now.
-    engine_conns_open,
+    engine_connections_open,
     /// Lines of engines that cannot be read.
     engine_malformed,
     /// Connections to the control feed.
-    feed_conns,
+    feed_connections,
     /// List events applied.
     feed_events,
     /// Frames of the control feed that cannot be read.
     feed_malformed,
     /// Silences of the control feed.
-    feed_silences,
+    feed_timeouts,
     /// Calls taken by the Flight SQL front.
     flight_calls,
     /// Flight SQL calls answered with INVALID_ARGUMENT or UNIMPLEMENTED.
     flight_bad_calls,
     /// Requests open now.
-    open,
+    requests_open,
     /// SNMP requests answered.
     snmp_answered,
     /// SNMP messages dropped: bad community or malformed.
@@ -152,65 +152,65 @@
     /// Configurations read anew and used.
     reloads,
     /// Configurations read anew that cannot be used; the old one stays.
-    reloads_bad,
+    reloads_rejected,
     /// Client connections that idled and made room for another.
-    client_evicted,
+    client_connections_evicted,
     /// Client connections closed as they said nothing, or stopped halfway through a message.
-    client_silent,
+    client_read_timeouts,
     /// Answers of engines to what was not asked, or is over: late, second or unknown.
-    engine_unasked,
+    engine_unexpected_answers,
     /// Engines known from the list.
     engines,
     /// Listed engines that the module avoids at present, by hand or by choice.
-    engines_skipped,
+    engines_ejected,
     /// Attempts written whole to engines.
-    written,
+    attempts_written,
     /// Calls at the operations address that were carried out.
-    ops_calls,
+    admin_calls,
     /// Calls there that cannot be carried out, or did not come whole in time.
-    ops_bad_calls,
+    admin_bad_calls,
     /// Other processes of this workload manager that live: one in an upgrade.
-    beside,
+    peer_processes,
     /// States of calls by hand that could not be read or written.
-    states_bad,
+    state_errors,
     /// Attempts given up whose end was proven by their cancellation, or as they were never sent.
-    given_up,
+    cancellations_confirmed,
     /// Attempts given up whose end nothing proved in its time; their requests ended.
-    unproven,
+    cancellations_timed_out,
     /// Connections to engines closed as a cancellation was not sent or not confirmed in time.
-    quits_stuck,
+    cancellations_unconfirmed,
     /// Further attempts that the operators' policy allowed no more, by their number or after that end.
-    policy_ended,
+    retries_denied_by_policy,
     /// Further attempts held back as their budget was spent.
-    budget_held,
+    retries_denied_by_budget,
     /// Further attempts that waited out a back-off.
-    backed_off,
+    retries_delayed_by_backoff,
     /// Attempts given up as they had the time that their policy gives one.
     attempt_timeouts,
     /// Attempts that the module would have called off, kept as their policy allows none after them.
-    policy_kept,
+    cancellations_denied_by_policy,
     /// Operators' files read and put in force, at the start and at SIGHUP.
-    file_loads,
+    operator_config_loads,
     /// Operators' files turned down; the policy in force stays.
-    file_refused,
+    operator_config_rejected,
     /// Attempts for which there was no descriptor to connect; not counted as attempts.
-    ended_no_room,
+    attempts_no_connection_slot,
     /// Connections to engines that carried nothing and made room for another.
-    engine_evicted,
+    engine_connections_evicted,
     /// Engines of the list that wait for a place.
     engines_waiting,
     /// Engines of the list that were skipped as all places were taken.
-    engines_passed,
+    engines_without_slot,
     /// Records of the list that end an engine that is not known.
-    list_unknown,
+    list_unknown_removals,
     /// Records of the list that the same event follows by another of the same engine.
-    list_repeated,
+    list_duplicate_records,
     /// Records of the list that name an engine at the address of another one.
-    list_shared,
+    list_address_conflicts,
     /// Records of the list that name a state, zone or kind that the settings do not know.
-    list_unusable,
+    list_unusable_records,
     /// Whole lists that leave out more than half of the engines held.
-    list_cut,
+    list_large_removals,
     /// Requests that their clients mark as a retry.
     client_retries,
     /// Engines of the list that the decision module hears of.
@@ -218,45 +218,45 @@
     /// Zones in which they take work.
     subset_zones,
     /// Workload managers that hold an engine, in the mean.
-    subset_holders,
+    subset_managers_per_engine,
     /// Engines that the subset gained.
-    subset_joined,
+    subset_engines_added,
     /// Engines that the subset lost.
-    subset_left,
+    subset_engines_removed,
     /// Events of the list after which no engine of the subset took work any more.
-    subset_lost,
+    subset_all_unavailable,
     /// Settings with another number of workload managers or another ordinal.
-    subset_recast,
+    subset_membership_changes,
     /// Settings whose ordinal is not below the number of workload managers.
-    subset_ordinal_over,
+    subset_ordinal_out_of_range,
     /// This workload manager's ordinal: no two have the same.
     ordinal,
     /// Requests held back for their key, beside or after another process of this workload manager.
-    order_held,
+    requests_held_for_order_key,
 }
 
 /// Times from the shortest to the longest, in a histogram of fixed size.
-pub struct Spans(Mutex<Histogram<u32>>);
+pub struct LatencyHistogram(Mutex<Histogram<u32>>);
 
-impl Default for Spans {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         // 1 us to a minute at two digits: some 12 kB.
         let empty = Histogram::new_with_bounds(1, 60_000_000, 2);
-        Spans(Mutex::new(
+        LatencyHistogram(Mutex::new(
             empty.unwrap_or_else(|_| unreachable!("fixed bounds")),
         ))
     }
 }
 
-impl fmt::Debug for Spans {
+impl fmt::Debug for LatencyHistogram {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-impl Spans {
+impl LatencyHistogram {
     /// Takes one time in.
-    pub fn see(&self, ms: f64) {
+    pub fn record(&self, ms: f64) {
         let us = (ms.clamp(0.0, 60_000.0) * 1000.0) as u64;
         self.0
             .lock()
@@ -265,7 +265,7 @@
     }
 
     /// How many there are, and in microseconds the one that this share of all do not pass.
-    pub fn at(&self, share: f64) -> (u64, u64) {
+    pub fn quantile(&self, share: f64) -> (u64, u64) {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         (
             all.len(),
@@ -278,13 +278,13 @@
     }
 }
 
-impl fmt::Display for Spans {
+impl fmt::Display for LatencyHistogram {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let us = |share| self.at(share).1;
+        let us = |share| self.quantile(share).1;
         write!(
             f,
             "n:{},p50_us:{},p99_us:{},max_us:{}",
-            self.at(1.0).0,
+            self.quantile(1.0).0,
             us(0.5),
             us(0.99),
             us(1.0)
@@ -292,27 +292,27 @@
     }
 }
 
-/// Ends of one class's requests, as their clients were told.
+/// ClassOutcomes of one class's requests, as their clients were told.
 #[derive(Debug, Default)]
-pub struct Ends {
+pub struct ClassOutcomes {
     /// Served.
-    pub passed: Count,
+    pub passed: Counter,
     /// Refused.
-    pub dropped: Count,
+    pub dropped: Counter,
     /// Failed.
-    pub bad_gateway: Count,
+    pub bad_gateway: Counter,
 }
 
 /// Names of classes kept at most. They come from configurations alone, so this is for an endless row of those.
 const CLASSES: usize = 256;
 
 #[derive(Debug, Default)]
-struct ByClass(RwLock<Vec<(String, Arc<Ends>)>>);
+struct ByClass(RwLock<Vec<(String, Arc<ClassOutcomes>)>>);
 
-impl Counters {
+impl Metrics {
     /// The ends of a class; from its first mention on, for as long as the program runs.
-    pub fn class(&self, name: &str) -> Arc<Ends> {
-        let found = |all: &[(String, Arc<Ends>)]| {
+    pub fn class(&self, name: &str) -> Arc<ClassOutcomes> {
+        let found = |all: &[(String, Arc<ClassOutcomes>)]| {
             all.iter()
                 .find(|(n, _)| n == name)
                 .map(|(_, ends)| ends.clone())
@@ -348,7 +348,7 @@
             .0
             .read()
             .unwrap_or_else(PoisonError::into_inner);
-        let three = |e: &Ends| [e.passed.get(), e.dropped.get(), e.bad_gateway.get()];
+        let three = |e: &ClassOutcomes| [e.passed.get(), e.dropped.get(), e.bad_gateway.get()];
         all.iter()
             .map(|(name, ends)| (name.clone(), three(ends)))
             .collect()
@@ -367,15 +367,15 @@
             }
         }
         let all = [
-            ("upstream_tries", &self.written),
-            ("in_progress", &self.open),
+            ("upstream_tries", &self.attempts_written),
+            ("in_progress", &self.requests_open),
             ("known_engines", &self.engines),
-            ("skipped_engines", &self.engines_skipped),
+            ("skipped_engines", &self.engines_ejected),
             ("subset_engines", &self.subset_size),
-            ("engine_holders", &self.subset_holders),
+            ("engine_holders", &self.subset_managers_per_engine),
             ("ordinal", &self.ordinal),
             ("loads", &self.reloads),
-            ("load_errors", &self.reloads_bad),
+            ("load_errors", &self.reloads_rejected),
         ];
         for (what, count) in all {
             let _ = writeln!(text, "node.{what}={}", count.get());
@@ -384,13 +384,13 @@
     }
 }
 
-impl fmt::Display for Counters {
+impl fmt::Display for Metrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "counters")?;
         self.all()
             .iter()
             .try_for_each(|(name, value)| write!(f, " {name}={value}"))?;
-        write!(f, " proofs={}", self.proofs)?;
+        write!(f, " cancellation_latency={}", self.cancellation_latency)?;
         self.classes()
             .iter()
             .try_for_each(|(name, [passed, dropped, bad_gateway])| {
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,19 +1,19 @@
 //! One running workload manager: its actors, put together from a configuration, and its end.
 
-use crate::attempts::Policy;
+use crate::admin::{self, OperationsServer};
 use crate::clients::{Front, flight, platform};
-use crate::config::{Config, ConfigError, Fronts, Speech, loopback};
-use crate::core::{Clock, Core, Handle, Input, OrderLocks, start};
-use crate::counters::Counters;
+use crate::core::{Clock, Core, CoreMessage, Handle, OrderLocks, start};
+use crate::discovery;
 use crate::engines::{EngineContext, Fleet};
-use crate::file::{self, Known, Operators};
+use crate::hot_restart::{self, StateWriter, Store};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::list;
-use crate::operations::{self, OperationsServer};
-use crate::settings::Parsed;
+use crate::metrics::Metrics;
+use crate::node_config::{ConfigError, EngineProtocol, NodeConfig, OptionalFronts, loopback};
+use crate::operator_config::{self, Known, Operators};
+use crate::retry_policy::Policy;
+use crate::settings_json::PlatformSettings;
 use crate::snmp;
-use crate::successor::{self, StateWriter, Store};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -34,13 +34,13 @@
     /// Where staff ask and tell, if anywhere.
     pub ops: Option<SocketAddr>,
     /// Its counters.
-    pub counters: Arc<Counters>,
+    pub metrics: Arc<Metrics>,
     limits: Arc<Limits>,
     /// What only a start can change.
     fixed: (SocketAddr, (usize, usize)),
     /// The configuration in use, as values.
     used: Mutex<Value>,
-    parsed: watch::Sender<Arc<Parsed>>,
+    parsed: watch::Sender<Arc<PlatformSettings>>,
     /// The operators' file, and the policy of attempts in force.
     operators: (Option<std::path::PathBuf>, Arc<Mutex<Arc<Policy>>>),
     feed: watch::Sender<SocketAddr>,
@@ -54,7 +54,7 @@
 impl Node {
     /// Starts everything that the configuration and the operators' file name.
     pub async fn start(
-        config: Config,
+        config: NodeConfig,
         operators: impl Into<Operators>,
     ) -> Result<Node, ConfigError> {
         let Operators {
@@ -68,28 +68,24 @@
             .as_ref()
             .map(|f| f.engines)
             .unwrap_or_default();
-        let speaks_lines = speech == Speech::Lines;
+        let speaks_lines = speech == EngineProtocol::Lines;
         let limits = Limits::new(
-            config.sockets,
+            config.max_descriptors,
             config.memory_mb,
             speaks_lines,
-            &config.parsed,
+            &config.settings,
         );
-        let (limits, counters) = (Arc::new(limits), Arc::<Counters>::default());
-        let store = open_store(&config, &limits, &counters).await;
-        let order_locks = open_order_locks(&config, &counters);
+        let (limits, metrics) = (Arc::new(limits), Arc::<Metrics>::default());
+        let store = open_store(&config, &limits, &metrics).await;
+        let order_locks = open_order_locks(&config, &metrics);
         let succeeds = store.as_ref().is_some_and(Store::another);
         let sockets = Sockets::bind(&config, fronts).await?;
-        let fixed = (config.listen, (config.sockets, config.memory_mb));
-        let parsed = Arc::new(config.parsed);
+        let fixed = (config.listen, (config.max_descriptors, config.memory_mb));
+        let parsed = Arc::new(config.settings);
         let clock = Clock::new();
-        let (core, inputs) = Handle::new(limits.mailbox, clock);
-        let context = EngineContext::new(
-            core.clone(),
-            limits.clone(),
-            counters.clone(),
-            !speaks_lines,
-        );
+        let (core, inputs) = Handle::new(limits.mailbox_messages, clock);
+        let context =
+            EngineContext::new(core.clone(), limits.clone(), metrics.clone(), !speaks_lines);
         let lifecycle = Arc::new(Lifecycle::new());
         let made = Core::new(
             parsed.settings.clone(),
@@ -101,26 +97,26 @@
             },
             Fleet::new(context),
             limits.clone(),
-            counters.clone(),
+            metrics.clone(),
         );
         let made = made
             .map_err(|e| ConfigError(e.to_string()))?
             .with_policy(policy.clone());
         let made = made.with_order_locks(order_locks);
         if path.as_ref().is_some_and(|p| p.exists()) {
-            counters.file_loads.up();
+            metrics.operator_config_loads.increment();
         }
         tokio::spawn(start(made, inputs, clock));
-        let mut last = config.known;
+        let mut last = config.last_known_event;
         for event in config.events {
             last = last.max(event.number);
-            core.tell(Input::List(event)).await;
+            core.tell(CoreMessage::EndpointList(event)).await;
         }
         let (feed, address) = watch::channel(config.feed);
         let (spoken, mut heard) = watch::channel(false);
         let (parsed, settings) = watch::channel(parsed);
-        let from = (core.clone(), limits.clone(), counters.clone());
-        tokio::spawn(list::follow(
+        let from = (core.clone(), limits.clone(), metrics.clone());
+        tokio::spawn(discovery::follow(
             address,
             last,
             from.0,
@@ -133,43 +129,47 @@
         if let Some(mut store) = store {
             // Before it takes anything it knows what was taken out by hand.
             store.pass_on(&core).await;
-            tokio::spawn(successor::run(store, said, core.clone(), limits.clone()));
+            tokio::spawn(hot_restart::run(store, said, core.clone(), limits.clone()));
         }
         let in_force = Arc::new(Mutex::new(policy));
         let ops = sockets.operations.map(|(listener, at)| {
-            let (core, counters, limits, lifecycle) = (
+            let (core, metrics, limits, lifecycle) = (
                 core.clone(),
-                counters.clone(),
+                metrics.clone(),
                 limits.clone(),
                 lifecycle.clone(),
             );
             let (policy, parsed) = (in_force.clone(), settings.clone());
             let server = OperationsServer {
                 core,
-                counters,
+                metrics,
                 limits,
                 lifecycle,
                 state_writer,
                 policy,
                 parsed,
             };
-            tokio::spawn(operations::listen(listener, server));
+            tokio::spawn(admin::listen(listener, server));
             at
         });
         for class in &settings.borrow().classes {
-            counters.class(&class.name); // so that a figure is there before its first request
+            metrics.class(&class.name); // so that a figure is there before its first request
         }
         let front = Front {
             core: core.clone(),
             parsed: settings,
             limits: limits.clone(),
-            counters: counters.clone(),
+            metrics: metrics.clone(),
             lifecycle: lifecycle.clone(),
             pools: Arc::default(),
         };
         if succeeds {
             // Guard: the list of the configuration is that of the first start, and may name engines that are gone.
-            let _ = timeout(limits.feed_first, heard.wait_for(|heard| *heard)).await;
+            let _ = timeout(
+                limits.first_feed_event_timeout,
+                heard.wait_for(|heard| *heard),
+            )
+            .await;
         }
         let flight = sockets.flight.map(|(listener, at)| {
             tokio::spawn(flight::listen(listener, front.clone()));
@@ -178,7 +178,7 @@
         let (listener, listen) = sockets.platform;
         tokio::spawn(platform::listen(listener, front));
         let snmp = sockets.agent.map(|(socket, at, community)| {
-            let agent = snmp::Agent::new(community, config.name, counters.clone(), limits.clone());
+            let agent = snmp::Agent::new(community, config.name, metrics.clone(), limits.clone());
             tokio::spawn(agent.listen(socket));
             at
         });
@@ -189,7 +189,7 @@
             flight,
             snmp,
             ops,
-            counters,
+            metrics,
             limits,
             fixed,
             used,
@@ -205,31 +205,38 @@
     /// Goes over to a configuration that was read anew, or stays with the old one where that cannot be used.
     /// Connections, requests and engines stay: the settings and the control feed's address may change while the
     /// program runs, and `known` is of the start. The feed tells what is new under its own numbers.
-    pub async fn reload(&self, config: Result<Config, ConfigError>) {
+    pub async fn reload(&self, config: Result<NodeConfig, ConfigError>) {
         let (config, policy) = match config.and_then(|config| self.checked(config)) {
             Ok(both) => both,
             Err(problem) => {
-                self.counters.reloads_bad.up();
-                return eprintln!("magpiechute: goes on with the old configuration: {problem}");
+                self.metrics.reloads_rejected.increment();
+                return eprintln!(
+                    "workload-manager: goes on with the old configuration: {problem}"
+                );
             }
         };
         let old = self.parsed.borrow().clone();
         for (name, changed) in changed_for_good(&self.fixed, &old, &config) {
             if changed {
-                eprintln!("magpiechute: {name} in the new configuration waits for the next start");
+                eprintln!(
+                    "workload-manager: {name} in the new configuration waits for the next start"
+                );
             }
         }
-        self.put_in_force(&old, &config.parsed, policy).await;
+        self.put_in_force(&old, &config.settings, policy).await;
         *self.used.lock().unwrap_or_else(PoisonError::into_inner) = config.values;
         self.feed
             .send_if_modified(|at| std::mem::replace(at, config.feed) != config.feed);
-        self.counters.reloads.up();
-        eprintln!("magpiechute: follows the control feed at {}", config.feed);
+        self.metrics.reloads.increment();
+        eprintln!(
+            "workload-manager: follows the control feed at {}",
+            config.feed
+        );
     }
 
     /// A new configuration with the policy of the operators' file, where both can be used. Guard: the file is held
     /// against the new settings, and both are taken or neither.
-    fn checked(&self, config: Config) -> Result<(Config, Arc<Policy>), ConfigError> {
+    fn checked(&self, config: NodeConfig) -> Result<(NodeConfig, Arc<Policy>), ConfigError> {
         let missing = config.lacks(&self.used.lock().unwrap_or_else(PoisonError::into_inner));
         // Guard: what goes without saying at a start would change here without notice.
         if let Some(key) = missing {
@@ -238,13 +245,13 @@
         let Some(path) = &self.operators.0 else {
             return Ok((config, Arc::default()));
         };
-        match file::load(path, &Known::of(&config.parsed)) {
+        match operator_config::load(path, &Known::of(&config.settings)) {
             Ok(loaded) => Ok((
                 config,
                 loaded.map(|l| Arc::new(l.policy)).unwrap_or_default(),
             )),
             Err(faults) => {
-                self.counters.file_refused.up();
+                self.metrics.operator_config_rejected.increment();
                 Err(ConfigError(faults.to_string()))
             }
         }
@@ -252,26 +259,31 @@
 
     /// Swaps settings and policy in one step: nothing comes between the fronts' settings and the core's place in its
     /// mailbox, so that what came under the old ones is taken under them, and what comes next under the new.
-    async fn put_in_force(&self, old: &Parsed, new: &Parsed, policy: Arc<Policy>) {
+    async fn put_in_force(
+        &self,
+        old: &PlatformSettings,
+        new: &PlatformSettings,
+        policy: Arc<Policy>,
+    ) {
         let Some(place) = self.core.place().await else {
             return;
         };
         let settings = (*old != *new).then(|| Box::new(new.settings.clone()));
         if settings.is_some() {
             for class in &new.classes {
-                self.counters.class(&class.name);
+                self.metrics.class(&class.name);
             }
             self.parsed.send_replace(Arc::new(new.clone()));
-            eprintln!("magpiechute: goes by new settings");
+            eprintln!("workload-manager: goes by new settings");
         }
         *self
             .operators
             .1
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = policy.clone();
-        place.send(Input::Settings { settings, policy });
+        place.send(CoreMessage::Settings { settings, policy });
         if self.operators.0.as_ref().is_some_and(|p| p.exists()) {
-            self.counters.file_loads.up();
+            self.metrics.operator_config_loads.increment();
         }
     }
 
@@ -290,9 +302,9 @@
         // Guard: the process is killed after the longest deadline, which counts as no longer than the bound here; what is
         // open then would have no answer.
         let (most, spare) = if handed {
-            self.limits.handed_end
+            self.limits.handover_shutdown
         } else {
-            self.limits.planned_end
+            self.limits.planned_shutdown
         };
         let longest = self
             .parsed
@@ -300,7 +312,7 @@
             .settings
             .classes
             .iter()
-            .map(|c| c.give_up_ms)
+            .map(|c| c.client_timeout_ms)
             .fold(0.0, f64::max);
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
         self.core
@@ -310,21 +322,21 @@
             + if handed {
                 Duration::ZERO
             } else {
-                self.limits.late_arrivals
+                self.limits.shutdown_accept_window
             };
         let mut answered = None;
         loop {
             sleep(Duration::from_millis(20)).await;
-            let open = self.counters.open.get();
-            let owed = self.counters.client_conns_owing.get() + open;
-            let heard = !handed || self.counters.client_conns_open.get() == 0;
+            let open = self.metrics.requests_open.get();
+            let owed = self.metrics.client_connections_pending.get() + open;
+            let heard = !handed || self.metrics.client_connections_open.get() == 0;
             // Guard: a client that takes none of its answers would keep the process until it is killed.
             let now = Instant::now();
             answered = answered
                 .filter(|_| open == 0)
                 .or((open == 0).then_some(now));
-            let untaken =
-                answered.is_some_and(|since| now >= since.max(late) + self.limits.client_silence);
+            let untaken = answered
+                .is_some_and(|since| now >= since.max(late) + self.limits.client_read_timeout);
             if now >= late && (owed == 0 && heard || untaken) {
                 return;
             }
@@ -343,7 +355,7 @@
 
 impl Sockets {
     /// Binds all that the configuration and the operators' file name. Errors: the address that cannot be bound.
-    async fn bind(config: &Config, fronts: Fronts) -> Result<Sockets, ConfigError> {
+    async fn bind(config: &NodeConfig, fronts: OptionalFronts) -> Result<Sockets, ConfigError> {
         let platform = match config.listen_fd {
             Some(fd) => inherited(fd).await?,
             None => bind(config.listen).await?,
@@ -375,47 +387,52 @@
 /// The folder of an upgrade, if there is one. Guard: without it this is a workload manager all the same, and knows of
 /// no other process.
 async fn open_store(
-    config: &Config,
+    config: &NodeConfig,
     limits: &Arc<Limits>,
-    counters: &Arc<Counters>,
+    metrics: &Arc<Metrics>,
 ) -> Option<Store> {
-    let folder = config.folder.as_ref()?;
-    let opened = Store::open(folder, &config.name, limits.clone(), counters.clone()).await;
+    let folder = config.shared_folder.as_ref()?;
+    let opened = Store::open(folder, &config.name, limits.clone(), metrics.clone()).await;
     opened
-        .inspect_err(|e| eprintln!("magpiechute: no state in {}: {e}", folder.display()))
+        .inspect_err(|e| eprintln!("workload-manager: no state in {}: {e}", folder.display()))
         .ok()
 }
 
 /// The locks on order keys in that folder. Guard: without them the order of a key holds within this process alone.
-fn open_order_locks(config: &Config, counters: &Arc<Counters>) -> Option<Box<dyn OrderLocks>> {
-    let folder = config.folder.as_ref()?;
-    let opened = successor::order_locks(folder, &config.name, counters.clone());
+fn open_order_locks(config: &NodeConfig, metrics: &Arc<Metrics>) -> Option<Box<dyn OrderLocks>> {
+    let folder = config.shared_folder.as_ref()?;
+    let opened = hot_restart::order_locks(folder, &config.name, metrics.clone());
     opened
-        .inspect_err(|e| eprintln!("magpiechute: no order locks in {}: {e}", folder.display()))
+        .inspect_err(|e| {
+            eprintln!(
+                "workload-manager: no order locks in {}: {e}",
+                folder.display()
+            )
+        })
         .ok()
 }
 
 /// What only a start can change: the name of each setting, and whether the new configuration changes it.
 fn changed_for_good(
     (listen, machine): &(SocketAddr, (usize, usize)),
-    old: &Parsed,
-    new: &Config,
+    old: &PlatformSettings,
+    new: &NodeConfig,
 ) -> [(&'static str, bool); 3] {
-    let of_connections = |p: &Parsed| {
+    let of_connections = |p: &PlatformSettings| {
         (
             p.connect_timeout_ms,
-            p.conn_idle_ms,
-            p.streams_per_conn,
-            p.max_open,
-            p.settings.progress_ms,
+            p.engine_idle_timeout_ms,
+            p.attempts_per_connection,
+            p.max_open_requests,
+            p.settings.progress_interval_ms,
         )
     };
     [
         ("listen", new.listen != *listen),
-        ("limits", (new.sockets, new.memory_mb) != *machine),
+        ("limits", (new.max_descriptors, new.memory_mb) != *machine),
         (
             "settings of connections",
-            of_connections(old) != of_connections(&new.parsed),
+            of_connections(old) != of_connections(&new.settings),
         ),
     ]
 }
--- a/src/config.rs
+++ b/src/node_config.rs
@@ -1,8 +1,8 @@
 //! What a workload manager is told at its start: the platform's JSON file, and the files under `deploy/` that
 //! turn the optional fronts on. Whatever cannot be used is a plain message.
 
-use crate::interface::{EngineEntry, EngineId, ListKind, ListState};
-use crate::settings::{self, Parsed};
+use crate::decision::{EngineEntry, EngineId, EngineState, ListUpdateKind};
+use crate::settings_json::{self, PlatformSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
@@ -24,7 +24,7 @@
 
 /// One engine as listed, with the address at which this workload manager reaches it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct EngineRecord {
     /// What the module is told.
     pub entry: EngineEntry,
     /// Where it listens.
@@ -33,20 +33,20 @@
 
 /// One event of the list.
 #[derive(Clone, Debug)]
-pub struct ListEvent {
+pub struct EndpointListEvent {
     /// Its number.
     pub number: u64,
     /// The whole list, or changes.
-    pub kind: ListKind,
+    pub kind: ListUpdateKind,
     /// The entries.
-    pub entries: Vec<Listed>,
+    pub records: Vec<EngineRecord>,
     /// Engines whose records name a state, zone or kind that the settings do not know: they stay as they were.
-    pub unusable: Vec<EngineId>,
+    pub unusable_engines: Vec<EngineId>,
 }
 
 /// The whole configuration of one workload manager.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct NodeConfig {
     /// Its name.
     pub name: String,
     /// Where clients connect.
@@ -54,7 +54,7 @@
     /// For random numbers.
     pub seed: u64,
     /// Descriptors it may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory that it may use, in MB.
     pub memory_mb: usize,
     /// Where staff ask and tell, if anywhere.
@@ -62,15 +62,15 @@
     /// The descriptor under which the platform hands the listening socket over, if it does.
     pub listen_fd: Option<i32>,
     /// The folder that this process shares with its successor, if there is one.
-    pub folder: Option<PathBuf>,
+    pub shared_folder: Option<PathBuf>,
     /// Where the control feed listens.
     pub feed: SocketAddr,
     /// Number of the last event known.
-    pub known: u64,
+    pub last_known_event: u64,
     /// The events known at the start.
-    pub events: Vec<ListEvent>,
+    pub events: Vec<EndpointListEvent>,
     /// The settings, as the simulator's first message has them.
-    pub parsed: Parsed,
+    pub settings: PlatformSettings,
     /// The file's text as values, without the events, to tell which keys another file lacks.
     pub values: Value,
 }
@@ -191,11 +191,11 @@
     }
 
     /// Its line; none where it names a state, or as one that takes work a zone or kind, that the settings do not know.
-    fn listed(self, engine: EngineId, parsed: &Parsed) -> Option<Listed> {
+    fn listed(self, engine: EngineId, parsed: &PlatformSettings) -> Option<EngineRecord> {
         let state = match self.lifecycle.as_str() {
-            "active" => ListState::Ready,
-            "leaving" => ListState::Draining,
-            "left" => ListState::Gone,
+            "active" => EngineState::Ready,
+            "leaving" => EngineState::Draining,
+            "left" => EngineState::Removed,
             _ => return None,
         };
         // Where the settings name none, all are the same one.
@@ -208,10 +208,10 @@
         };
         let (zone, kind) = (
             place(&parsed.zones, &self.zone),
-            place(&parsed.kinds, &self.machine_type),
+            place(&parsed.machine_types, &self.machine_type),
         );
         let (zone, kind) = match state {
-            ListState::Ready => (zone?, kind?),
+            EngineState::Ready => (zone?, kind?),
             _ => (zone.unwrap_or_default(), kind.unwrap_or_default()),
         };
         let (zone, kind) = (zone as u8, kind as u16);
@@ -219,41 +219,41 @@
         let entry = EngineEntry {
             engine,
             zone,
-            kind,
+            machine_type: kind,
             cell,
             state,
-            nominal,
-            started_ms,
-            holders: None,
+            nominal_capacity: nominal,
+            started_at_ms: started_ms,
+            sharing: None,
         };
-        Some(Listed {
+        Some(EngineRecord {
             entry,
             address: SocketAddr::V4(self.host_port),
         })
     }
 }
 
-impl Config {
+impl NodeConfig {
     /// Reads the file that `NODE_CONFIG` names.
-    pub fn load(path: &Path) -> Result<Config, ConfigError> {
+    pub fn load(path: &Path) -> Result<NodeConfig, ConfigError> {
         let text = std::fs::read(path).map_err(|e| {
             ConfigError(format!(
                 "cannot read the configuration {}: {e}",
                 path.display()
             ))
         })?;
-        Config::parse(&text)
+        NodeConfig::parse(&text)
     }
 
     /// Reads the configuration's text.
-    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
+    pub fn parse(text: &[u8]) -> Result<NodeConfig, ConfigError> {
         let wrong = |e: serde_json::Error| ConfigError(format!("configuration: {e}"));
         let file: File<'_> = serde_json::from_slice(text).map_err(wrong)?;
         let mut values: Value = serde_json::from_slice(text).map_err(wrong)?;
         if let Some(known) = values.get_mut("known") {
             *known = Value::Null;
         }
-        let parsed = settings::parse(file.settings.get().as_bytes()).map_err(ConfigError)?;
+        let parsed = settings_json::parse(file.settings.get().as_bytes()).map_err(ConfigError)?;
         let seed = match file.seed.as_str() {
             "" => 0,
             hex => u64::from_str_radix(hex, 16).map_err(|_| {
@@ -263,9 +263,9 @@
         let mut events = Vec::new();
         for event in file.known.events {
             let kind = if event.members.reset {
-                ListKind::Full
+                ListUpdateKind::Full
             } else {
-                ListKind::Delta
+                ListUpdateKind::Delta
             };
             let (mut entries, mut unusable) = (Vec::new(), Vec::new());
             for member in event.members.instances {
@@ -275,30 +275,30 @@
                     None => unusable.push(engine),
                 }
             }
-            events.push(ListEvent {
+            events.push(EndpointListEvent {
                 number: event.n,
                 kind,
-                entries,
-                unusable,
+                records: entries,
+                unusable_engines: unusable,
             });
         }
         // The first event holds the whole list, however it is marked.
         if let Some(first) = events.first_mut() {
-            first.kind = ListKind::Full;
+            first.kind = ListUpdateKind::Full;
         }
-        Ok(Config {
+        Ok(NodeConfig {
             name: file.name,
             listen: file.listen,
             seed,
-            sockets: file.limits.sockets.max(64),
+            max_descriptors: file.limits.sockets.max(64),
             memory_mb: (file.limits.memory_mb as usize).max(32),
             ops: file.ops,
             listen_fd: None,
-            folder: None,
+            shared_folder: None,
             feed: file.feed,
-            known: file.known.n,
+            last_known_event: file.known.n,
             events,
-            parsed,
+            settings: parsed,
             values,
         })
     }
@@ -335,28 +335,30 @@
 /// The fronts that are off unless a file under `deploy/` turns them on.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fronts {
+pub struct OptionalFronts {
     /// Arrow Flight SQL.
-    pub flight: Option<FlightFront>,
+    pub flight: Option<FlightFrontConfig>,
     /// The SNMP agent.
-    pub snmp: Option<Agent>,
+    pub snmp: Option<SnmpAgentConfig>,
 }
 
 /// The Flight SQL front.
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct FlightFront {
+#[schemars(rename = "FlightFront")]
+pub struct FlightFrontConfig {
     /// Where it listens.
     pub listen: String,
     /// What the engines of the list speak.
     #[serde(default)]
-    pub engines: Speech,
+    pub engines: EngineProtocol,
 }
 
 /// What the engines of a list speak.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, schemars::JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum Speech {
+#[schemars(rename = "Speech")]
+pub enum EngineProtocol {
     /// The platform's lines.
     #[default]
     Lines,
@@ -367,20 +369,21 @@
 /// The SNMP agent.
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Agent {
+#[schemars(rename = "Agent")]
+pub struct SnmpAgentConfig {
     /// Where it listens.
     pub listen: String,
     /// The community that may read.
     pub community: String,
 }
 
-impl Fronts {
+impl OptionalFronts {
     /// Reads the file; where there is none, both are off.
-    pub fn load(path: &Path) -> Result<Fronts, ConfigError> {
+    pub fn load(path: &Path) -> Result<OptionalFronts, ConfigError> {
         match std::fs::read_to_string(path) {
             Ok(text) => toml::from_str(&text)
                 .map_err(|e| ConfigError(format!("{}: {}", path.display(), e.message()))),
-            Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(Fronts::default()),
+            Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(OptionalFronts::default()),
             Err(e) => Err(ConfigError(format!("cannot read {}: {e}", path.display()))),
         }
     }
--- a/src/file/check.rs
+++ b/src/operator_config/check.rs
@@ -4,11 +4,12 @@
 use super::Fault;
 use super::lines::line_of;
 use super::text::{FileText, TableText};
-use crate::attempts::{
-    After, BackOff, Budget, ENDS, Ends, Front, Keys, Match, Policy, Route, RouteFault, SecondCopy,
+use crate::decision::{Idempotency, Millis};
+use crate::retry_policy::{
+    AttemptPolicy, Backoff, Budget, Front, HedgingDelay, HedgingPolicy, Match, OutcomeSet, Policy,
+    RETRYABLE_OUTCOMES, Route, RouteFault,
 };
-use crate::interface::{Effect, Millis};
-use crate::settings::Parsed;
+use crate::settings_json::PlatformSettings;
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
@@ -38,18 +39,18 @@
 
 impl Known {
     /// What the settings tell.
-    pub fn of(parsed: &Parsed) -> Known {
+    pub fn of(parsed: &PlatformSettings) -> Known {
         let s = &parsed.settings;
-        let class = |(name, c): (&String, &crate::interface::Class)| KnownClass {
+        let class = |(name, c): (&String, &crate::decision::Class)| KnownClass {
             name: name.clone(),
-            once: c.effect != Effect::Repeatable,
-            give_up_ms: c.give_up_ms,
+            once: c.idempotency != Idempotency::Idempotent,
+            give_up_ms: c.client_timeout_ms,
         };
         Known {
-            classes: s.names.iter().zip(&s.classes).map(class).collect(),
+            classes: s.class_names.iter().zip(&s.classes).map(class).collect(),
             members: parsed.tenants.clone(),
-            attempts_cap: s.attempts_cap,
-            parallel_tries: parsed.parallel_tries,
+            attempts_cap: s.max_attempts,
+            parallel_tries: parsed.parallel_attempts_allowed,
         }
     }
 }
@@ -171,8 +172,8 @@
             }
         }
         for end in t.retry_on.iter().flatten() {
-            if !ENDS.iter().any(|(name, _)| name == end) {
-                let mend = nearest(end, ENDS.iter().map(|(n, _)| *n));
+            if !RETRYABLE_OUTCOMES.iter().any(|(name, _)| name == end) {
+                let mend = nearest(end, RETRYABLE_OUTCOMES.iter().map(|(n, _)| *n));
                 faults.at(
                     path,
                     "retry_on",
@@ -242,29 +243,29 @@
 }
 
 /// The keys of a table that is sound in itself.
-fn keys(t: &TableText) -> Keys {
+fn keys(t: &TableText) -> AttemptPolicy {
     let ends = |names: &Vec<String>| {
         let known = names
             .iter()
-            .filter_map(|n| ENDS.iter().find(|(name, _)| name == n));
-        known.fold(Ends::default(), |all, (_, end)| all.with(*end))
+            .filter_map(|n| RETRYABLE_OUTCOMES.iter().find(|(name, _)| name == n));
+        known.fold(OutcomeSet::default(), |all, (_, end)| all.with(*end))
     };
     let copy = |c: &super::text::SecondCopyText| {
         let after = match (c.after_ms, c.after.as_deref().and_then(quantile)) {
-            (Some(ms), _) => After::Ms(ms),
-            (None, share) => After::Quantile(share.unwrap_or(0.95)),
+            (Some(ms), _) => HedgingDelay::Ms(ms),
+            (None, share) => HedgingDelay::Quantile(share.unwrap_or(0.95)),
         };
-        SecondCopy {
+        HedgingPolicy {
             after,
             ratio: c.ratio,
         }
     };
-    Keys {
+    AttemptPolicy {
         timeout_ms: t.timeout_ms,
         attempt_timeout_ms: t.attempt_timeout_ms,
         max_attempts: t.max_attempts,
         retry_on: t.retry_on.as_ref().map(ends),
-        backoff: t.backoff.as_ref().map(|b| BackOff {
+        backoff: t.backoff.as_ref().map(|b| Backoff {
             base_ms: b.base_ms,
             max_ms: b.max_ms,
             jitter: b.jitter,
@@ -273,7 +274,7 @@
             .budget
             .as_ref()
             .map(|b| Arc::new(Budget::new(b.ratio, b.min_per_s, b.window_s * 1000.0))),
-        second_copy: t.second_copy.as_ref().map(copy),
+        hedging: t.second_copy.as_ref().map(copy),
     }
 }
 
@@ -307,7 +308,7 @@
     }
     let all = tables(text);
     let default = keys(&text.attempts.default);
-    let mut by_class: Vec<Keys> = Vec::new();
+    let mut by_class: Vec<AttemptPolicy> = Vec::new();
     for class in &known.classes {
         let mut held = if class.once {
             default.for_once()
@@ -318,7 +319,7 @@
             .class
             .get(&class.name)
             .iter()
-            .for_each(|own| held.lay(&keys(own)));
+            .for_each(|own| held.override_with(&keys(own)));
         by_class.push(held);
     }
     let route_tables: Vec<&Table<'_>> = all.iter().filter(|t| t.kind == Kind::Route).collect();
@@ -344,7 +345,7 @@
         for (at, class) in known.classes.iter().enumerate() {
             if route.matches.class.as_ref().is_none_or(|c| c.contains(&at)) {
                 let mut held = by_class[at].clone();
-                held.lay(&route.keys);
+                held.override_with(&route.keys);
                 against(table, &route.keys, &held, class, known, &mut faults);
             }
         }
@@ -427,29 +428,29 @@
 /// The faults of one table's own keys, for one class that it reaches, with `held` all that holds there.
 fn against(
     table: &Table<'_>,
-    own: &Keys,
-    held: &Keys,
+    own: &AttemptPolicy,
+    held: &AttemptPolicy,
     class: &KnownClass,
     known: &Known,
     faults: &mut Faults<'_>,
 ) {
     let (path, name) = (table.path.as_str(), class.name.as_str());
     let narrow = table.kind != Kind::Default;
-    if own.second_copy.is_some() && !known.parallel_tries {
+    if own.hedging.is_some() && !known.parallel_tries {
         faults.at(
             path,
             "second_copy",
             "the platform's settings allow one attempt out at a time (limits.parallelTries)",
             "remove second_copy",
         );
-    } else if own.second_copy.is_some() && class.once && narrow {
+    } else if own.hedging.is_some() && class.once && narrow {
         faults.at(
             path,
             "second_copy",
             format!("class {name} may run once only, and a second copy could run it twice"),
             "remove second_copy, or narrow the route to other classes",
         );
-    } else if own.second_copy.is_some() {
+    } else if own.hedging.is_some() {
         // Guard: a key that the core does not carry out would be a promise that nothing keeps.
         faults.at(
             path,
--- a/src/file/mod.rs
+++ b/src/operator_config/mod.rs
@@ -1,6 +1,6 @@
 //! The operators' own file, `deploy/magpiechute.toml`: read whole and with bounds, every fault found at once with
 //! its line, the key, what is wrong and what would be right. `check` holds it against the platform's settings and
-//! makes the [`Policy`](crate::attempts::Policy) of attempts; `docs/attempts.md` is its page for operators.
+//! makes the [`Policy`](crate::retry_policy::Policy) of attempts; `docs/attempts.md` is its page for operators.
 
 mod check;
 mod lines;
@@ -9,7 +9,7 @@
 pub use check::Known;
 pub use text::FileText;
 
-use crate::attempts::Policy;
+use crate::retry_policy::Policy;
 use garde::Validate;
 use std::fmt;
 use std::io::Read;
@@ -208,7 +208,7 @@
     }
 }
 
-/// The JSON Schema of the file, as `magpiechute schema` prints it and `deploy/magpiechute.schema.json` keeps it.
+/// The JSON Schema of the file, as `workload-manager schema` prints it and `deploy/magpiechute.schema.json` keeps it.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(FileText);
     let mut text =
@@ -224,7 +224,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Operators {
     /// The further fronts.
-    pub fronts: crate::config::Fronts,
+    pub fronts: crate::node_config::OptionalFronts,
     /// The policy of attempts; without a file it sets nothing.
     pub policy: std::sync::Arc<Policy>,
     /// The file, where there is one, read again at SIGHUP.
@@ -233,8 +233,8 @@
     pub log: text::LogText,
 }
 
-impl From<crate::config::Fronts> for Operators {
-    fn from(fronts: crate::config::Fronts) -> Operators {
+impl From<crate::node_config::OptionalFronts> for Operators {
+    fn from(fronts: crate::node_config::OptionalFronts) -> Operators {
         Operators {
             fronts,
             ..Operators::default()
@@ -248,7 +248,7 @@
     pub fn load(path: &Path, fronts: &Path, known: &Known) -> Result<Operators, String> {
         match load(path, known).map_err(|faults| faults.to_string())? {
             Some(loaded) => {
-                let fronts = crate::config::Fronts {
+                let fronts = crate::node_config::OptionalFronts {
                     flight: loaded.text.flight,
                     snmp: loaded.text.snmp,
                 };
@@ -261,10 +261,11 @@
                 })
             }
             None => {
-                let old = crate::config::Fronts::load(fronts).map_err(|e| e.to_string())?;
+                let old =
+                    crate::node_config::OptionalFronts::load(fronts).map_err(|e| e.to_string())?;
                 if fronts.exists() {
                     eprintln!(
-                        "magpiechute: {} is read for this version only: move its tables into {}",
+                        "workload-manager: {} is read for this version only: move its tables into {}",
                         fronts.display(),
                         path.display()
                     );
--- a/src/file/text.rs
+++ b/src/operator_config/text.rs
@@ -1,6 +1,6 @@
 //! The operators' file as it is written: TOML, `version = 1`, every key known. Ranges that need nothing else to be
 //! judged are checked here by garde; what needs the platform's settings is checked in `check`. The JSON Schema of
-//! `magpiechute schema` is derived from the same types.
+//! `workload-manager schema` is derived from the same types.
 
 use garde::Validate;
 use schemars::JsonSchema;
@@ -23,10 +23,10 @@
     pub log: LogText,
     /// The Arrow Flight SQL front; off where it is left out.
     #[garde(skip)]
-    pub flight: Option<crate::config::FlightFront>,
+    pub flight: Option<crate::node_config::FlightFrontConfig>,
     /// The SNMP agent; off where it is left out.
     #[garde(skip)]
-    pub snmp: Option<crate::config::Agent>,
+    pub snmp: Option<crate::node_config::SnmpAgentConfig>,
     /// Time-outs, repeated attempts and second copies.
     #[serde(default)]
     #[garde(dive)]
--- a/src/attempts/budget.rs
+++ b/src/retry_policy/budget.rs
@@ -1,6 +1,6 @@
 //! A budget of further attempts against first ones, over a window that slides in ten steps.
 
-use crate::interface::Millis;
+use crate::decision::Millis;
 use std::sync::Mutex;
 
 /// Steps of a window.
@@ -16,7 +16,7 @@
     /// The window, in ms.
     pub window_ms: Millis,
     /// Shared by the requests of one table; the core's one thread alone takes it.
-    spent: Mutex<Spent>,
+    spent: Mutex<BudgetUsage>,
 }
 
 impl PartialEq for Budget {
@@ -56,7 +56,7 @@
         }
     }
 
-    fn with<T>(&self, what: impl FnOnce(&mut Spent, &Budget) -> T) -> T {
+    fn with<T>(&self, what: impl FnOnce(&mut BudgetUsage, &Budget) -> T) -> T {
         // Guard: a panic elsewhere while it was held leaves counts that are still counts.
         let mut spent = self
             .spent
@@ -68,13 +68,13 @@
 
 /// What has been spent of a budget. Its size is fixed, whatever passes.
 #[derive(Clone, Debug, Default)]
-pub struct Spent {
+pub struct BudgetUsage {
     slots: [(u64, u64); SLOTS],
     /// The step that the last slot stands for, counted from time 0.
     step: u64,
 }
 
-impl Spent {
+impl BudgetUsage {
     /// A first attempt goes out.
     pub fn first(&mut self, budget: &Budget, now: Millis) {
         self.slide(budget, now);
--- a/src/attempts/keys.rs
+++ b/src/retry_policy/keys.rs
@@ -3,44 +3,46 @@
 
 use super::budget::Budget;
 use crate::attempt::never_ran;
-use crate::interface::{Millis, Outcome};
+use crate::decision::{Millis, Outcome};
 use std::sync::Arc;
 
 /// The ends of an attempt that may be followed by another one, as a set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends(u8);
+pub struct OutcomeSet(u8);
 
 /// Those ends with their names in the operators' file.
-pub const ENDS: [(&str, Outcome); 6] = [
+pub const RETRYABLE_OUTCOMES: [(&str, Outcome); 6] = [
     ("no-connection", Outcome::NoConnection),
-    ("full", Outcome::Full),
-    ("never-sent", Outcome::Moot),
+    ("full", Outcome::Rejected),
+    ("never-sent", Outcome::NotSent),
     ("reset", Outcome::Reset),
     ("error", Outcome::Error),
     ("timed-out", Outcome::TimedOut),
 ];
 
-impl Ends {
+impl OutcomeSet {
     /// All of them.
-    pub fn all() -> Ends {
-        ENDS.iter()
-            .fold(Ends::default(), |all, (_, end)| all.with(*end))
+    pub fn all() -> OutcomeSet {
+        RETRYABLE_OUTCOMES
+            .iter()
+            .fold(OutcomeSet::default(), |all, (_, end)| all.with(*end))
     }
 
     /// This set and one more. A called-off attempt counts as timed out: it took too long.
     #[must_use]
-    pub fn with(self, end: Outcome) -> Ends {
-        Ends(self.0 | Ends::bit(end))
+    pub fn with(self, end: Outcome) -> OutcomeSet {
+        OutcomeSet(self.0 | OutcomeSet::bit(end))
     }
 
     /// Whether it has this end.
     pub fn has(self, end: Outcome) -> bool {
-        self.0 & Ends::bit(end) != 0
+        self.0 & OutcomeSet::bit(end) != 0
     }
 
     /// Those among them after which the attempt may have run.
     pub fn that_may_have_run(self) -> impl Iterator<Item = &'static str> {
-        ENDS.iter()
+        RETRYABLE_OUTCOMES
+            .iter()
             .filter(move |(_, end)| self.has(*end) && !never_ran(*end))
             .map(|(name, _)| *name)
     }
@@ -51,7 +53,8 @@
         } else {
             end
         };
-        ENDS.iter()
+        RETRYABLE_OUTCOMES
+            .iter()
             .position(|(_, e)| *e == end)
             .map_or(0, |at| 1 << at)
     }
@@ -59,7 +62,7 @@
 
 /// Waits before further attempts, in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BackOff {
+pub struct Backoff {
     /// Before the second attempt; twice as long before each further one.
     pub base_ms: Millis,
     /// At most.
@@ -68,7 +71,7 @@
     pub jitter: f64,
 }
 
-impl BackOff {
+impl Backoff {
     /// The wait before the next attempt, after so many (from 1); `chance` is from 0 to 1.
     pub fn wait_ms(&self, made: u16, chance: f64) -> Millis {
         let doublings = i32::from(made.saturating_sub(1).min(30));
@@ -86,7 +89,7 @@
 
 /// When a second copy of an attempt goes out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum After {
+pub enum HedgingDelay {
     /// Once the attempt has been out this long, in ms.
     Ms(Millis),
     /// Once it has been out for longer than this share of its class's usual ones, as 0.95.
@@ -95,16 +98,16 @@
 
 /// Second copies.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SecondCopy {
+pub struct HedgingPolicy {
     /// When.
-    pub after: After,
+    pub after: HedgingDelay,
     /// Copies against first attempts.
     pub ratio: f64,
 }
 
 /// The keys that a table of the operators' file sets; none where it leaves one out.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Keys {
+pub struct AttemptPolicy {
     /// The whole request, in ms.
     pub timeout_ms: Option<Millis>,
     /// One attempt, in ms.
@@ -112,18 +115,18 @@
     /// Attempts, the first included.
     pub max_attempts: Option<u32>,
     /// The ends that may be followed by another attempt.
-    pub retry_on: Option<Ends>,
+    pub retry_on: Option<OutcomeSet>,
     /// Waits before further attempts.
-    pub backoff: Option<BackOff>,
+    pub backoff: Option<Backoff>,
     /// Further attempts of all requests that take it from here.
     pub budget: Option<Arc<Budget>>,
     /// Second copies.
-    pub second_copy: Option<SecondCopy>,
+    pub hedging: Option<HedgingPolicy>,
 }
 
-impl Keys {
+impl AttemptPolicy {
     /// These, and those of `over` in the place of any that both set.
-    pub fn lay(&mut self, over: &Keys) {
+    pub fn override_with(&mut self, over: &AttemptPolicy) {
         fn one<T: Clone>(under: &mut Option<T>, over: &Option<T>) {
             if over.is_some() {
                 under.clone_from(over);
@@ -135,11 +138,11 @@
         one(&mut self.retry_on, &over.retry_on);
         one(&mut self.backoff, &over.backoff);
         one(&mut self.budget, &over.budget);
-        one(&mut self.second_copy, &over.second_copy);
+        one(&mut self.hedging, &over.hedging);
     }
 
     /// The names of the keys that both set, and to different values.
-    pub fn disagree(&self, other: &Keys) -> Vec<&'static str> {
+    pub fn disagree(&self, other: &AttemptPolicy) -> Vec<&'static str> {
         let differ = |((key, a), (_, b)): (Shown, Shown)| {
             matches!((a, b), (Some(a), Some(b)) if a != b).then_some(key)
         };
@@ -152,15 +155,15 @@
 
     /// Each key with its value as the file writes it, none where this table leaves it out.
     pub fn shown(&self) -> [Shown; 7] {
-        let ends = |ends: &Ends| {
-            let names: Vec<String> = ENDS
+        let ends = |ends: &OutcomeSet| {
+            let names: Vec<String> = RETRYABLE_OUTCOMES
                 .iter()
                 .filter(|(_, e)| ends.has(*e))
                 .map(|(n, _)| format!("{n:?}"))
                 .collect();
             format!("[{}]", names.join(", "))
         };
-        let wait = |b: &BackOff| {
+        let wait = |b: &Backoff| {
             format!(
                 "{{ base_ms = {}, max_ms = {}, jitter = {} }}",
                 b.base_ms, b.max_ms, b.jitter
@@ -173,9 +176,11 @@
                 b.ratio, b.min_per_s
             )
         };
-        let copy = |c: &SecondCopy| match c.after {
-            After::Ms(ms) => format!("{{ after_ms = {ms}, ratio = {} }}", c.ratio),
-            After::Quantile(q) => format!("{{ after = \"p{}\", ratio = {} }}", q * 100.0, c.ratio),
+        let copy = |c: &HedgingPolicy| match c.after {
+            HedgingDelay::Ms(ms) => format!("{{ after_ms = {ms}, ratio = {} }}", c.ratio),
+            HedgingDelay::Quantile(q) => {
+                format!("{{ after = \"p{}\", ratio = {} }}", q * 100.0, c.ratio)
+            }
         };
         [
             ("timeout_ms", self.timeout_ms.map(|ms| ms.to_string())),
@@ -187,7 +192,7 @@
             ("retry_on", self.retry_on.as_ref().map(ends)),
             ("backoff", self.backoff.as_ref().map(wait)),
             ("budget", self.budget.as_ref().map(budget)),
-            ("second_copy", self.second_copy.as_ref().map(copy)),
+            ("second_copy", self.hedging.as_ref().map(copy)),
         ]
     }
 }
@@ -195,9 +200,9 @@
 /// A key with its value as the file writes it, none where a table leaves it out.
 pub type Shown = (&'static str, Option<String>);
 
-impl Keys {
+impl AttemptPolicy {
     /// Whether another attempt may follow this end after so many, budget aside.
-    pub fn may_follow(&self, made: u16, end: Outcome) -> bool {
+    pub fn allows_retry_after(&self, made: u16, end: Outcome) -> bool {
         self.max_attempts.is_none_or(|most| u32::from(made) < most)
             && self.retry_on.is_none_or(|ends| ends.has(end))
     }
@@ -205,25 +210,31 @@
 
 /// What may follow an end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Another attempt, after this wait in ms.
-    After(Millis),
+    RetryAfter(Millis),
     /// None: the policy has no attempt left, or none after such an end.
-    Ended,
+    NotRetryable,
     /// None for now: the budget is spent.
-    Held,
+    BudgetExhausted,
 }
 
-impl Keys {
+impl AttemptPolicy {
     /// What may follow this end of an attempt, after so many, at `now`; a further attempt is counted against the
     /// budget. `chance` is from 0 to 1. A key that nothing sets bars nothing.
-    pub fn next(&self, made: u16, end: Outcome, now: Millis, chance: f64) -> Next {
-        if !self.may_follow(made, end) {
-            return Next::Ended;
+    pub fn retry_decision(
+        &self,
+        made: u16,
+        end: Outcome,
+        now: Millis,
+        chance: f64,
+    ) -> RetryDecision {
+        if !self.allows_retry_after(made, end) {
+            return RetryDecision::NotRetryable;
         }
         if self.budget.as_ref().is_some_and(|budget| !budget.take(now)) {
-            return Next::Held;
+            return RetryDecision::BudgetExhausted;
         }
-        Next::After(self.backoff.map_or(0.0, |wait| wait.wait_ms(made, chance)))
+        RetryDecision::RetryAfter(self.backoff.map_or(0.0, |wait| wait.wait_ms(made, chance)))
     }
 }
--- a/src/attempts/latency.rs
+++ b/src/retry_policy/latency.rs
@@ -1,6 +1,6 @@
 //! How long the attempts of a class take, for second copies that go out past a share of the usual ones.
 
-use crate::interface::Millis;
+use crate::decision::Millis;
 use hdrhistogram::Histogram;
 use std::fmt;
 
--- a/src/attempts/mod.rs
+++ b/src/retry_policy/mod.rs
@@ -8,11 +8,14 @@
 mod policy;
 mod routes;
 
-pub use budget::{Budget, Spent};
-pub use keys::{After, BackOff, ENDS, Ends, Keys, Next, SecondCopy, Shown};
+pub use budget::{Budget, BudgetUsage};
+pub use keys::{
+    AttemptPolicy, Backoff, HedgingDelay, HedgingPolicy, OutcomeSet, RETRYABLE_OUTCOMES,
+    RetryDecision, Shown,
+};
 pub use latency::Latency;
-pub use policy::{Policy, Source};
-pub use routes::{Fault as RouteFault, Front, Match, Route, Routes, Where};
+pub use policy::{EffectiveValue, Policy};
+pub use routes::{Fault as RouteFault, Front, Match, RequestAttributes, Route, Routes};
 
 #[cfg(test)]
 mod tests;
--- a/src/attempts/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -1,14 +1,14 @@
 //! The policy of attempts in force: the index of the tables, and the tables themselves for telling where each value
 //! of a request's keys comes from.
 
-use super::keys::{ENDS, Ends, Keys};
-use super::routes::{Fault, Route, Routes, Where};
+use super::keys::{AttemptPolicy, OutcomeSet, RETRYABLE_OUTCOMES};
+use super::routes::{Fault, RequestAttributes, Route, Routes};
 use crate::attempt::never_ran;
 use std::cmp::Reverse;
 
 /// Where a value of a request's keys comes from, as `POLICY` and `explain` tell it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Source {
+pub struct EffectiveValue {
     /// The key, as the file names it.
     pub key: &'static str,
     /// Its value, as the file would write it; `-` where nothing sets it.
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
     routes: Routes,
-    default: Keys,
+    default: AttemptPolicy,
     /// By the position of the class in the settings, with its name.
-    classes: Vec<(String, Option<Keys>)>,
+    classes: Vec<(String, Option<AttemptPolicy>)>,
     listed: Vec<Route>,
     /// Members by position.
     members: Vec<String>,
@@ -34,8 +34,8 @@
     /// once only: there the default's second copies, and its ends after which the attempt may have run, do not
     /// reach. Errors: the faults between routes, all at once.
     pub fn new(
-        default: Keys,
-        classes: Vec<(String, bool, Option<Keys>)>,
+        default: AttemptPolicy,
+        classes: Vec<(String, bool, Option<AttemptPolicy>)>,
         routes: Vec<Route>,
         members: Vec<String>,
     ) -> Result<Policy, Vec<Fault>> {
@@ -46,10 +46,10 @@
             } else {
                 default.clone()
             };
-            own.iter().for_each(|over| keys.lay(over));
+            own.iter().for_each(|over| keys.override_with(over));
             laid.push(Some(keys));
         }
-        let routes_index = Routes::new(&Keys::default(), &laid, &routes)?;
+        let routes_index = Routes::new(&AttemptPolicy::default(), &laid, &routes)?;
         let classes = classes
             .into_iter()
             .map(|(name, _, own)| (name, own))
@@ -73,25 +73,25 @@
 
     /// Whether the file set anything at all.
     pub fn is_empty(&self) -> bool {
-        self.default == Keys::default()
+        self.default == AttemptPolicy::default()
             && self.classes.iter().all(|(_, own)| own.is_none())
             && self.listed.is_empty()
     }
 
     /// The keys that hold for a request: a lookup whose cost does not grow with the routes.
-    pub fn resolve(&self, at: &Where) -> Keys {
+    pub fn resolve(&self, at: &RequestAttributes) -> AttemptPolicy {
         self.routes.resolve(at)
     }
 
     /// Each key that holds for a request, with the table that it comes from. Walks all routes: for staff, not for
     /// the path of a request.
-    pub fn explain(&self, at: &Where) -> Vec<Source> {
+    pub fn explain(&self, at: &RequestAttributes) -> Vec<EffectiveValue> {
         let held = self.resolve(at);
         let (name, own) = self
             .classes
             .get(at.class)
             .map_or(("", None), |(n, own)| (n.as_str(), own.as_ref()));
-        let mut tables: Vec<(String, &Keys)> = vec![("default".to_owned(), &self.default)];
+        let mut tables: Vec<(String, &AttemptPolicy)> = vec![("default".to_owned(), &self.default)];
         tables.extend(own.map(|keys| (format!("class {name}"), keys)));
         let mut mine: Vec<&Route> = self.listed.iter().filter(|r| r.matches.holds(at)).collect();
         mine.sort_by_key(|r| {
@@ -117,7 +117,7 @@
                     .as_ref()
                     .and(from)
                     .map_or("-".to_owned(), |(table, _)| table.clone());
-                Source {
+                EffectiveValue {
                     key,
                     value: value.unwrap_or_else(|| "-".to_owned()),
                     from,
@@ -150,19 +150,19 @@
     }
 }
 
-impl Keys {
+impl AttemptPolicy {
     /// These keys as they may reach a class that runs once only: no second copies, and no further attempt after an
     /// end at which the attempt may have run.
-    pub fn for_once(&self) -> Keys {
-        let never = |ends: Ends| {
-            let kept = ENDS
+    pub fn for_once(&self) -> AttemptPolicy {
+        let never = |ends: OutcomeSet| {
+            let kept = RETRYABLE_OUTCOMES
                 .iter()
                 .filter(move |(_, e)| never_ran(*e) && ends.has(*e));
-            kept.fold(Ends::default(), |all, (_, e)| all.with(*e))
+            kept.fold(OutcomeSet::default(), |all, (_, e)| all.with(*e))
         };
         let retry_on = self.retry_on.map(never);
-        Keys {
-            second_copy: None,
+        AttemptPolicy {
+            hedging: None,
             retry_on,
             ..self.clone()
         }
--- a/src/attempts/routes.rs
+++ b/src/retry_policy/routes.rs
@@ -1,7 +1,7 @@
 //! Which keys hold for a request: the default's, its class's, and those of the routes that match it, the narrower over
 //! the broader. An index of cells answers in a time that does not grow with the number of routes.
 
-use super::keys::Keys;
+use super::keys::AttemptPolicy;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -20,7 +20,7 @@
 
 /// What a request is, as far as routes ask. Classes and members by their positions in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Where {
+pub struct RequestAttributes {
     /// Its class.
     pub class: usize,
     /// Its member.
@@ -82,7 +82,7 @@
     }
 
     /// Whether it matches a request.
-    pub fn holds(&self, at: &Where) -> bool {
+    pub fn holds(&self, at: &RequestAttributes) -> bool {
         fn has<T: Ord>(set: &Option<BTreeSet<T>>, value: &T) -> bool {
             set.as_ref().is_none_or(|all| all.contains(value))
         }
@@ -130,7 +130,7 @@
     /// What it matches.
     pub matches: Match,
     /// What it sets.
-    pub keys: Keys,
+    pub keys: AttemptPolicy,
 }
 
 /// Why routes cannot be used.
@@ -169,7 +169,7 @@
 /// A cell: the values of a request, and none where a route leaves the matcher out.
 type Cell = (Option<usize>, Option<usize>, Option<Front>, Option<u32>);
 
-fn cell(at: &Where, pattern: u8) -> Cell {
+fn cell(at: &RequestAttributes, pattern: u8) -> Cell {
     let has = |bit: u8| pattern & bit != 0;
     (
         has(1).then_some(at.class),
@@ -188,8 +188,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     /// By class: the default's keys with the class's over them.
-    classes: Vec<Keys>,
-    cells: HashMap<Cell, Keys>,
+    classes: Vec<AttemptPolicy>,
+    cells: HashMap<Cell, AttemptPolicy>,
     /// The patterns that some route has, from fewest values to most.
     patterns: Vec<u8>,
 }
@@ -197,8 +197,8 @@
 impl Routes {
     /// An index over these tables; `classes` by position, none where the file has no table for one. All faults at once.
     pub fn new(
-        default: &Keys,
-        classes: &[Option<Keys>],
+        default: &AttemptPolicy,
+        classes: &[Option<AttemptPolicy>],
         routes: &[Route],
     ) -> Result<Routes, Vec<Fault>> {
         let mut faults: Vec<Fault> = routes
@@ -236,7 +236,7 @@
         let mut index = Routes::default();
         for class in classes {
             let mut keys = default.clone();
-            class.iter().for_each(|over| keys.lay(over));
+            class.iter().for_each(|over| keys.override_with(over));
             index.classes.push(keys);
         }
         // The broader first, so that the narrower of one cell is laid over it: of two routes that name values of the same
@@ -256,7 +256,7 @@
                                 .cells
                                 .entry((class, member, front, data_set))
                                 .or_default()
-                                .lay(&route.keys);
+                                .override_with(&route.keys);
                         }
                     }
                 }
@@ -267,11 +267,11 @@
     }
 
     /// The keys that hold for a request.
-    pub fn resolve(&self, at: &Where) -> Keys {
+    pub fn resolve(&self, at: &RequestAttributes) -> AttemptPolicy {
         let mut keys = self.classes.get(at.class).cloned().unwrap_or_default();
         for pattern in &self.patterns {
             if let Some(over) = self.cells.get(&cell(at, *pattern)) {
-                keys.lay(over);
+                keys.override_with(over);
             }
         }
         keys
--- a/src/rows.rs
+++ b/src/rows.rs
@@ -1,7 +1,7 @@
 //! Results in the two forms that engines give: rows as text, and Arrow data. A client gets the form of its
 //! protocol whichever the engine spoke.
 
-use crate::core::{Body, Form};
+use crate::core::{ResultBody, ResultFormat};
 use arrow_array::{ArrayRef, RecordBatch, StringArray};
 use arrow_cast::display::{ArrayFormatter, FormatOptions};
 use arrow_flight::FlightData;
@@ -31,15 +31,15 @@
 const COLUMNS: [&str; 3] = ["column_1", "column_2", "column_3"];
 
 /// A whole result as Flight messages, the schema first. Text becomes three columns of text.
-pub(crate) fn arrow(body: &Body) -> Result<Vec<FlightData>, Unfit> {
-    if body.form == Form::Arrow {
+pub(crate) fn arrow(body: &ResultBody) -> Result<Vec<FlightData>, Unfit> {
+    if body.format == ResultFormat::Arrow {
         return body
-            .pieces
+            .chunks
             .iter()
             .map(|p| Ok(FlightData::decode(p.clone())?))
             .collect();
     }
-    let text = body.pieces.concat();
+    let text = body.chunks.concat();
     let text = std::str::from_utf8(&text).map_err(|_| Unfit)?;
     let mut columns: [Vec<Option<&str>>; 3] = Default::default();
     for row in text.split_terminator('\n') {
@@ -60,9 +60,9 @@
 }
 
 /// A whole result as rows of text.
-pub(crate) fn text(body: &Body) -> Result<Vec<Bytes>, Unfit> {
-    if body.form == Form::Text {
-        return Ok(body.pieces.clone());
+pub(crate) fn text(body: &ResultBody) -> Result<Vec<Bytes>, Unfit> {
+    if body.format == ResultFormat::Text {
+        return Ok(body.chunks.clone());
     }
     let data = arrow(body)?;
     if data.is_empty() {
@@ -95,7 +95,7 @@
 }
 
 /// The count of rows that an update changed; -1, as Flight SQL has it, where the engine did not tell.
-pub(crate) fn count(body: &Body) -> i64 {
+pub(crate) fn count(body: &ResultBody) -> i64 {
     let first = text(body)
         .ok()
         .and_then(|p| p.first().cloned())
@@ -111,8 +111,8 @@
 }
 
 /// The body of an update's answer.
-pub(crate) fn counted(records: i64) -> Body {
-    Body::whole(Form::Text, vec![format!("{records}\t\t\n").into()])
+pub(crate) fn counted(records: i64) -> ResultBody {
+    ResultBody::complete(ResultFormat::Text, vec![format!("{records}\t\t\n").into()])
 }
 
 #[cfg(test)]
--- a/src/settings.rs
+++ b/src/settings_json.rs
@@ -1,7 +1,7 @@
 //! The settings object, from its JSON words to the library's. The simulator's adapter and the real program
 //! share it, so that both run the module on the same figures.
 
-use crate::interface::{Class, DedupScope, Effect, ExtraBudget, ReportMode, Settings};
+use crate::decision::{Class, DedupScope, Idempotency, LoadReportMode, RetryBudget, Settings};
 use serde::Deserialize;
 use std::sync::Arc;
 
@@ -164,7 +164,7 @@
 
 /// A class with its name, as a request holds it from its arrival to its end, whatever settings come meanwhile.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Named {
+pub struct NamedClass {
     /// The clients' and the engines' name for it.
     pub name: String,
     /// What the settings said of it.
@@ -173,37 +173,37 @@
 
 /// Settings for the library, and what its hosts need besides.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Parsed {
+pub struct PlatformSettings {
     /// What the module is told.
     pub settings: Settings,
     /// Names of the values of a load report, in order.
-    pub report_names: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// Answers tell the work and memory that a query needed.
-    pub bills: bool,
+    pub answers_report_work: bool,
     /// Classes with their names, by position.
-    pub classes: Vec<Arc<Named>>,
+    pub classes: Vec<Arc<NamedClass>>,
     /// Tenant names, by position.
     pub tenants: Vec<String>,
     /// Zone names, by position.
     pub zones: Vec<String>,
     /// Names of machine kinds, by position.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// A connection that is not up within this time has failed.
     pub connect_timeout_ms: f64,
     /// Engines close connections that idle this long.
-    pub conn_idle_ms: f64,
+    pub engine_idle_timeout_ms: f64,
     /// Attempts that one connection carries at once.
-    pub streams_per_conn: usize,
+    pub attempts_per_connection: usize,
     /// Most memory that any engine grants one query, in MB.
-    pub grant_mb: f64,
+    pub max_memory_grant_mb: f64,
     /// Requests that may be open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// A request may have two attempts out at once.
-    pub parallel_tries: bool,
+    pub parallel_attempts_allowed: bool,
 }
 
 /// Reads a settings message.
-pub fn parse(text: &[u8]) -> Result<Parsed, String> {
+pub fn parse(text: &[u8]) -> Result<PlatformSettings, String> {
     let s: Setup = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     // Guard: with no time, or no attempt at all, every request of the class would end at once.
     if s.classes
@@ -218,11 +218,11 @@
     let mut classes = Vec::new();
     for (i, c) in s.classes.iter().enumerate() {
         let effect = match (c.effect.as_str(), c.dedup_scope.as_str()) {
-            ("repeatable", _) => Effect::Repeatable,
-            ("once", _) => Effect::Once,
-            ("by_key", "all") => Effect::Keyed(DedupScope::All),
-            ("by_key", "zone") => Effect::Keyed(DedupScope::Zone),
-            ("by_key", "cell") => Effect::Keyed(DedupScope::Cell),
+            ("repeatable", _) => Idempotency::Idempotent,
+            ("once", _) => Idempotency::NonIdempotent,
+            ("by_key", "all") => Idempotency::WithKey(DedupScope::All),
+            ("by_key", "zone") => Idempotency::WithKey(DedupScope::Zone),
+            ("by_key", "cell") => Idempotency::WithKey(DedupScope::Cell),
             (effect, scope) => {
                 return Err(format!(
                     "settings: class {i} has effect {effect:?}, scope {scope:?}"
@@ -230,35 +230,35 @@
             }
         };
         classes.push(Class {
-            worth: c.points,
-            late_worth: c.late_worth,
-            promise_ms: c.promise_ms,
-            aim_stretch: c.aim_stretch,
-            give_up_ms: c.give_up_ms,
+            priority_weight: c.points,
+            late_weight_factor: c.late_worth,
+            latency_objective_ms: c.promise_ms,
+            objective_work_factor: c.aim_stretch,
+            client_timeout_ms: c.give_up_ms,
             threads: s.specifics.class_threads.get(i).copied().unwrap_or(1),
-            effect,
-            memory_span_ms: c.memory_span_ms,
-            ordered: c.fifo_by_key,
-            loads: s.specifics.class_load.get(i).copied().unwrap_or(false),
-            waits: s.specifics.waits_for_loads.get(i).copied().unwrap_or(false),
-            zones: c.confined_to.clone(),
-            kinds: c.runs_on.clone(),
+            idempotency: effect,
+            dedup_window_ms: c.memory_span_ms,
+            ordered_by_key: c.fifo_by_key,
+            is_bulk_load: s.specifics.class_load.get(i).copied().unwrap_or(false),
+            waits_for_bulk_loads: s.specifics.waits_for_loads.get(i).copied().unwrap_or(false),
+            allowed_zones: c.confined_to.clone(),
+            allowed_machine_types: c.runs_on.clone(),
         });
     }
     let g = &s.guarantees;
     let extra = match (g.extra_free, g.further_ratio, g.extra_window_ms) {
         (None, None, _) => None,
-        (free, ratio, Some(window_ms)) => Some(ExtraBudget {
-            free: free.unwrap_or(0.0),
-            ratio: ratio.unwrap_or(0.0),
+        (free, ratio, Some(window_ms)) => Some(RetryBudget {
+            free_retries: free.unwrap_or(0.0),
+            retries_per_request: ratio.unwrap_or(0.0),
             window_ms,
         }),
         _ => return Err("settings: a budget of further attempts without its window".to_owned()),
     };
     let reports = match s.report.how.as_str() {
-        "inline" => ReportMode::Inline,
-        "on_probe" => ReportMode::OnProbe,
-        _ => ReportMode::Off,
+        "inline" => LoadReportMode::Inline,
+        "on_probe" => LoadReportMode::OnHealthCheck,
+        _ => LoadReportMode::Off,
     };
     let largest = s
         .specifics
@@ -268,7 +268,7 @@
         .fold(0.0, f64::max);
     let grant_mb = largest * s.specifics.max_grant_share.clamp(0.0, 1.0);
     let names: Vec<String> = s.classes.iter().map(|c| c.name.clone()).collect();
-    let named = |(name, class): (&String, &Class)| Named {
+    let named = |(name, class): (&String, &Class)| NamedClass {
         name: name.clone(),
         class: class.clone(),
     };
@@ -282,44 +282,44 @@
         instances: s.n_instances,
         ordinal: s.ordinal,
         classes,
-        names,
-        kind_cores: s.specifics.size_cores,
-        takes_grants: s.specifics.takes_grants,
-        progress_ms: s.specifics.progress_ms,
-        tenant_quotas: s.tenants.iter().map(|t| t.quota_per_s).collect(),
+        class_names: names,
+        machine_type_cores: s.specifics.size_cores,
+        memory_grants_supported: s.specifics.takes_grants,
+        progress_interval_ms: s.specifics.progress_ms,
+        tenant_quotas_per_s: s.tenants.iter().map(|t| t.quota_per_s).collect(),
         zone: s.az,
-        crossing_price: s.charges.cross_zone,
-        must_ask: s.discovery == "ask",
-        attempts_cap: s.limits.attempts_cap as u32,
-        may_cancel: s.limits.cancel,
-        may_probe: s.limits.may_probe,
-        max_hold_off_ms: if s.limits.retry_after {
+        cross_zone_cost: s.charges.cross_zone,
+        must_poll_list: s.discovery == "ask",
+        max_attempts: s.limits.attempts_cap as u32,
+        cancellation_allowed: s.limits.cancel,
+        health_checks_allowed: s.limits.may_probe,
+        max_retry_after_ms: if s.limits.retry_after {
             s.limits.max_retry_after_ms
         } else {
             0.0
         },
-        reports,
-        cold_share: g.cold_share,
-        cold_ms: g.cold_ms,
-        tip_multiple: g.tip_multiple,
-        overload_for_ms: g.overload_for_ms,
-        order_pause_ms: g.order_pause_ms,
-        extra,
+        load_reports: reports,
+        slow_start_initial_share: g.cold_share,
+        slow_start_ms: g.cold_ms,
+        overload_multiple: g.tip_multiple,
+        overload_window_ms: g.overload_for_ms,
+        order_key_pause_ms: g.order_pause_ms,
+        retry_budget: extra,
     };
     settings.check().map_err(|e| e.to_string())?;
-    Ok(Parsed {
+    Ok(PlatformSettings {
         settings,
-        report_names: s.report.names,
-        bills: s.specifics.bills,
+        load_report_fields: s.report.names,
+        answers_report_work: s.specifics.bills,
         classes: classes_named,
         tenants: s.tenants.into_iter().map(|t| t.name).collect(),
         zones: s.zones,
-        kinds: s.shapes,
+        machine_types: s.shapes,
         connect_timeout_ms: s.limits.connect_timeout_ms,
-        conn_idle_ms: s.limits.conn_idle_ms,
-        streams_per_conn: s.limits.streams_per_conn.max(1),
-        grant_mb: if grant_mb >= 1.0 { grant_mb } else { 1e6 },
-        max_open: s.limits.max_open.max(1),
-        parallel_tries: s.limits.parallel_tries,
+        engine_idle_timeout_ms: s.limits.conn_idle_ms,
+        attempts_per_connection: s.limits.streams_per_conn.max(1),
+        max_memory_grant_mb: if grant_mb >= 1.0 { grant_mb } else { 1e6 },
+        max_open_requests: s.limits.max_open.max(1),
+        parallel_attempts_allowed: s.limits.parallel_tries,
     })
 }
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -1,8 +1,8 @@
 //! The SNMP agent: version 2c, read-only, over the counters that are printed on request and at exit. Its objects
 //! stand in `mibs/MAGPIECHUTE-MIB.txt`, the counters in the order of their table.
 
-use crate::counters::{Counters, is_gauge};
 use crate::limits::Limits;
+use crate::metrics::{Metrics, is_gauge};
 use rasn::types::{Integer, ObjectIdentifier};
 use rasn_smi::v1::{Gauge, TimeTicks};
 use rasn_smi::v2::{ApplicationSyntax, Counter64, ObjectSyntax, SimpleSyntax};
@@ -26,7 +26,7 @@
 pub(crate) struct Agent {
     community: String,
     name: String,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
     limits: Arc<Limits>,
     start: Instant,
 }
@@ -35,13 +35,13 @@
     pub(crate) fn new(
         community: String,
         name: String,
-        counters: Arc<Counters>,
+        metrics: Arc<Metrics>,
         limits: Arc<Limits>,
     ) -> Agent {
         Agent {
             community,
             name,
-            counters,
+            metrics,
             limits,
             start: Instant::now(),
         }
@@ -57,10 +57,10 @@
             };
             match self.answer(&buffer[..len]) {
                 Some(answer) => {
-                    self.counters.snmp_answered.up();
+                    self.metrics.snmp_answered.increment();
                     let _ = socket.send_to(&answer, from).await;
                 }
-                None => self.counters.snmp_dropped.up(),
+                None => self.metrics.snmp_dropped.increment(),
             }
         }
     }
@@ -151,7 +151,7 @@
         );
         put(&SYSTEM, 3, wide(ApplicationSyntax::Ticks(TimeTicks(ticks))));
         put(&SYSTEM, 5, text(&self.name));
-        for (object, (name, value)) in (1..).zip(self.counters.all()) {
+        for (object, (name, value)) in (1..).zip(self.metrics.all()) {
             let value = match is_gauge(name) {
                 true => {
                     ApplicationSyntax::Unsigned(Gauge(u32::try_from(value).unwrap_or(u32::MAX)))
@@ -168,7 +168,7 @@
                 .collect();
             view.insert(ObjectIdentifier::new_unchecked(arcs.into()), value);
         };
-        for (row, (name, ends)) in (1..).zip(self.counters.classes()) {
+        for (row, (name, ends)) in (1..).zip(self.metrics.classes()) {
             cell(2, row, text(&name));
             for (column, value) in (3..).zip(ends) {
                 cell(
--- a/src/snmp/tests.rs
+++ b/src/snmp/tests.rs
@@ -1,17 +1,17 @@
 //! Tests of this module.
 
-use crate::counters::{Counters, is_gauge};
+use crate::metrics::{Metrics, is_gauge};
 
 /// The file names every counter, with its number and syntax.
 #[test]
 fn the_mib_file_tells_what_the_agent_has() {
     let mib = include_str!("../../mibs/MAGPIECHUTE-MIB.txt");
     let mut objects = Vec::new();
-    let counters = mib
+    let metrics = mib
         .split("mcClassTable OBJECT-TYPE")
         .next()
         .unwrap_or_default();
-    for part in counters.split(" OBJECT-TYPE\n").skip(1) {
+    for part in metrics.split(" OBJECT-TYPE\n").skip(1) {
         let word = |after: &str| {
             part.split(after)
                 .nth(1)
@@ -19,12 +19,12 @@
         };
         objects.push((word("SYNTAX"), word("::= { magpiechute")));
     }
-    let names: Vec<String> = Counters::default()
+    let names: Vec<String> = Metrics::default()
         .all()
         .iter()
         .map(|(n, _)| n.replace('_', ""))
         .collect();
-    for (i, (name, _)) in Counters::default().all().iter().enumerate() {
+    for (i, (name, _)) in Metrics::default().all().iter().enumerate() {
         let syntax = if is_gauge(name) {
             "Gauge32"
         } else {
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -2,8 +2,8 @@
 //! many managers hold each of them. Sans-I/O, and computed from the settings and the list alone, so that it is the
 //! same after a restart and needs no message between managers. The design is in `docs/subsets.md`.
 
-use crate::choice::mix;
-use crate::interface::{EngineId, Holders, Settings};
+use crate::decision::mix;
+use crate::decision::{EngineId, EngineSharing, Settings};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Positions on a ring.
@@ -62,7 +62,7 @@
 }
 
 /// The engines that are held, where the list is too long to be held whole.
-pub type Members = BTreeMap<EngineId, Holders>;
+pub type Members = BTreeMap<EngineId, EngineSharing>;
 
 /// The engines that take work, in the order in which managers meet them.
 #[derive(Clone, Debug)]
@@ -166,10 +166,10 @@
         let member = |(engine, place): (&EngineId, &u32)| {
             (
                 *engine,
-                Holders {
-                    mean,
-                    most,
-                    place: *place,
+                EngineSharing {
+                    mean_managers: mean,
+                    max_managers: most,
+                    rank: *place,
                 },
             )
         };
