--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 lint:
 	cargo fmt --all -- --check
 	cargo clippy --locked --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --no-deps --document-private-items
 
 run: build
 	exec target/release/workload-manager
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -3,9 +3,11 @@
 
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::*;
+use common::{Rig, class, entry, sent, served, settings};
 use std::time::Instant;
-use workload_manager::*;
+use workload_manager::{
+    EngineEntry, EngineId, EngineState, Event, ListUpdateKind, LoadReport, Settings,
+};
 
 const REQUESTS: u32 = 5_000;
 
--- a/benches/scale/churn.rs
+++ b/benches/scale/churn.rs
@@ -23,7 +23,7 @@
 
 /// How fast engines are replaced, and how many at most.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
+pub(super) struct Rate {
     /// From one replacement to the next.
     pub interval: Duration,
     /// No further ones follow these.
@@ -32,7 +32,7 @@
 
 impl Rate {
     /// Ten ordinary days in one.
-    pub fn ten_days() -> Rate {
+    pub(super) fn ten_days() -> Rate {
         let replaced = TIMES * ORDINARY_DAY.iter().sum::<u32>();
         Rate {
             interval: Duration::from_secs_f64(SECONDS_PER_DAY / f64::from(replaced)),
@@ -41,7 +41,7 @@
     }
 
     /// Engines that would be replaced in a day.
-    pub fn replaced_a_day(self) -> f64 {
+    pub(super) fn replaced_a_day(self) -> f64 {
         SECONDS_PER_DAY / self.interval.as_secs_f64()
     }
 
@@ -51,7 +51,7 @@
 }
 
 /// Replacements told while this value lives.
-pub struct Churn {
+pub(super) struct Churn {
     events: Arc<AtomicU64>,
     stop: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -59,7 +59,12 @@
 
 impl Churn {
     /// Tells a replacement at once and then one each interval.
-    pub fn start(feed: &Arc<Mutex<Feed>>, listed: &[EngineRecord], port: u16, rate: Rate) -> Churn {
+    pub(super) fn start(
+        feed: &Arc<Mutex<Feed>>,
+        listed: &[EngineRecord],
+        port: u16,
+        rate: Rate,
+    ) -> Churn {
         let events = Arc::<AtomicU64>::default();
         let (stop, stopped) = mpsc::channel::<()>();
         let (feed, count) = (feed.clone(), events.clone());
@@ -93,12 +98,12 @@
     }
 
     /// Events told so far: two for each engine replaced.
-    pub fn events(&self) -> u64 {
+    pub(super) fn events(&self) -> u64 {
         self.events.load(Ordering::SeqCst)
     }
 
     /// Ends it, with no engine left halfway; returns the events told in all.
-    pub fn finish(mut self) -> u64 {
+    pub(super) fn finish(mut self) -> u64 {
         self.stop();
         self.events()
     }
--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -58,7 +58,7 @@
 
 /// What became of the statements of one round.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Offered {
+pub(super) struct Offered {
     /// From the first statement to the last answer.
     pub seconds: f64,
     /// Statements written.
@@ -89,13 +89,13 @@
 
 impl Offered {
     /// Statements that have an answer.
-    pub fn answered(&self) -> u64 {
+    pub(super) fn answered(&self) -> u64 {
         self.served + self.refused + self.failed
     }
 }
 
 /// Open connections of clients; they close with this value.
-pub struct Clients {
+pub(super) struct Clients {
     runtime: Runtime,
     connections: Vec<Connection>,
     tally: Arc<Tally>,
@@ -111,7 +111,7 @@
 
 impl Clients {
     /// Opens so many connections, each of which is told that the manager is fit.
-    pub fn connect(manager: SocketAddr, count: usize) -> Result<Clients, Failure> {
+    pub(super) fn connect(manager: SocketAddr, count: usize) -> Result<Clients, Failure> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -131,12 +131,16 @@
     }
 
     /// Offers statements at this rate for so long, and waits for their answers.
-    pub fn offer(&mut self, rate: f64, lasts: Duration) -> Result<Offered, Failure> {
+    pub(super) fn offer(&mut self, rate: f64, lasts: Duration) -> Result<Offered, Failure> {
         self.round(lasts, |elapsed, sent, _| (rate * elapsed) as u64 - sent)
     }
 
     /// Keeps so many statements open for so long, and waits for their answers.
-    pub fn keep_open(&mut self, statements: u64, lasts: Duration) -> Result<Offered, Failure> {
+    pub(super) fn keep_open(
+        &mut self,
+        statements: u64,
+        lasts: Duration,
+    ) -> Result<Offered, Failure> {
         self.round(lasts, |_, _, open| statements.saturating_sub(open))
     }
 
--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -7,10 +7,10 @@
 use workload_manager::{EngineState, ListUpdateKind};
 
 /// The number of the event that holds the whole list.
-pub const FIRST_EVENT: u64 = 1;
+pub(super) const FIRST_EVENT: u64 = 1;
 
 /// What a configuration file is made of.
-pub struct Configuration<'a> {
+pub(super) struct Configuration<'a> {
     /// Where the list feed listens.
     pub feed: SocketAddr,
     /// Descriptors that the manager may hold.
@@ -25,7 +25,7 @@
 
 impl Configuration<'_> {
     /// The file with the usual settings.
-    pub fn value(&self) -> Value {
+    pub(super) fn value(&self) -> Value {
         let settings: Value = serde_json::from_str(&fleet::settings_text(self.managers, 0))
             .expect("the settings of the scale tests are JSON");
         json!({
@@ -70,14 +70,14 @@
 }
 
 /// The list of so many ready engines that all listen at this port, each at an address of its own.
-pub fn listed(engines: usize, port: u16) -> Vec<EngineRecord> {
+pub(super) fn listed(engines: usize, port: u16) -> Vec<EngineRecord> {
     (0..engines as u32)
         .map(|place| engine(place, EngineState::Ready, 0.0, port))
         .collect()
 }
 
 /// The event that holds this list.
-pub fn first_event(listed: &[EngineRecord]) -> EndpointListEvent {
+pub(super) fn first_event(listed: &[EngineRecord]) -> EndpointListEvent {
     EndpointListEvent {
         number: FIRST_EVENT,
         kind: ListUpdateKind::Full,
@@ -87,7 +87,7 @@
 }
 
 /// The engine in this place. Ids start at 1, as the first address of a network may not be connected to.
-pub fn engine(place: u32, state: EngineState, started_ms: f64, port: u16) -> EngineRecord {
+pub(super) fn engine(place: u32, state: EngineState, started_ms: f64, port: u16) -> EngineRecord {
     let mut line = fleet::engine(place + 1, state, started_ms);
     line.address.set_port(port);
     line
--- a/benches/scale/cost.rs
+++ b/benches/scale/cost.rs
@@ -67,11 +67,11 @@
 
 /// Resident memory of a hollow manager, by listed engines.
 #[derive(Clone, Copy, Debug)]
-pub struct Memory(Line);
+pub(super) struct Memory(Line);
 
 impl Memory {
     /// Bytes of so many managers with so many listed engines each.
-    pub fn bytes(&self, managers: usize, listed: usize) -> f64 {
+    pub(super) fn bytes(&self, managers: usize, listed: usize) -> f64 {
         self.0.at(listed as f64).max(0.0) * managers as f64
     }
 }
@@ -89,7 +89,7 @@
 ];
 
 /// Plays all sizes, predicts the largest from the others, and returns what memory a manager takes.
-pub fn run(options: &Options, output: &mut Output) -> Result<Memory, Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<Memory, Failure> {
     let sizes = options.listed();
     let mut rows: Vec<CostRow> = Vec::new();
     let mut predictions = Vec::new();
--- a/benches/scale/crowd.rs
+++ b/benches/scale/crowd.rs
@@ -14,7 +14,7 @@
 const PATIENCE: Duration = Duration::from_secs(120);
 
 /// Managers at work; they end when this is dropped.
-pub struct Crowd {
+pub(super) struct Crowd {
     orders: Vec<orders::UnboundedSender<Order>>,
     news: mpsc::Receiver<News>,
     threads: Vec<JoinHandle<()>>,
@@ -24,7 +24,7 @@
 
 /// What statements came to at all managers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Service {
+pub(super) struct Service {
     /// Attempts handed to engines.
     pub asked: usize,
     /// Those among them whose engine had ended.
@@ -33,7 +33,7 @@
 
 impl Crowd {
     /// Starts so many managers at once; each begins without a list.
-    pub fn start(plan: &Plan, managers: usize) -> Result<Crowd, Failure> {
+    pub(super) fn start(plan: &Plan, managers: usize) -> Result<Crowd, Failure> {
         let (tell, news) = mpsc::channel();
         let mut senders = Vec::new();
         let mut shares: Vec<Vec<_>> = (0..THREADS.min(managers)).map(|_| Vec::new()).collect();
@@ -77,12 +77,12 @@
     }
 
     /// How many there are.
-    pub fn size(&self) -> usize {
+    pub(super) fn size(&self) -> usize {
         self.orders.len()
     }
 
     /// Waits until an event is in force at all of them. Earlier events that some are told again or late are passed by.
-    pub fn gather(&self, number: u64) -> Result<Vec<Sighting>, Failure> {
+    pub(super) fn gather(&self, number: u64) -> Result<Vec<Sighting>, Failure> {
         self.collect(|news| match news {
             News::Event(sighting) if sighting.number == number => Some(sighting),
             _ => None,
@@ -90,7 +90,7 @@
     }
 
     /// Lets each take so many statements in.
-    pub fn serve(&self, requests: u32) -> Result<Service, Failure> {
+    pub(super) fn serve(&self, requests: u32) -> Result<Service, Failure> {
         self.order(Order::Serve(requests));
         let all = self.collect(|news| match news {
             News::Served {
@@ -110,7 +110,7 @@
     }
 
     /// Processor time of the thread of the first manager.
-    pub fn usage(&self) -> Result<Duration, Failure> {
+    pub(super) fn usage(&self) -> Result<Duration, Failure> {
         self.order(Order::Usage);
         let all = self.collect(|news| match news {
             News::Usage(processor) => Some(processor),
--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -68,7 +68,7 @@
 }
 
 /// Plays all sizes, and predicts the largest from the others.
-pub fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
     let effort = if options.small { &SMALL } else { &FULL };
     let sizes = options.listed();
     let (mut requests, mut ticks): (Vec<Point>, Vec<Point>) = (Vec::new(), Vec::new());
@@ -98,7 +98,7 @@
 }
 
 /// Processor time of one tick with so many listed engines, in us: one short round.
-pub fn tick_us(options: &Options, listed: usize) -> f64 {
+pub(super) fn tick_us(options: &Options, listed: usize) -> f64 {
     let mut rig = Rig::new(options, listed, 0);
     rig.play(SMALL.requests, SMALL.longest);
     rig.in_ticks.mean_us()
--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Time that an engine takes to serve a statement.
-pub const SERVED_AFTER: Duration = Duration::from_millis(10);
+pub(super) const SERVED_AFTER: Duration = Duration::from_millis(10);
 /// What follows the name of a statement that was served: the work and memory that it needed, a load report, one row.
 const SERVED: &str = " served batches=1,cpu=10,used=8,l=inflight:4;util:0.5 6\r\na\tb\tc\n\r\n";
 /// The interface that the listener is bound to, so that nothing outside of this machine reaches it.
@@ -34,7 +34,7 @@
 
 /// Figures of the engines together.
 #[derive(Clone, Copy, Debug)]
-pub struct Totals {
+pub(super) struct Totals {
     /// Connections accepted.
     pub connections: u64,
     /// Statements received.
@@ -48,7 +48,7 @@
 }
 
 /// All engines of a list; they end with this value.
-pub struct Engines {
+pub(super) struct Engines {
     /// The port of every engine.
     pub port: u16,
     seen: Arc<Seen>,
@@ -58,7 +58,7 @@
 
 impl Engines {
     /// Starts them in a thread of their own.
-    pub fn start() -> Result<Engines, Failure> {
+    pub(super) fn start() -> Result<Engines, Failure> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -86,7 +86,7 @@
     }
 
     /// What they have seen so far.
-    pub fn totals(&self) -> Totals {
+    pub(super) fn totals(&self) -> Totals {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         Totals {
             connections: read(&self.seen.connections),
--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -18,11 +18,11 @@
 use workload_manager::{EngineState, ListUpdateKind};
 
 /// Bytes of one record.
-pub const RECORD_BYTES: usize = 27;
+pub(super) const RECORD_BYTES: usize = 27;
 /// Bytes of a frame before its records: length, number and kind.
-pub const FRAME_HEAD_BYTES: usize = 13;
+pub(super) const FRAME_HEAD_BYTES: usize = 13;
 /// Interval at which the feed tells that there is nothing new.
-pub const IDLE: Duration = Duration::from_secs(1);
+pub(super) const IDLE: Duration = Duration::from_secs(1);
 const KIND_EMPTY: u8 = 0;
 const KIND_WHOLE: u8 = 1;
 const KIND_CHANGES: u8 = 2;
@@ -34,7 +34,7 @@
 const SAMPLE: Duration = Duration::from_millis(10);
 
 /// One event as a frame: its length, number, kind and records.
-pub fn frame(event: &EndpointListEvent) -> Bytes {
+pub(super) fn frame(event: &EndpointListEvent) -> Bytes {
     let kind = match event.kind {
         ListUpdateKind::Delta => KIND_CHANGES,
         _ => KIND_WHOLE,
@@ -86,7 +86,7 @@
 
 /// What the feed has done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
+pub(super) struct Totals {
     /// Connections accepted.
     pub connections: u64,
     /// Frames written, empty ones among them.
@@ -149,7 +149,7 @@
 }
 
 /// A feed at work; it ends when this is dropped.
-pub struct Feed {
+pub(super) struct Feed {
     /// Where it listens, when it is not away.
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -160,7 +160,7 @@
 
 impl Feed {
     /// A feed whose first event is this whole list. `idle` is the interval of its empty frames.
-    pub fn start(list: &EndpointListEvent, idle: Duration) -> Result<Feed, Failure> {
+    pub(super) fn start(list: &EndpointListEvent, idle: Duration) -> Result<Feed, Failure> {
         let shared = Arc::new(Shared {
             idle,
             log: Mutex::new(vec![(list.number, frame(list))]),
@@ -198,7 +198,7 @@
     }
 
     /// Tells one more event to whoever follows, now or later; returns when it was told.
-    pub fn publish(&self, event: &EndpointListEvent) -> Instant {
+    pub(super) fn publish(&self, event: &EndpointListEvent) -> Instant {
         let frame = frame(event);
         let at = Instant::now();
         let mut log = lock(&self.shared.log);
@@ -208,12 +208,12 @@
     }
 
     /// Closes the listener and all connections.
-    pub fn leave(&self) -> Result<(), Failure> {
+    pub(super) fn leave(&self) -> Result<(), Failure> {
         self.turn(Presence::Away)
     }
 
     /// Listens again at the same address; returns when it did.
-    pub fn come_back(&self) -> Result<Instant, Failure> {
+    pub(super) fn come_back(&self) -> Result<Instant, Failure> {
         self.turn(Presence::Here).map(|()| Instant::now())
     }
 
@@ -229,19 +229,19 @@
     }
 
     /// What it has done so far.
-    pub fn totals(&self) -> Totals {
+    pub(super) fn totals(&self) -> Totals {
         self.shared.totals()
     }
 
     /// Its load over a time. It waits for the sample that ends the time.
-    pub fn load(&self, from: Instant, until: Instant) -> Result<Load, Failure> {
+    pub(super) fn load(&self, from: Instant, until: Instant) -> Result<Load, Failure> {
         self.sampled(until)?;
         let load = lock(&self.shared.timeline).load(from, until);
         load.ok_or_else(|| Failure::Broken("no two samples of the feed's load".to_owned()))
     }
 
     /// Processor time of its thread by the first sample after this time.
-    pub fn processor(&self, at: Instant) -> Result<Duration, Failure> {
+    pub(super) fn processor(&self, at: Instant) -> Result<Duration, Failure> {
         self.sampled(at)?;
         Ok(lock(&self.shared.timeline).processor())
     }
--- a/benches/scale/fit.rs
+++ b/benches/scale/fit.rs
@@ -4,11 +4,11 @@
 use serde::Serialize;
 
 /// One measured point: the size, and the figure there.
-pub type Point = (f64, f64);
+pub(crate) type Point = (f64, f64);
 
 /// A straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub(crate) struct Line {
     /// The figure at size 0.
     pub intercept: f64,
     /// Its growth for each unit of size.
@@ -17,7 +17,7 @@
 
 impl Line {
     /// The line of least squares; none through fewer than two different sizes.
-    pub fn through(points: &[Point]) -> Option<Line> {
+    pub(crate) fn through(points: &[Point]) -> Option<Line> {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_figure = points.iter().map(|(_, figure)| figure).sum::<f64>() / count;
@@ -37,14 +37,14 @@
     }
 
     /// The figure at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub(crate) fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
 /// Which figure of which test, and over which size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Figure {
+pub(crate) struct Figure {
     /// The test.
     pub test: &'static str,
     /// The figure's name in its rows.
@@ -55,7 +55,7 @@
 
 /// A figure that was predicted, to be held against its measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Prediction {
+pub(crate) struct Prediction {
     #[serde(flatten)]
     figure: Figure,
     size: f64,
@@ -91,7 +91,7 @@
 
 impl Prediction {
     /// Fits the line through the smaller sizes, and writes it and what it says of the largest one.
-    pub fn write(
+    pub(crate) fn write(
         output: &mut Output,
         figure: Figure,
         points: &[Point],
@@ -120,7 +120,7 @@
     }
 
     /// Writes the prediction beside the measurement, and its error.
-    pub fn check(&self, output: &mut Output, measured: f64) -> Result<(), Failure> {
+    pub(crate) fn check(&self, output: &mut Output, measured: f64) -> Result<(), Failure> {
         let error_percent = rounded((self.predicted - measured) / measured * 100.0);
         output.row(&ErrorRow {
             kind: Kind::Error,
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -5,32 +5,32 @@
 use workload_manager::{EngineEntry, EngineState, ListUpdateKind};
 
 /// Managers of the whole fleet.
-pub const MANAGERS: u32 = 3_700;
+pub(super) const MANAGERS: u32 = 3_700;
 /// Memory that a manager may use, in MB.
-pub const MEMORY_MB: usize = 256;
+pub(super) const MEMORY_MB: usize = 256;
 /// Descriptors that a manager may hold.
-pub const SOCKETS: usize = 4_096;
+pub(super) const SOCKETS: usize = 4_096;
 /// Statements a second that clients offer to one manager.
-pub const STATEMENTS: f64 = 4_595.0;
+pub(super) const STATEMENTS: f64 = 4_595.0;
 /// Listed engines, up to those of the whole fleet.
-pub const LISTED: [usize; 4] = [1_024, 4_096, 10_000, 22_000];
+pub(super) const LISTED: [usize; 4] = [1_024, 4_096, 10_000, 22_000];
 /// The same for the small case.
-pub const LISTED_SMALL: [usize; 4] = [16, 32, 64, 128];
+pub(super) const LISTED_SMALL: [usize; 4] = [16, 32, 64, 128];
 /// Hollow managers of one process at most: all of the fleet.
-pub const HOLLOW: usize = MANAGERS as usize;
+pub(super) const HOLLOW: usize = MANAGERS as usize;
 /// The same for the small case.
-pub const HOLLOW_SMALL: usize = 12;
+pub(super) const HOLLOW_SMALL: usize = 12;
 /// Zones of all regions together.
-pub const ZONES: usize = 14;
+pub(super) const ZONES: usize = 14;
 /// Data sets that statements name.
-pub const DATA_SETS: u32 = 1_000;
+pub(super) const DATA_SETS: u32 = 1_000;
 /// Cores of an engine.
-pub const CORES: f64 = 8.0;
+pub(super) const CORES: f64 = 8.0;
 
 const ENGINE_PORT: u16 = 5_050;
 
 /// The settings of one manager as text, as a configuration holds them.
-pub fn settings_text(managers: u32, ordinal: u32) -> String {
+pub(super) fn settings_text(managers: u32, ordinal: u32) -> String {
     let zones: Vec<String> = (0..ZONES).map(|zone| format!("\"zone-{zone}\"")).collect();
     let zones = zones.join(",");
     format!(
@@ -48,13 +48,13 @@
 }
 
 /// The settings of one manager.
-pub fn settings(managers: u32, ordinal: u32) -> PlatformSettings {
+pub(super) fn settings(managers: u32, ordinal: u32) -> PlatformSettings {
     settings_json::parse(settings_text(managers, ordinal).as_bytes())
         .expect("settings of the scale tests")
 }
 
 /// An engine of the list; each has an address of its own.
-pub fn engine(id: u32, state: EngineState, started_ms: f64) -> EngineRecord {
+pub(super) fn engine(id: u32, state: EngineState, started_ms: f64) -> EngineRecord {
     let [high, middle, low, last] = id.to_be_bytes();
     let entry = EngineEntry {
         engine: engine_id(id),
@@ -73,7 +73,7 @@
 }
 
 /// The whole list of so many engines, long started and ready.
-pub fn whole_list(number: u64, engines: usize) -> EndpointListEvent {
+pub(super) fn whole_list(number: u64, engines: usize) -> EndpointListEvent {
     let entries = (0..engines as u32)
         .map(|id| engine(id, EngineState::Ready, 0.0))
         .collect();
@@ -86,10 +86,15 @@
 }
 
 /// Managers of one zone, which a zone's loss starts elsewhere at once.
-pub const MANAGERS_OF_A_ZONE: usize = 264;
+pub(super) const MANAGERS_OF_A_ZONE: usize = 264;
 
 /// A change: this engine is gone, and its successor, started now, is ready in its place.
-pub fn replacement(number: u64, gone: u32, successor: u32, started_ms: f64) -> EndpointListEvent {
+pub(super) fn replacement(
+    number: u64,
+    gone: u32,
+    successor: u32,
+    started_ms: f64,
+) -> EndpointListEvent {
     let entries = vec![
         engine(gone, EngineState::Removed, 0.0),
         engine(successor, EngineState::Ready, started_ms),
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -25,7 +25,7 @@
 };
 
 /// Work that a statement is estimated at, and billed, in ms.
-pub const WORK_MS: f64 = 5.0;
+pub(super) const WORK_MS: f64 = 5.0;
 /// Statements that other managers have in hand at each engine, and the share of its cores that is busy.
 const OTHERS_IN_HAND: f64 = 4.0;
 const BUSY: f64 = 0.5;
@@ -34,7 +34,7 @@
 
 /// An attempt that was handed to an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub(super) struct Asked {
     /// Which engine.
     pub engine: EngineId,
     /// Which request.
@@ -56,7 +56,7 @@
 
 /// Engines that take every attempt and keep what they are told.
 #[derive(Clone, Default)]
-pub struct HollowEngines(Arc<Mutex<Port>>);
+pub(super) struct HollowEngines(Arc<Mutex<Port>>);
 
 impl HollowEngines {
     fn port(&self) -> MutexGuard<'_, Port> {
@@ -64,7 +64,7 @@
     }
 
     /// The attempts since the last call.
-    pub fn asked(&self) -> Vec<Asked> {
+    pub(super) fn asked(&self) -> Vec<Asked> {
         std::mem::take(&mut self.port().asked)
     }
 }
@@ -102,14 +102,14 @@
 }
 
 /// A client that drops its answers; the core counts them.
-pub struct HollowClient;
+pub(super) struct HollowClient;
 
 impl ClientPort for HollowClient {
     fn answer(&self, _: RequestId, _: Answer) {}
 }
 
 /// A statement of this class.
-pub fn statement(
+pub(super) fn statement(
     id: RequestId,
     now: Millis,
     class: &Arc<NamedClass>,
@@ -134,7 +134,8 @@
 }
 
 /// The good end of an attempt, with the load report of its engine.
-pub fn served(
+#[expect(clippy::similar_names, reason = "not split yet")]
+pub(super) fn served(
     Asked {
         engine,
         id,
@@ -165,7 +166,7 @@
 
 /// What a hollow manager is made of.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub(super) struct Plan {
     /// Managers of the fleet, as the settings say.
     pub instances: u32,
     /// Memory of each, in MB.
@@ -178,7 +179,7 @@
 
 /// What a hollow manager is told to do.
 #[derive(Clone, Copy, Debug)]
-pub enum Order {
+pub(super) enum Order {
     /// Take so many statements in and serve them.
     Serve(u32),
     /// Say what its thread has used.
@@ -187,7 +188,7 @@
 
 /// What a hollow manager tells.
 #[derive(Clone, Debug)]
-pub enum News {
+pub(super) enum News {
     /// An event of the list is in force: the module has it.
     Event(Sighting),
     /// Statements were served.
@@ -203,7 +204,7 @@
 
 /// An event that is in force at one manager.
 #[derive(Clone, Copy, Debug)]
-pub struct Sighting {
+pub(super) struct Sighting {
     /// The event's number.
     pub number: u64,
     /// When.
@@ -220,7 +221,7 @@
 
 /// How many engines a core has taken up.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct TakenUp {
+pub(super) struct TakenUp {
     /// By the roster.
     known: usize,
     /// Those that the decision module hears of.
@@ -229,7 +230,7 @@
 
 impl TakenUp {
     /// Of this core, which counts here.
-    pub fn of(core: &Core<HollowEngines>, metrics: &Metrics) -> TakenUp {
+    pub(super) fn of(core: &Core<HollowEngines>, metrics: &Metrics) -> TakenUp {
         TakenUp {
             known: metrics.engines.get() as usize,
             heard: core.held().1[3],
@@ -238,7 +239,7 @@
 }
 
 /// One hollow manager.
-pub struct Manager {
+pub(super) struct Manager {
     core: Core<HollowEngines>,
     engines: HollowEngines,
     metrics: Arc<Metrics>,
@@ -254,7 +255,7 @@
 
 impl Manager {
     /// Starts its feed reader on the running runtime and runs it until `orders` closes.
-    pub async fn run(
+    pub(super) async fn run(
         plan: Plan,
         ordinal: u32,
         news: mpsc::Sender<News>,
--- a/benches/scale/list.rs
+++ b/benches/scale/list.rs
@@ -6,10 +6,10 @@
 use super::{Options, cost, returning, spread};
 
 /// The test's name in its rows.
-pub const TEST: &str = "list";
+pub(super) const TEST: &str = "list";
 
 /// Plays all parts. What one manager costs comes first, as its memory tells which sizes fit this machine.
-pub fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
     let memory = cost::run(options, output)?;
     spread::run(options, output, memory)?;
     returning::run(options, output, memory)
--- a/benches/scale/load.rs
+++ b/benches/scale/load.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 /// The stretch over which the worst load is told.
-pub const STRETCH: Duration = Duration::from_millis(100);
+pub(super) const STRETCH: Duration = Duration::from_millis(100);
 
 /// What had been done at one moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Sample {
+pub(super) struct Sample {
     /// When.
     pub at: Instant,
     /// What had been done by then.
@@ -22,7 +22,7 @@
 
 /// What was done in one stretch, as if it had lasted [`STRETCH`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Stretch {
+pub(super) struct Stretch {
     /// Connections accepted.
     pub connections: f64,
     /// Bytes written.
@@ -70,7 +70,7 @@
 
 /// The load over some time: its mean as if it lasted [`STRETCH`], each figure's worst stretch, and that against the mean.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Load {
+pub(super) struct Load {
     mean: Stretch,
     worst: Stretch,
     worst_to_mean: Stretch,
@@ -86,18 +86,18 @@
     }
 
     /// Its worst stretch against the mean of another time.
-    pub fn worst_against(&self, other: &Load) -> Stretch {
+    pub(super) fn worst_against(&self, other: &Load) -> Stretch {
         self.worst.against(&other.mean)
     }
 }
 
 /// Samples in the order of time.
 #[derive(Clone, Debug, Default)]
-pub struct Timeline(Vec<Sample>);
+pub(super) struct Timeline(Vec<Sample>);
 
 impl Timeline {
     /// Samples now, on the thread whose processor time counts.
-    pub fn see(&mut self, totals: Totals) {
+    pub(super) fn see(&mut self, totals: Totals) {
         self.0.push(Sample {
             at: Instant::now(),
             totals,
@@ -106,19 +106,19 @@
     }
 
     /// Whether a sample is this late.
-    pub fn reaches(&self, at: Instant) -> bool {
+    pub(super) fn reaches(&self, at: Instant) -> bool {
         self.0.last().is_some_and(|sample| sample.at >= at)
     }
 
     /// Processor time by the last sample.
-    pub fn processor(&self) -> Duration {
+    pub(super) fn processor(&self) -> Duration {
         self.0
             .last()
             .map_or(Duration::ZERO, |sample| sample.processor)
     }
 
     /// The load from the last sample before `from` to the first one after `until`; none where there are no two samples.
-    pub fn load(&self, from: Instant, until: Instant) -> Option<Load> {
+    pub(super) fn load(&self, from: Instant, until: Instant) -> Option<Load> {
         let first = self
             .0
             .partition_point(|sample| sample.at <= from)
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -9,7 +9,7 @@
 mod decision;
 mod engines;
 mod feed;
-pub mod fit;
+pub(crate) mod fit;
 mod fleet;
 mod hollow;
 mod list;
@@ -21,7 +21,7 @@
 mod process;
 mod reload;
 mod returning;
-pub mod row;
+pub(crate) mod row;
 mod spread;
 mod subset;
 mod usage;
@@ -33,7 +33,7 @@
 
 /// A scale test by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Test {
+pub(crate) enum Test {
     /// Processor time of a request and a tick, by listed engines.
     Decision,
     /// What the list costs, and how soon a change of it is in force everywhere.
@@ -49,7 +49,7 @@
 /// Which tests run, and how large.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "scale", about = "Scale tests of magpiechute")]
-pub struct Options {
+pub(crate) struct Options {
     /// Tests to run; all of them where none is named.
     #[arg(value_enum)]
     pub tests: Vec<Test>,
@@ -84,19 +84,23 @@
 
 impl Options {
     /// The small case of these tests.
-    pub fn small(tests: &[Test]) -> Options {
+    #[allow(
+        dead_code,
+        reason = "called by tests/scale.rs, which includes this module"
+    )]
+    pub(crate) fn small(tests: &[Test]) -> Options {
         let mut options = Options::parse_from(["scale", "--small"]);
         options.tests = tests.to_vec();
         options
     }
 
     /// The numbers of listed engines, ascending.
-    pub fn listed(&self) -> Vec<usize> {
+    pub(crate) fn listed(&self) -> Vec<usize> {
         self.listed_or(&fleet::LISTED, &fleet::LISTED_SMALL)
     }
 
     /// The same for a test with sizes of its own, and those of its small case.
-    pub fn listed_or(&self, full: &[usize], small: &[usize]) -> Vec<usize> {
+    pub(crate) fn listed_or(&self, full: &[usize], small: &[usize]) -> Vec<usize> {
         let mut sizes = match (self.listed.is_empty(), self.small) {
             (false, _) => self.listed.clone(),
             (true, true) => small.to_vec(),
@@ -107,7 +111,7 @@
     }
 
     /// Hollow managers that one process holds at most.
-    pub fn most_managers(&self) -> usize {
+    pub(crate) fn most_managers(&self) -> usize {
         if self.small {
             fleet::HOLLOW_SMALL
         } else {
@@ -121,7 +125,7 @@
 }
 
 /// Runs the chosen tests one after another; each writes its rows as it goes.
-pub fn run(options: &Options, output: &mut Output) -> Result<(), row::Failure> {
+pub(crate) fn run(options: &Options, output: &mut Output) -> Result<(), row::Failure> {
     if let Some(listed) = options.memory_of {
         return memory::report(options, listed, output);
     }
--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -21,7 +21,7 @@
 use workload_manager::node_config::EngineRecord;
 
 /// The test's name in its rows.
-pub const TEST: &str = "manager";
+pub(super) const TEST: &str = "manager";
 /// Half of the descriptors, less those kept for other ends, are for clients, and an eighth of these for connections that
 /// are about to leave: 2,351 find room.
 const SOCKETS: usize = 5_632;
@@ -98,7 +98,7 @@
 const SMALL_RATE: f64 = 200.0;
 
 /// Plays all sizes but the largest, predicts that one once it is known how many engines it takes up, and plays it.
-pub fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
     let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -15,7 +15,7 @@
 
 /// What all rows of a size tell.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Deployment {
+pub(super) struct Deployment {
     /// Engines in the list.
     #[serde(skip)]
     pub listed: usize,
@@ -38,7 +38,7 @@
 
 /// What the process is given to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub(super) enum Phase {
     /// The list at rest, no clients.
     Rest,
     /// Churn of the list, no clients.
@@ -69,7 +69,7 @@
 
 /// What a stretch of time cost the process.
 #[derive(Clone, Copy, Debug)]
-pub struct Cost {
+pub(super) struct Cost {
     /// How long it was.
     pub lasted: Duration,
     /// Processor time of the process.
@@ -86,7 +86,7 @@
 
 impl Cost {
     /// The share of a core.
-    pub fn core(&self) -> f64 {
+    pub(super) fn core(&self) -> f64 {
         self.processor.as_secs_f64() / self.lasted.as_secs_f64()
     }
 
@@ -101,7 +101,7 @@
 
 /// Control alone.
 #[derive(Clone, Debug, Serialize)]
-pub struct ControlRow {
+pub(super) struct ControlRow {
     #[serde(flatten)]
     size: Size,
     #[serde(flatten)]
@@ -124,7 +124,7 @@
 
 impl ControlRow {
     /// What a stretch without clients comes to, at this rate of replaced engines and with this much memory resident.
-    pub fn new(
+    pub(super) fn new(
         phase: Phase,
         deployment: &Deployment,
         cost: &Cost,
@@ -154,7 +154,7 @@
 
 /// Idle connections of clients.
 #[derive(Clone, Debug, Serialize)]
-pub struct ConnectionsRow {
+pub(super) struct ConnectionsRow {
     #[serde(flatten)]
     size: Size,
     #[serde(flatten)]
@@ -170,7 +170,7 @@
 
 impl ConnectionsRow {
     /// Memory before and with so many connections.
-    pub fn new(
+    pub(super) fn new(
         deployment: &Deployment,
         connections: usize,
         (before, resident): (u64, u64),
@@ -189,7 +189,7 @@
 
 /// One round of statements.
 #[derive(Clone, Debug, Serialize)]
-pub struct StatementsRow {
+pub(super) struct StatementsRow {
     #[serde(flatten)]
     size: Size,
     #[serde(flatten)]
@@ -223,7 +223,7 @@
 
 /// What engines and memory saw of a round.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub(super) struct Seen {
     /// Statements that reached engines.
     pub attempts: u64,
     /// Connections opened to engines.
@@ -242,7 +242,7 @@
 
 /// What a round was to be.
 #[derive(Clone, Copy, Debug)]
-pub struct Round {
+pub(super) struct Round {
     /// At a rate, or saturated.
     pub phase: Phase,
     /// Connections of clients.
@@ -253,7 +253,7 @@
 
 /// What a round came to.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub(super) struct Measured {
     /// Statements that the manager counts as taken.
     pub taken: u64,
     /// What clients saw.
@@ -266,7 +266,7 @@
 
 impl StatementsRow {
     /// What a round comes to, where control alone takes this share of a core.
-    pub fn new(
+    pub(super) fn new(
         deployment: &Deployment,
         Round {
             phase,
@@ -309,7 +309,7 @@
 
 /// What all rounds of a size come to.
 #[derive(Clone, Debug)]
-pub struct Rounds {
+pub(super) struct Rounds {
     /// The last one at the usual rate.
     pub usual: StatementsRow,
     /// The one that found out what a core gives.
@@ -318,7 +318,7 @@
 
 /// What is missing to the statements that one manager has at the size.
 #[derive(Clone, Debug, Serialize)]
-pub struct SummaryRow {
+pub(super) struct SummaryRow {
     #[serde(flatten)]
     size: Size,
     #[serde(flatten)]
@@ -343,12 +343,12 @@
 
 impl SummaryRow {
     /// Engines that the roster has taken up.
-    pub fn known(&self) -> u64 {
+    pub(super) fn known(&self) -> u64 {
         self.deployment.known
     }
 
     /// What control and all rounds come to.
-    pub fn new(
+    pub(super) fn new(
         deployment: &Deployment,
         Rounds { usual, saturated }: &Rounds,
         control: &ControlRow,
@@ -377,6 +377,6 @@
 }
 
 /// Megabytes of 1,000,000 bytes.
-pub fn megabytes(bytes: u64) -> f64 {
+pub(super) fn megabytes(bytes: u64) -> f64 {
     rounded(bytes as f64 / MEGABYTE)
 }
--- a/benches/scale/memory.rs
+++ b/benches/scale/memory.rs
@@ -15,7 +15,7 @@
 
 /// What some managers hold.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Held {
+pub(super) struct Held {
     /// Managers.
     pub managers: usize,
     /// Resident bytes of each once it has its list, without those of the process before.
@@ -26,7 +26,7 @@
 
 /// Resident bytes of a manager with a list of this size, from several together, and the most of one alone. Each is
 /// measured in a process of its own where the options name the program.
-pub fn of(options: &Options, listed: usize) -> Result<Held, Failure> {
+pub(super) fn of(options: &Options, listed: usize) -> Result<Held, Failure> {
     let together = measured(
         options,
         listed,
@@ -76,6 +76,6 @@
 }
 
 /// What the process of its own does: one line, for its parent.
-pub fn report(options: &Options, listed: usize, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn report(options: &Options, listed: usize, output: &mut Output) -> Result<(), Failure> {
     output.row(&here(options, listed, options.memory_managers)?)
 }
--- a/benches/scale/messages.rs
+++ b/benches/scale/messages.rs
@@ -14,7 +14,7 @@
 
 /// What an answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub(super) enum Verdict {
     /// All rows of the result.
     Served,
     /// `Overloaded`.
@@ -27,7 +27,7 @@
 
 /// One answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub(super) struct Answer {
     /// The message that it answers.
     pub id: u64,
     /// What it says.
@@ -36,7 +36,7 @@
 
 /// Why bytes are no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub(super) enum Unread {
     /// The rest has yet to come.
     Partial,
     /// They never will be one.
@@ -44,7 +44,7 @@
 }
 
 /// A call of a method with its fields, and a body where there is one.
-pub fn call(id: u64, method: &str, fields: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
+pub(super) fn call(id: u64, method: &str, fields: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
     const WRITES: &str = "a vector takes every write";
     let mut text = Vec::with_capacity(256);
     encode::write_array_len(&mut text, 4).expect(WRITES);
@@ -64,7 +64,7 @@
 }
 
 /// The first answer of these bytes and its length.
-pub fn answer(bytes: &[u8]) -> Result<(Answer, usize), Unread> {
+pub(super) fn answer(bytes: &[u8]) -> Result<(Answer, usize), Unread> {
     let mut at = Cursor::new(bytes);
     let head = (
         whole(decode::read_array_len(&mut at))?,
--- a/benches/scale/process.rs
+++ b/benches/scale/process.rs
@@ -27,7 +27,7 @@
 
 /// Why a process could not be started, steered or measured.
 #[derive(Debug)]
-pub enum ProcessError {
+pub(crate) enum ProcessError {
     /// A file or the process itself: what was done, and the system's word.
     Io(&'static str, std::io::Error),
     /// The process said nothing that was waited for.
@@ -59,7 +59,7 @@
 
 /// Memory of a process, in bytes.
 #[derive(Clone, Copy, Debug)]
-pub struct Memory {
+pub(super) struct Memory {
     /// Resident now.
     pub resident: u64,
     /// The most that was resident, since the start or since `Manager::reset_peak`.
@@ -67,7 +67,7 @@
 }
 
 /// A running workload manager.
-pub struct Manager {
+pub(super) struct Manager {
     child: Child,
     watchdog: Child,
     folder: PathBuf,
@@ -78,7 +78,7 @@
 
 impl Manager {
     /// Starts the program with this configuration, and returns once it serves.
-    pub fn start(name: &str, configuration: &str) -> Result<Manager, ProcessError> {
+    pub(super) fn start(name: &str, configuration: &str) -> Result<Manager, ProcessError> {
         let folder =
             std::env::temp_dir().join(format!("magpiechute-scale-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| ProcessError::Io("create a folder", e))?;
@@ -128,12 +128,12 @@
     }
 
     /// Lays another configuration in place of the one in use, whole in one step.
-    pub fn configure(&self, configuration: &str) -> Result<(), ProcessError> {
+    pub(super) fn configure(&self, configuration: &str) -> Result<(), ProcessError> {
         write_configuration(&self.folder, configuration)
     }
 
     /// Sends SIGHUP and waits until the configuration is in force; returns the time that took.
-    pub fn reload(&self) -> Result<Duration, ProcessError> {
+    pub(super) fn reload(&self) -> Result<Duration, ProcessError> {
         let begun = Instant::now();
         self.signal("HUP")?;
         let over = |line: &str| {
@@ -144,7 +144,7 @@
     }
 
     /// Its counters, as SIGUSR1 prints them.
-    pub fn counters(&self) -> Result<HashMap<String, u64>, ProcessError> {
+    pub(super) fn counters(&self) -> Result<HashMap<String, u64>, ProcessError> {
         let line = self.print_counters()?;
         let pairs = line[COUNTERS.len()..]
             .split_whitespace()
@@ -155,7 +155,7 @@
     }
 
     /// Whether its counters name this class of requests.
-    pub fn knows_class(&self, name: &str) -> Result<bool, ProcessError> {
+    pub(super) fn knows_class(&self, name: &str) -> Result<bool, ProcessError> {
         let line = self.print_counters()?;
         Ok(line
             .split_whitespace()
@@ -168,7 +168,7 @@
     }
 
     /// Waits until a counter has this value.
-    pub fn await_counter(&self, name: &'static str, value: u64) -> Result<(), ProcessError> {
+    pub(super) fn await_counter(&self, name: &'static str, value: u64) -> Result<(), ProcessError> {
         let until = Instant::now() + PATIENCE;
         while self.counters()?.get(name) != Some(&value) {
             if Instant::now() > until {
@@ -180,7 +180,7 @@
     }
 
     /// Processor time used so far by all its threads.
-    pub fn processor_time(&self) -> Result<Duration, ProcessError> {
+    pub(super) fn processor_time(&self) -> Result<Duration, ProcessError> {
         match self.scheduled() {
             Some((time, _)) => Ok(time),
             None => self.accounted(),
@@ -188,7 +188,7 @@
     }
 
     /// Time so far in which its threads could run and had no processor; zero where the kernel keeps no such figure.
-    pub fn waited(&self) -> Duration {
+    pub(super) fn waited(&self) -> Duration {
         self.scheduled()
             .map_or(Duration::ZERO, |(_, waited)| waited)
     }
@@ -224,7 +224,7 @@
     }
 
     /// Its resident memory, now and at most.
-    pub fn memory(&self) -> Result<Memory, ProcessError> {
+    pub(super) fn memory(&self) -> Result<Memory, ProcessError> {
         let text = self.read("status")?;
         let figure = |name: &str| {
             let line = text.lines().find(|line| line.starts_with(name))?;
@@ -241,7 +241,7 @@
     }
 
     /// From now on the peak of its memory is counted anew.
-    pub fn reset_peak(&self) -> Result<(), ProcessError> {
+    pub(super) fn reset_peak(&self) -> Result<(), ProcessError> {
         /// What `/proc/PID/clear_refs` takes for that.
         const RESET_PEAK: &str = "5";
         std::fs::write(self.proc("clear_refs"), RESET_PEAK)
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -109,7 +109,7 @@
 }
 
 /// Plays all sizes but the largest, predicts that one, and plays it.
-pub fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
     let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
--- a/benches/scale/returning.rs
+++ b/benches/scale/returning.rs
@@ -39,7 +39,7 @@
 }
 
 /// All managers with the short list come back after the feed was away.
-pub fn run(options: &Options, output: &mut Output, memory: Memory) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output, memory: Memory) -> Result<(), Failure> {
     let Some(listed) = options.listed().first().copied() else {
         return Ok(());
     };
--- a/benches/scale/row.rs
+++ b/benches/scale/row.rs
@@ -8,7 +8,7 @@
 
 /// Why a scale test could not be played, or found something that must not be.
 #[derive(Debug)]
-pub enum Failure {
+pub(crate) enum Failure {
     /// A row, a socket or a file could not be read or written.
     Io(std::io::Error),
     /// A row is not JSON.
@@ -42,7 +42,7 @@
 /// What a row tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub(crate) enum Kind {
     /// A figure that was measured.
     Measured,
     /// The line fitted on all sizes but the largest.
@@ -57,7 +57,7 @@
 
 /// What a row is about.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Size {
+pub(crate) struct Size {
     test: &'static str,
     part: &'static str,
     kind: Kind,
@@ -69,7 +69,7 @@
 
 impl Size {
     /// Of a part that is measured.
-    pub fn measured(
+    pub(crate) fn measured(
         test: &'static str,
         part: &'static str,
         listed: usize,
@@ -85,7 +85,7 @@
     }
 
     /// Of a part that is left out at this size.
-    pub fn left_out(
+    pub(crate) fn left_out(
         test: &'static str,
         part: &'static str,
         listed: usize,
@@ -100,7 +100,7 @@
 
 /// A size that a test leaves out.
 #[derive(Debug, Serialize)]
-pub struct LeftOut<'a> {
+pub(crate) struct LeftOut<'a> {
     /// Which.
     #[serde(flatten)]
     pub size: Size,
@@ -109,14 +109,14 @@
 }
 
 /// Where rows go.
-pub struct Output {
+pub(crate) struct Output {
     file: Option<File>,
     lines: Vec<String>,
 }
 
 impl Output {
     /// Standard output, and this file anew where one is named.
-    pub fn new(path: Option<&Path>) -> Result<Output, Failure> {
+    pub(crate) fn new(path: Option<&Path>) -> Result<Output, Failure> {
         let file = path.map(File::create).transpose()?;
         Ok(Output {
             file,
@@ -125,7 +125,7 @@
     }
 
     /// Writes one row at once, so that a run that is cut off leaves what it measured.
-    pub fn row(&mut self, row: &impl Serialize) -> Result<(), Failure> {
+    pub(crate) fn row(&mut self, row: &impl Serialize) -> Result<(), Failure> {
         let line = serde_json::to_string(row)?;
         let mut standard = std::io::stdout().lock();
         writeln!(standard, "{line}")?;
@@ -138,12 +138,16 @@
     }
 
     /// The rows written so far.
-    pub fn lines(&self) -> &[String] {
+    #[allow(
+        dead_code,
+        reason = "called by tests/scale.rs, which includes this module"
+    )]
+    pub(crate) fn lines(&self) -> &[String] {
         &self.lines
     }
 }
 
 /// A figure rounded to three decimals, as no clock here tells more.
-pub fn rounded(figure: f64) -> f64 {
+pub(crate) fn rounded(figure: f64) -> f64 {
     (figure * 1000.0).round() / 1000.0
 }
--- a/benches/scale/spread.rs
+++ b/benches/scale/spread.rs
@@ -68,7 +68,7 @@
 }
 
 /// Plays the fleets that fit the memory; the others are said.
-pub fn run(options: &Options, output: &mut Output, memory: Memory) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output, memory: Memory) -> Result<(), Failure> {
     let (sizes, managers) = (options.listed(), managers(options));
     let (Some(short), Some(long)) = (sizes.first().copied(), sizes.last().copied()) else {
         return Ok(());
@@ -117,7 +117,7 @@
 }
 
 /// Whether so many managers with such a list fit; where they do not, a row says so.
-pub fn fits(
+pub(super) fn fits(
     output: &mut Output,
     memory: Memory,
     (listed, managers): (usize, usize),
@@ -149,7 +149,7 @@
 
 /// Ticks of managers with one list, alike for all numbers of them: whether they run beside each other here.
 #[derive(Clone, Copy, Debug)]
-pub struct Ticks {
+pub(super) struct Ticks {
     us_tick: f64,
     run: bool,
 }
@@ -157,7 +157,7 @@
 impl Ticks {
     /// With so many listed engines and so many managers at most: measures one tick, and runs them where they take few
     /// cores together.
-    pub fn of(options: &Options, listed: usize, managers: usize) -> Ticks {
+    pub(super) fn of(options: &Options, listed: usize, managers: usize) -> Ticks {
         let us_tick = decision::tick_us(options, listed);
         Ticks {
             us_tick,
@@ -171,7 +171,7 @@
     }
 
     /// A plan that follows this feed.
-    pub fn plan(&self, options: &Options, feed: &Feed) -> Plan {
+    pub(super) fn plan(&self, options: &Options, feed: &Feed) -> Plan {
         let (instances, memory_mb) = (options.managers, options.memory_mb);
         Plan {
             instances,
@@ -300,7 +300,7 @@
 
 /// First, middle, late and last of some times, in ms.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Times {
+pub(super) struct Times {
     /// The least.
     ms_first: f64,
     /// The one that half do not pass.
@@ -313,7 +313,7 @@
 
 impl Times {
     /// Of these; there has to be one.
-    pub fn of(mut times: Vec<Duration>) -> Times {
+    pub(super) fn of(mut times: Vec<Duration>) -> Times {
         times.sort_unstable();
         let at = |share: f64| {
             let rank = (times.len() as f64 * share).ceil() as usize;
--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -100,7 +100,7 @@
 }
 
 /// Plays balance and changes at all sizes, churn and lists that differ at the largest.
-pub fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
     let sizes = options.listed();
     let mut points: Vec<Point> = Vec::new();
     let mut prediction = None;
@@ -260,6 +260,7 @@
     lacks(before, after).max(lacks(after, before))
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn churn(options: &Options, listed: usize) -> ChurnRow {
     let mut fleet = Fleet::new(options, 0..listed);
     let engines = if options.small {
--- a/benches/scale/usage.rs
+++ b/benches/scale/usage.rs
@@ -13,17 +13,17 @@
 }
 
 /// Processor time of the calling thread. Other processes on the machine do not add to it.
-pub fn thread_time() -> Duration {
+pub(super) fn thread_time() -> Duration {
     clock(ClockId::ThreadCPUTime)
 }
 
 /// Bytes of memory that the process has resident.
-pub fn resident_bytes() -> Result<usize, Failure> {
+pub(super) fn resident_bytes() -> Result<usize, Failure> {
     status_bytes("VmRSS:")
 }
 
 /// The most that it ever had resident.
-pub fn peak_bytes() -> Result<usize, Failure> {
+pub(super) fn peak_bytes() -> Result<usize, Failure> {
     status_bytes("VmHWM:")
 }
 
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,5 +1,5 @@
 //! The life of an attempt, from the decision to send it to the proof that it is over. Sans-I/O: what speaks to an
-//! engine tells a [`Life`] what was queued, written, answered and closed; the core keeps the [`AttemptHistory`] of each
+//! engine tells a [`AttemptState`] what was queued, written, answered and closed; the core keeps the [`AttemptHistory`] of each
 //! request and lets a further attempt out only once the one before is proven over. `docs/ends.md` has the table
 //! of all ends.
 
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -3,13 +3,13 @@
 use std::fmt;
 use std::io::{ErrorKind, Read};
 
-pub const HEADER: usize = 20;
-pub const EVENT: usize = 48;
-pub const ACTION: usize = 24;
+pub(crate) const HEADER: usize = 20;
+pub(crate) const EVENT: usize = 48;
+pub(crate) const ACTION: usize = 24;
 
 /// What is wrong with the input, and where.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Problem(pub String);
+pub(crate) struct Problem(pub String);
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -18,7 +18,7 @@
 }
 
 /// One batch of events, as read.
-pub struct Batch {
+pub(crate) struct Batch {
     pub clock: f64,
     pub number: u32,
     pub count: usize,
@@ -27,12 +27,12 @@
 
 impl Batch {
     /// Record `i`; its fields are read at fixed offsets, all of which lie inside.
-    pub fn record(&self, i: usize) -> Bytes<'_> {
+    pub(crate) fn record(&self, i: usize) -> Bytes<'_> {
         Bytes(&self.body[i * EVENT..(i + 1) * EVENT])
     }
 
     /// A stretch of the tail.
-    pub fn tail(&self, offset: u32, length: usize, what: &str) -> Result<&[u8], Problem> {
+    pub(crate) fn tail(&self, offset: u32, length: usize, what: &str) -> Result<&[u8], Problem> {
         let tail = &self.body[self.count * EVENT..];
         let from = offset as usize;
         from.checked_add(length).and_then(|to| tail.get(from..to)).ok_or_else(|| {
@@ -47,7 +47,7 @@
 
 /// Fields at fixed offsets.
 #[derive(Clone, Copy)]
-pub struct Bytes<'a>(pub &'a [u8]);
+pub(crate) struct Bytes<'a>(pub &'a [u8]);
 
 impl Bytes<'_> {
     fn take<const N: usize>(self, at: usize) -> [u8; N] {
@@ -56,31 +56,31 @@
         field
     }
 
-    pub fn u8(self, at: usize) -> u8 {
+    pub(crate) fn u8(self, at: usize) -> u8 {
         self.0[at]
     }
 
-    pub fn u16(self, at: usize) -> u16 {
+    pub(crate) fn u16(self, at: usize) -> u16 {
         u16::from_le_bytes(self.take(at))
     }
 
-    pub fn u32(self, at: usize) -> u32 {
+    pub(crate) fn u32(self, at: usize) -> u32 {
         u32::from_le_bytes(self.take(at))
     }
 
-    pub fn u64(self, at: usize) -> u64 {
+    pub(crate) fn u64(self, at: usize) -> u64 {
         u64::from_le_bytes(self.take(at))
     }
 
-    pub fn f32(self, at: usize) -> f64 {
+    pub(crate) fn f32(self, at: usize) -> f64 {
         f64::from(f32::from_le_bytes(self.take(at)))
     }
 
-    pub fn f64(self, at: usize) -> f64 {
+    pub(crate) fn f64(self, at: usize) -> f64 {
         f64::from_le_bytes(self.take(at))
     }
 
-    pub fn engine(self, at: usize) -> workload_manager::EngineId {
+    pub(crate) fn engine(self, at: usize) -> workload_manager::EngineId {
         workload_manager::EngineId {
             addr: self.take(at),
             port: self.u16(at + 4),
@@ -89,7 +89,7 @@
 }
 
 /// Reads one batch; `None` at the end of input.
-pub fn read(input: &mut impl Read) -> Result<Option<Batch>, Problem> {
+pub(crate) fn read(input: &mut impl Read) -> Result<Option<Batch>, Problem> {
     let mut header = [0u8; HEADER];
     let got = fill(input, &mut header)?;
     if got == 0 {
@@ -146,7 +146,7 @@
 
 /// A reply under construction.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
     count: u32,
@@ -154,7 +154,7 @@
 
 impl Reply {
     /// Adds a record: its code, its instance and its fields, each at its offset.
-    pub fn record(&mut self, code: u8, instance: u16, fields: &[(usize, &[u8])]) {
+    pub(crate) fn record(&mut self, code: u8, instance: u16, fields: &[(usize, &[u8])]) {
         let mut record = [0u8; ACTION];
         record[0] = code;
         record[1..3].copy_from_slice(&instance.to_le_bytes());
@@ -166,7 +166,7 @@
     }
 
     /// Adds text to the tail and returns the field that refers to it.
-    pub fn text(&mut self, text: &str) -> [u8; 8] {
+    pub(crate) fn text(&mut self, text: &str) -> [u8; 8] {
         let mut field = [0; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
         field[4..].copy_from_slice(&(text.len() as u32).to_le_bytes());
@@ -174,7 +174,7 @@
         field
     }
 
-    pub fn finish(self, number: u32) -> Vec<u8> {
+    pub(crate) fn finish(self, number: u32) -> Vec<u8> {
         let size = 12 + self.records.len() + self.tail.len();
         let mut out = Vec::with_capacity(size);
         out.extend_from_slice(&self.count.to_le_bytes());
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -19,14 +19,14 @@
 
 /// All instances of this process.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     instances: BTreeMap<u16, Instance>,
     lists: BTreeMap<u16, Vec<EngineEntry>>,
 }
 
 impl Host {
     /// Hands a batch's events to their instances, in order, and frames what they do.
-    pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, Problem> {
+    pub(crate) fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, Problem> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
         for i in 0..batch.count {
@@ -124,6 +124,7 @@
         Ok(())
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn event(
         &self,
         batch: &Batch,
@@ -253,6 +254,7 @@
     report
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn put(reply: &mut Reply, instance: u16, action: &Action) {
     let address = |e: &workload_manager::EngineId| {
         let mut field = [0; 6];
--- a/src/clients/flight.rs
+++ b/src/clients/flight.rs
@@ -43,6 +43,7 @@
 pub(crate) const REF: &str = "magpiechute-ref";
 
 /// Serves the front until the program ends.
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 pub(crate) async fn listen(listener: TcpListener, front: Front) {
     let slots = Slots::new(
         front.limits.flight_connections,
@@ -428,6 +429,7 @@
     }
 
     /// Hands a request to the core and waits for its one final answer.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     async fn serve(
         &self,
         call: Call,
--- a/src/clients/platform.rs
+++ b/src/clients/platform.rs
@@ -312,6 +312,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     async fn read(&mut self) -> Result<(), End> {
         let now = self.front.core.now();
         while let Some(message) =
--- a/src/core/alarms.rs
+++ b/src/core/alarms.rs
@@ -1,6 +1,6 @@
 //! What the core is to do at a time: one heap for the module's timers, deadlines, and the looks at what is out.
 
-use super::*;
+use super::{Core, EnginePort, Millis, RequestId, Reverse};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Alarm {
--- a/src/core/ends.rs
+++ b/src/core/ends.rs
@@ -1,6 +1,9 @@
 //! How attempts and requests come to their ends: results, failures, deadlines, silence, and what is given up.
 
-use super::*;
+use super::{
+    Alarm, Answer, Arc, AttemptEnded, ClientPort, Core, EnginePort, Event, FailureReason,
+    LoadReport, Millis, Outcome, RequestId, ResultBody, ResultFormat,
+};
 use crate::attempt::InFlight;
 use crate::metrics::Counter;
 
@@ -76,6 +79,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
+    #[expect(clippy::similar_names, reason = "not split yet")]
     fn tell_ended(
         &mut self,
         now: Millis,
--- a/src/core/interleavings.rs
+++ b/src/core/interleavings.rs
@@ -5,6 +5,8 @@
 use super::tests::{listed, taken};
 use super::*;
 use crate::attempt::{AttemptEnd, AttemptState};
+use crate::decision::EngineState;
+use crate::decision::ListUpdateKind;
 use crate::node_config::{EngineRecord, engine_id};
 use crate::settings_json;
 use proptest::prelude::*;
@@ -284,6 +286,7 @@
 }
 
 /// Plays one order of turns; each step is what gets its turn, and a choice within that.
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn play(steps: &[(u8, u8)]) {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"repeatable","promiseMs":8000,"giveUpMs":9000},
         {"name":"b","effect":"once","promiseMs":8000,"giveUpMs":9000}],
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -20,7 +20,10 @@
 pub use ports::*;
 
 use crate::attempt::{AttemptHistory, SentTo, never_ran};
-use crate::decision::*;
+use crate::decision::{
+    Action, AttemptEnded, DedupScope, EngineId, Event, Idempotency, LoadReport, Millis, Outcome,
+    Request, RequestId, Settings, SettingsError,
+};
 use crate::limits::Limits;
 use crate::metrics::Metrics;
 use crate::node_config::{EndpointListEvent, engine_text};
@@ -175,6 +178,11 @@
     }
 
     /// Takes one input.
+    #[expect(
+        clippy::similar_names,
+        clippy::too_many_lines,
+        reason = "not split yet"
+    )]
     pub fn handle(&mut self, now: Millis, input: CoreMessage) {
         match input {
             CoreMessage::Request(taken) => self.take(now, taken),
@@ -298,6 +306,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn take(&mut self, now: Millis, mut taken: AcceptedRequest) {
         self.metrics.requests_accepted.increment();
         let id = taken.id;
--- a/src/core/narrow.rs
+++ b/src/core/narrow.rs
@@ -2,7 +2,10 @@
 //! which wait, within which budget, for how long, and which attempts may be called off. The decisions are those of
 //! `attempts`; here they meet requests, timers and counters.
 
-use super::*;
+use super::{
+    Alarm, Arc, Core, EngineId, EnginePort, Millis, Outcome, Policy, RequestAttributes, RequestId,
+    never_ran,
+};
 use crate::retry_policy::RetryDecision;
 
 impl<E: EnginePort> Core<E> {
--- a/src/core/narrow/tests.rs
+++ b/src/core/narrow/tests.rs
@@ -2,6 +2,9 @@
 
 use super::super::*;
 use crate::attempt::AttemptEnd;
+use crate::decision::EngineEntry;
+use crate::decision::EngineState;
+use crate::decision::ListUpdateKind;
 use crate::node_config::{EngineRecord, engine_id};
 use crate::operator_config::{self, Known};
 use crate::settings_json::{self, NamedClass};
--- a/src/core/order.rs
+++ b/src/core/order.rs
@@ -2,7 +2,9 @@
 //! process has the lease.
 
 use super::leases::{Leases, OrderLocks};
-use super::*;
+use super::{
+    Alarm, Answer, Core, EnginePort, Event, Millis, OrderKey, Outcome, Request, RequestId,
+};
 
 impl<E: EnginePort> Core<E> {
     /// The same beside other processes of this workload manager, which share these locks.
--- a/src/core/order/tests.rs
+++ b/src/core/order/tests.rs
@@ -2,8 +2,20 @@
 
 use super::super::tests::{listed, taken};
 use super::*;
+use crate::core::AttemptEvent;
+use crate::core::AttemptRequest;
+use crate::core::ClientPort;
+use crate::core::CoreMessage;
+use crate::core::Places;
+use crate::decision::EngineId;
+use crate::decision::EngineState;
+use crate::decision::ListUpdateKind;
+use crate::decision::LoadReport;
+use crate::limits::Limits;
+use crate::node_config::EndpointListEvent;
 use crate::node_config::{EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass, PlatformSettings};
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -1,7 +1,7 @@
 //! What passes between the core and its peers: requests and answers, attempts and their news, orders of staff.
 
 use crate::attempt::AttemptEnd;
-use crate::decision::*;
+use crate::decision::{EngineId, LoadReport, Millis, Outcome, Progress, RequestId, Settings};
 use crate::node_config::{EndpointListEvent, EngineRecord};
 use crate::settings_json::NamedClass;
 use bytes::Bytes;
@@ -19,7 +19,7 @@
     Arrow,
 }
 
-/// What follows of a result that streams. A channel that closes without [`Flow::End`] is a result cut off.
+/// What follows of a result that streams. A channel that closes without [`ResultChunk::End`] is a result cut off.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResultChunk {
     /// The next piece.
@@ -180,7 +180,7 @@
     pub memory_mb: f64,
     /// Priority, 0 to 3.
     pub priority: u8,
-    /// See [`Taken::idempotency_key`].
+    /// See [`AcceptedRequest::idempotency_key`].
     pub idempotency_key: Option<Bytes>,
     /// The statement.
     pub statement: Bytes,
@@ -205,7 +205,7 @@
 pub trait EnginePort: Send {
     /// Starts an attempt; false where it provably was not sent.
     fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool;
-    /// Gives an attempt up. [`EngineNews::GivenUp`] comes back once that is proven, unless an end of its own does;
+    /// Gives an attempt up. [`AttemptEvent::Cancelled`] comes back once that is proven, unless an end of its own does;
     /// given twice it is done once. Where another attempt may follow, `again`, the proof is that the engine has read it.
     fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, again: bool);
     /// Names a new priority for an attempt that is out.
@@ -285,7 +285,7 @@
 
 /// What overtakes the mailbox.
 pub enum PriorityMessage {
-    /// Another process of this workload manager works beside this one, or no longer; see [`Event::Beside`].
+    /// Another process of this workload manager works beside this one, or no longer; see [`PeerProcesses`](crate::decision::Event::PeerProcesses).
     PeerProcesses(f64),
     /// The process is ended at this Unix time in ms: what is not answered by then is lost.
     ShutdownDeadline(Millis),
--- a/src/core/subsets.rs
+++ b/src/core/subsets.rs
@@ -3,6 +3,8 @@
 
 use super::tests::{Nobody, listed, taken};
 use super::*;
+use crate::decision::EngineState;
+use crate::decision::ListUpdateKind;
 use crate::metrics::Counter;
 use crate::node_config::{EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass, PlatformSettings};
@@ -223,6 +225,7 @@
 /// Work that a fleet sends to each engine in any window of a second, while managers learn of changes up to five seconds
 /// apart: no cold one gets more than the multiple of its capacity that it stands.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn a_fleet_whose_lists_differ_tips_no_cold_engine() {
     const MANAGERS: u32 = 40;
     const WORK_MS: f64 = 40.0;
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 use crate::attempt::AttemptEnd;
+use crate::decision::EngineEntry;
+use crate::decision::EngineState;
+use crate::decision::ListUpdateKind;
 use crate::node_config::{EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass};
 
@@ -78,6 +81,7 @@
 /// Guard: nothing grows with what was ever seen. A long day in which engines are replaced, some left out of a
 /// whole list and never told gone, and clients leave, time out or are served.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn nothing_grows_with_a_long_day() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":500,"giveUpMs":20000},
         {"name":"b","effect":"repeatable","promiseMs":500,"giveUpMs":20000}],
@@ -190,6 +194,7 @@
 /// Guard: what may have run is repeated by key alone, at engines of the group that drop it, and while they do. The core
 /// holds the module to it, also after a wait.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn repeats_by_key_stay_in_their_group_and_time() {
     let class = |scope| {
         let text = format!(
@@ -321,6 +326,7 @@
 /// Guard: an order to give up that got lost is given again; an end that nothing proves ends its request in time, and
 /// nothing follows. A client that leaves or comes back under the same name meanwhile changes nothing.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn without_a_proof_nothing_follows() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"repeatable","promiseMs":9000,"giveUpMs":20000}],
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
@@ -452,6 +458,11 @@
 /// Guard: with the memory of the large fleet's managers each of its 22,000 engines is known, each drain and each end
 /// reaches its engine's actor, and nothing of them stays.
 #[test]
+#[expect(
+    clippy::similar_names,
+    clippy::too_many_lines,
+    reason = "not split yet"
+)]
 fn drains_and_ends_of_a_large_list_are_heard() {
     const LISTED: u32 = 22_000;
     let parsed = crate::engines::EngineContext::settings_for_tests();
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -17,6 +17,7 @@
 }
 
 impl fmt::Display for EngineId {
+    #[expect(clippy::many_single_char_names, reason = "not split yet")]
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [a, b, c, d] = self.addr;
         write!(f, "{a}.{b}.{c}.{d}:{}", self.port)
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -445,6 +445,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn on_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         let AttemptEnded {
             id,
--- a/src/engines/flight/wire.rs
+++ b/src/engines/flight/wire.rs
@@ -50,6 +50,7 @@
 
 impl Wire {
     /// Connects; none where that fails or takes too long, so that nothing was sent.
+    #[expect(clippy::similar_names, reason = "not split yet")]
     pub(super) async fn connect(
         address: SocketAddr,
         limits: &Limits,
@@ -126,6 +127,7 @@
 
 /// Carries the connection until it ends, and ends it where a ping finds no answer. Pings go out one at a time: each
 /// stands for all that are wanted as it is sent. The descriptor is free again after the socket: it is dropped last.
+#[expect(clippy::similar_names, reason = "not split yet")]
 async fn drive(
     slot: Slot,
     mut connection: Connection<Tap, Bytes>,
--- a/src/engines/lines/answers.rs
+++ b/src/engines/lines/answers.rs
@@ -81,6 +81,7 @@
     }
 
     /// A good answer with its first page; asks for the others.
+    #[expect(clippy::similar_names, reason = "not split yet")]
     async fn first_page(&mut self, reply: &Reply, report: LoadReport) -> Result<(), Broken> {
         let all = reply.field("batches").and_then(number_of).unwrap_or(0) as usize;
         if all == 0 || all > self.context.limits.pages_per_result || !rows_of(&reply.body) {
@@ -234,6 +235,7 @@
     }
 
     /// Passes a result on once all its pages are in.
+    #[expect(clippy::similar_names, reason = "not split yet")]
     async fn whole(&mut self, name: &Bytes) -> Result<(), Broken> {
         let pages = self.attempts.get_mut(name).map(|a| &mut a.pages);
         let whole = |p: &mut Pages| p.got.iter().all(Option::is_some);
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -191,6 +191,7 @@
     /// The limits for a machine with so many descriptors and so much memory, under these settings. All that holds
     /// bytes fits the memory together, and all that holds a descriptor the descriptors: see the test below. Where engines send no notes,
     /// silence tells nothing.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn new(sockets: usize, memory_mb: usize, notes: bool, parsed: &PlatformSettings) -> Limits {
         let millis = |ms: f64| Duration::from_micros((ms.clamp(0.0, 3_600_000.0) * 1000.0) as u64);
         let progress = parsed.settings.progress_interval_ms;
--- a/src/node.rs
+++ b/src/node.rs
@@ -53,6 +53,7 @@
 
 impl Node {
     /// Starts everything that the configuration and the operators' file name.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub async fn start(
         config: NodeConfig,
         operators: impl Into<Operators>,
--- a/src/operator_config/check.rs
+++ b/src/operator_config/check.rs
@@ -131,6 +131,7 @@
 const FRONTS: [(&str, Front); 2] = [("platform", Front::Platform), ("flight", Front::Flight)];
 
 /// Faults that the file shows without the platform's settings.
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 pub(super) fn alone(text: &FileText, source: &str) -> Vec<Fault> {
     let mut faults = Faults {
         source,
@@ -280,6 +281,7 @@
 
 /// The policy of a file that was parsed, held against the platform's settings, after the faults found so far.
 /// Errors: every fault, in the order of the file.
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 pub(super) fn policy(
     text: &FileText,
     source: &str,
@@ -426,6 +428,7 @@
 }
 
 /// The faults of one table's own keys, for one class that it reaches, with `held` all that holds there.
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn against(
     table: &Table<'_>,
     own: &AttemptPolicy,
--- a/src/operator_config/lines.rs
+++ b/src/operator_config/lines.rs
@@ -3,7 +3,7 @@
 use toml::de::{DeTable, DeValue};
 
 /// The line, from 1, of a byte of the text.
-pub fn line_at(source: &str, byte: usize) -> usize {
+pub(super) fn line_at(source: &str, byte: usize) -> usize {
     let byte = byte.min(source.len());
     source.as_bytes()[..byte]
         .iter()
@@ -14,7 +14,7 @@
 
 /// The line of a key named as `attempts.class.NAME.timeout_ms` or `attempts.route[2].backoff.jitter`, or of
 /// the nearest table that it lies in where the key itself is not written. None where the text is no TOML.
-pub fn line_of(source: &str, path: &str) -> Option<usize> {
+pub(super) fn line_of(source: &str, path: &str) -> Option<usize> {
     let root = DeTable::parse(source).ok()?;
     let mut table = root.get_ref();
     let mut line = None;
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -1,6 +1,6 @@
 //! The operators' own file, `deploy/magpiechute.toml`: read whole and with bounds, every fault found at once with
 //! its line, the key, what is wrong and what would be right. `check` holds it against the platform's settings and
-//! makes the [`Policy`](crate::retry_policy::Policy) of attempts; `docs/attempts.md` is its page for operators.
+//! makes the [`Policy`] of attempts; `docs/attempts.md` is its page for operators.
 
 mod check;
 mod lines;
--- a/src/retry_policy/tests.rs
+++ b/src/retry_policy/tests.rs
@@ -119,6 +119,7 @@
 /// The index says what a plain reading of the rule says: of all routes that match, for each key, the one that sets it and
 /// lies within all others that do.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn the_index_reads_as_the_rule() {
     fn some<T: Clone + std::fmt::Debug + Ord + 'static>(
         of: impl Strategy<Value = T> + 'static,
--- a/src/settings_json.rs
+++ b/src/settings_json.rs
@@ -203,6 +203,11 @@
 }
 
 /// Reads a settings message.
+#[expect(
+    clippy::similar_names,
+    clippy::too_many_lines,
+    reason = "not split yet"
+)]
 pub fn parse(text: &[u8]) -> Result<PlatformSettings, String> {
     let s: Setup = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     // Guard: with no time, or no attempt at all, every request of the class would end at once.
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -3,7 +3,7 @@
 /// The number behind the underscore in the name of the schema that a statement reads or writes: 17 in
 /// `sales_17.orders`. Names inside strings and comments do not count, nor does the schema `staging`. A schema
 /// in the place of a table counts before one in the place of a column, whose first part may be an alias.
-pub fn dataset(sql: &[u8]) -> Option<u32> {
+pub(crate) fn dataset(sql: &[u8]) -> Option<u32> {
     let mut words = Words { sql, at: 0 };
     let (mut any, mut before) = (None, Word::Other);
     while let Some(word) = words.next() {
@@ -36,7 +36,7 @@
 
 /// Whether a statement reads only: told by its first word, and where that opens a list of common tables, by
 /// there being no word that changes any.
-pub fn reads(sql: &[u8]) -> bool {
+pub(crate) fn reads(sql: &[u8]) -> bool {
     const READS: [&[u8]; 4] = [b"select", b"values", b"show", b"explain"];
     const CHANGES: [&[u8]; 4] = [b"insert", b"update", b"delete", b"merge"];
     let any = |all: &[&[u8]], w: &[u8]| all.iter().any(|r| w.eq_ignore_ascii_case(r));
--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -230,6 +230,7 @@
 
 /// All engines of a subset gone in one event: the next in order are held. No engine at all: nothing is.
 #[test]
+#[expect(clippy::similar_names, reason = "not split yet")]
 fn the_next_in_order_follow() {
     let list = list(2200, 1, 5);
     let mut own = subset(128, 370, &list);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,12 @@
 //! Small helpers shared by the tests: settings, engines and events in few words.
 #![allow(dead_code)]
 
-use workload_manager::*;
+use workload_manager::{
+    Action, AttemptEnded, Class, EngineEntry, EngineId, EngineState, Event, Gateway, Idempotency,
+    ListUpdateKind, LoadReport, LoadReportMode, Outcome, Request, Settings,
+};
 
-pub fn class(threads: u32, promise_ms: f64, worth: f64) -> Class {
+pub(crate) fn class(threads: u32, promise_ms: f64, worth: f64) -> Class {
     Class {
         priority_weight: worth,
         late_weight_factor: 0.2,
@@ -21,7 +24,7 @@
     }
 }
 
-pub fn settings(classes: Vec<Class>) -> Settings {
+pub(crate) fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         instances: 1,
         classes,
@@ -40,14 +43,14 @@
     }
 }
 
-pub fn engine(n: u8) -> EngineId {
+pub(crate) fn engine(n: u8) -> EngineId {
     EngineId {
         addr: [10, 0, 0, n],
         port: 8000,
     }
 }
 
-pub fn entry(n: u8, state: EngineState, started_ms: f64) -> EngineEntry {
+pub(crate) fn entry(n: u8, state: EngineState, started_ms: f64) -> EngineEntry {
     let (zone, kind, cell) = (n % 2, u16::from(n / 2 % 2), u16::from(n % 3));
     EngineEntry {
         engine: engine(n),
@@ -62,13 +65,13 @@
 }
 
 /// A gateway under test, with its clock.
-pub struct Rig {
+pub(crate) struct Rig {
     pub gateway: Gateway,
     pub now: f64,
 }
 
 impl Rig {
-    pub fn new(settings: Settings, engines: u8) -> Rig {
+    pub(crate) fn new(settings: Settings, engines: u8) -> Rig {
         let mut rig = Rig {
             gateway: Gateway::new(settings, 7).expect("settings"),
             now: 1000.0,
@@ -84,29 +87,29 @@
         rig
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn tick(&mut self, after: f64) -> Vec<Action> {
+    pub(crate) fn tick(&mut self, after: f64) -> Vec<Action> {
         self.now += after;
         self.event(Event::Timer { token: 1 })
     }
 
-    pub fn list(&mut self, entries: Vec<EngineEntry>) -> Vec<Action> {
+    pub(crate) fn list(&mut self, entries: Vec<EngineEntry>) -> Vec<Action> {
         self.event(Event::EndpointList {
             kind: ListUpdateKind::Delta,
             entries,
         })
     }
 
-    pub fn request(&mut self, id: u32, class: usize, key: u64) -> Vec<Action> {
+    pub(crate) fn request(&mut self, id: u32, class: usize, key: u64) -> Vec<Action> {
         self.request_with(id, class, key, 20_000.0, None)
     }
 
-    pub fn request_with(
+    pub(crate) fn request_with(
         &mut self,
         id: u32,
         class: usize,
@@ -128,7 +131,7 @@
         }))
     }
 
-    pub fn ended(
+    pub(crate) fn ended(
         &mut self,
         id: u32,
         attempt: u16,
@@ -138,7 +141,7 @@
         self.ended_after(id, attempt, engine, outcome, 100.0)
     }
 
-    pub fn ended_after(
+    pub(crate) fn ended_after(
         &mut self,
         id: u32,
         attempt: u16,
@@ -163,7 +166,7 @@
 }
 
 /// A request of data set 7 with the given estimates.
-pub fn query(
+pub(crate) fn query(
     id: u32,
     class: usize,
     due_ms: f64,
@@ -183,7 +186,8 @@
 }
 
 /// A served attempt with its bill and report.
-pub fn served(
+#[expect(clippy::similar_names, reason = "not split yet")]
+pub(crate) fn served(
     id: u32,
     engine: EngineId,
     took_ms: f64,
@@ -206,7 +210,7 @@
 }
 
 /// Where a request was sent by these actions, if it was.
-pub fn sent(actions: &[Action], id: u32) -> Option<EngineId> {
+pub(crate) fn sent(actions: &[Action], id: u32) -> Option<EngineId> {
     actions.iter().find_map(|a| match a {
         Action::StartAttempt { id: i, engine, .. } if *i == id => Some(*engine),
         _ => None,
@@ -214,7 +218,7 @@
 }
 
 /// Ids sent by these actions, in order.
-pub fn all_sent(actions: &[Action]) -> Vec<u32> {
+pub(crate) fn all_sent(actions: &[Action]) -> Vec<u32> {
     let of = |a: &Action| {
         if let Action::StartAttempt { id, .. } = a {
             Some(*id)
@@ -226,7 +230,7 @@
 }
 
 /// Whether these actions give the request its final answer.
-pub fn answered(actions: &[Action], id: u32) -> bool {
+pub(crate) fn answered(actions: &[Action], id: u32) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { id: i, .. } | Action::Fail { id: i } if *i == id))
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -353,6 +353,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn play(&mut self, step: &Step, next: u32) {
         let actions = match *step {
             Step::Ask {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -133,6 +133,7 @@
 
 /// A change reaches every hollow manager: none sends to the engine that is gone, all may send to its successor.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn list() {
     let rows = rows(Test::List);
     let costs = of(&rows, "part", "cost");
--- a/tests/scenarios/process.rs
+++ b/tests/scenarios/process.rs
@@ -26,6 +26,7 @@
 /// Two processes are one workload manager: what staff said to one holds in both and in the next, the old one leaves
 /// the socket to its successor, serves what it accepted and ends.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn an_upgrade() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("upgrade");
     let _ = std::fs::remove_dir_all(&folder);
--- a/tests/scene/engines.rs
+++ b/tests/scene/engines.rs
@@ -15,7 +15,7 @@
 use workload_manager::node_config::EngineProtocol;
 
 /// What reached an engine: `ASK c1.7`, `QUIT c1.7`, ...
-pub struct Heard {
+pub(crate) struct Heard {
     pub line: String,
     pub engine: usize,
     /// Where the answer goes.
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone)]
-pub enum Reply {
+pub(crate) enum Reply {
     Line(Arc<tokio::sync::Mutex<Option<OwnedWriteHalf>>>),
     Flight(mpsc::UnboundedSender<(String, String)>),
 }
@@ -63,18 +63,18 @@
 }
 
 /// A listener, and a second socket on its port that never listens.
-pub fn listen() -> (TcpListener, TcpSocket) {
+pub(crate) fn listen() -> (TcpListener, TcpSocket) {
     let socket = bound(([127, 0, 0, 1], 0).into());
     let port = bound(socket.local_addr().expect("address"));
     (socket.listen(BACKLOG).expect("listen"), port)
 }
 
 /// A listener on a port that such a second socket keeps.
-pub fn listen_at(at: SocketAddr) -> TcpListener {
+pub(crate) fn listen_at(at: SocketAddr) -> TcpListener {
     bound(at).listen(BACKLOG).expect("listen")
 }
 
-pub struct Fleet {
+pub(crate) struct Fleet {
     engines: Vec<Engine>,
     heard: mpsc::UnboundedReceiver<Heard>,
     held: Vec<Heard>,
@@ -90,7 +90,7 @@
     pub feed: Feed,
 }
 
-pub struct Feed {
+pub(crate) struct Feed {
     pub address: SocketAddr,
     listener: TcpListener,
     stream: Option<tokio::net::TcpStream>,
@@ -98,7 +98,7 @@
 }
 
 impl Fleet {
-    pub async fn new(count: usize, speech: EngineProtocol) -> Fleet {
+    pub(crate) async fn new(count: usize, speech: EngineProtocol) -> Fleet {
         let (tell, heard) = mpsc::unbounded_channel();
         let mut engines = Vec::new();
         for engine in 0..count {
@@ -146,7 +146,7 @@
     }
 
     /// The first event of the list, as the configuration has it.
-    pub fn known(&self) -> String {
+    pub(crate) fn known(&self) -> String {
         let member = |(i, e): (usize, &Engine)| {
             format!(
                 r#"{{"instanceId":"s-{:08x}","hostPort":"{}","zone":"hall-a","machineType":"std-8c","cell":0,
@@ -163,28 +163,29 @@
     }
 
     /// The feed goes to another address; connections to the old one stay open and tell nothing.
-    pub async fn move_feed(&mut self) -> SocketAddr {
+    pub(crate) async fn move_feed(&mut self) -> SocketAddr {
         self.feed.listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         self.feed.address = self.feed.listener.local_addr().expect("address");
         self.feed.address
     }
 
     /// Nothing new may go to this engine from now on, or it may again.
-    pub fn shut(&mut self, n: usize, out: bool) {
+    pub(crate) fn shut(&mut self, n: usize, out: bool) {
         *self.engines[n].drained.lock().expect("lock") = out.then(Instant::now);
     }
 
     /// A client has left, or cancelled the request with this label.
-    pub fn leaves(&mut self, who: String) {
+    pub(crate) fn leaves(&mut self, who: String) {
         self.left.insert(who, Instant::now());
     }
 
     /// A client of this name is there again.
-    pub fn returns(&mut self, who: &str) {
+    pub(crate) fn returns(&mut self, who: &str) {
         self.left.remove(who);
     }
 
-    pub async fn step(&mut self, who: &str, verb: &str, rest: &[&str]) {
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
+    pub(crate) async fn step(&mut self, who: &str, verb: &str, rest: &[&str]) {
         match (who, verb, rest) {
             ("feed", ..) => self.feed_step(verb, rest).await,
             ("e", "expect", ["none", wanted @ ..]) => {
@@ -302,7 +303,7 @@
     }
 
     /// What has to hold once the scene is over.
-    pub fn finish(&mut self) {
+    pub(crate) fn finish(&mut self) {
         while let Ok(heard) = self.heard.try_recv() {
             self.take(heard);
         }
@@ -313,6 +314,7 @@
         );
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     async fn feed_step(&mut self, verb: &str, rest: &[&str]) {
         let feed = &mut self.feed;
         match (verb, rest) {
@@ -396,7 +398,7 @@
 }
 
 /// A frame with one record, of an engine that started at this Unix time in ms, or long ago at 0.
-pub fn feed_frame(
+pub(crate) fn feed_frame(
     event: u64,
     kind: u8,
     n: usize,
@@ -426,7 +428,7 @@
 }
 
 /// The label that a statement's comment carries; one that may run once only is marked.
-pub fn label(statement: &str) -> (String, bool) {
+pub(crate) fn label(statement: &str) -> (String, bool) {
     let label = statement
         .rsplit("-- ")
         .next()
@@ -455,6 +457,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 async fn lines(engine: usize, mut door: Door, tell: mpsc::UnboundedSender<Heard>) {
     while let Some(stream) = door.accept().await {
         let tell = tell.clone();
--- a/tests/scene/flight.rs
+++ b/tests/scene/flight.rs
@@ -25,7 +25,7 @@
 use tonic::{Request, Response, Status, Streaming};
 use tonic_types::StatusExt;
 
-pub struct Client {
+pub(super) struct Client {
     name: String,
     channel: Channel,
     calls: HashMap<String, JoinHandle<String>>,
@@ -33,7 +33,7 @@
 }
 
 impl Client {
-    pub async fn new(name: &str, at: SocketAddr) -> Client {
+    pub(super) async fn new(name: &str, at: SocketAddr) -> Client {
         let channel = Endpoint::from_shared(format!("http://{at}"))
             .expect("address")
             .connect()
@@ -49,7 +49,7 @@
 
     /// `send 7 CLASS k=v` calls (a plan and a get, or a put); `send ticket 7 CLASS` plans only, and
     /// `send get 8 7` brings the ticket of 7; `expect 7 ANSWER`; `close 7` drops the call.
-    pub async fn step(&mut self, verb: &str, rest: &[&str]) {
+    pub(super) async fn step(&mut self, verb: &str, rest: &[&str]) {
         let client = FlightServiceClient::new(self.channel.clone());
         match (verb, rest) {
             ("send", ["ticket", id, class, fields @ ..]) => {
@@ -212,7 +212,7 @@
     format!("{:?}{retry}", status.code())
 }
 
-pub struct Service {
+pub(super) struct Service {
     pub engine: usize,
     pub tell: mpsc::UnboundedSender<Heard>,
     pub cut: Arc<dyn Fn() + Send + Sync>,
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -23,11 +23,11 @@
 //! script, the scene itself keeps watch on the rules: one answer a request, one attempt out at a time, nothing
 //! that may run once sent again after it may have run, nothing new to what drains, nothing begun for who has left.
 
-pub mod engines;
+pub(crate) mod engines;
 mod flight;
 mod operations;
-pub mod platform;
-pub mod process;
+pub(crate) mod platform;
+pub(crate) mod process;
 mod snmp;
 
 use engines::Fleet;
@@ -48,7 +48,7 @@
 /// No step takes this long unless it fails.
 const LONG: Duration = Duration::from_secs(20);
 
-pub async fn soon<T>(what: &str, event: impl Future<Output = T>) -> T {
+pub(crate) async fn soon<T>(what: &str, event: impl Future<Output = T>) -> T {
     tokio::time::timeout(LONG, event)
         .await
         .unwrap_or_else(|_| panic!("no {what}"))
@@ -84,7 +84,7 @@
 }
 
 /// The text of a configuration.
-pub fn configuration(feed: std::net::SocketAddr, known: &str) -> String {
+pub(crate) fn configuration(feed: std::net::SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","ops":"127.0.0.1:0","seed":"8c1f30d27a5be964",
         "limits":{{"sockets":64,"memory_mb":32}},
@@ -95,7 +95,7 @@
 
 /// A configuration with changes: `-NAME` without a class, `+NAME` with one more that may run once only, `NAME=VALUE`
 /// with this value wherever the name stands, `!NAME` without that key, `cut` short or `empty`.
-pub fn changed(text: &str, changes: &[&str]) -> String {
+pub(crate) fn changed(text: &str, changes: &[&str]) -> String {
     fn each(value: &mut Value, key: &str, change: &dyn Fn(&mut serde_json::Map<String, Value>)) {
         match value {
             Value::Object(map) => {
@@ -137,7 +137,7 @@
 }
 
 /// The whole scene.
-pub struct Scene {
+pub(crate) struct Scene {
     node: Arc<Node>,
     ended: bool,
     /// Its end, once it was asked to stop, and when that was.
@@ -153,10 +153,10 @@
 }
 
 /// An operators' file that sets nothing.
-pub const OPERATORS: &str = "version = 1\n";
+pub(crate) const OPERATORS: &str = "version = 1\n";
 
 /// What a scene begins with.
-pub struct Stage<'a> {
+pub(crate) struct Stage<'a> {
     pub engines: usize,
     pub speech: EngineProtocol,
     /// Changes to the settings; see `changed`.
@@ -166,7 +166,7 @@
 }
 
 /// Plays a script with so many engines that speak lines, or Flight SQL.
-pub fn play(engines: usize, speech: EngineProtocol, script: &str) {
+pub(crate) fn play(engines: usize, speech: EngineProtocol, script: &str) {
     play_on(
         &Stage {
             engines,
@@ -179,7 +179,7 @@
 }
 
 /// Plays a script on this stage.
-pub fn play_on(stage: &Stage<'_>, script: &str) {
+pub(crate) fn play_on(stage: &Stage<'_>, script: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -243,6 +243,11 @@
         }
     }
 
+    #[expect(
+        clippy::cognitive_complexity,
+        clippy::too_many_lines,
+        reason = "not split yet"
+    )]
     async fn step(&mut self, step: &str) {
         let words: Vec<&str> = step.split_whitespace().collect();
         let (who, verb, rest) = (words[0], words[1], &words[2..]);
@@ -357,7 +362,7 @@
 }
 
 /// The statement of a request; its comment names it to the engines.
-pub fn statement(class: &str, label: &str) -> String {
+pub(crate) fn statement(class: &str, label: &str) -> String {
     match class {
         "log-load" => format!("INSERT INTO lic_7.log SELECT * FROM staging.rows -- {label}"),
         _ => format!("SELECT a FROM lic_7.log WHERE b <> 'lic_8.x' -- {label}"),
@@ -365,11 +370,11 @@
 }
 
 /// Text of a script, with its escapes.
-pub fn unescape(text: &str) -> String {
+pub(crate) fn unescape(text: &str) -> String {
     text.replace("\\t", "\t").replace("\\n", "\n")
 }
 
-pub fn hex(text: &str) -> Vec<u8> {
+pub(crate) fn hex(text: &str) -> Vec<u8> {
     let digits = |i: usize| u8::from_str_radix(&text[i..i + 2], 16).expect("hex");
     (0..text.len()).step_by(2).map(digits).collect()
 }
--- a/tests/scene/operations.rs
+++ b/tests/scene/operations.rs
@@ -4,21 +4,21 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-pub struct Caller {
+pub(super) struct Caller {
     stream: TcpStream,
     /// An engine that this call took out, or gave back.
     pub engine: Option<(usize, bool)>,
 }
 
 impl Caller {
-    pub async fn new(at: SocketAddr) -> Caller {
+    pub(super) async fn new(at: SocketAddr) -> Caller {
         Caller {
             stream: TcpStream::connect(at).await.expect("connect"),
             engine: None,
         }
     }
 
-    pub async fn step(&mut self, verb: &str, rest: &[&str]) {
+    pub(super) async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
             ("send", ["part", text]) => {
                 self.stream.write_all(text.as_bytes()).await.expect("write")
--- a/tests/scene/platform.rs
+++ b/tests/scene/platform.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-pub struct Client {
+pub(crate) struct Client {
     name: String,
     stream: TcpStream,
     input: Vec<u8>,
@@ -19,7 +19,7 @@
 }
 
 impl Client {
-    pub async fn new(name: &str, at: SocketAddr) -> Client {
+    pub(crate) async fn new(name: &str, at: SocketAddr) -> Client {
         let stream = TcpStream::connect(at).await.expect("connect");
         let (input, answers) = (Vec::new(), HashMap::new());
         Client {
@@ -32,7 +32,8 @@
         }
     }
 
-    pub async fn step(&mut self, verb: &str, rest: &[&str]) {
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
+    pub(crate) async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
             ("send", ["raw", bytes]) => self.stream.write_all(&hex(bytes)).await.expect("write"),
             // It sends no more, and reads on.
@@ -98,7 +99,7 @@
     }
 
     /// The next answer that came, with the number of its request.
-    pub async fn next_answer(&mut self) -> (u64, String) {
+    pub(crate) async fn next_answer(&mut self) -> (u64, String) {
         loop {
             if let Some(id) = self.answers.keys().next().copied() {
                 return self.answers.remove_entry(&id).expect("an answer");
--- a/tests/scene/process.rs
+++ b/tests/scene/process.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 
 /// A child that is ended with its test, also where the test fails: it would hold the test's output open.
-pub struct Reaped(pub Child);
+pub(crate) struct Reaped(pub Child);
 
 impl std::ops::Deref for Reaped {
     type Target = Child;
@@ -30,7 +30,7 @@
 }
 
 /// The program with these files, which are written under this name.
-pub fn program(name: &str, config: &str, fronts: &str) -> Child {
+pub(crate) fn program(name: &str, config: &str, fronts: &str) -> Child {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = |kind: &str, text: &str| {
         let path = folder.join(format!("{name}.{kind}"));
@@ -50,7 +50,7 @@
 }
 
 /// The program on a listening socket that the platform holds, in a folder that it gives to every start.
-pub fn inheriting(listener: &TcpListener, config: &Path, folder: &Path) -> Child {
+pub(crate) fn inheriting(listener: &TcpListener, config: &Path, folder: &Path) -> Child {
     let socket: OwnedFd = listener.try_clone().expect("socket").into();
     Command::new("sh")
         .args([
@@ -72,12 +72,12 @@
 }
 
 /// What a program says, by lines.
-pub fn said_by(child: &mut Child) -> BufReader<ChildStderr> {
+pub(crate) fn said_by(child: &mut Child) -> BufReader<ChildStderr> {
     BufReader::new(child.stderr.take().expect("stderr"))
 }
 
 /// The next line that says this.
-pub fn line_with(said: &mut impl BufRead, what: &str) -> String {
+pub(crate) fn line_with(said: &mut impl BufRead, what: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(
@@ -91,7 +91,7 @@
 }
 
 /// Where a program serves its clients, and where staff ask it, from the line that says so.
-pub fn addresses(said: &mut impl BufRead) -> (SocketAddr, SocketAddr) {
+pub(crate) fn addresses(said: &mut impl BufRead) -> (SocketAddr, SocketAddr) {
     let line = line_with(said, "serves on");
     let after = |what: &str| {
         line.split(what)
@@ -107,7 +107,7 @@
 }
 
 /// One call at the operations address.
-pub fn call(at: SocketAddr, line: &str) -> String {
+pub(crate) fn call(at: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(at).expect("connect");
     stream
         .write_all(format!("{line}\n").as_bytes())
@@ -118,7 +118,7 @@
 }
 
 /// Sends a signal to a child.
-pub fn signal(child: &Child, name: &str) {
+pub(crate) fn signal(child: &Child, name: &str) {
     let sent = Command::new("kill")
         .args(["-s", name, &child.id().to_string()])
         .status();
--- a/tests/scene/snmp.rs
+++ b/tests/scene/snmp.rs
@@ -13,18 +13,18 @@
 
 const ROOT: &str = "1.3.6.1.4.1.8072.9999.9999.62";
 
-pub struct Manager {
+pub(super) struct Manager {
     socket: UdpSocket,
 }
 
 impl Manager {
-    pub async fn new(agent: SocketAddr) -> Manager {
+    pub(super) async fn new(agent: SocketAddr) -> Manager {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("bind");
         socket.connect(agent).await.expect("connect");
         Manager { socket }
     }
 
-    pub async fn step(&mut self, verb: &str, rest: &[&str]) {
+    pub(super) async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
             ("send", ["raw", bytes]) => drop(self.socket.send(&hex(bytes)).await.expect("send")),
             ("send", ["bulk", non_repeaters, max_repetitions, names @ ..]) => {
--- a/tests/standing/engine.rs
+++ b/tests/standing/engine.rs
@@ -9,10 +9,10 @@
 
 /// Hears the label of each request as it has come whole, and says how long that takes and how much work it is, in ms on
 /// one core.
-pub type Asked = Arc<dyn Fn(&str) -> (Duration, f64) + Send + Sync>;
+pub(crate) type Asked = Arc<dyn Fn(&str) -> (Duration, f64) + Send + Sync>;
 
 /// Serves on this listener.
-pub async fn serve(listener: TcpListener, asked: Asked) {
+pub(crate) async fn serve(listener: TcpListener, asked: Asked) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(connection(stream, asked.clone()));
     }
