--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -387,8 +387,8 @@
         };
         let t = &open.taken;
         let (name, member) = (
-            || crate::log::name(&t.client_reference),
-            || crate::log::name(&t.member),
+            || crate::log::lossy_text(&t.client_reference),
+            || crate::log::lossy_text(&t.member),
         );
         tracing::debug!(id, r#ref = %name(), class = %t.class.name, member = %member(), due_ms = t.deadline_ms, cost_ms = t.estimated_work_ms, data_set = t.data_set, "taken");
         self.metrics.requests_open.increment();
--- /dev/null
+++ b/src/log/tests.rs
@@ -0,0 +1,102 @@
+//! Tests of this module.
+
+use super::subscriber;
+use crate::operator_config::text::{Format, Level, LogText};
+use rstest::rstest;
+use std::io::{self, Write};
+use std::sync::{Arc, Mutex};
+use tracing::{debug, error, info, warn};
+
+/// Standard error's stand-in: what all events wrote.
+#[derive(Clone, Default)]
+struct CapturedOutput(Arc<Mutex<Vec<u8>>>);
+
+impl CapturedOutput {
+    fn text(&self) -> String {
+        String::from_utf8(self.0.lock().expect("output").clone()).expect("UTF-8")
+    }
+}
+
+impl Write for CapturedOutput {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.0.lock().expect("output").extend_from_slice(bytes);
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+fn logged(level: Level, format: Format, log_events: impl FnOnce()) -> String {
+    let output = CapturedOutput::default();
+    let writer = output.clone();
+    let subscriber = subscriber(&LogText { level, format }, move || writer.clone());
+    // With a single subscriber, callsites that other tests' threads meet first would be switched off for all.
+    let _second = tracing::Dispatch::new(subscriber_without_output());
+    tracing::subscriber::with_default(subscriber, log_events);
+    output.text()
+}
+
+fn subscriber_without_output() -> impl tracing::Subscriber + Send + Sync {
+    tracing_subscriber::fmt().with_writer(io::sink).finish()
+}
+
+#[test]
+fn own_events_from_info_up_are_prefixed_lines_in_text_format() {
+    let text = logged(Level::Info, Format::Text, || {
+        info!("manager-1 serves on 127.0.0.1:1");
+        info!(engine = %"s-1", state = "down", "engine changed state");
+        warn!(reason = %"line 3", "settings rejected");
+        error!("no longer receives signals");
+    });
+    let expected = "workload-manager: manager-1 serves on 127.0.0.1:1\n\
+        workload-manager: engine changed state engine=s-1 state=\"down\"\n\
+        workload-manager: settings rejected reason=line 3\n\
+        workload-manager: no longer receives signals\n";
+    assert_eq!(text, expected);
+}
+
+#[test]
+fn debug_lines_begin_with_their_level_in_text_format() {
+    let text = logged(Level::Debug, Format::Text, || {
+        debug!(id = 7, "attempt started");
+    });
+    assert_eq!(text, "DEBUG attempt started id=7\n");
+}
+
+#[test]
+fn events_of_other_crates_begin_with_their_level_in_text_format() {
+    let text = logged(Level::Info, Format::Text, || {
+        info!(target: "workload_manager_client", "connected");
+        info!(target: "h2::proto", "connected");
+    });
+    assert_eq!(text, " INFO connected\n INFO connected\n");
+}
+
+#[test]
+fn operational_lines_are_objects_in_json_format() {
+    let text = logged(Level::Info, Format::Json, || {
+        info!(ordinal = 2, "new settings in force");
+    });
+    let line: serde_json::Value = serde_json::from_str(&text).expect("one JSON object");
+    assert_eq!(line["level"], "INFO");
+    assert_eq!(line["message"], "new settings in force");
+    assert_eq!(line["ordinal"], 2);
+}
+
+#[rstest]
+#[case(Level::Error, 1)]
+#[case(Level::Warn, 2)]
+#[case(Level::Info, 3)]
+#[case(Level::Debug, 4)]
+#[case(Level::Trace, 4)]
+fn a_level_lets_through_itself_and_what_is_graver(#[case] level: Level, #[case] lines: usize) {
+    let text = logged(level, Format::Text, || {
+        error!("at error");
+        warn!("at warn");
+        info!("at info");
+        debug!("at debug");
+    });
+    assert_eq!(text.lines().count(), lines, "{text}");
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -130,13 +130,13 @@
     let known = Known::of(&config.settings);
     let operators =
         Operators::load(Path::new(&file), Path::new(&fronts), &known).map_err(ConfigError)?;
-    workload_manager::log::init(&operators.log).map_err(ConfigError)?;
+    workload_manager::log::init(&operators.log).map_err(|e| ConfigError(e.to_string()))?;
     let name = config.name.clone();
     let node = Node::start(config, operators).await?;
     let ops = node
         .ops
         .map_or(String::new(), |at| format!(", is operated at {at}"));
-    eprintln!("workload-manager: {name} serves on {}{ops}", node.listen);
+    tracing::info!("{name} serves on {}{ops}", node.listen);
     loop {
         match signals.next().await {
             Ok(Heard::Terminate | Heard::Interrupt) => break,
