--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use workload_manager::settings_json;
 use workload_manager::{
-    Action, AttemptEnded, EngineEntry, EngineState, Event, Gateway, ListUpdateKind, LoadReport,
+    Action, AttemptEnded, Dispatcher, EngineEntry, EngineState, Event, ListUpdateKind, LoadReport,
     Outcome, Progress, Request,
 };
 
@@ -12,7 +12,7 @@
 const LISTS: u16 = 16;
 
 struct Instance {
-    gateway: Gateway,
+    gateway: Dispatcher,
     report_names: Vec<String>,
     bills: bool,
 }
@@ -104,7 +104,7 @@
         self.instances.remove(&instance);
         let text = batch.tail(r.u32(11), r.u32(15) as usize, "the settings")?;
         let made = settings_json::parse(text).and_then(|p| {
-            let gateway = Gateway::new(p.settings, r.u64(3)).map_err(|e| e.to_string())?;
+            let gateway = Dispatcher::new(p.settings, r.u64(3)).map_err(|e| e.to_string())?;
             Ok(Instance {
                 gateway,
                 report_names: p.load_report_fields,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -21,8 +21,8 @@
 
 use crate::attempt::{AttemptHistory, SentTo, never_ran};
 use crate::decision::{
-    Action, AttemptEnded, DedupScope, EngineId, Event, Idempotency, LoadReport, Millis, Outcome,
-    Request, RequestId, Settings, SettingsError,
+    Action, AttemptEnded, DedupScope, Dispatcher, EngineId, Event, Idempotency, LoadReport, Millis,
+    Outcome, Request, RequestId, Settings, SettingsError,
 };
 use crate::limits::Limits;
 use crate::metrics::Metrics;
@@ -60,7 +60,7 @@
 
 /// The core of one workload manager.
 pub struct Core<E> {
-    gateway: Gateway,
+    gateway: Dispatcher,
     engines: E,
     limits: Arc<Limits>,
     metrics: Arc<Metrics>,
@@ -84,8 +84,6 @@
     review_armed: bool,
 }
 
-use crate::decision::Gateway;
-
 impl<E: EnginePort> Core<E> {
     /// A core round a new module with these settings.
     pub fn new(
@@ -97,7 +95,7 @@
     ) -> Result<Self, SettingsError> {
         let membership = Membership::from(&settings);
         let core = Core {
-            gateway: Gateway::new(settings, seed)?,
+            gateway: Dispatcher::new(settings, seed)?,
             engines,
             roster: Roster::new(
                 limits.engines,
@@ -146,7 +144,7 @@
             self.roster.entries(),
             self.alarms.len(),
         ];
-        (core, self.gateway.held())
+        (core, self.gateway.state_sizes())
     }
 
     /// When the next alarm is due.
@@ -173,7 +171,8 @@
                 Alarm::Leases => self.review_leases(now),
             }
             // The module's timer comes often enough to publish what it believes.
-            self.metrics.engines_ejected.set(self.gateway.avoided());
+            let ejected = self.gateway.ejected_engines();
+            self.metrics.engines_ejected.set(ejected);
         }
     }
 
@@ -268,12 +267,10 @@
             }
             PriorityMessage::PeerProcesses(parts) => {
                 self.look_beside(now);
-                self.tell(
-                    now,
-                    Event::PeerProcesses {
-                        capacity_divisor: parts,
-                    },
-                );
+                let change = Event::PeerProcesses {
+                    capacity_divisor: parts,
+                };
+                self.tell(now, change);
             }
             PriorityMessage::ManualEjection {
                 engine,
@@ -282,10 +279,11 @@
                 from_peer: told,
                 done,
             } => {
-                let held = self.gateway.bans().contains(&engine);
+                let held = self.gateway.manual_ejections().contains(&engine);
                 let known = held || self.roster.named(engine) || told && out;
                 // Guard: what is not listed grows with nothing; it holds a ban only while there is room.
-                let fits = !out || held || self.gateway.bans().len() < self.limits.engines;
+                let fits =
+                    !out || held || self.gateway.manual_ejections().len() < self.limits.engines;
                 if known && fits || told && !out {
                     self.tell(
                         now,
@@ -299,7 +297,8 @@
                         self.roster.given_back(engine, at);
                     }
                     self.engines.set_manually_ejected(engine, out);
-                    self.metrics.engines_ejected.set(self.gateway.avoided());
+                    let ejected = self.gateway.ejected_engines();
+                    self.metrics.engines_ejected.set(ejected);
                 }
                 let _ = done.send(known && fits);
             }
@@ -414,7 +413,7 @@
         for line in &step.lines {
             // Guard: sends to what drains or is gone end here, whatever the module holds.
             self.engines.engine_listed(line);
-            if self.gateway.bans().contains(&line.entry.engine) {
+            if self.gateway.manual_ejections().contains(&line.entry.engine) {
                 self.engines.set_manually_ejected(line.entry.engine, true); // a new address has a new actor
             }
         }
@@ -624,7 +623,7 @@
         timeout_ms: Option<Millis>,
     ) -> Option<Outcome> {
         let repeatable = self.repeat_until(now, id, engine).is_some();
-        let ready = self.roster.ready(engine) && !self.gateway.bans().contains(&engine);
+        let ready = self.roster.ready(engine) && !self.gateway.manual_ejections().contains(&engine);
         let cap = self.gateway.settings().max_attempts;
         let open = self.requests.get_mut(&id)?;
         // Guards: one attempt out at a time, also while one waits out its back-off; no second run of what may run
--- a/src/core/narrow.rs
+++ b/src/core/narrow.rs
@@ -76,7 +76,7 @@
         let Some((_, engine, timeout_ms)) = open.waiting.take_if(|w| w.0 == number) else {
             return;
         };
-        let ready = self.roster.ready(engine) && !self.gateway.bans().contains(&engine);
+        let ready = self.roster.ready(engine) && !self.gateway.manual_ejections().contains(&engine);
         // Guard: an engine that drains, or was taken out, meanwhile gets nothing.
         let unsent = if ready {
             self.launch(now, id, number, engine, timeout_ms)
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -161,7 +161,7 @@
 
 /// One gateway: feed it events, carry out its actions.
 #[derive(Default)]
-pub struct Gateway {
+pub struct Dispatcher {
     set: Settings,
     seed: u64,
     now: Millis,
@@ -194,12 +194,12 @@
     middle_slow: Option<f64>, // the middle engine's
 }
 
-impl Gateway {
+impl Dispatcher {
     /// A gateway with these settings; `seed` breaks ties differently at each gateway.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let set = settings;
         set.check()?;
-        Ok(Gateway {
+        Ok(Dispatcher {
             stats: set.classes.iter().map(ClassStat::first).collect(),
             pool: Fit::new(1.0, 0.0),
             probes: PROBES_SAVED,
@@ -207,7 +207,7 @@
             best: f64::INFINITY,
             set,
             seed,
-            ..Gateway::default()
+            ..Dispatcher::default()
         })
     }
 
@@ -269,7 +269,7 @@
     }
 
     /// Listed engines that it sends nothing at present, by hand or by choice.
-    pub fn avoided(&self) -> usize {
+    pub fn ejected_engines(&self) -> usize {
         let listed = self
             .engines
             .values()
@@ -285,7 +285,7 @@
     }
 
     /// The engines that staff have taken out.
-    pub fn bans(&self) -> &BTreeSet<EngineId> {
+    pub fn manual_ejections(&self) -> &BTreeSet<EngineId> {
         &self.bans
     }
 
@@ -307,7 +307,7 @@
     }
 
     /// How many requests, waiters, keys and engines it holds.
-    pub fn held(&self) -> [usize; 4] {
+    pub fn state_sizes(&self) -> [usize; 4] {
         [
             self.reqs.len(),
             self.line.len(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! magpiechute decides, for a workload manager, when and on which shared SQL engine each query runs, and is that
 //! workload manager on real sockets.
 //!
-//! The decisions are sans-I/O: [`Gateway::new`] takes [`Settings`] and a seed, and [`Gateway::handle`] takes the
-//! time and one [`Event`] and appends [`Action`]s. It reads no clock, starts no thread, and two gateways share
-//! nothing. All decisions are in the `choice` module; the types it speaks are in the `interface` module.
+//! The decisions are sans-I/O: [`Dispatcher::new`] takes [`Settings`] and a seed, and [`Dispatcher::handle`] takes the
+//! time and one [`Event`] and appends [`Action`]s. It reads no clock, starts no thread, and two dispatchers share
+//! nothing. All decisions, and the types of their events and actions, are in the `decision` module.
 //!
 //! Round them stands the [`core`], which knows no wire, and round that one module for each kind of peer.
 #![forbid(unsafe_code)]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use workload_manager::{
-    Action, AttemptEnded, Class, EngineEntry, EngineId, EngineState, Event, Gateway, Idempotency,
-    ListUpdateKind, LoadReport, LoadReportMode, Outcome, Request, Settings,
+    Action, AttemptEnded, Class, Dispatcher, EngineEntry, EngineId, EngineState, Event,
+    Idempotency, ListUpdateKind, LoadReport, LoadReportMode, Outcome, Request, Settings,
 };
 
 pub(crate) fn class(threads: u32, promise_ms: f64, worth: f64) -> Class {
@@ -66,14 +66,14 @@
 
 /// A gateway under test, with its clock.
 pub(crate) struct Rig {
-    pub gateway: Gateway,
+    pub gateway: Dispatcher,
     pub now: f64,
 }
 
 impl Rig {
     pub(crate) fn new(settings: Settings, engines: u8) -> Rig {
         let mut rig = Rig {
-            gateway: Gateway::new(settings, 7).expect("settings"),
+            gateway: Dispatcher::new(settings, 7).expect("settings"),
             now: 1000.0,
         };
         rig.event(Event::Started);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -722,7 +722,10 @@
     ] {
         rig.list(change);
         rig.tick(50.0);
-        assert_eq!(rig.gateway.avoided(), 1.min(rig.gateway.held()[3] - 1));
+        assert_eq!(
+            rig.gateway.ejected_engines(),
+            1.min(rig.gateway.state_sizes()[3] - 1)
+        );
         assert!((0..20).all(|_| ask(&mut rig) == Some(engine(1))));
     }
     rig.list(vec![entry(1, EngineState::Draining, 0.0)]);
@@ -734,7 +737,7 @@
     rig.now = 60_000.0;
     let back = ban(false, rig.now);
     rig.event(back);
-    assert_eq!(rig.gateway.avoided(), 0);
+    assert_eq!(rig.gateway.ejected_engines(), 0);
     // Cold by the guard for fresh engines: a burst of queries is not let through at once, one comes soon.
     let sent_at_once = (5000..5100)
         .filter(|id| sent(&rig.request(*id, 0, 0), *id).is_some())
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,7 +16,7 @@
         };
         let seed = u64::from(ordinal) * 7919 + 3;
         let mut rig = Rig {
-            gateway: Gateway::new(large, seed).expect("settings"),
+            gateway: Dispatcher::new(large, seed).expect("settings"),
             now: 1000.0,
         };
         rig.event(Event::Started);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -202,7 +202,7 @@
 
 #[test]
 fn settings_that_cannot_be_used_are_refused_with_a_type() {
-    let new = |s: Settings| Gateway::new(s, 1).err();
+    let new = |s: Settings| Dispatcher::new(s, 1).err();
     assert_eq!(new(settings(vec![])), Some(SettingsError::NoClasses));
     let one = settings(vec![class(1, 100.0, 1.0)]);
     assert_eq!(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -188,9 +188,9 @@
         rig.event(Event::ClientDisconnected { id });
         rig.ended(id, 0, at, Outcome::Reset);
     }
-    assert_eq!(rig.gateway.held()[2], 100, "all of them rest");
+    assert_eq!(rig.gateway.state_sizes()[2], 100, "all of them rest");
     rig.tick(400.0);
-    assert_eq!(rig.gateway.held()[2], 0);
+    assert_eq!(rig.gateway.state_sizes()[2], 0);
 }
 
 #[test]
