--- a/benches/scale/churn.rs
+++ b/benches/scale/churn.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Replacements told while this value lives.
+/// Replacements, published for as long as this value lives.
 pub(super) struct Churn {
     events: Arc<AtomicU64>,
     stop: Option<Sender<()>>,
@@ -68,9 +68,9 @@
         let events = Arc::<AtomicU64>::default();
         let (stop, stopped) = mpsc::channel::<()>();
         let (feed, count) = (feed.clone(), events.clone());
-        let mut list = Replaced::new(listed.to_vec(), port);
+        let mut list = RollingReplacement::new(listed.to_vec(), port);
         let thread = thread::spawn(move || {
-            let tell = |event| {
+            let publish = |event| {
                 feed.lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .publish(&event);
@@ -82,10 +82,10 @@
             };
             let (mut next, mut replaced) = (Instant::now(), 0);
             while rate.allows(replaced) && goes_on(next) {
-                tell(list.drain());
+                publish(list.drain());
                 // What drains ends, also where the churn is over.
                 goes_on(next + DRAINS_FOR.min(rate.interval / 2));
-                tell(list.end());
+                publish(list.end());
                 replaced += 1;
                 next += rate.interval;
             }
@@ -97,12 +97,12 @@
         }
     }
 
-    /// Events told so far: two for each engine replaced.
+    /// Events published so far: two for each engine replaced.
     pub(super) fn events(&self) -> u64 {
         self.events.load(Ordering::SeqCst)
     }
 
-    /// Ends it, with no engine left halfway; returns the events told in all.
+    /// Ends it, with no engine left halfway; returns the number of published events.
     pub(super) fn finish(mut self) -> u64 {
         self.stop();
         self.events()
@@ -122,8 +122,8 @@
     }
 }
 
-/// The list as it is told, and the numbers of its events.
-struct Replaced {
+/// The list as it is published, and the numbers of its events.
+struct RollingReplacement {
     listed: Vec<EngineRecord>,
     port: u16,
     place: usize,
@@ -132,10 +132,10 @@
     old: Option<EngineRecord>,
 }
 
-impl Replaced {
-    fn new(listed: Vec<EngineRecord>, port: u16) -> Replaced {
+impl RollingReplacement {
+    fn new(listed: Vec<EngineRecord>, port: u16) -> RollingReplacement {
         let next_engine = listed.len() as u32;
-        Replaced {
+        RollingReplacement {
             listed,
             port,
             place: 0,
--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -6,7 +6,7 @@
 use workload_manager::node_config::{EndpointListEvent, EngineRecord, engine_text};
 use workload_manager::{EngineState, ListUpdateKind};
 
-/// The number of the event that holds the whole list.
+/// The number of the event that holds the full list.
 pub(super) const FIRST_EVENT: u64 = 1;
 
 /// What a configuration file is made of.
@@ -69,7 +69,7 @@
     })
 }
 
-/// The list of so many ready engines that all listen at this port, each at an address of its own.
+/// The list of this many ready engines that all listen at this port, each at an address of its own.
 pub(super) fn listed(engines: usize, port: u16) -> Vec<EngineRecord> {
     (0..engines as u32)
         .map(|place| engine(place, EngineState::Ready, 0.0, port))
--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -1,11 +1,13 @@
 //! `decision`: processor time of a request and of a tick, through roster and decision module as the program joins
-//! them. No socket is opened: the engine port keeps what it is asked, and the answers come from here.
+//! them. No socket is opened: the engine port records the attempts, and this test completes them.
 
 use super::fit::{Figure, Point, Prediction};
 use super::fleet;
-use super::hollow::{Asked, HollowClient, HollowEngines, TakenUp, served, statement};
-use super::row::{Failure, Output, Size, rounded};
-use super::{Options, usage};
+use super::in_process_manager::RosterSize;
+use super::options::{Options, Test};
+use super::recording_ports::{DispatchedAttempt, NullClient, RecordingEngines, served, statement};
+use super::row::{Output, ScaleError, Size, rounded};
+use super::usage;
 use serde::Serialize;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,7 +18,7 @@
 use workload_manager::settings_json::PlatformSettings;
 use workload_manager::{Millis, RequestId};
 
-const TEST: &str = "decision";
+const TEST: &str = Test::Decision.name();
 /// Time that an engine takes to serve a statement, in ms.
 const SERVED_AFTER_MS: Millis = 8.0;
 
@@ -26,20 +28,20 @@
     warm_up: u32,
     requests: u32,
     /// A round that lasts longer ends with the requests that it has.
-    longest: Duration,
+    max_duration: Duration,
 }
 
 const FULL: Effort = Effort {
     rounds: 5,
     warm_up: 500,
     requests: 4_000,
-    longest: Duration::from_secs(15),
+    max_duration: Duration::from_secs(15),
 };
 const SMALL: Effort = Effort {
     rounds: 1,
     warm_up: 50,
     requests: 500,
-    longest: Duration::from_secs(15),
+    max_duration: Duration::from_secs(15),
 };
 
 #[derive(Serialize)]
@@ -48,7 +50,7 @@
     size: Size,
     memory_mb: usize,
     #[serde(flatten)]
-    taken_up: TakenUp,
+    taken_up: RosterSize,
     /// Median of the rounds' means, and their least and most.
     us_request: f64,
     us_request_least: f64,
@@ -68,7 +70,7 @@
 }
 
 /// Plays all sizes, and predicts the largest from the others.
-pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let effort = if options.small { &SMALL } else { &FULL };
     let sizes = options.listed();
     let (mut requests, mut ticks): (Vec<Point>, Vec<Point>) = (Vec::new(), Vec::new());
@@ -97,29 +99,30 @@
     Ok(())
 }
 
-/// Processor time of one tick with so many listed engines, in us: one short round.
+/// Processor time of one tick with this many listed engines, in us: one short round.
 pub(super) fn tick_us(options: &Options, listed: usize) -> f64 {
-    let mut rig = Rig::new(options, listed, 0);
-    rig.play(SMALL.requests, SMALL.longest);
-    rig.in_ticks.mean_us()
+    let mut bench = TestBench::new(options, listed, 0);
+    bench.play(SMALL.requests, SMALL.max_duration);
+    bench.in_ticks.mean_us()
 }
 
 fn measure(options: &Options, effort: &Effort, listed: usize) -> DecisionRow {
-    let mut rigs: Vec<Rig> = Vec::new();
+    let mut benches: Vec<TestBench> = Vec::new();
     for round in 0..effort.rounds {
-        let mut rig = Rig::new(options, listed, round as u64);
-        rig.play(effort.warm_up, effort.longest);
-        (rig.in_requests, rig.in_ticks) = Default::default();
-        rig.play(effort.requests, effort.longest);
-        rigs.push(rig);
+        let mut bench = TestBench::new(options, listed, round as u64);
+        bench.play(effort.warm_up, effort.max_duration);
+        (bench.in_requests, bench.in_ticks) = Default::default();
+        bench.play(effort.requests, effort.max_duration);
+        benches.push(bench);
     }
-    let counted = |count: fn(&Metrics) -> u64| rigs.iter().map(|rig| count(&rig.metrics)).sum();
-    let request = Spread::of(rigs.iter().map(|rig| rig.in_requests.mean_us()));
-    let tick = Spread::of(rigs.iter().map(|rig| rig.in_ticks.mean_us()));
+    let counted =
+        |count: fn(&Metrics) -> u64| benches.iter().map(|bench| count(&bench.metrics)).sum();
+    let request = RoundSummary::of(benches.iter().map(|bench| bench.in_requests.mean_us()));
+    let tick = RoundSummary::of(benches.iter().map(|bench| bench.in_ticks.mean_us()));
     DecisionRow {
         size: Size::measured(TEST, "decision", listed, options.managers as usize),
         memory_mb: options.memory_mb,
-        taken_up: TakenUp::of(&rigs[0].core, &rigs[0].metrics),
+        taken_up: RosterSize::of(&benches[0].core, &benches[0].metrics),
         us_request: request.median,
         us_request_least: request.least,
         us_request_most: request.most,
@@ -127,8 +130,8 @@
         us_tick_least: tick.least,
         us_tick_most: tick.most,
         rounds: effort.rounds,
-        requests: rigs.iter().map(|rig| rig.in_requests.count).sum(),
-        ticks: rigs.iter().map(|rig| rig.in_ticks.count).sum(),
+        requests: benches.iter().map(|bench| bench.in_requests.count).sum(),
+        ticks: benches.iter().map(|bench| bench.in_ticks.count).sum(),
         served: counted(|metrics| metrics.requests_served.get()),
         refused: counted(|metrics| metrics.requests_rejected.get()),
         failed: counted(|metrics| metrics.requests_failed.get()),
@@ -137,18 +140,18 @@
 }
 
 /// Median, least and most of the rounds.
-struct Spread {
+struct RoundSummary {
     median: f64,
     least: f64,
     most: f64,
 }
 
-impl Spread {
-    fn of(figures: impl Iterator<Item = f64>) -> Spread {
+impl RoundSummary {
+    fn of(figures: impl Iterator<Item = f64>) -> RoundSummary {
         let mut figures: Vec<f64> = figures.map(rounded).collect();
         figures.sort_by(f64::total_cmp);
         let (least, most) = (figures[0], figures[figures.len() - 1]);
-        Spread {
+        RoundSummary {
             median: figures[figures.len() / 2],
             least,
             most,
@@ -158,39 +161,39 @@
 
 /// Processor time spent in one kind of call.
 #[derive(Default)]
-struct Spent {
+struct ProcessorTime {
     count: u64,
     time: Duration,
 }
 
-impl Spent {
+impl ProcessorTime {
     fn mean_us(&self) -> f64 {
         self.time.as_secs_f64() * 1e6 / self.count.max(1) as f64
     }
 }
 
-/// An attempt that an engine has in hand.
-struct InHand {
-    asked: Asked,
+/// An attempt that an engine has not answered yet.
+struct AttemptInFlight {
+    attempt: DispatchedAttempt,
     sent: Millis,
 }
 
 /// One core on a clock of its own, with statements that come and are served at the fleet's rate.
-struct Rig {
-    core: Core<HollowEngines>,
-    engines: HollowEngines,
+struct TestBench {
+    core: Core<RecordingEngines>,
+    engines: RecordingEngines,
     metrics: Arc<Metrics>,
     parsed: PlatformSettings,
     client: Arc<dyn ClientPort>,
-    in_hand: VecDeque<InHand>,
+    in_flight: VecDeque<AttemptInFlight>,
     now: Millis,
     next_id: RequestId,
-    in_requests: Spent,
-    in_ticks: Spent,
+    in_requests: ProcessorTime,
+    in_ticks: ProcessorTime,
 }
 
-impl Rig {
-    fn new(options: &Options, listed: usize, seed: u64) -> Rig {
+impl TestBench {
+    fn new(options: &Options, listed: usize, seed: u64) -> TestBench {
         let parsed = fleet::settings(options.managers, 0);
         let limits = Arc::new(Limits::new(
             fleet::SOCKETS,
@@ -199,7 +202,7 @@
             &parsed,
         ));
         let metrics: Arc<Metrics> = Arc::default();
-        let engines = HollowEngines::default();
+        let engines = RecordingEngines::default();
         let made = Core::new(
             parsed.settings.clone(),
             seed,
@@ -209,39 +212,39 @@
         );
         let mut core = made.expect("settings that were parsed");
         core.begin(0.0);
-        core.handle(0.0, CoreMessage::EndpointList(fleet::whole_list(1, listed)));
-        Rig {
+        core.handle(0.0, CoreMessage::EndpointList(fleet::full_list(1, listed)));
+        TestBench {
             core,
             engines,
             metrics,
             parsed,
-            client: Arc::new(HollowClient),
-            in_hand: VecDeque::new(),
+            client: Arc::new(NullClient),
+            in_flight: VecDeque::new(),
             now: 0.0,
             next_id: 1,
-            in_requests: Spent::default(),
-            in_ticks: Spent::default(),
+            in_requests: ProcessorTime::default(),
+            in_ticks: ProcessorTime::default(),
         }
     }
 
-    /// Takes so many statements in, or as many as the time allows, serves them, and runs the ticks that come due.
-    fn play(&mut self, requests: u32, longest: Duration) {
+    /// Accepts this many statements, or as many as the time allows, serves them, and runs the ticks that come due.
+    fn play(&mut self, requests: u32, max_duration: Duration) {
         let begun = Instant::now();
         for _ in 0..requests {
-            if begun.elapsed() > longest {
+            if begun.elapsed() > max_duration {
                 return;
             }
             self.now += 1000.0 / fleet::STATEMENTS;
-            self.tick();
+            self.run_due_tick();
             let from = usage::thread_time();
-            self.serve();
-            self.request();
+            self.complete_due_attempts();
+            self.accept_statement();
             self.in_requests.count += 1;
             self.in_requests.time += usage::thread_time() - from;
         }
     }
 
-    fn tick(&mut self) {
+    fn run_due_tick(&mut self) {
         if self.core.next_alarm().is_some_and(|at| at <= self.now) {
             let from = usage::thread_time();
             self.core.alarms(self.now);
@@ -250,38 +253,38 @@
         }
     }
 
-    fn request(&mut self) {
+    fn accept_statement(&mut self) {
         let id = self.next_id;
         self.next_id += 1;
         self.core.handle(
             self.now,
             statement(id, self.now, &self.parsed.classes[0], &self.client),
         );
-        self.collect();
+        self.collect_dispatched();
     }
 
-    /// Answers what has been in hand for the time that an engine takes.
-    fn serve(&mut self) {
+    /// Completes the attempts whose service time is over.
+    fn complete_due_attempts(&mut self) {
         while self
-            .in_hand
+            .in_flight
             .front()
             .is_some_and(|oldest| oldest.sent + SERVED_AFTER_MS <= self.now)
         {
-            let Some(InHand { asked, .. }) = self.in_hand.pop_front() else {
+            let Some(AttemptInFlight { attempt, .. }) = self.in_flight.pop_front() else {
                 return;
             };
-            self.core.handle(self.now, served(asked));
-            self.collect();
+            self.core.handle(self.now, served(attempt));
+            self.collect_dispatched();
         }
     }
 
-    fn collect(&mut self) {
+    fn collect_dispatched(&mut self) {
         let sent = self.now;
-        self.in_hand.extend(
+        self.in_flight.extend(
             self.engines
-                .asked()
+                .take_dispatched()
                 .into_iter()
-                .map(|asked| InHand { asked, sent }),
+                .map(|attempt| AttemptInFlight { attempt, sent }),
         );
     }
 }
--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -1,6 +1,6 @@
-//! Stand-in engines that speak the line protocol: one listener for all of them, each at a loopback address of its own.
+//! Fake engines that speak the line protocol: one listener for all of them, each at a loopback address of its own.
 
-use super::row::Failure;
+use super::row::ScaleError;
 use std::collections::HashSet;
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,11 +20,11 @@
 const LOOPBACK: &[u8] = b"lo";
 const BACKLOG: u32 = 4_096;
 /// A statement of the tests is far shorter.
-const LONGEST_STATEMENT: usize = 64 * 1024;
+const MAX_STATEMENT_BYTES: usize = 64 * 1024;
 
-/// What the engines together have seen.
+/// Counters of all engines together.
 #[derive(Debug, Default)]
-struct Seen {
+struct EngineCounters {
     connections: AtomicU64,
     statements: AtomicU64,
     received: AtomicU64,
@@ -34,16 +34,16 @@
 
 /// Figures of the engines together.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Totals {
+pub(super) struct EngineTotals {
     /// Connections accepted.
     pub connections: u64,
     /// Statements received.
     pub statements: u64,
-    /// Bytes received, without what gives a statement up.
+    /// Bytes received, without cancellations.
     pub received: u64,
     /// Bytes sent.
     pub sent: u64,
-    /// Engines that had a statement.
+    /// Engines that received a statement.
     pub used: usize,
 }
 
@@ -51,14 +51,14 @@
 pub(super) struct Engines {
     /// The port of every engine.
     pub port: u16,
-    seen: Arc<Seen>,
+    counters: Arc<EngineCounters>,
     /// Closed with this value, which ends the thread.
     _running: oneshot::Sender<()>,
 }
 
 impl Engines {
     /// Starts them in a thread of their own.
-    pub(super) fn start() -> Result<Engines, Failure> {
+    pub(super) fn start() -> Result<Engines, ScaleError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -67,9 +67,9 @@
             listen()?
         };
         let port = listener.local_addr()?.port();
-        let seen = Arc::<Seen>::default();
+        let counters = Arc::<EngineCounters>::default();
         let (running, ended) = oneshot::channel::<()>();
-        let engines = seen.clone();
+        let engines = counters.clone();
         thread::spawn(move || {
             runtime.block_on(async {
                 tokio::select! {
@@ -80,21 +80,21 @@
         });
         Ok(Engines {
             port,
-            seen,
+            counters,
             _running: running,
         })
     }
 
-    /// What they have seen so far.
-    pub(super) fn totals(&self) -> Totals {
+    /// The figures so far.
+    pub(super) fn totals(&self) -> EngineTotals {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Totals {
-            connections: read(&self.seen.connections),
-            statements: read(&self.seen.statements),
-            received: read(&self.seen.received),
-            sent: read(&self.seen.sent),
+        EngineTotals {
+            connections: read(&self.counters.connections),
+            statements: read(&self.counters.statements),
+            received: read(&self.counters.received),
+            sent: read(&self.counters.sent),
             used: self
-                .seen
+                .counters
                 .used
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
@@ -111,12 +111,12 @@
     socket.listen(BACKLOG)
 }
 
-async fn accept(listener: TcpListener, seen: Arc<Seen>) {
+async fn accept(listener: TcpListener, counters: Arc<EngineCounters>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                seen.connections.fetch_add(1, Ordering::Relaxed);
-                tokio::spawn(serve(stream, seen.clone()));
+                counters.connections.fetch_add(1, Ordering::Relaxed);
+                tokio::spawn(serve(stream, counters.clone()));
             }
             // Out of descriptors: what is open goes on.
             Err(_) => tokio::time::sleep(SERVED_AFTER).await,
@@ -125,12 +125,12 @@
 }
 
 /// Serves one connection until the manager closes it.
-async fn serve(stream: TcpStream, seen: Arc<Seen>) {
+async fn serve(stream: TcpStream, counters: Arc<EngineCounters>) {
     let _ = stream.set_nodelay(true);
     let engine = stream.local_addr().map(|address| address.ip());
     let (read, write) = stream.into_split();
     let (answers, answered) = mpsc::unbounded_channel();
-    tokio::spawn(answer(write, answered, seen.clone()));
+    tokio::spawn(answer(write, answered, counters.clone()));
     let mut read = BufReader::new(read);
     let mut line = String::new();
     loop {
@@ -138,7 +138,8 @@
         if !matches!(read.read_line(&mut line).await, Ok(length) if length > 0) {
             return;
         }
-        seen.received
+        counters
+            .received
             .fetch_add(line.len() as u64, Ordering::Relaxed);
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
@@ -146,7 +147,7 @@
                 let Some(length) = length
                     .parse()
                     .ok()
-                    .filter(|length: &usize| *length < LONGEST_STATEMENT)
+                    .filter(|length: &usize| *length < MAX_STATEMENT_BYTES)
                 else {
                     return;
                 };
@@ -154,11 +155,13 @@
                 if read.read_exact(&mut statement).await.is_err() {
                     return;
                 }
-                seen.received
+                counters
+                    .received
                     .fetch_add(statement.len() as u64, Ordering::Relaxed);
-                seen.statements.fetch_add(1, Ordering::Relaxed);
+                counters.statements.fetch_add(1, Ordering::Relaxed);
                 if let Ok(engine) = engine {
-                    seen.used
+                    counters
+                        .used
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .insert(engine);
@@ -180,12 +183,14 @@
 async fn answer(
     mut write: OwnedWriteHalf,
     mut answered: mpsc::UnboundedReceiver<String>,
-    seen: Arc<Seen>,
+    counters: Arc<EngineCounters>,
 ) {
     while let Some(text) = answered.recv().await {
         if write.write_all(text.as_bytes()).await.is_err() {
             return;
         }
-        seen.sent.fetch_add(text.len() as u64, Ordering::Relaxed);
+        counters
+            .sent
+            .fetch_add(text.len() as u64, Ordering::Relaxed);
     }
 }
--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -1,8 +1,8 @@
-//! A list feed that speaks the published frames, on a thread of its own: what it costs can be told from what its
+//! A list feed that speaks the published frames, on a thread of its own: what it costs can be sent from what its
 //! followers cost.
 
-use super::load::{Load, Timeline};
-use super::row::Failure;
+use super::row::ScaleError;
+use super::server_load::{Load, ServerTotals, Timeline};
 use bytes::Bytes;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,15 +21,15 @@
 pub(super) const RECORD_BYTES: usize = 27;
 /// Bytes of a frame before its records: length, number and kind.
 pub(super) const FRAME_HEAD_BYTES: usize = 13;
-/// Interval at which the feed tells that there is nothing new.
+/// Interval of the empty frames that keep an idle connection alive.
 pub(super) const IDLE: Duration = Duration::from_secs(1);
 const KIND_EMPTY: u8 = 0;
-const KIND_WHOLE: u8 = 1;
+const KIND_FULL: u8 = 1;
 const KIND_CHANGES: u8 = 2;
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 4_096;
-/// Longest wait for its thread.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for its thread to respond.
+const THREAD_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval at which its load is sampled.
 const SAMPLE: Duration = Duration::from_millis(10);
 
@@ -37,13 +37,13 @@
 pub(super) fn frame(event: &EndpointListEvent) -> Bytes {
     let kind = match event.kind {
         ListUpdateKind::Delta => KIND_CHANGES,
-        _ => KIND_WHOLE,
+        _ => KIND_FULL,
     };
     let mut payload = Vec::with_capacity(event.records.len() * RECORD_BYTES);
     event
         .records
         .iter()
-        .for_each(|line| record(line, &mut payload));
+        .for_each(|line| encode_record(line, &mut payload));
     frame_of(event.number, kind, &payload)
 }
 
@@ -56,7 +56,7 @@
     frame.into()
 }
 
-fn record(line: &EngineRecord, into: &mut Vec<u8>) {
+fn encode_record(line: &EngineRecord, into: &mut Vec<u8>) {
     let SocketAddr::V4(address) = line.address else {
         return;
     };
@@ -79,22 +79,11 @@
 /// Whether the feed can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
-    Here,
+    Listening,
     Away,
     Ended,
 }
 
-/// What the feed has done so far.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Totals {
-    /// Connections accepted.
-    pub connections: u64,
-    /// Frames written, empty ones among them.
-    pub frames: u64,
-    /// Bytes written.
-    pub bytes: u64,
-}
-
 #[derive(Default)]
 struct Counted {
     connections: AtomicU64,
@@ -107,7 +96,7 @@
     /// The events in order, with their numbers.
     log: Mutex<Vec<(u64, Bytes)>>,
     /// How many there are.
-    told: watch::Sender<usize>,
+    published: watch::Sender<usize>,
     counted: Counted,
     timeline: Mutex<Timeline>,
 }
@@ -117,14 +106,14 @@
 }
 
 impl Shared {
-    fn totals(&self) -> Totals {
+    fn totals(&self) -> ServerTotals {
         let Counted {
             connections,
             frames,
             bytes,
         } = &self.counted;
         let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Totals {
+        ServerTotals {
             connections: get(connections),
             frames: get(frames),
             bytes: get(bytes),
@@ -138,11 +127,11 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// The frames behind the first `told` ones.
-    fn since(&self, told: usize) -> Vec<Bytes> {
+    /// The frames behind the first `sent` ones.
+    fn since(&self, sent: usize) -> Vec<Bytes> {
         lock(&self.log)
             .iter()
-            .skip(told)
+            .skip(sent)
             .map(|(_, frame)| frame.clone())
             .collect()
     }
@@ -159,16 +148,16 @@
 }
 
 impl Feed {
-    /// A feed whose first event is this whole list. `idle` is the interval of its empty frames.
-    pub(super) fn start(list: &EndpointListEvent, idle: Duration) -> Result<Feed, Failure> {
+    /// A feed whose first event is this full list. `idle` is the interval of its empty frames.
+    pub(super) fn start(list: &EndpointListEvent, idle: Duration) -> Result<Feed, ScaleError> {
         let shared = Arc::new(Shared {
             idle,
             log: Mutex::new(vec![(list.number, frame(list))]),
-            told: watch::Sender::new(1),
+            published: watch::Sender::new(1),
             counted: Counted::default(),
             timeline: Mutex::default(),
         });
-        let (presence, present) = watch::channel(Presence::Here);
+        let (presence, present) = watch::channel(Presence::Listening);
         let (settle, settled) = mpsc::channel();
         let (bound, address) = mpsc::channel();
         let serving = shared.clone();
@@ -186,7 +175,7 @@
                     sampler.abort();
                 });
             })?;
-        let gone = |_| Failure::Broken("the feed did not start".to_owned());
+        let gone = |_| ScaleError::CheckFailed("the feed did not start".to_owned());
         let address = address.recv().map_err(gone)?;
         Ok(Feed {
             address,
@@ -197,30 +186,31 @@
         })
     }
 
-    /// Tells one more event to whoever follows, now or later; returns when it was told.
+    /// Publishes one more event to present and later followers; returns the time of publication.
     pub(super) fn publish(&self, event: &EndpointListEvent) -> Instant {
         let frame = frame(event);
         let at = Instant::now();
         let mut log = lock(&self.shared.log);
         log.push((event.number, frame));
-        self.shared.told.send_replace(log.len());
+        self.shared.published.send_replace(log.len());
         at
     }
 
     /// Closes the listener and all connections.
-    pub(super) fn leave(&self) -> Result<(), Failure> {
-        self.turn(Presence::Away)
+    pub(super) fn stop_listening(&self) -> Result<(), ScaleError> {
+        self.set_presence(Presence::Away)
     }
 
     /// Listens again at the same address; returns when it did.
-    pub(super) fn come_back(&self) -> Result<Instant, Failure> {
-        self.turn(Presence::Here).map(|()| Instant::now())
+    pub(super) fn resume_listening(&self) -> Result<Instant, ScaleError> {
+        self.set_presence(Presence::Listening)
+            .map(|()| Instant::now())
     }
 
-    fn turn(&self, presence: Presence) -> Result<(), Failure> {
+    fn set_presence(&self, presence: Presence) -> Result<(), ScaleError> {
         self.presence.send_replace(presence);
-        let settled = self.settled.recv_timeout(PATIENCE);
-        let broken = || Failure::Broken(format!("the feed did not become {presence:?}"));
+        let settled = self.settled.recv_timeout(THREAD_TIMEOUT);
+        let broken = || ScaleError::CheckFailed(format!("the feed did not become {presence:?}"));
         settled
             .ok()
             .filter(|now| *now == presence)
@@ -229,28 +219,30 @@
     }
 
     /// What it has done so far.
-    pub(super) fn totals(&self) -> Totals {
+    pub(super) fn totals(&self) -> ServerTotals {
         self.shared.totals()
     }
 
     /// Its load over a time. It waits for the sample that ends the time.
-    pub(super) fn load(&self, from: Instant, until: Instant) -> Result<Load, Failure> {
+    pub(super) fn load(&self, from: Instant, until: Instant) -> Result<Load, ScaleError> {
         self.sampled(until)?;
         let load = lock(&self.shared.timeline).load(from, until);
-        load.ok_or_else(|| Failure::Broken("no two samples of the feed's load".to_owned()))
+        load.ok_or_else(|| ScaleError::CheckFailed("no two samples of the feed's load".to_owned()))
     }
 
     /// Processor time of its thread by the first sample after this time.
-    pub(super) fn processor(&self, at: Instant) -> Result<Duration, Failure> {
+    pub(super) fn processor(&self, at: Instant) -> Result<Duration, ScaleError> {
         self.sampled(at)?;
         Ok(lock(&self.shared.timeline).processor())
     }
 
-    fn sampled(&self, at: Instant) -> Result<(), Failure> {
-        let patience = Instant::now() + PATIENCE;
+    fn sampled(&self, at: Instant) -> Result<(), ScaleError> {
+        let patience = Instant::now() + THREAD_TIMEOUT;
         while !lock(&self.shared.timeline).reaches(at) {
             if Instant::now() > patience {
-                return Err(Failure::Broken("the feed's load is not sampled".to_owned()));
+                return Err(ScaleError::CheckFailed(
+                    "the feed's load is not sampled".to_owned(),
+                ));
             }
             std::thread::sleep(SAMPLE);
         }
@@ -302,11 +294,11 @@
             return Ok(());
         }
         listener = listen(address)?;
-        let _ = settle.send(Presence::Here);
+        let _ = settle.send(Presence::Listening);
     }
 }
 
-/// Accepts until it is to go; then every connection is closed.
+/// Accepts until the presence changes; then every connection is closed.
 async fn accept_all(
     listener: &TcpListener,
     shared: &Arc<Shared>,
@@ -315,33 +307,33 @@
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
-            _ = presence.wait_for(|now| *now != Presence::Here) => return Ok(()),
+            _ = presence.wait_for(|now| *now != Presence::Listening) => return Ok(()),
             accepted = listener.accept() => {
                 shared.counted.connections.fetch_add(1, Ordering::Relaxed);
-                connections.spawn(tell(accepted?.0, shared.clone()));
+                connections.spawn(serve_follower(accepted?.0, shared.clone()));
             }
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// Tells one follower all events behind the last that it has, and an empty frame at each interval.
-async fn tell(mut stream: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
+/// Writes to one follower all events after its last one, and an empty frame at each interval.
+async fn serve_follower(mut stream: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    let mut news = shared.told.subscribe();
+    let mut published = shared.published.subscribe();
     let last = stream.read_u64().await?;
-    let mut told = lock(&shared.log).partition_point(|(number, _)| *number <= last);
+    let mut sent = lock(&shared.log).partition_point(|(number, _)| *number <= last);
     let mut idle = interval_at(TokioInstant::now() + shared.idle, shared.idle);
     loop {
-        for frame in shared.since(told) {
+        for frame in shared.since(sent) {
             stream.write_all(&frame).await?;
             shared.wrote(frame.len());
-            told += 1;
+            sent += 1;
         }
         tokio::select! {
-            news = news.changed() => if news.is_err() { return Ok(()) },
+            changed = published.changed() => if changed.is_err() { return Ok(()) },
             _ = idle.tick() => {
-                let empty = frame_of(told as u64, KIND_EMPTY, &[]);
+                let empty = frame_of(sent as u64, KIND_EMPTY, &[]);
                 stream.write_all(&empty).await?;
                 shared.wrote(empty.len());
             }
@@ -354,6 +346,6 @@
     loop {
         due.tick().await;
         let totals = shared.totals();
-        lock(&shared.timeline).see(totals);
+        lock(&shared.timeline).record(totals);
     }
 }
--- a/benches/scale/fit.rs
+++ b/benches/scale/fit.rs
@@ -1,6 +1,6 @@
 //! A straight line by least squares, and the prediction of the largest size from the smaller ones.
 
-use super::row::{Failure, Kind, Output, rounded};
+use super::row::{Kind, Output, ScaleError, rounded};
 use serde::Serialize;
 
 /// One measured point: the size, and the figure there.
@@ -8,16 +8,16 @@
 
 /// A straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Line {
+pub(crate) struct LinearFit {
     /// The figure at size 0.
     pub intercept: f64,
     /// Its growth for each unit of size.
     pub slope: f64,
 }
 
-impl Line {
+impl LinearFit {
     /// The line of least squares; none through fewer than two different sizes.
-    pub(crate) fn through(points: &[Point]) -> Option<Line> {
+    pub(crate) fn through(points: &[Point]) -> Option<LinearFit> {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_figure = points.iter().map(|(_, figure)| figure).sum::<f64>() / count;
@@ -30,7 +30,7 @@
             .map(|(size, figure)| (size - mean_size) * (figure - mean_figure))
             .sum();
         let slope = (points.len() >= 2 && spread > 0.0).then(|| along / spread)?;
-        Some(Line {
+        Some(LinearFit {
             intercept: mean_figure - slope * mean_size,
             slope,
         })
@@ -96,9 +96,10 @@
         figure: Figure,
         points: &[Point],
         size: f64,
-    ) -> Result<Prediction, Failure> {
-        let broken = || Failure::Broken(format!("no line through the points of {figure:?}"));
-        let line = Line::through(points).ok_or_else(broken)?;
+    ) -> Result<Prediction, ScaleError> {
+        let broken =
+            || ScaleError::CheckFailed(format!("no line through the points of {figure:?}"));
+        let line = LinearFit::through(points).ok_or_else(broken)?;
         let (slope, intercept) = (line.slope, rounded(line.intercept));
         output.row(&FitRow {
             kind: Kind::Fit,
@@ -120,7 +121,7 @@
     }
 
     /// Writes the prediction beside the measurement, and its error.
-    pub(crate) fn check(&self, output: &mut Output, measured: f64) -> Result<(), Failure> {
+    pub(crate) fn check(&self, output: &mut Output, measured: f64) -> Result<(), ScaleError> {
         let error_percent = rounded((self.predicted - measured) / measured * 100.0);
         output.row(&ErrorRow {
             kind: Kind::Error,
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -4,7 +4,7 @@
 use workload_manager::settings_json::{self, PlatformSettings};
 use workload_manager::{EngineEntry, EngineState, ListUpdateKind};
 
-/// Managers of the whole fleet.
+/// Managers of the fleet.
 pub(super) const MANAGERS: u32 = 3_700;
 /// Memory that a manager may use, in MB.
 pub(super) const MEMORY_MB: usize = 256;
@@ -12,14 +12,14 @@
 pub(super) const SOCKETS: usize = 4_096;
 /// Statements a second that clients offer to one manager.
 pub(super) const STATEMENTS: f64 = 4_595.0;
-/// Listed engines, up to those of the whole fleet.
+/// Listed engines, up to those of the fleet.
 pub(super) const LISTED: [usize; 4] = [1_024, 4_096, 10_000, 22_000];
 /// The same for the small case.
 pub(super) const LISTED_SMALL: [usize; 4] = [16, 32, 64, 128];
-/// Hollow managers of one process at most: all of the fleet.
-pub(super) const HOLLOW: usize = MANAGERS as usize;
+/// In-process managers of one process at most: all of the fleet.
+pub(super) const IN_PROCESS_MANAGERS: usize = MANAGERS as usize;
 /// The same for the small case.
-pub(super) const HOLLOW_SMALL: usize = 12;
+pub(super) const IN_PROCESS_MANAGERS_SMALL: usize = 12;
 /// Zones of all regions together.
 pub(super) const ZONES: usize = 14;
 /// Data sets that statements name.
@@ -72,8 +72,8 @@
     }
 }
 
-/// The whole list of so many engines, long started and ready.
-pub(super) fn whole_list(number: u64, engines: usize) -> EndpointListEvent {
+/// The full list of this many engines, all ready and started long ago.
+pub(super) fn full_list(number: u64, engines: usize) -> EndpointListEvent {
     let entries = (0..engines as u32)
         .map(|id| engine(id, EngineState::Ready, 0.0))
         .collect();
--- /dev/null
+++ b/benches/scale/in_process_manager.rs
@@ -0,0 +1,263 @@
+//! A in-process manager: the real feed reader and the real core with roster and decision module, without sockets to
+//! clients and engines.
+
+use super::fleet;
+use super::recording_ports::{NullClient, RecordingEngines, served, statement};
+use super::usage;
+use serde::Serialize;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::sync::{Arc, mpsc};
+use std::time::{Duration, Instant};
+use tokio::sync::{mpsc as async_mpsc, watch};
+use workload_manager::core::{ClientPort, Clock, Core, CoreMessage, Handle, Inputs};
+use workload_manager::discovery;
+use workload_manager::limits::Limits;
+use workload_manager::metrics::Metrics;
+use workload_manager::node_config::EndpointListEvent;
+use workload_manager::settings_json::{NamedClass, PlatformSettings};
+use workload_manager::{EngineId, EngineState, ListUpdateKind, Millis, RequestId};
+
+/// Delay until the next look while no timer is set, in ms.
+const NO_TIMER_MS: Millis = 1000.0;
+
+/// What an in-process manager is made of.
+#[derive(Clone, Debug)]
+pub(super) struct ManagerPlan {
+    /// Managers of the fleet, as the settings say.
+    pub instances: u32,
+    /// Memory of each, in MB.
+    pub memory_mb: usize,
+    /// The feed.
+    pub feed: SocketAddr,
+    /// Whether the module's timer runs.
+    pub ticks: bool,
+}
+
+/// A command to an in-process manager.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum ManagerCommand {
+    /// Accept this many statements and serve them.
+    Serve(u32),
+    /// Report the processor time of its thread.
+    Usage,
+}
+
+/// What an in-process manager reports.
+#[derive(Clone, Debug)]
+pub(super) enum ManagerReport {
+    /// The decision module has applied an event of the list.
+    Event(AppliedEvent),
+    /// Statements were served.
+    Served {
+        /// Attempts handed to engines.
+        dispatched: usize,
+        /// Those among them whose engine had ended.
+        dispatched_to_ended: usize,
+    },
+    /// Processor time of the manager's thread so far.
+    Usage(Duration),
+}
+
+/// An event that one manager has applied.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AppliedEvent {
+    /// The event's number.
+    pub number: u64,
+    /// When.
+    pub at: Instant,
+    /// Processor time of the manager's thread since it began to follow the feed.
+    pub processor: Duration,
+    /// Engines that the event removes: they get no attempts any more.
+    pub ended: usize,
+    /// Engines that the event makes ready: they may get attempts.
+    pub ready: usize,
+    /// Engines that the manager has taken up.
+    pub taken_up: RosterSize,
+}
+
+/// How many engines a core has taken up.
+#[derive(Clone, Copy, Debug, Serialize)]
+pub(super) struct RosterSize {
+    /// By the roster.
+    known: usize,
+    /// Engines of the decision module.
+    heard: usize,
+}
+
+impl RosterSize {
+    /// Of this core, which counts here.
+    pub(super) fn of(core: &Core<RecordingEngines>, metrics: &Metrics) -> RosterSize {
+        RosterSize {
+            known: metrics.engines.get() as usize,
+            heard: core.held().1[3],
+        }
+    }
+}
+
+/// One in-process manager.
+pub(super) struct Manager {
+    core: Core<RecordingEngines>,
+    engines: RecordingEngines,
+    metrics: Arc<Metrics>,
+    class: Arc<NamedClass>,
+    client: Arc<dyn ClientPort>,
+    clock: Clock,
+    ticks: bool,
+    /// Processor time of its thread when it began.
+    began: Duration,
+    next_id: RequestId,
+    reports: mpsc::Sender<ManagerReport>,
+}
+
+impl Manager {
+    /// Starts its feed reader on the running runtime and runs it until `commands` closes.
+    pub(super) async fn run(
+        plan: ManagerPlan,
+        ordinal: u32,
+        reports: mpsc::Sender<ManagerReport>,
+        mut commands: async_mpsc::UnboundedReceiver<ManagerCommand>,
+    ) {
+        let parsed = fleet::settings(plan.instances, ordinal);
+        let limits = Arc::new(Limits::new(fleet::SOCKETS, plan.memory_mb, true, &parsed));
+        let metrics: Arc<Metrics> = Arc::default();
+        let clock = Clock::new();
+        let (handle, mut inputs) = Handle::new(limits.mailbox_messages, clock);
+        let mut manager =
+            Manager::new(&plan, ordinal, &parsed, (&limits, &metrics), clock, reports);
+        let (_feed, address) = watch::channel(plan.feed);
+        let (_settings, settings) = watch::channel(Arc::new(parsed));
+        let (spoken, _spoken) = watch::channel(false);
+        let reader = discovery::follow(address, 0, handle, limits, metrics, spoken, settings);
+        let reader = tokio::spawn(reader);
+        manager.run_until_closed(&mut inputs, &mut commands).await;
+        reader.abort();
+    }
+
+    fn new(
+        plan: &ManagerPlan,
+        ordinal: u32,
+        parsed: &PlatformSettings,
+        (limits, metrics): (&Arc<Limits>, &Arc<Metrics>),
+        clock: Clock,
+        reports: mpsc::Sender<ManagerReport>,
+    ) -> Manager {
+        let engines = RecordingEngines::default();
+        let (settings, seed) = (parsed.settings.clone(), u64::from(ordinal));
+        let core = Core::new(
+            settings,
+            seed,
+            engines.clone(),
+            limits.clone(),
+            metrics.clone(),
+        );
+        Manager {
+            core: core.expect("settings that were parsed"),
+            engines,
+            metrics: metrics.clone(),
+            class: parsed.classes[0].clone(),
+            client: Arc::new(NullClient),
+            clock,
+            ticks: plan.ticks,
+            began: usage::thread_time(),
+            next_id: 1,
+            reports,
+        }
+    }
+
+    async fn run_until_closed(
+        &mut self,
+        inputs: &mut Inputs,
+        commands: &mut async_mpsc::UnboundedReceiver<ManagerCommand>,
+    ) {
+        if self.ticks {
+            self.core.begin(self.clock.now());
+        }
+        loop {
+            let now = self.clock.now();
+            let due = self
+                .core
+                .next_alarm()
+                .map_or(NO_TIMER_MS, |at| (at - now).max(0.0));
+            tokio::select! {
+                biased;
+                command = commands.recv() => match command {
+                    Some(command) => self.execute(command),
+                    None => return,
+                },
+                input = inputs.input() => match input {
+                    Some(input) => self.handle(input),
+                    None => return,
+                },
+                () = tokio::time::sleep(Duration::from_secs_f64(due / 1000.0)), if self.ticks => {
+                    self.core.alarms(self.clock.now());
+                }
+            }
+        }
+    }
+
+    fn handle(&mut self, input: CoreMessage) {
+        let CoreMessage::EndpointList(event) = input else {
+            return self.core.handle(self.clock.now(), input);
+        };
+        let (number, changed) = (event.number, changed_engines(&event));
+        self.engines.state().ready.clear();
+        self.core
+            .handle(self.clock.now(), CoreMessage::EndpointList(event));
+        let at = Instant::now();
+        let state = self.engines.state();
+        let count_applied = |of: &BTreeSet<EngineId>, wanted: EngineState| {
+            changed
+                .iter()
+                .filter(|(engine, listed)| *listed == wanted && of.contains(engine))
+                .count()
+        };
+        let sighting = AppliedEvent {
+            number,
+            at,
+            processor: usage::thread_time().saturating_sub(self.began),
+            ended: count_applied(&state.ended, EngineState::Removed),
+            ready: count_applied(&state.ready, EngineState::Ready),
+            taken_up: RosterSize::of(&self.core, &self.metrics),
+        };
+        let _ = self.reports.send(ManagerReport::Event(sighting));
+    }
+
+    fn execute(&mut self, command: ManagerCommand) {
+        let reports = match command {
+            ManagerCommand::Usage => ManagerReport::Usage(usage::thread_time()),
+            ManagerCommand::Serve(requests) => self.serve(requests),
+        };
+        let _ = self.reports.send(reports);
+    }
+
+    fn serve(&mut self, requests: u32) -> ManagerReport {
+        let mut dispatched = 0;
+        for _ in 0..requests {
+            let (id, now) = (self.next_id, self.clock.now());
+            self.next_id += 1;
+            self.core
+                .handle(now, statement(id, now, &self.class, &self.client));
+            for attempt in self.engines.take_dispatched() {
+                dispatched += 1;
+                self.core.handle(now, served(attempt));
+            }
+        }
+        ManagerReport::Served {
+            dispatched,
+            dispatched_to_ended: self.engines.state().dispatched_to_ended,
+        }
+    }
+}
+
+/// The engines that a change names. A complete list names all, and gives none here.
+fn changed_engines(event: &EndpointListEvent) -> Vec<(EngineId, EngineState)> {
+    match event.kind {
+        ListUpdateKind::Delta => event
+            .records
+            .iter()
+            .map(|record| (record.entry.engine, record.entry.state))
+            .collect(),
+        _ => Vec::new(),
+    }
+}
--- a/benches/scale/list.rs
+++ b/benches/scale/list.rs
@@ -2,15 +2,13 @@
 //! managers. The protocol has no record of a primary: that an engine is gone and its successor is ready stands for
 //! a change of primary.
 
-use super::row::{Failure, Output};
-use super::{Options, cost, returning, spread};
-
-/// The test's name in its rows.
-pub(super) const TEST: &str = "list";
+use super::options::Options;
+use super::row::{Output, ScaleError};
+use super::{list_cost, list_propagation, list_reconnect};
 
 /// Plays all parts. What one manager costs comes first, as its memory tells which sizes fit this machine.
-pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
-    let memory = cost::run(options, output)?;
-    spread::run(options, output, memory)?;
-    returning::run(options, output, memory)
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
+    let memory = list_cost::run(options, output)?;
+    list_propagation::run(options, output, memory)?;
+    list_reconnect::run(options, output, memory)
 }
--- a/benches/scale/cost.rs
+++ b/benches/scale/list_cost.rs
@@ -1,12 +1,13 @@
-//! What one manager pays for a whole list, a change and the feed at rest, by listed engines.
+//! What one manager pays for a full list, a change and the feed at rest, by listed engines.
 
-use super::crowd::Crowd;
 use super::feed::{FRAME_HEAD_BYTES, Feed, IDLE, frame};
-use super::fit::{Figure, Line, Point, Prediction};
-use super::hollow::{Plan, Sighting, TakenUp};
-use super::list::TEST;
-use super::row::{Failure, Output, Size, rounded};
-use super::{Options, fleet, memory};
+use super::fit::{Figure, Point, Prediction};
+use super::in_process_manager::{AppliedEvent, ManagerPlan, RosterSize};
+use super::list_capacity::{MemoryModel, TEST};
+use super::manager_group::ManagerGroup;
+use super::options::Options;
+use super::row::{Output, ScaleError, Size, rounded};
+use super::{fleet, memory};
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
@@ -38,7 +39,7 @@
     size: Size,
     memory_mb: usize,
     #[serde(flatten)]
-    taken_up: TakenUp,
+    taken_up: RosterSize,
     /// Processor time of the manager: reader, roster and module. Medians of the rounds.
     us_whole: f64,
     us_change: f64,
@@ -47,7 +48,7 @@
     bytes_change: u64,
     /// Of one manager while nothing changes.
     bytes_second_at_rest: f64,
-    /// Resident memory of one hollow manager with its list, the managers that were measured together for that, and the
+    /// Resident memory of one in-process manager with its list, the managers that were measured together for that, and the
     /// most that one alone took as its list came.
     memory_bytes: f64,
     memory_managers: usize,
@@ -62,18 +63,7 @@
     empty_us: f64,
     bytes_whole: u64,
     bytes_change: u64,
-    whole: Sighting,
-}
-
-/// Resident memory of a hollow manager, by listed engines.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Memory(Line);
-
-impl Memory {
-    /// Bytes of so many managers with so many listed engines each.
-    pub(super) fn bytes(&self, managers: usize, listed: usize) -> f64 {
-        self.0.at(listed as f64).max(0.0) * managers as f64
-    }
+    whole: AppliedEvent,
 }
 
 /// How to read a figure off a row.
@@ -89,7 +79,7 @@
 ];
 
 /// Plays all sizes, predicts the largest from the others, and returns what memory a manager takes.
-pub(super) fn run(options: &Options, output: &mut Output) -> Result<Memory, Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<MemoryModel, ScaleError> {
     let sizes = options.listed();
     let mut rows: Vec<CostRow> = Vec::new();
     let mut predictions = Vec::new();
@@ -117,10 +107,8 @@
         }
         rows.push(row);
     }
-    let broken = || Failure::Broken("no line through the measured memory".to_owned());
-    Line::through(&points(&rows, |row| row.memory_bytes))
-        .map(Memory)
-        .ok_or_else(broken)
+    let broken = || ScaleError::CheckFailed("no line through the measured memory".to_owned());
+    MemoryModel::through(&points(&rows, |row| row.memory_bytes)).ok_or_else(broken)
 }
 
 fn points(rows: &[CostRow], figure: Reading) -> Vec<Point> {
@@ -129,11 +117,11 @@
         .collect()
 }
 
-fn measure(options: &Options, listed: usize) -> Result<CostRow, Failure> {
+fn measure(options: &Options, listed: usize) -> Result<CostRow, ScaleError> {
     let effort = if options.small { &SMALL } else { &FULL };
     let held = memory::of(options, listed)?;
     let rounds = (0..effort.rounds).map(|_| round(options, effort, listed));
-    let rounds = rounds.collect::<Result<Vec<Round>, Failure>>()?;
+    let rounds = rounds.collect::<Result<Vec<Round>, ScaleError>>()?;
     let median = |figure: fn(&Round) -> f64| {
         let mut all: Vec<f64> = rounds.iter().map(figure).collect();
         all.sort_by(f64::total_cmp);
@@ -157,26 +145,26 @@
     })
 }
 
-/// One manager that gets its whole list, then changes one by one, then empty frames.
-fn round(options: &Options, effort: &Effort, listed: usize) -> Result<Round, Failure> {
-    let list = fleet::whole_list(1, listed);
+/// One manager that gets its full list, then changes one by one, then empty frames.
+fn round(options: &Options, effort: &Effort, listed: usize) -> Result<Round, ScaleError> {
+    let list = fleet::full_list(1, listed);
     let feed = Feed::start(&list, BUSY_IDLE)?;
-    let plan = Plan {
+    let plan = ManagerPlan {
         instances: options.managers,
         memory_mb: options.memory_mb,
         feed: feed.address,
         ticks: false,
     };
-    let crowd = Crowd::start(&plan, 1)?;
-    let whole = crowd.gather(1)?[0];
-    let before = crowd.usage()?;
+    let group = ManagerGroup::start(&plan, 1)?;
+    let whole = group.await_event(1)?[0];
+    let before = group.usage()?;
     for change in 0..effort.changes {
         let event = fleet::replacement(u64::from(change) + 2, change, listed as u32 + change, 0.0);
         feed.publish(&event);
-        crowd.gather(event.number)?;
+        group.await_event(event.number)?;
     }
-    let in_changes = crowd.usage()? - before;
-    let empty_us = at_rest(&feed, &crowd, effort)?;
+    let in_changes = group.usage()? - before;
+    let empty_us = at_rest(&feed, &group, effort)?;
     let change_us = in_changes.as_secs_f64() * 1e6 / f64::from(effort.changes);
     Ok(Round {
         whole_us: whole.processor.as_secs_f64() * 1e6,
@@ -189,17 +177,17 @@
 }
 
 /// Processor time of the manager for one empty frame, in us.
-fn at_rest(feed: &Feed, crowd: &Crowd, effort: &Effort) -> Result<f64, Failure> {
+fn at_rest(feed: &Feed, group: &ManagerGroup, effort: &Effort) -> Result<f64, ScaleError> {
     let until = Instant::now() + LONGEST;
-    let (frames, before) = (feed.totals().frames, crowd.usage()?);
+    let (frames, before) = (feed.totals().frames, group.usage()?);
     while feed.totals().frames < frames + effort.empty_frames {
         if Instant::now() > until {
-            return Err(Failure::Broken(
+            return Err(ScaleError::CheckFailed(
                 "the feed does not write empty frames".to_owned(),
             ));
         }
         std::thread::sleep(BUSY_IDLE);
     }
-    let (passed, spent) = (feed.totals().frames - frames, crowd.usage()? - before);
+    let (passed, spent) = (feed.totals().frames - frames, group.usage()? - before);
     Ok(spent.as_secs_f64() * 1e6 / passed as f64)
 }
--- a/benches/scale/returning.rs
+++ b/benches/scale/list_reconnect.rs
@@ -1,14 +1,13 @@
 //! The feed goes away for a while: how soon all managers are back and have what they missed, and the feed's worst
 //! 100 ms against its mean.
 
-use super::cost::Memory;
-use super::crowd::Crowd;
 use super::feed::{Feed, IDLE};
-use super::list::TEST;
-use super::load::{Load, Stretch};
-use super::row::{Failure, Output, Size, rounded};
-use super::spread::{Ticks, Times, fits};
-use super::{Options, fleet};
+use super::fleet;
+use super::list_capacity::{LatencySummary, MemoryModel, TEST, TickLoad, fits, latest};
+use super::manager_group::ManagerGroup;
+use super::options::Options;
+use super::row::{Output, ScaleError, Size, rounded};
+use super::server_load::{Load, LoadWindow};
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
@@ -26,7 +25,7 @@
     size: Size,
     /// From the feed's return until the event that was missed is in force, in ms.
     #[serde(flatten)]
-    times: Times,
+    times: LatencySummary,
     ticks: bool,
     away_ms: f64,
     feed_connections: u64,
@@ -35,15 +34,19 @@
     /// the return against the mean at rest.
     feed_load: Load,
     feed_at_rest: Load,
-    feed_worst_to_rest: Stretch,
+    feed_worst_to_rest: LoadWindow,
 }
 
 /// All managers with the short list come back after the feed was away.
-pub(super) fn run(options: &Options, output: &mut Output, memory: Memory) -> Result<(), Failure> {
+pub(super) fn run(
+    options: &Options,
+    output: &mut Output,
+    memory: MemoryModel,
+) -> Result<(), ScaleError> {
     let Some(listed) = options.listed().first().copied() else {
         return Ok(());
     };
-    let managers = options.most_managers();
+    let managers = options.max_managers();
     if !fits(output, memory, (listed, managers))? {
         return Ok(());
     }
@@ -52,29 +55,21 @@
     } else {
         (AWAY, AT_REST)
     };
-    let feed = Feed::start(&fleet::whole_list(1, listed), IDLE)?;
-    let plan = Ticks::of(options, listed, managers).plan(options, &feed);
-    let crowd = Crowd::start(&plan, managers)?;
-    crowd.gather(1)?;
+    let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
+    let plan = TickLoad::of(options, listed, managers).plan(options, &feed);
+    let group = ManagerGroup::start(&plan, managers)?;
+    group.await_event(1)?;
     let rested = Instant::now();
     std::thread::sleep(at_rest);
     let resting = feed.load(rested, Instant::now())?;
-    feed.leave()?;
+    feed.stop_listening()?;
     feed.publish(&fleet::replacement(MISSED, 0, listed as u32, 0.0));
     let before = feed.totals();
     std::thread::sleep(away);
-    let back = feed.come_back()?;
-    let sightings = crowd.gather(MISSED)?;
-    let over = sightings
-        .iter()
-        .map(|sighting| sighting.at)
-        .max()
-        .unwrap_or_else(Instant::now);
-    let times = sightings
-        .iter()
-        .map(|sighting| sighting.at.saturating_duration_since(back));
-    let times = Times::of(times.collect());
-    let load = feed.load(back, over)?;
+    let back = feed.resume_listening()?;
+    let applied = group.await_event(MISSED)?;
+    let times = LatencySummary::since(back, &applied);
+    let load = feed.load(back, latest(&applied))?;
     let totals = feed.totals();
     output.row(&ReturnRow {
         size: Size::measured(TEST, "return", listed, managers),
--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -1,27 +1,27 @@
 //! `manager`: one real workload manager before a long list, with churn of the list and clients that offer statements:
 //! processor time by statement and for control, memory by connection, bytes of the list feed.
 
-use super::Options;
 use super::churn::{self, Churn};
-use super::clients::{Clients, Offered};
+use super::clients::Clients;
 use super::configuration::{self, Configuration};
 use super::engines::Engines;
-use super::feed::{Feed, IDLE, Totals};
+use super::feed::{Feed, IDLE};
 use super::fit::{Figure, Point, Prediction};
 use super::fleet;
+use super::manager_process::ManagerProcess;
 use super::manager_rows::{
-    ConnectionsRow, ControlRow, Cost, Deployment, Measured, Phase, Round, Rounds, Seen,
-    StatementsRow, SummaryRow, megabytes,
+    ConnectionsRow, ControlRow, Cost, Deployment, Phase, Round, RoundResult, RoundTotals, Rounds,
+    StatementsRow, SummaryRow, TEST, megabytes,
 };
-use super::process::Manager;
-use super::row::{Failure, Output};
+use super::options::Options;
+use super::row::{Output, ScaleError};
+use super::server_load::ServerTotals;
+use super::statement_counters::OfferedStatements;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 use workload_manager::node_config::EngineRecord;
 
-/// The test's name in its rows.
-pub(super) const TEST: &str = "manager";
 /// Half of the descriptors, less those kept for other ends, are for clients, and an eighth of these for connections that
 /// are about to leave: 2,351 find room.
 const SOCKETS: usize = 5_632;
@@ -98,7 +98,7 @@
 const SMALL_RATE: f64 = 200.0;
 
 /// Plays all sizes but the largest, predicts that one once it is known how many engines it takes up, and plays it.
-pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
@@ -110,11 +110,11 @@
     };
     let mut rows = Vec::new();
     for listed in smaller {
-        rows.push(Scene::start(options, *listed, of_smaller)?.play(output)?);
+        rows.push(ManagerBench::start(options, *listed, of_smaller)?.play(output)?);
     }
-    let scene = Scene::start(options, *largest, of_largest)?;
-    let predictions = predict(output, &rows, scene.deployment.known)?;
-    let measured = scene.play(output)?;
+    let bench = ManagerBench::start(options, *largest, of_largest)?;
+    let predictions = predict(output, &rows, bench.deployment.known)?;
+    let measured = bench.play(output)?;
     for (reading, prediction) in predictions {
         prediction.check(output, reading(&measured))?;
     }
@@ -135,7 +135,7 @@
     output: &mut Output,
     rows: &[SummaryRow],
     known: u64,
-) -> Result<Vec<(Reading, Prediction)>, Failure> {
+) -> Result<Vec<(Reading, Prediction)>, ScaleError> {
     let mut predictions = Vec::new();
     for (figure, reading) in FIGURES {
         let points: Vec<Point> = rows
@@ -161,9 +161,9 @@
 }
 
 /// A manager with its list feed and engines.
-struct Scene {
+struct ManagerBench {
     // Ends before what it is connected to.
-    manager: Manager,
+    manager: ManagerProcess,
     feed: Arc<Mutex<Feed>>,
     engines: Engines,
     list: Vec<EngineRecord>,
@@ -171,8 +171,8 @@
     effort: Effort,
 }
 
-impl Scene {
-    fn start(options: &Options, listed: usize, effort: Effort) -> Result<Scene, Failure> {
+impl ManagerBench {
+    fn start(options: &Options, listed: usize, effort: Effort) -> Result<ManagerBench, ScaleError> {
         let engines = Engines::start()?;
         let list = configuration::listed(listed, engines.port);
         let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
@@ -183,7 +183,7 @@
             managers: options.managers,
             listed: &list,
         };
-        let manager = Manager::start(TEST, &configuration.value().to_string())?;
+        let manager = ManagerProcess::start(TEST, &configuration.value().to_string())?;
         thread::sleep(effort.settled);
         let counters = manager.counters()?;
         let count = |name| counters.get(name).copied().unwrap_or_default();
@@ -195,12 +195,12 @@
             memory_mb: options.memory_mb,
         };
         if deployment.known + deployment.waiting != listed as u64 {
-            return Err(Failure::Broken(format!(
+            return Err(ScaleError::CheckFailed(format!(
                 "{TEST}: of {listed} engines it knows {deployment:?}"
             )));
         }
         let feed = Arc::new(Mutex::new(feed));
-        Ok(Scene {
+        Ok(ManagerBench {
             manager,
             feed,
             engines,
@@ -211,7 +211,7 @@
     }
 
     /// All phases, those of control first.
-    fn play(&self, output: &mut Output) -> Result<SummaryRow, Failure> {
+    fn play(&self, output: &mut Output) -> Result<SummaryRow, ScaleError> {
         let mb_before_clients = megabytes(self.manager.memory()?.resident);
         self.control(output, Phase::Rest, None)?;
         let rate = self.effort.replaced.unwrap_or_else(churn::Rate::ten_days);
@@ -231,7 +231,7 @@
         output: &mut Output,
         phase: Phase,
         churn: Option<(&Churn, churn::Rate)>,
-    ) -> Result<ControlRow, Failure> {
+    ) -> Result<ControlRow, ScaleError> {
         let lasts = if churn.is_some() {
             self.effort.churn
         } else {
@@ -249,7 +249,7 @@
     }
 
     /// Memory by idle connections; fitted on all numbers but the largest.
-    fn connections(&self, output: &mut Output) -> Result<(), Failure> {
+    fn connections(&self, output: &mut Output) -> Result<(), ScaleError> {
         let before = self.manager.memory()?.resident;
         let Some((largest, smaller)) = self.effort.connections.split_last() else {
             return Ok(());
@@ -278,7 +278,7 @@
         output: &mut Output,
         count: usize,
         before: u64,
-    ) -> Result<Point, Failure> {
+    ) -> Result<Point, ScaleError> {
         let clients = Clients::connect(self.manager.listen, count)?;
         self.manager
             .await_counter("client_connections_open", count as u64)?;
@@ -295,7 +295,12 @@
     }
 
     /// Three rates with each number of connections.
-    fn rounds(&self, output: &mut Output, churn: &Churn, control: f64) -> Result<Rounds, Failure> {
+    fn rounds(
+        &self,
+        output: &mut Output,
+        churn: &Churn,
+        control: f64,
+    ) -> Result<Rounds, ScaleError> {
         let (mut usual, mut saturated) = (None, None);
         for connections in self.effort.rounds_at {
             let most = match &saturated {
@@ -315,7 +320,7 @@
                 usual = if part == USUAL_RATE { Some(row) } else { usual };
             }
         }
-        let usual = usual.ok_or_else(|| Failure::Broken(format!("{TEST}: no rounds")))?;
+        let usual = usual.ok_or_else(|| ScaleError::CheckFailed(format!("{TEST}: no rounds")))?;
         Ok(Rounds { usual, saturated })
     }
 
@@ -327,7 +332,7 @@
         churn: &Churn,
         control: f64,
         row: &mut Option<StatementsRow>,
-    ) -> Result<f64, Failure> {
+    ) -> Result<f64, ScaleError> {
         let Some(lasts) = self.effort.saturated else {
             return Ok(SMALL_RATE);
         };
@@ -349,21 +354,21 @@
         churn: &Churn,
         of: Round,
         control: f64,
-        offer: impl FnOnce(&mut Clients) -> Result<Offered, Failure>,
-    ) -> Result<StatementsRow, Failure> {
+        offer: impl FnOnce(&mut Clients) -> Result<OfferedStatements, ScaleError>,
+    ) -> Result<StatementsRow, ScaleError> {
         let mut clients = Clients::connect(self.manager.listen, of.connections)?;
         self.manager
             .await_counter("client_connections_open", of.connections as u64)?;
         self.manager.reset_peak()?;
-        let (engines, taken) = (self.engines.totals(), self.taken()?);
+        let (engines, taken) = (self.engines.totals(), self.accepted_requests()?);
         let (offered, cost) = self.measured(Some(churn), || offer(&mut clients))?;
         let (now, memory) = (self.engines.totals(), self.manager.memory()?);
-        let taken = self.taken()? - taken;
+        let taken = self.accepted_requests()? - taken;
         drop(clients);
         // What was open has no client any more, so the next round begins with nothing open.
         self.manager.await_counter("client_connections_open", 0)?;
         self.manager.await_counter("requests_open", 0)?;
-        let seen = Seen {
+        let seen = RoundTotals {
             attempts: now.statements - engines.statements,
             engine_connections: now.connections - engines.connections,
             engines_used: now.used,
@@ -372,7 +377,7 @@
             resident: memory.resident,
             peak: memory.peak,
         };
-        let measured = Measured {
+        let measured = RoundResult {
             taken,
             offered,
             cost,
@@ -382,7 +387,7 @@
         output.row(&row)?;
         match row.offered.stray {
             0 => Ok(row),
-            stray => Err(Failure::Broken(format!(
+            stray => Err(ScaleError::CheckFailed(format!(
                 "{TEST}: {stray} answers to what was not asked, or again"
             ))),
         }
@@ -392,34 +397,34 @@
     fn measured<T>(
         &self,
         churn: Option<&Churn>,
-        stretch: impl FnOnce() -> Result<T, Failure>,
-    ) -> Result<(T, Cost), Failure> {
+        stretch: impl FnOnce() -> Result<T, ScaleError>,
+    ) -> Result<(T, Cost), ScaleError> {
         let events = || churn.map_or(0, Churn::events);
-        let (begun, fed, told) = (Instant::now(), self.fed(), events());
+        let (begun, feed_before, events_before) = (Instant::now(), self.feed_totals(), events());
         let (processor, waited) = (self.manager.processor_time()?, self.manager.waited());
         let done = stretch()?;
         let processor = self.manager.processor_time()? - processor;
         let waited = self.manager.waited() - waited;
-        let (lasted, now) = (begun.elapsed(), self.fed());
+        let (lasted, now) = (begun.elapsed(), self.feed_totals());
         let cost = Cost {
             lasted,
             processor,
             waited,
-            feed_sent: now.bytes - fed.bytes,
-            feed_received: (now.connections - fed.connections) * CONNECT_BYTES,
-            list_events: events() - told,
+            feed_sent: now.bytes - feed_before.bytes,
+            feed_received: (now.connections - feed_before.connections) * CONNECT_BYTES,
+            list_events: events() - events_before,
         };
         Ok((done, cost))
     }
 
-    fn fed(&self) -> Totals {
+    fn feed_totals(&self) -> ServerTotals {
         self.feed
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .totals()
     }
 
-    fn taken(&self) -> Result<u64, Failure> {
+    fn accepted_requests(&self) -> Result<u64, ScaleError> {
         Ok(self
             .manager
             .counters()?
@@ -429,7 +434,7 @@
     }
 
     /// Every event was applied once, and as many engines are listed as at the start.
-    fn check_list(&self, events: u64) -> Result<(), Failure> {
+    fn check_list(&self, events: u64) -> Result<(), ScaleError> {
         self.manager.await_counter("feed_events", events)?;
         self.manager
             .await_counter("engines", self.deployment.known)?;
--- /dev/null
+++ b/benches/scale/manager_group.rs
@@ -0,0 +1,160 @@
+//! Many managers in one process, spread over a few threads.
+
+use super::in_process_manager::{
+    AppliedEvent, Manager, ManagerCommand, ManagerPlan, ManagerReport,
+};
+use super::row::ScaleError;
+use std::sync::mpsc;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+use tokio::sync::mpsc as async_mpsc;
+use tokio::task::JoinSet;
+
+/// Threads that the managers share; the feed has one of its own.
+const THREADS: usize = 4;
+/// Longest wait for a report of every manager.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(120);
+
+/// Running managers; they stop when this is dropped.
+pub(super) struct ManagerGroup {
+    commands: Vec<async_mpsc::UnboundedSender<ManagerCommand>>,
+    reports: mpsc::Receiver<ManagerReport>,
+    threads: Vec<JoinHandle<()>>,
+    /// When the first of them was started.
+    pub began: Instant,
+}
+
+/// Attempts that all managers dispatched.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct DispatchTotals {
+    /// Attempts handed to engines.
+    pub dispatched: usize,
+    /// Those among them whose engine drained or was removed.
+    pub dispatched_to_ended: usize,
+}
+
+impl ManagerGroup {
+    /// Starts this many managers at once, each without a list.
+    pub(super) fn start(plan: &ManagerPlan, managers: usize) -> Result<ManagerGroup, ScaleError> {
+        let (report, reports) = mpsc::channel();
+        let mut senders = Vec::new();
+        let mut shares: Vec<Vec<_>> = (0..THREADS.min(managers)).map(|_| Vec::new()).collect();
+        for ordinal in 0..managers {
+            let (sender, receiver) = async_mpsc::unbounded_channel();
+            senders.push(sender);
+            shares[ordinal % THREADS].push((ordinal as u32, receiver));
+        }
+        let began = Instant::now();
+        let mut threads = Vec::new();
+        for share in shares {
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
+            let (plan, report) = (plan.clone(), report.clone());
+            threads.push(
+                std::thread::Builder::new()
+                    .name("managers".to_owned())
+                    .spawn(move || {
+                        runtime.block_on(async {
+                            let mut running = JoinSet::new();
+                            for (ordinal, commands) in share {
+                                running.spawn(Manager::run(
+                                    plan.clone(),
+                                    ordinal,
+                                    report.clone(),
+                                    commands,
+                                ));
+                            }
+                            while running.join_next().await.is_some() {}
+                        });
+                    })?,
+            );
+        }
+        Ok(ManagerGroup {
+            commands: senders,
+            reports,
+            threads,
+            began,
+        })
+    }
+
+    /// How many there are.
+    pub(super) fn size(&self) -> usize {
+        self.commands.len()
+    }
+
+    /// Waits until all managers have applied an event. Reports of earlier events are ignored.
+    pub(super) fn await_event(&self, number: u64) -> Result<Vec<AppliedEvent>, ScaleError> {
+        self.collect(|reports| match reports {
+            ManagerReport::Event(sighting) if sighting.number == number => Some(sighting),
+            _ => None,
+        })
+    }
+
+    /// Makes each manager serve this many statements.
+    pub(super) fn serve(&self, requests: u32) -> Result<DispatchTotals, ScaleError> {
+        self.command(ManagerCommand::Serve(requests));
+        let all = self.collect(|reports| match reports {
+            ManagerReport::Served {
+                dispatched,
+                dispatched_to_ended,
+            } => Some(DispatchTotals {
+                dispatched,
+                dispatched_to_ended,
+            }),
+            _ => None,
+        })?;
+        let sum = |of: fn(&DispatchTotals) -> usize| all.iter().map(of).sum();
+        Ok(DispatchTotals {
+            dispatched: sum(|totals| totals.dispatched),
+            dispatched_to_ended: sum(|totals| totals.dispatched_to_ended),
+        })
+    }
+
+    /// Processor time of the thread of the first manager.
+    pub(super) fn usage(&self) -> Result<Duration, ScaleError> {
+        self.command(ManagerCommand::Usage);
+        let all = self.collect(|reports| match reports {
+            ManagerReport::Usage(processor) => Some(processor),
+            _ => None,
+        })?;
+        Ok(all.into_iter().max().unwrap_or_default())
+    }
+
+    fn command(&self, command: ManagerCommand) {
+        for commands in &self.commands {
+            let _ = commands.send(command);
+        }
+    }
+
+    /// One piece of reports from each.
+    fn collect<T>(
+        &self,
+        wanted: impl Fn(ManagerReport) -> Option<T>,
+    ) -> Result<Vec<T>, ScaleError> {
+        let until = Instant::now() + REPORT_TIMEOUT;
+        let mut all = Vec::with_capacity(self.size());
+        while all.len() < self.size() {
+            let left = until.saturating_duration_since(Instant::now());
+            let late = |_| {
+                ScaleError::CheckFailed(format!(
+                    "{} of {} managers reported in time",
+                    all.len(),
+                    self.size()
+                ))
+            };
+            let reports = self.reports.recv_timeout(left).map_err(late)?;
+            all.extend(wanted(reports));
+        }
+        Ok(all)
+    }
+}
+
+impl Drop for ManagerGroup {
+    fn drop(&mut self) {
+        self.commands.clear();
+        for thread in self.threads.drain(..) {
+            let _ = thread.join();
+        }
+    }
+}
--- a/benches/scale/process.rs
+++ b/benches/scale/manager_process.rs
@@ -1,9 +1,7 @@
 //! One real workload manager: the release binary as a child process, measured through `/proc` and steered by signals.
 //! The process ends with the value that holds it, also where the test panics.
 
-use super::row::Failure;
 use std::collections::HashMap;
-use std::fmt;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,60 +12,45 @@
 
 /// The program under test, built with this one.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_workload-manager");
-/// What the program says once it serves, before its address.
+/// What the program prints before its address once it serves.
 const SERVES: &str = " serves on ";
 /// What a line of counters begins with.
 const COUNTERS: &str = "workload-manager: counters ";
 /// No step of a process takes this long unless it fails.
-const PATIENCE: Duration = Duration::from_secs(60);
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Between two looks at the counters.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Clock ticks in a second in `/proc/PID/stat`, the same on every Linux platform that the project is built for.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Why a process could not be started, steered or measured.
-#[derive(Debug)]
+/// Why a process could not be started, controlled or measured.
+#[derive(Debug, thiserror::Error)]
 pub(crate) enum ProcessError {
-    /// A file or the process itself: what was done, and the system's word.
-    Io(&'static str, std::io::Error),
-    /// The process said nothing that was waited for.
-    Silent(&'static str),
+    /// A file or the process itself: what was done, and the system's error.
+    #[error("{0}: {1}")]
+    Io(&'static str, #[source] std::io::Error),
+    /// The process printed no line that was waited for.
+    #[error("the process never printed: {0}")]
+    NotPrinted(&'static str),
     /// A file of `/proc` without the figure.
+    #[error("/proc holds no {0}")]
     NoFigure(&'static str),
     /// A signal was not delivered.
+    #[error("SIG{0} could not be sent")]
     Signal(&'static str),
 }
 
-impl fmt::Display for ProcessError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ProcessError::Io(what, problem) => write!(f, "{what}: {problem}"),
-            ProcessError::Silent(what) => write!(f, "the process never said: {what}"),
-            ProcessError::NoFigure(what) => write!(f, "/proc holds no {what}"),
-            ProcessError::Signal(name) => write!(f, "SIG{name} could not be sent"),
-        }
-    }
-}
-
-impl std::error::Error for ProcessError {}
-
-impl From<ProcessError> for Failure {
-    fn from(e: ProcessError) -> Failure {
-        Failure::Broken(e.to_string())
-    }
-}
-
 /// Memory of a process, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Memory {
     /// Resident now.
     pub resident: u64,
-    /// The most that was resident, since the start or since `Manager::reset_peak`.
+    /// The most that was resident, since the start or since `ManagerProcess::reset_peak`.
     pub peak: u64,
 }
 
 /// A running workload manager.
-pub(super) struct Manager {
+pub(super) struct ManagerProcess {
     child: Child,
     watchdog: Child,
     folder: PathBuf,
@@ -76,9 +59,9 @@
     pub listen: SocketAddr,
 }
 
-impl Manager {
+impl ManagerProcess {
     /// Starts the program with this configuration, and returns once it serves.
-    pub(super) fn start(name: &str, configuration: &str) -> Result<Manager, ProcessError> {
+    pub(super) fn start(name: &str, configuration: &str) -> Result<ManagerProcess, ProcessError> {
         let folder =
             std::env::temp_dir().join(format!("magpiechute-scale-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| ProcessError::Io("create a folder", e))?;
@@ -106,7 +89,7 @@
             None => mpsc::channel().1,
         };
         let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut manager = Manager {
+        let mut manager = ManagerProcess {
             child,
             watchdog,
             folder,
@@ -124,10 +107,10 @@
             .nth(1)
             .and_then(|rest| rest.split([',', ' ']).next());
         let address = address.and_then(|text| text.parse().ok());
-        address.ok_or(ProcessError::Silent("the address that it serves on"))
+        address.ok_or(ProcessError::NotPrinted("the address that it serves on"))
     }
 
-    /// Lays another configuration in place of the one in use, whole in one step.
+    /// Atomically replaces the configuration file.
     pub(super) fn configure(&self, configuration: &str) -> Result<(), ProcessError> {
         write_configuration(&self.folder, configuration)
     }
@@ -169,12 +152,12 @@
 
     /// Waits until a counter has this value.
     pub(super) fn await_counter(&self, name: &'static str, value: u64) -> Result<(), ProcessError> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + STEP_TIMEOUT;
         while self.counters()?.get(name) != Some(&value) {
             if Instant::now() > until {
-                return Err(ProcessError::Silent(name));
+                return Err(ProcessError::NotPrinted(name));
             }
-            thread::sleep(LOOK_AGAIN);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -274,19 +257,19 @@
         what: &'static str,
         wanted: impl Fn(&str) -> bool,
     ) -> Result<String, ProcessError> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + STEP_TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             match self.lines.recv_timeout(left) {
                 Ok(line) if wanted(&line) => return Ok(line),
                 Ok(_) => {}
-                Err(_) => return Err(ProcessError::Silent(what)),
+                Err(_) => return Err(ProcessError::NotPrinted(what)),
             }
         }
     }
 }
 
-impl Drop for Manager {
+impl Drop for ManagerProcess {
     fn drop(&mut self) {
         // What has ended already cannot be ended again, and a folder in the way of nothing may stay. The watchdog goes
         // first, as the process's id may be another's once it is reaped.
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -1,19 +1,21 @@
 //! The rows of `manager`, and the budget that they are held against.
 
-use super::clients::Offered;
 use super::fleet;
-use super::manager::TEST;
+use super::options::Test;
 use super::row::{Size, rounded};
+use super::statement_counters::OfferedStatements;
 use serde::Serialize;
 use std::time::Duration;
 
+/// The test's name in its rows.
+pub(super) const TEST: &str = Test::Manager.name();
 /// Of a core, that a manager may spend on control.
 const BUDGET_CORE: f64 = 0.012;
 /// Bytes a second, in and out, that a manager may spend on control.
 const BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
 const MEGABYTE: f64 = 1e6;
 
-/// What all rows of a size tell.
+/// What all rows of a size have in common.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Deployment {
     /// Engines in the list.
@@ -36,7 +38,7 @@
     }
 }
 
-/// What the process is given to do.
+/// Phases of the test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// The list at rest, no clients.
@@ -80,7 +82,7 @@
     pub feed_sent: u64,
     /// See `feed_sent`.
     pub feed_received: u64,
-    /// Events of the list that were told.
+    /// Events of the list that were published.
     pub list_events: u64,
 }
 
@@ -169,7 +171,7 @@
 }
 
 impl ConnectionsRow {
-    /// Memory before and with so many connections.
+    /// Memory before and with these connections.
     pub(super) fn new(
         deployment: &Deployment,
         connections: usize,
@@ -198,11 +200,11 @@
     pub connections: usize,
     /// The rate that clients were to offer; what they did offer is below.
     pub rate: f64,
-    /// Statements that the manager counts as taken.
+    /// Statements that the manager counts as accepted.
     taken: u64,
-    /// What clients saw.
+    /// What clients observed.
     #[serde(flatten)]
-    pub offered: Offered,
+    pub offered: OfferedStatements,
     /// Statements served, by the time from the first one to the last answer.
     pub served_per_second: f64,
     list_events: u64,
@@ -221,9 +223,9 @@
     mb_peak: f64,
 }
 
-/// What engines and memory saw of a round.
+/// Traffic of the engines and memory of the manager in one round.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct RoundTotals {
     /// Statements that reached engines.
     pub attempts: u64,
     /// Connections opened to engines.
@@ -240,7 +242,7 @@
     pub peak: u64,
 }
 
-/// What a round was to be.
+/// A round to be played.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Round {
     /// At a rate, or saturated.
@@ -251,17 +253,17 @@
     pub rate: f64,
 }
 
-/// What a round came to.
+/// The result of a round.
 #[derive(Clone, Debug)]
-pub(super) struct Measured {
-    /// Statements that the manager counts as taken.
+pub(super) struct RoundResult {
+    /// Statements that the manager counts as accepted.
     pub taken: u64,
-    /// What clients saw.
-    pub offered: Offered,
+    /// What clients observed.
+    pub offered: OfferedStatements,
     /// What it cost.
     pub cost: Cost,
-    /// What engines and memory saw.
-    pub seen: Seen,
+    /// Traffic of the engines and memory.
+    pub seen: RoundTotals,
 }
 
 impl StatementsRow {
@@ -273,12 +275,12 @@
             connections,
             rate,
         }: Round,
-        Measured {
+        RoundResult {
             taken,
             offered,
             cost,
             seen,
-        }: Measured,
+        }: RoundResult,
         control_core: f64,
     ) -> StatementsRow {
         let control = control_core * cost.lasted.as_secs_f64();
@@ -347,7 +349,7 @@
         self.deployment.known
     }
 
-    /// What control and all rounds come to.
+    /// Summary of control and all rounds.
     pub(super) fn new(
         deployment: &Deployment,
         Rounds { usual, saturated }: &Rounds,
--- a/benches/scale/memory.rs
+++ b/benches/scale/memory.rs
@@ -1,12 +1,13 @@
-//! Memory by listed engine. A process of its own holds some hollow managers, so that nothing freed earlier hides what
+//! Memory by listed engine. A process of its own holds some in-process managers, so that nothing freed earlier hides what
 //! they take.
 
-use super::crowd::Crowd;
 use super::feed::{Feed, IDLE};
 use super::fleet;
-use super::hollow::Plan;
-use super::row::{Failure, Output};
-use super::{Options, usage};
+use super::in_process_manager::ManagerPlan;
+use super::manager_group::ManagerGroup;
+use super::options::Options;
+use super::row::{Output, ScaleError};
+use super::usage;
 use serde::{Deserialize, Serialize};
 use std::process::{Command, Stdio};
 
@@ -26,11 +27,11 @@
 
 /// Resident bytes of a manager with a list of this size, from several together, and the most of one alone. Each is
 /// measured in a process of its own where the options name the program.
-pub(super) fn of(options: &Options, listed: usize) -> Result<Held, Failure> {
+pub(super) fn of(options: &Options, listed: usize) -> Result<Held, ScaleError> {
     let together = measured(
         options,
         listed,
-        ENTRIES.div_ceil(listed).min(options.most_managers()),
+        ENTRIES.div_ceil(listed).min(options.max_managers()),
     )?;
     let alone = measured(options, listed, 1)?;
     Ok(Held {
@@ -39,7 +40,7 @@
     })
 }
 
-fn measured(options: &Options, listed: usize, managers: usize) -> Result<Held, Failure> {
+fn measured(options: &Options, listed: usize, managers: usize) -> Result<Held, ScaleError> {
     let Some(program) = &options.program else {
         return here(options, listed, managers);
     };
@@ -54,19 +55,19 @@
 }
 
 /// Measures in this process, which should hold nothing else.
-fn here(options: &Options, listed: usize, managers: usize) -> Result<Held, Failure> {
-    let list = fleet::whole_list(1, listed);
+fn here(options: &Options, listed: usize, managers: usize) -> Result<Held, ScaleError> {
+    let list = fleet::full_list(1, listed);
     let feed = Feed::start(&list, IDLE)?;
     drop(list);
-    let plan = Plan {
+    let plan = ManagerPlan {
         instances: options.managers,
         memory_mb: options.memory_mb,
         feed: feed.address,
         ticks: false,
     };
     let before = usage::resident_bytes()?;
-    let crowd = Crowd::start(&plan, managers)?;
-    crowd.gather(1)?;
+    let group = ManagerGroup::start(&plan, managers)?;
+    group.await_event(1)?;
     let each = |bytes: usize| bytes.saturating_sub(before) as f64 / managers as f64;
     Ok(Held {
         managers,
@@ -76,6 +77,10 @@
 }
 
 /// What the process of its own does: one line, for its parent.
-pub(super) fn report(options: &Options, listed: usize, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn report(
+    options: &Options,
+    listed: usize,
+    output: &mut Output,
+) -> Result<(), ScaleError> {
     output.row(&here(options, listed, options.memory_managers)?)
 }
--- a/benches/scale/messages.rs
+++ b/benches/scale/messages.rs
@@ -4,7 +4,7 @@
 use rmp::encode;
 use std::io::Cursor;
 
-/// Marks in the encoding that an answer is told apart by.
+/// MessagePack markers that distinguish answers.
 const NIL: u8 = 0xc0;
 const FALSE: u8 = 0xc2;
 const TRUE: u8 = 0xc3;
@@ -12,16 +12,16 @@
 const CALL: u8 = 0;
 const ANSWER: u8 = 1;
 
-/// What an answer says.
+/// The kind of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum AnswerKind {
     /// All rows of the result.
     Served,
     /// `Overloaded`.
-    Refused,
+    Rejected,
     /// Any other error.
     Failed,
-    /// To `health`: whether it is fit.
+    /// The answer to `health`: whether the manager is ready.
     Health(bool),
 }
 
@@ -30,16 +30,16 @@
 pub(super) struct Answer {
     /// The message that it answers.
     pub id: u64,
-    /// What it says.
-    pub verdict: Verdict,
+    /// Its kind.
+    pub kind: AnswerKind,
 }
 
-/// Why bytes are no answer.
+/// Why bytes could not be parsed as an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unread {
-    /// The rest has yet to come.
-    Partial,
-    /// They never will be one.
+pub(super) enum ParseError {
+    /// More bytes are needed.
+    Incomplete,
+    /// The bytes violate the protocol.
     Malformed,
 }
 
@@ -64,96 +64,99 @@
 }
 
 /// The first answer of these bytes and its length.
-pub(super) fn answer(bytes: &[u8]) -> Result<(Answer, usize), Unread> {
-    let mut at = Cursor::new(bytes);
+pub(super) fn answer(bytes: &[u8]) -> Result<(Answer, usize), ParseError> {
+    let mut input = Cursor::new(bytes);
     let head = (
-        whole(decode::read_array_len(&mut at))?,
-        whole(decode::read_int::<u8, _>(&mut at))?,
+        complete(decode::read_array_len(&mut input))?,
+        complete(decode::read_int::<u8, _>(&mut input))?,
     );
     if head != (4, ANSWER) {
-        return Err(Unread::Malformed);
+        return Err(ParseError::Malformed);
     }
-    let id = whole(decode::read_int::<u64, _>(&mut at))?;
-    let served = next(&at)? == NIL;
-    let verdict = if served {
-        whole(decode::read_nil(&mut at))?;
-        whole(decode::read_array_len(&mut at))?;
-        result(&mut at)?
+    let id = complete(decode::read_int::<u64, _>(&mut input))?;
+    let served = peek(&input)? == NIL;
+    let kind = if served {
+        complete(decode::read_nil(&mut input))?;
+        complete(decode::read_array_len(&mut input))?;
+        result(&mut input)?
     } else {
-        whole(decode::read_array_len(&mut at))?;
-        if text(&mut at)? == b"Overloaded" {
-            Verdict::Refused
+        complete(decode::read_array_len(&mut input))?;
+        if text(&mut input)? == b"Overloaded" {
+            AnswerKind::Rejected
         } else {
-            Verdict::Failed
+            AnswerKind::Failed
         }
     };
-    for _ in 0..whole(decode::read_map_len(&mut at))? {
-        text(&mut at)?;
-        text(&mut at)?;
+    for _ in 0..complete(decode::read_map_len(&mut input))? {
+        text(&mut input)?;
+        text(&mut input)?;
     }
     if !served {
-        whole(decode::read_nil(&mut at))?;
+        complete(decode::read_nil(&mut input))?;
     }
-    Ok((Answer { id, verdict }, at.position() as usize))
+    Ok((Answer { id, kind }, input.position() as usize))
 }
 
-fn result(at: &mut Cursor<&[u8]>) -> Result<Verdict, Unread> {
-    match next(at)? {
-        FALSE | TRUE => Ok(Verdict::Health(whole(decode::read_bool(at))?)),
+fn result(input: &mut Cursor<&[u8]>) -> Result<AnswerKind, ParseError> {
+    match peek(input)? {
+        FALSE | TRUE => Ok(AnswerKind::Health(complete(decode::read_bool(input))?)),
         _ => {
-            let length = whole(decode::read_bin_len(at))?;
-            take(at, length as usize)?;
-            Ok(Verdict::Served)
+            let length = complete(decode::read_bin_len(input))?;
+            take(input, length as usize)?;
+            Ok(AnswerKind::Served)
         }
     }
 }
 
-fn text(at: &mut Cursor<&[u8]>) -> Result<Vec<u8>, Unread> {
-    let length = whole(decode::read_str_len(at))?;
-    take(at, length as usize)
+fn text(input: &mut Cursor<&[u8]>) -> Result<Vec<u8>, ParseError> {
+    let length = complete(decode::read_str_len(input))?;
+    take(input, length as usize)
 }
 
-fn take(at: &mut Cursor<&[u8]>, length: usize) -> Result<Vec<u8>, Unread> {
-    let left = at.get_ref().len() - at.position() as usize;
+fn take(input: &mut Cursor<&[u8]>, length: usize) -> Result<Vec<u8>, ParseError> {
+    let left = input.get_ref().len() - input.position() as usize;
     if left < length {
-        return Err(Unread::Partial);
+        return Err(ParseError::Incomplete);
     }
     let mut taken = vec![0; length];
-    at.read_exact_buf(&mut taken).map_err(|_| Unread::Partial)?;
+    input
+        .read_exact_buf(&mut taken)
+        .map_err(|_| ParseError::Incomplete)?;
     Ok(taken)
 }
 
-fn next(at: &Cursor<&[u8]>) -> Result<u8, Unread> {
-    at.get_ref()
-        .get(at.position() as usize)
+fn peek(input: &Cursor<&[u8]>) -> Result<u8, ParseError> {
+    input
+        .get_ref()
+        .get(input.position() as usize)
         .copied()
-        .ok_or(Unread::Partial)
+        .ok_or(ParseError::Incomplete)
 }
 
-/// Tells input that ends early from input of another form.
-fn whole<T, E: Ended>(read: Result<T, E>) -> Result<T, Unread> {
+/// Distinguishes input that ends early from malformed input.
+fn complete<T, E: MayBeEndOfInput>(read: Result<T, E>) -> Result<T, ParseError> {
     read.map_err(|error| {
-        if error.ended() {
-            Unread::Partial
+        if error.is_end_of_input() {
+            ParseError::Incomplete
         } else {
-            Unread::Malformed
+            ParseError::Malformed
         }
     })
 }
 
 /// An error of decoding that may be the end of the input.
-trait Ended {
-    fn ended(&self) -> bool;
+trait MayBeEndOfInput {
+    fn is_end_of_input(&self) -> bool;
 }
 
-impl Ended for decode::ValueReadError {
-    fn ended(&self) -> bool {
+impl MayBeEndOfInput for decode::ValueReadError {
+    fn is_end_of_input(&self) -> bool {
         !matches!(self, decode::ValueReadError::TypeMismatch(_))
     }
 }
 
-impl Ended for decode::NumValueReadError {
-    fn ended(&self) -> bool {
+impl MayBeEndOfInput for decode::NumValueReadError {
+    fn is_end_of_input(&self) -> bool {
         use decode::NumValueReadError::{InvalidDataRead, InvalidMarkerRead};
         matches!(self, InvalidDataRead(_) | InvalidMarkerRead(_))
     }
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -1,18 +1,18 @@
 //! `reload`: what a changed configuration costs one real workload manager, by the engines that it knows. The file is
-//! laid in place and SIGHUP sent, with the list in the file's `known` (whole) and without it (settings only).
+//! replaced and SIGHUP sent, with the list in the file's `known` (whole) and without it (settings only).
 
-use super::Options;
 use super::configuration::{self, Configuration};
 use super::feed::{Feed, IDLE};
 use super::fit::{Figure, Point, Prediction};
-use super::process::Manager;
-use super::row::{Failure, Output, Size, rounded};
+use super::manager_process::ManagerProcess;
+use super::options::{Options, Test};
+use super::row::{Output, ScaleError, Size, rounded};
 use serde::Serialize;
 use serde_json::Value;
 use std::thread;
 use std::time::{Duration, Instant};
 
-const TEST: &str = "reload";
+const TEST: &str = Test::Reload.name();
 const SOCKETS: usize = 1_024;
 /// Engines that the list names; none of them is connected to.
 const ENGINE_PORT: u16 = 5_050;
@@ -25,7 +25,7 @@
 const NEEDED_PER_MINUTE: f64 = 33_000.0 / (24.0 * 60.0);
 const MEGABYTE: f64 = 1e6;
 
-/// How much is played at each size. Reloads come in blocks, each after a stretch at rest, so that a machine which
+/// How much is played at each size. ReloadCounters come in blocks, each after a stretch at rest, so that a machine which
 /// becomes slower or faster meanwhile does so in both.
 struct Effort {
     blocks: usize,
@@ -50,27 +50,27 @@
 
 /// What the file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Form {
-    /// The settings, and in `known` the whole list.
-    Whole,
+enum ConfigurationForm {
+    /// The settings, and in `known` the full list.
+    Full,
     /// The settings, and no event in `known`.
     SettingsOnly,
 }
 
-impl Form {
+impl ConfigurationForm {
     /// The part of the test in its rows.
     fn part(self) -> &'static str {
         match self {
-            Form::Whole => "whole",
-            Form::SettingsOnly => "settings_only",
+            ConfigurationForm::Full => "whole",
+            ConfigurationForm::SettingsOnly => "settings_only",
         }
     }
 
     /// A class that only the last configuration of this form's series has.
     fn last_class(self) -> &'static str {
         match self {
-            Form::Whole => "audit-whole",
-            Form::SettingsOnly => "audit-settings-only",
+            ConfigurationForm::Full => "audit-whole",
+            ConfigurationForm::SettingsOnly => "audit-settings-only",
         }
     }
 }
@@ -80,7 +80,7 @@
     #[serde(flatten)]
     size: Size,
     #[serde(skip)]
-    form: Form,
+    form: ConfigurationForm,
     memory_mb: usize,
     /// Engines that the roster has taken up, and those that wait for a place.
     known: u64,
@@ -101,7 +101,7 @@
     mb_peak_above: f64,
     /// Of a core, at rest, in percent.
     percent_core_at_rest: f64,
-    /// Reloads a minute within 1.2% of a core, within 8,000 bytes a second, and within both.
+    /// ReloadCounters a minute within 1.2% of a core, within 8,000 bytes a second, and within both.
     per_minute_by_core: f64,
     per_minute_by_bytes: f64,
     per_minute: f64,
@@ -109,7 +109,7 @@
 }
 
 /// Plays all sizes but the largest, predicts that one, and plays it.
-pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
@@ -130,21 +130,29 @@
 
 /// How to read a figure off a row.
 type Reading = fn(&ReloadRow) -> f64;
-type Predicted = (Form, Reading, Prediction);
+type Predicted = (ConfigurationForm, Reading, Prediction);
 
 /// The figures that are fitted, of each form.
 fn predict(
     output: &mut Output,
     rows: &[ReloadRow],
     size: usize,
-) -> Result<Vec<Predicted>, Failure> {
-    let figures: [(Form, &'static str, Reading); 4] = [
-        (Form::Whole, "ms_reload_whole", |row| row.ms_reload),
-        (Form::Whole, "mb_peak_above_whole", |row| row.mb_peak_above),
-        (Form::Whole, "bytes_whole", |row| row.bytes as f64),
-        (Form::SettingsOnly, "ms_reload_settings_only", |row| {
+) -> Result<Vec<Predicted>, ScaleError> {
+    let figures: [(ConfigurationForm, &'static str, Reading); 4] = [
+        (ConfigurationForm::Full, "ms_reload_whole", |row| {
             row.ms_reload
         }),
+        (ConfigurationForm::Full, "mb_peak_above_whole", |row| {
+            row.mb_peak_above
+        }),
+        (ConfigurationForm::Full, "bytes_whole", |row| {
+            row.bytes as f64
+        }),
+        (
+            ConfigurationForm::SettingsOnly,
+            "ms_reload_settings_only",
+            |row| row.ms_reload,
+        ),
     ];
     let mut predictions = Vec::new();
     for (form, figure, reading) in figures {
@@ -166,8 +174,12 @@
     Ok(predictions)
 }
 
-/// Both forms on one process that knows so many engines.
-fn play(options: &Options, output: &mut Output, listed: usize) -> Result<Vec<ReloadRow>, Failure> {
+/// Plays both forms on one process that knows this many engines.
+fn play(
+    options: &Options,
+    output: &mut Output,
+    listed: usize,
+) -> Result<Vec<ReloadRow>, ScaleError> {
     let list = configuration::listed(listed, ENGINE_PORT);
     let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
     let usual = Configuration {
@@ -177,14 +189,14 @@
         managers: options.managers,
         listed: &list,
     };
-    let manager = Manager::start(TEST, &usual.value().to_string())?;
+    let manager = ManagerProcess::start(TEST, &usual.value().to_string())?;
     let settings_only = Configuration {
         listed: &[],
         ..usual
     };
     let forms = [
-        (Form::SettingsOnly, settings_only.value()),
-        (Form::Whole, usual.value()),
+        (ConfigurationForm::SettingsOnly, settings_only.value()),
+        (ConfigurationForm::Full, usual.value()),
     ];
     let mut rows = Vec::new();
     for (form, value) in forms {
@@ -196,10 +208,10 @@
 }
 
 /// The files of a series: each differs from the one before, and the last one has a further class.
-struct Files([String; 3]);
+struct ConfigurationSeries([String; 3]);
 
-impl Files {
-    fn new(value: &Value, last_class: &str) -> Files {
+impl ConfigurationSeries {
+    fn new(value: &Value, last_class: &str) -> ConfigurationSeries {
         let with = |points: u32| {
             let mut value = value.clone();
             value["settings"]["classes"][0]["points"] = points.into();
@@ -211,7 +223,7 @@
         if let Some(classes) = last["settings"]["classes"].as_array_mut() {
             classes.push(class);
         }
-        Files([with(2).to_string(), with(3).to_string(), last.to_string()])
+        ConfigurationSeries([with(2).to_string(), with(3).to_string(), last.to_string()])
     }
 
     fn nth(&self, n: usize) -> &str {
@@ -225,19 +237,19 @@
 
 fn series(
     options: &Options,
-    manager: &Manager,
+    manager: &ManagerProcess,
     listed: usize,
-    form: Form,
+    form: ConfigurationForm,
     value: &Value,
-) -> Result<ReloadRow, Failure> {
+) -> Result<ReloadRow, ScaleError> {
     let effort = if options.small { SMALL } else { FULL };
-    let files = Files::new(value, form.last_class());
+    let files = ConfigurationSeries::new(value, form.last_class());
     let counted = reloads(manager)?;
     manager.reset_peak()?;
     let before = manager.memory()?;
     let mut blocks = Vec::new();
     for _ in 0..effort.blocks {
-        blocks.push(Block::play(manager, &files, &effort)?);
+        blocks.push(ReloadBlock::play(manager, &files, &effort)?);
     }
     let after = manager.memory()?;
     let mut in_force: Vec<Duration> = blocks
@@ -246,7 +258,7 @@
         .collect();
     check_in_force(manager, &files, form, (counted, in_force.len()))?;
 
-    let each: Vec<f64> = blocks.iter().map(Block::seconds_each).collect();
+    let each: Vec<f64> = blocks.iter().map(ReloadBlock::seconds_each).collect();
     let (seconds_each, error) = mean(&each);
     let (rest, _) = mean(&blocks.iter().map(|block| block.rest).collect::<Vec<_>>());
     let bytes = files.nth(0).len();
@@ -278,7 +290,7 @@
 }
 
 /// A stretch at rest, and the reloads after it.
-struct Block {
+struct ReloadBlock {
     /// The share of a core that the process takes by itself.
     rest: f64,
     lasted: Duration,
@@ -287,8 +299,12 @@
     in_force: Vec<Duration>,
 }
 
-impl Block {
-    fn play(manager: &Manager, files: &Files, effort: &Effort) -> Result<Block, Failure> {
+impl ReloadBlock {
+    fn play(
+        manager: &ManagerProcess,
+        files: &ConfigurationSeries,
+        effort: &Effort,
+    ) -> Result<ReloadBlock, ScaleError> {
         let rest = share_at_rest(manager, effort.rest)?;
         let (begun, processor) = (Instant::now(), manager.processor_time()?);
         let mut in_force = Vec::new();
@@ -298,7 +314,7 @@
             thread::sleep(effort.pause);
         }
         let processor = manager.processor_time()? - processor;
-        Ok(Block {
+        Ok(ReloadBlock {
             rest,
             lasted: begun.elapsed(),
             processor,
@@ -325,14 +341,14 @@
 
 /// Each file of the series was used, and one more that names a further class is in force after it.
 fn check_in_force(
-    manager: &Manager,
-    files: &Files,
-    form: Form,
-    (before, played): (Reloads, usize),
-) -> Result<(), Failure> {
+    manager: &ManagerProcess,
+    files: &ConfigurationSeries,
+    form: ConfigurationForm,
+    (before, played): (ReloadCounters, usize),
+) -> Result<(), ScaleError> {
     let now = reloads(manager)?;
-    if now.used != before.used + played as u64 || now.turned_down != before.turned_down {
-        return Err(Failure::Broken(format!(
+    if now.used != before.used + played as u64 || now.rejected != before.rejected {
+        return Err(ScaleError::CheckFailed(format!(
             "{TEST}: {played} reloads took {before:?} to {now:?}"
         )));
     }
@@ -340,7 +356,7 @@
     manager.configure(files.last())?;
     manager.reload()?;
     if known_before || !manager.knows_class(form.last_class())? {
-        return Err(Failure::Broken(format!(
+        return Err(ScaleError::CheckFailed(format!(
             "{TEST}: the last configuration of {form:?} is not in force"
         )));
     }
@@ -349,22 +365,22 @@
 
 /// Configurations that were read anew.
 #[derive(Clone, Copy, Debug)]
-struct Reloads {
+struct ReloadCounters {
     used: u64,
-    turned_down: u64,
+    rejected: u64,
 }
 
-fn reloads(manager: &Manager) -> Result<Reloads, Failure> {
+fn reloads(manager: &ManagerProcess) -> Result<ReloadCounters, ScaleError> {
     let counters = manager.counters()?;
     let count = |name| counters.get(name).copied().unwrap_or_default();
-    Ok(Reloads {
+    Ok(ReloadCounters {
         used: count("reloads"),
-        turned_down: count("reloads_rejected"),
+        rejected: count("reloads_rejected"),
     })
 }
 
 /// The share of a core that the process takes by itself.
-fn share_at_rest(manager: &Manager, lasts: Duration) -> Result<f64, Failure> {
+fn share_at_rest(manager: &ManagerProcess, lasts: Duration) -> Result<f64, ScaleError> {
     let (begun, processor) = (Instant::now(), manager.processor_time()?);
     thread::sleep(lasts);
     let used = manager.processor_time()? - processor;
--- a/benches/scale/row.rs
+++ b/benches/scale/row.rs
@@ -1,42 +1,26 @@
 //! Rows of results: one JSON object a line, on standard output and in the file that was asked for.
 
+use super::manager_process::ProcessError;
 use serde::Serialize;
-use std::fmt;
 use std::fs::File;
 use std::io::Write;
 use std::path::Path;
 
 /// Why a scale test could not be played, or found something that must not be.
-#[derive(Debug)]
-pub(crate) enum Failure {
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ScaleError {
     /// A row, a socket or a file could not be read or written.
-    Io(std::io::Error),
+    #[error("input or output: {0}")]
+    Io(#[from] std::io::Error),
     /// A row is not JSON.
-    Json(serde_json::Error),
+    #[error("row: {0}")]
+    Json(#[from] serde_json::Error),
+    /// A process under test could not be started, controlled or measured.
+    #[error(transparent)]
+    Process(#[from] ProcessError),
     /// What the test relies on does not hold.
-    Broken(String),
-}
-
-impl fmt::Display for Failure {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Failure::Io(e) => write!(f, "input or output: {e}"),
-            Failure::Json(e) => write!(f, "row: {e}"),
-            Failure::Broken(what) => f.write_str(what),
-        }
-    }
-}
-
-impl From<std::io::Error> for Failure {
-    fn from(e: std::io::Error) -> Failure {
-        Failure::Io(e)
-    }
-}
-
-impl From<serde_json::Error> for Failure {
-    fn from(e: serde_json::Error) -> Failure {
-        Failure::Json(e)
-    }
+    #[error("{0}")]
+    CheckFailed(String),
 }
 
 /// What a row tells.
@@ -116,7 +100,7 @@
 
 impl Output {
     /// Standard output, and this file anew where one is named.
-    pub(crate) fn new(path: Option<&Path>) -> Result<Output, Failure> {
+    pub(crate) fn new(path: Option<&Path>) -> Result<Output, ScaleError> {
         let file = path.map(File::create).transpose()?;
         Ok(Output {
             file,
@@ -125,7 +109,7 @@
     }
 
     /// Writes one row at once, so that a run that is cut off leaves what it measured.
-    pub(crate) fn row(&mut self, row: &impl Serialize) -> Result<(), Failure> {
+    pub(crate) fn row(&mut self, row: &impl Serialize) -> Result<(), ScaleError> {
         let line = serde_json::to_string(row)?;
         let mut standard = std::io::stdout().lock();
         writeln!(standard, "{line}")?;
--- a/benches/scale/load.rs
+++ b/benches/scale/server_load.rs
@@ -1,13 +1,23 @@
 //! The load of a server over time: samples of what it has done, and its worst stretch of a tenth of a second.
 
-use super::feed::Totals;
 use super::row::rounded;
 use super::usage;
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// The stretch over which the worst load is told.
-pub(super) const STRETCH: Duration = Duration::from_millis(100);
+/// Length of the window over which the worst load is measured.
+pub(super) const WINDOW: Duration = Duration::from_millis(100);
+
+/// What a server has done so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct ServerTotals {
+    /// Connections accepted.
+    pub connections: u64,
+    /// Frames written, empty ones among them.
+    pub frames: u64,
+    /// Bytes written.
+    pub bytes: u64,
+}
 
 /// What had been done at one moment.
 #[derive(Clone, Copy, Debug)]
@@ -15,14 +25,14 @@
     /// When.
     pub at: Instant,
     /// What had been done by then.
-    pub totals: Totals,
+    pub totals: ServerTotals,
     /// Processor time used by then.
     pub processor: Duration,
 }
 
-/// What was done in one stretch, as if it had lasted [`STRETCH`].
+/// What was done in one stretch, scaled to the length [`WINDOW`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub(super) struct Stretch {
+pub(super) struct LoadWindow {
     /// Connections accepted.
     pub connections: f64,
     /// Bytes written.
@@ -31,11 +41,11 @@
     pub processor_ms: f64,
 }
 
-impl Stretch {
-    fn between(from: &Sample, to: &Sample) -> Stretch {
-        let part = STRETCH.as_secs_f64() / (to.at - from.at).as_secs_f64().max(1e-9);
+impl LoadWindow {
+    fn between(from: &Sample, to: &Sample) -> LoadWindow {
+        let part = WINDOW.as_secs_f64() / (to.at - from.at).as_secs_f64().max(1e-9);
         let done = |from: u64, to: u64| rounded((to - from) as f64 * part);
-        Stretch {
+        LoadWindow {
             connections: done(from.totals.connections, to.totals.connections),
             bytes: done(from.totals.bytes, to.totals.bytes),
             processor_ms: rounded((to.processor - from.processor).as_secs_f64() * 1000.0 * part),
@@ -43,7 +53,7 @@
     }
 
     /// How many times each figure is the other's; 0 where that is 0.
-    fn against(&self, other: &Stretch) -> Stretch {
+    fn against(&self, other: &LoadWindow) -> LoadWindow {
         let times = |of: f64, other: f64| {
             if other > 0.0 {
                 rounded(of / other)
@@ -51,7 +61,7 @@
                 0.0
             }
         };
-        Stretch {
+        LoadWindow {
             connections: times(self.connections, other.connections),
             bytes: times(self.bytes, other.bytes),
             processor_ms: times(self.processor_ms, other.processor_ms),
@@ -59,8 +69,8 @@
     }
 
     /// The larger of each figure.
-    fn or(self, other: Stretch) -> Stretch {
-        Stretch {
+    fn or(self, other: LoadWindow) -> LoadWindow {
+        LoadWindow {
             connections: self.connections.max(other.connections),
             bytes: self.bytes.max(other.bytes),
             processor_ms: self.processor_ms.max(other.processor_ms),
@@ -68,16 +78,16 @@
     }
 }
 
-/// The load over some time: its mean as if it lasted [`STRETCH`], each figure's worst stretch, and that against the mean.
+/// The load over some time: its mean as if it lasted [`WINDOW`], each figure's worst stretch, and that against the mean.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct Load {
-    mean: Stretch,
-    worst: Stretch,
-    worst_to_mean: Stretch,
+    mean: LoadWindow,
+    worst: LoadWindow,
+    worst_to_mean: LoadWindow,
 }
 
 impl Load {
-    fn new(mean: Stretch, worst: Stretch) -> Load {
+    fn new(mean: LoadWindow, worst: LoadWindow) -> Load {
         Load {
             mean,
             worst,
@@ -86,7 +96,7 @@
     }
 
     /// Its worst stretch against the mean of another time.
-    pub(super) fn worst_against(&self, other: &Load) -> Stretch {
+    pub(super) fn worst_against(&self, other: &Load) -> LoadWindow {
         self.worst.against(&other.mean)
     }
 }
@@ -97,7 +107,7 @@
 
 impl Timeline {
     /// Samples now, on the thread whose processor time counts.
-    pub(super) fn see(&mut self, totals: Totals) {
+    pub(super) fn record(&mut self, totals: ServerTotals) {
         self.0.push(Sample {
             at: Instant::now(),
             totals,
@@ -129,15 +139,15 @@
         if newest.at <= oldest.at {
             return None;
         }
-        let mut worst = Stretch::default();
+        let mut worst = LoadWindow::default();
         for (at, start) in samples.iter().enumerate() {
             let later = samples[at..]
                 .iter()
-                .find(|sample| sample.at - start.at >= STRETCH);
+                .find(|sample| sample.at - start.at >= WINDOW);
             let Some(later) = later else { break };
-            worst = worst.or(Stretch::between(start, later));
+            worst = worst.or(LoadWindow::between(start, later));
         }
-        let mean = Stretch::between(oldest, newest);
+        let mean = LoadWindow::between(oldest, newest);
         // What lasts no longer than one stretch is its own worst one.
         Some(Load::new(mean, worst.or(mean)))
     }
--- /dev/null
+++ b/benches/scale/statement_counters.rs
@@ -0,0 +1,184 @@
+//! Counters of offered statements and their answers.
+
+use super::messages::AnswerKind;
+use super::row::{ScaleError, rounded};
+use hdrhistogram::Histogram;
+use serde::Serialize;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Mutex, PoisonError};
+use std::time::Duration;
+
+/// Bounds of the latency histogram, in microseconds.
+const MIN_LATENCY_US: u64 = 1;
+/// See [`MIN_LATENCY_US`].
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Significant decimal digits of the histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
+
+/// Counters of one round of statements. All counters are independent of each other, so relaxed ordering is enough.
+#[derive(Debug)]
+pub(super) struct StatementCounters {
+    pub sent: AtomicU64,
+    served: AtomicU64,
+    refused: AtomicU64,
+    failed: AtomicU64,
+    pub lost: AtomicU64,
+    pub stray: AtomicU64,
+    pub health: AtomicU64,
+    pub bytes_sent: AtomicU64,
+    pub bytes_received: AtomicU64,
+    latencies: Mutex<Histogram<u64>>,
+}
+
+/// Result of one round of statements.
+#[derive(Clone, Debug, Default, Serialize)]
+pub(super) struct OfferedStatements {
+    /// From the first statement to the last answer.
+    pub seconds: f64,
+    /// Statements written.
+    pub offered: u64,
+    /// Statements that were due, and not written as too many were open.
+    pub held_back: u64,
+    /// Answers by their kind.
+    pub served: u64,
+    /// See `served`.
+    pub refused: u64,
+    /// See `served`.
+    pub failed: u64,
+    /// Statements without an answer.
+    pub unanswered: u64,
+    /// Answers to an unknown message, or a second answer to one.
+    pub stray: u64,
+    /// Calls of `health` that kept connections open.
+    pub health_calls: u64,
+    /// Bytes to and from the manager.
+    pub bytes_sent: u64,
+    /// See `bytes_sent`.
+    pub bytes_received: u64,
+    /// Half of all answers came within this, in ms.
+    pub p50_ms: f64,
+    /// And 99 in 100.
+    pub p99_ms: f64,
+}
+
+impl OfferedStatements {
+    /// Statements that have an answer.
+    pub(super) fn answered(&self) -> u64 {
+        self.served + self.refused + self.failed
+    }
+}
+
+impl StatementCounters {
+    /// All zero.
+    pub(super) fn new() -> Result<StatementCounters, ScaleError> {
+        let latencies =
+            Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .map_err(|e| ScaleError::CheckFailed(format!("latencies: {e}")))?;
+        let count = AtomicU64::default;
+        Ok(StatementCounters {
+            sent: count(),
+            served: count(),
+            refused: count(),
+            failed: count(),
+            lost: count(),
+            stray: count(),
+            health: count(),
+            bytes_sent: count(),
+            bytes_received: count(),
+            latencies: Mutex::new(latencies),
+        })
+    }
+
+    fn all(&self) -> [&AtomicU64; 9] {
+        let StatementCounters {
+            sent,
+            served,
+            refused,
+            failed,
+            lost,
+            stray,
+            health,
+            bytes_sent,
+            bytes_received,
+            ..
+        } = self;
+        [
+            sent,
+            served,
+            refused,
+            failed,
+            lost,
+            stray,
+            health,
+            bytes_sent,
+            bytes_received,
+        ]
+    }
+
+    /// Sets all figures to zero.
+    pub(super) fn clear(&self) {
+        self.all()
+            .iter()
+            .for_each(|count| count.store(0, Ordering::Relaxed));
+        self.latencies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .reset();
+    }
+
+    /// Statements that are answered, or never will be.
+    pub(super) fn finished(&self) -> u64 {
+        [&self.served, &self.refused, &self.failed, &self.lost]
+            .iter()
+            .map(|c| c.load(Ordering::Relaxed))
+            .sum()
+    }
+
+    /// Records an answer and its latency.
+    pub(super) fn record(&self, kind: AnswerKind, latency: Duration) {
+        let count = match kind {
+            AnswerKind::Served => &self.served,
+            AnswerKind::Rejected => &self.refused,
+            AnswerKind::Failed | AnswerKind::Health(_) => &self.failed,
+        };
+        count.fetch_add(1, Ordering::Relaxed);
+        let mut latencies = self
+            .latencies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        latencies.saturating_record(latency.as_micros() as u64);
+    }
+
+    /// The figures so far; the caller adds the times and what was held back.
+    pub(super) fn offered(&self) -> OfferedStatements {
+        let [
+            sent,
+            served,
+            refused,
+            failed,
+            _,
+            stray,
+            health,
+            bytes_sent,
+            bytes_received,
+        ] = self.all().map(|count| count.load(Ordering::Relaxed));
+        let latencies = self
+            .latencies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let within_ms = |share: f64| latencies.value_at_quantile(share) as f64 / 1000.0;
+        OfferedStatements {
+            offered: sent,
+            served,
+            refused,
+            failed,
+            stray,
+            health_calls: health,
+            bytes_sent,
+            bytes_received,
+            p50_ms: rounded(within_ms(0.5)),
+            p99_ms: rounded(within_ms(0.99)),
+            ..OfferedStatements::default()
+        }
+    }
+}
--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -1,10 +1,11 @@
-//! `subset`: what engine subsets come to over a whole fleet: managers of an engine, zones of a subset, what a change
+//! `subset`: what engine subsets come to over a fleet: managers of an engine, zones of a subset, what a change
 //! moves, and the parts of a cold engine's budget that managers take while their lists differ. No module or socket
 //! takes part: the subsets of all managers are computed in this process.
 
 use super::fit::{Figure, Point, Prediction};
-use super::row::{Failure, Output, Size, rounded};
-use super::{Options, fleet, usage};
+use super::options::{Options, Test};
+use super::row::{Output, ScaleError, Size, rounded};
+use super::{fleet, usage};
 use serde::Serialize;
 use std::collections::HashMap;
 use workload_manager::limits::Limits;
@@ -12,20 +13,20 @@
 use workload_manager::subset::{Members, Membership, Subset};
 use workload_manager::{EngineId, EngineSharing};
 
-const TEST: &str = "subset";
-/// Longest list that is taken whole in the small case.
-const MOST_WHOLE_SMALL: usize = 12;
+const TEST: &str = Test::Subset.name();
+/// Longest list of which all engines are taken up in the small case.
+const MAX_COMPLETE_LIST_SMALL: usize = 12;
 const MANAGERS_SMALL: u32 = 60;
 /// Engines that are replaced one after another.
 const REPLACED: usize = 10;
 const REPLACED_SMALL: usize = 3;
 /// What a later list lacks, as parts of the whole one: nothing, a zone, a tenth, three and six tenths.
 const LACKS: [f64; 5] = [0.0, 1.0 / fleet::ZONES as f64, 0.1, 0.3, 0.6];
-/// Engines whose budget is followed.
-const FOLLOWED: usize = 300;
-/// Managers that may be in turn at once there.
+/// Engines whose budget is summed up.
+const SAMPLED_ENGINES: usize = 300;
+/// Managers that may send to a cold engine at once.
 const IN_TURN: u32 = 3;
-/// Positions of the turn that are looked at.
+/// Positions of the rotation that are checked.
 const TURNS: u32 = 128;
 /// Ids of engines that start later.
 const SUCCESSORS: u32 = 1 << 30;
@@ -76,7 +77,7 @@
 }
 
 #[derive(Serialize)]
-struct ViewsRow {
+struct DifferingListsRow {
     #[serde(flatten)]
     size: Size,
     /// The share of the list that the later one lacks.
@@ -87,7 +88,7 @@
     /// The largest sum of parts of one engine's budget: each manager by the list that gives it more, and by either.
     parts_worst: f64,
     parts_by_chance: f64,
-    /// Managers in turn at once where so many may be, under any mix of the lists.
+    /// Managers that may send to a cold engine at once: the bound, and the most under any mix of the lists.
     in_turn: u32,
     in_turn_worst: usize,
 }
@@ -100,7 +101,7 @@
 }
 
 /// Plays balance and changes at all sizes, churn and lists that differ at the largest.
-pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), Failure> {
+pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let sizes = options.listed();
     let mut points: Vec<Point> = Vec::new();
     let mut prediction = None;
@@ -125,7 +126,7 @@
     };
     output.row(&churn(options, listed))?;
     for lacks in LACKS {
-        output.row(&views(options, listed, lacks))?;
+        output.row(&differing_lists(options, listed, lacks))?;
     }
     Ok(())
 }
@@ -139,13 +140,13 @@
         };
         let parsed = fleet::settings(managers, 0);
         let limits = Limits::new(fleet::SOCKETS, options.memory_mb, true, &parsed);
-        let most_whole = if options.small {
-            MOST_WHOLE_SMALL
+        let max_complete_list = if options.small {
+            MAX_COMPLETE_LIST_SMALL
         } else {
             limits.subset_engines
         };
         let mut subset = Subset::new(
-            most_whole,
+            max_complete_list,
             Membership {
                 instances: managers,
                 ordinal: 0,
@@ -157,12 +158,12 @@
             managers,
             held: Vec::new(),
         };
-        fleet.held = fleet.all();
+        fleet.held = fleet.members_of_all();
         fleet
     }
 
     /// What each manager holds of the list as it is now.
-    fn all(&self) -> Vec<Members> {
+    fn members_of_all(&self) -> Vec<Members> {
         let mut own = self.subset.clone();
         let held = |ordinal| {
             own.set_membership(Membership {
@@ -174,6 +175,23 @@
         (0..self.managers).map(held).collect()
     }
 
+    /// The same list with another number of managers.
+    fn with_managers(&self, managers: u32) -> Fleet {
+        let mut fleet = Fleet {
+            subset: self.subset.clone(),
+            managers,
+            held: Vec::new(),
+        };
+        fleet.held = fleet.members_of_all();
+        fleet
+    }
+
+    /// Places moved at the managers that both fleets have.
+    fn count_moved_to(&self, other: &Fleet) -> usize {
+        let both = self.held.iter().zip(&other.held);
+        both.map(|(before, after)| count_moved(before, after)).sum()
+    }
+
     fn size(&self, part: &'static str, listed: usize) -> Size {
         Size::measured(TEST, part, listed, self.managers as usize)
     }
@@ -254,13 +272,66 @@
 }
 
 /// Places that differ: of what a manager gained and lost, the larger number.
-fn moved(before: &Members, after: &Members) -> usize {
+fn count_moved(before: &Members, after: &Members) -> usize {
     let lacks =
         |a: &Members, b: &Members| a.keys().filter(|engine| !b.contains_key(engine)).count();
     lacks(before, after).max(lacks(after, before))
 }
 
-#[expect(clippy::too_many_lines, reason = "not split yet")]
+impl ChurnRow {
+    fn new(size: Size, engines: usize) -> ChurnRow {
+        ChurnRow {
+            size,
+            engines,
+            held: 0,
+            gone_moved_holders: 0,
+            gone_moved_others: 0,
+            gone_moved_most: 0,
+            replaced_moved_holders: 0,
+            replaced_moved_successors: 0,
+            replaced_moved_others: 0,
+            replaced_moved_most: 0,
+            manager_more_moved: 0,
+            manager_more_least: 0,
+            manager_less_moved: 0,
+        }
+    }
+
+    /// Adds what one replacement moves at one manager.
+    fn add(&mut self, replacement: &Replacement, members: &MembersByStep) {
+        let held = members.before.contains_key(&replacement.old);
+        let in_gone = count_moved(members.before, members.gone);
+        let in_all = count_moved(members.before, members.after);
+        self.held += usize::from(held);
+        self.gone_moved_most = self.gone_moved_most.max(in_gone);
+        self.replaced_moved_most = self.replaced_moved_most.max(in_all);
+        if held {
+            self.gone_moved_holders += in_gone;
+        } else {
+            self.gone_moved_others += in_gone;
+        }
+        let whose = match (held, members.after.contains_key(&replacement.new)) {
+            (true, _) => &mut self.replaced_moved_holders,
+            (false, true) => &mut self.replaced_moved_successors,
+            (false, false) => &mut self.replaced_moved_others,
+        };
+        *whose += in_all;
+    }
+}
+
+/// An engine and its successor.
+struct Replacement {
+    old: EngineId,
+    new: EngineId,
+}
+
+/// The members of one manager before a replacement, without the old engine, and with its successor.
+struct MembersByStep<'a> {
+    before: &'a Members,
+    gone: &'a Members,
+    after: &'a Members,
+}
+
 fn churn(options: &Options, listed: usize) -> ChurnRow {
     let mut fleet = Fleet::new(options, 0..listed);
     let engines = if options.small {
@@ -268,74 +339,36 @@
     } else {
         REPLACED
     };
-    let mut row = ChurnRow {
-        size: fleet.size("churn", listed),
-        engines,
-        held: 0,
-        gone_moved_holders: 0,
-        gone_moved_others: 0,
-        gone_moved_most: 0,
-        replaced_moved_holders: 0,
-        replaced_moved_successors: 0,
-        replaced_moved_others: 0,
-        replaced_moved_most: 0,
-        manager_more_moved: 0,
-        manager_more_least: 0,
-        manager_less_moved: 0,
-    };
+    let mut row = ChurnRow::new(fleet.size("churn", listed), engines);
     for replaced in 0..engines {
         let id = replaced * listed / engines;
-        let (old, new) = (engine_id(id as u32), engine_id(SUCCESSORS + id as u32));
-        fleet.subset.set(old, None);
-        let gone = fleet.all();
-        fleet.subset.set(new, Some(zone(id)));
-        let after = fleet.all();
+        let replacement = Replacement {
+            old: engine_id(id as u32),
+            new: engine_id(SUCCESSORS + id as u32),
+        };
+        fleet.subset.set(replacement.old, None);
+        let gone = fleet.members_of_all();
+        fleet.subset.set(replacement.new, Some(zone(id)));
+        let after = fleet.members_of_all();
         for ((before, gone), after) in fleet.held.iter().zip(&gone).zip(&after) {
-            let (held, in_gone, in_all) = (
-                before.contains_key(&old),
-                moved(before, gone),
-                moved(before, after),
-            );
-            row.held += usize::from(held);
-            row.gone_moved_most = row.gone_moved_most.max(in_gone);
-            row.replaced_moved_most = row.replaced_moved_most.max(in_all);
-            *(if held {
-                &mut row.gone_moved_holders
-            } else {
-                &mut row.gone_moved_others
-            }) += in_gone;
-            let whose = match (held, after.contains_key(&new)) {
-                (true, _) => &mut row.replaced_moved_holders,
-                (false, true) => &mut row.replaced_moved_successors,
-                (false, false) => &mut row.replaced_moved_others,
+            let members = MembersByStep {
+                before,
+                gone,
+                after,
             };
-            *whose += in_all;
+            row.add(&replacement, &members);
         }
         fleet.held = after;
     }
-    let others = |managers: u32| {
-        let other = Fleet {
-            managers,
-            subset: fleet.subset.clone(),
-            held: Vec::new(),
-        };
-        let held = other.all();
-        let moved = fleet
-            .held
-            .iter()
-            .zip(&held)
-            .map(|(before, after)| moved(before, after))
-            .sum();
-        (moved, held)
-    };
-    let (more, held) = others(fleet.managers + 1);
-    row.manager_more_moved = more;
-    row.manager_more_least = held.last().map_or(0, Members::len);
-    row.manager_less_moved = others(fleet.managers - 1).0;
+    let one_more = fleet.with_managers(fleet.managers + 1);
+    row.manager_more_moved = fleet.count_moved_to(&one_more);
+    row.manager_more_least = one_more.held.last().map_or(0, Members::len);
+    let one_less = fleet.with_managers(fleet.managers - 1);
+    row.manager_less_moved = fleet.count_moved_to(&one_less);
     row
 }
 
-fn views(options: &Options, listed: usize, lacks: f64) -> ViewsRow {
+fn differing_lists(options: &Options, listed: usize, lacks: f64) -> DifferingListsRow {
     let kept = listed - (listed as f64 * lacks) as usize;
     // What the later list lacks is spread over zones and positions alike.
     let later = Fleet::new(options, (0..listed).filter(|id| id * 7919 % listed < kept));
@@ -346,7 +379,7 @@
             .next()
             .map_or(0, |holders| holders.max_managers)
     };
-    let mut row = ViewsRow {
+    let mut row = DifferingListsRow {
         size: whole.size("views", listed),
         lacks: rounded(lacks),
         bound: bound(&whole),
@@ -357,13 +390,13 @@
         in_turn_worst: 0,
     };
     let engines = (0..listed).filter(|id| id * 7919 % listed < kept);
-    for (n, id) in engines.step_by((kept / FOLLOWED).max(1)).enumerate() {
+    for (n, id) in engines.step_by((kept / SAMPLED_ENGINES).max(1)).enumerate() {
         let engine = engine_id(id as u32);
         let managers = whole.held.iter().zip(&later.held);
         let managers: Vec<[Option<&EngineSharing>; 2]> = managers
             .map(|(whole, later)| [whole.get(&engine), later.get(&engine)])
             .collect();
-        let (worst, by_chance, in_turn) = followed(&managers, n);
+        let (worst, by_chance, in_turn) = budget_parts(&managers, n);
         row.parts_worst = row.parts_worst.max(rounded(worst));
         row.parts_by_chance = row.parts_by_chance.max(rounded(by_chance));
         row.in_turn_worst = row.in_turn_worst.max(in_turn);
@@ -372,9 +405,10 @@
 }
 
 /// The sums of parts of one engine's budget, and managers in turn at once, by what each manager has under either list.
-fn followed(managers: &[[Option<&EngineSharing>; 2]], salt: usize) -> (f64, f64, usize) {
-    let part =
-        |holders: &Option<&EngineSharing>| holders.map_or(0.0, |h| 1.0 / f64::from(h.max_managers));
+fn budget_parts(managers: &[[Option<&EngineSharing>; 2]], salt: usize) -> (f64, f64, usize) {
+    let part = |holders: &Option<&EngineSharing>| {
+        holders.map_or(0.0, |sharing| 1.0 / f64::from(sharing.max_managers))
+    };
     let worst = managers
         .iter()
         .map(|views| part(&views[0]).max(part(&views[1])))
--- a/benches/scale/usage.rs
+++ b/benches/scale/usage.rs
@@ -1,6 +1,6 @@
 //! What this process has used: processor time and memory, as the kernel counts them.
 
-use super::row::Failure;
+use super::row::ScaleError;
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 }
 
 /// Bytes of memory that the process has resident.
-pub(super) fn resident_bytes() -> Result<usize, Failure> {
+pub(super) fn resident_bytes() -> Result<usize, ScaleError> {
     status_bytes("VmRSS:")
 }
 
 /// The most that it ever had resident.
-pub(super) fn peak_bytes() -> Result<usize, Failure> {
+pub(super) fn peak_bytes() -> Result<usize, ScaleError> {
     status_bytes("VmHWM:")
 }
 
-fn status_bytes(name: &str) -> Result<usize, Failure> {
+fn status_bytes(name: &str) -> Result<usize, ScaleError> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     let kilobytes = line
@@ -35,5 +35,5 @@
         .and_then(|n| n.parse::<usize>().ok());
     kilobytes
         .map(|n| n * 1024)
-        .ok_or_else(|| Failure::Broken("no memory is told".to_owned()))
+        .ok_or_else(|| ScaleError::CheckFailed("/proc/self/status names no memory".to_owned()))
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,13 +1,14 @@
 //! The small case of each scale test. What is asserted holds on any machine at any speed: rows, counts and bytes, no
 //! time.
 
-#[allow(dead_code)] // its main function is the bench's
+#[allow(dead_code, reason = "the main function is called by the bench alone")]
 #[path = "../benches/scale/main.rs"]
 mod scale;
 
-use scale::fit::{Line, Point};
+use scale::fit::{LinearFit, Point};
+use scale::options::{Options, Test};
 use scale::row::Output;
-use scale::{Options, Test};
+
 use serde_json::Value;
 
 /// Rows of the small case of one test.
@@ -44,7 +45,7 @@
     }
 }
 
-/// Guard: a prediction stands before its measurement, and each is held against it once.
+/// A prediction stands before its measurement, and each is held against it once.
 fn predicted(rows: &[Value], figures: &[&str]) {
     let at = |kind: &str, figure: &str| {
         let found = |row: &Value| row["kind"] == kind && row["figure"] == figure;
@@ -81,25 +82,25 @@
 }
 
 #[test]
-fn a_line_recovers_its_slope() {
+fn a_fit_through_points_of_a_line_recovers_its_slope() {
     let points: Vec<Point> = [1_024.0, 4_096.0, 10_000.0]
         .map(|size| (size, 7.0 + 0.25 * size))
         .to_vec();
-    let line = Line::through(&points).expect("a line");
+    let line = LinearFit::through(&points).expect("a line");
     assert!(
         (line.slope - 0.25).abs() < 1e-9 && (line.at(22_000.0) - 5_507.0).abs() < 1e-6,
         "{line:?}"
     );
     // Errors that cancel leave the slope as it is.
     let noisy = [(0.0, 1.0), (1.0, 1.0), (2.0, 5.0), (3.0, 5.0)];
-    assert!((Line::through(&noisy).expect("a line").slope - 1.6).abs() < 1e-9);
-    assert_eq!(Line::through(&[(5.0, 1.0), (5.0, 2.0)]), None);
-    assert_eq!(Line::through(&[(5.0, 1.0)]), None);
+    assert!((LinearFit::through(&noisy).expect("a line").slope - 1.6).abs() < 1e-9);
+    assert_eq!(LinearFit::through(&[(5.0, 1.0), (5.0, 2.0)]), None);
+    assert_eq!(LinearFit::through(&[(5.0, 1.0)]), None);
 }
 
 /// Every statement is served by an engine that the module hears of, at every size.
 #[test]
-fn decision() {
+fn decision_test_serves_every_statement_at_each_list_size() {
     let rows = rows(Test::Decision);
     let measured = of(&rows, "kind", "measured");
     assert_eq!(numbers(&measured, "listed"), [16, 32, 64, 128]);
@@ -131,26 +132,9 @@
     predicted(&rows, &["us_request", "us_tick"]);
 }
 
-/// A change reaches every hollow manager: none sends to the engine that is gone, all may send to its successor.
-#[test]
-#[expect(clippy::too_many_lines, reason = "not split yet")]
-fn list() {
-    let rows = rows(Test::List);
-    let costs = of(&rows, "part", "cost");
-    assert_eq!(numbers(&costs, "listed"), [16, 32, 64, 128]);
-    for row in costs {
-        let listed = row["listed"].as_u64().expect("a size");
-        assert_eq!(
-            (&row["known"], &row["bytes_whole"]),
-            (&row["listed"], &Value::from(13 + 27 * listed))
-        );
-        assert_eq!(
-            (&row["bytes_change"], &row["bytes_second_at_rest"]),
-            (&Value::from(67), &Value::from(13.0))
-        );
-        positive(row, &["us_whole", "us_change", "us_empty_frame", "heard"]);
-    }
-    let changes = of(&rows, "part", "change");
+/// Each change is applied by every manager, and no statement goes to the removed engine.
+fn check_list_changes(rows: &[Value]) {
+    let changes = of(rows, "part", "change");
     let sizes: Vec<_> = numbers(&changes, "listed")
         .into_iter()
         .zip(numbers(&changes, "managers"))
@@ -174,7 +158,11 @@
         );
         positive(row, &["ms_first", "ms_p50", "ms_p99", "ms_most"]);
     }
-    let (starts, returns) = (of(&rows, "part", "start"), of(&rows, "part", "return"));
+}
+
+/// Managers that start or reconnect get the list, or what they missed, and no more.
+fn check_list_starts_and_returns(rows: &[Value]) {
+    let (starts, returns) = (of(rows, "part", "start"), of(rows, "part", "return"));
     assert_eq!((starts.len(), returns.len()), (1, 1));
     assert_eq!(
         (&starts[0]["feed_connections"], &starts[0]["managers"]),
@@ -197,6 +185,28 @@
         "{}",
         returns[0]
     );
+}
+
+/// A change reaches every in-process manager: none sends to the engine that is gone, all may send to its successor.
+#[test]
+fn list_test_applies_each_change_at_every_manager() {
+    let rows = rows(Test::List);
+    let costs = of(&rows, "part", "cost");
+    assert_eq!(numbers(&costs, "listed"), [16, 32, 64, 128]);
+    for row in costs {
+        let listed = row["listed"].as_u64().expect("a size");
+        assert_eq!(
+            (&row["known"], &row["bytes_whole"]),
+            (&row["listed"], &Value::from(13 + 27 * listed))
+        );
+        assert_eq!(
+            (&row["bytes_change"], &row["bytes_second_at_rest"]),
+            (&Value::from(67), &Value::from(13.0))
+        );
+        positive(row, &["us_whole", "us_change", "us_empty_frame", "heard"]);
+    }
+    check_list_changes(&rows);
+    check_list_starts_and_returns(&rows);
     predicted(
         &rows,
         &[
@@ -213,7 +223,7 @@
 
 /// Both forms of a configuration are used each time, and the last one is in force; without the list it is shorter.
 #[test]
-fn reload() {
+fn reload_test_applies_every_configuration_of_both_forms() {
     let rows = rows(Test::Reload);
     let (whole, settings_only) = (
         of(&rows, "part", "whole"),
@@ -259,7 +269,7 @@
 /// Every statement that is offered is taken and answered once, at each rate and number of connections, while engines
 /// of the list are replaced.
 #[test]
-fn manager() {
+fn manager_test_answers_every_offered_statement_once_during_churn() {
     let rows = rows(Test::Manager);
     for part in ["rest", "churn", "summary"] {
         assert_eq!(
@@ -318,7 +328,7 @@
 /// Every engine has a manager and none many more than others; a change moves places of those that it concerns, and a manager
 /// more or less nobody else's.
 #[test]
-fn subset() {
+fn subset_test_gives_every_engine_a_manager_and_moves_only_concerned_places() {
     let rows = rows(Test::Subset);
     let balance = of(&rows, "part", "balance");
     assert_eq!(numbers(&balance, "listed"), [16, 32, 64, 128]);
