--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -211,7 +211,7 @@
             metrics.clone(),
         );
         let mut core = made.expect("settings that were parsed");
-        core.begin(0.0);
+        core.start(0.0);
         core.handle(0.0, CoreMessage::EndpointList(fleet::full_list(1, listed)));
         TestBench {
             core,
@@ -245,9 +245,9 @@
     }
 
     fn run_due_tick(&mut self) {
-        if self.core.next_alarm().is_some_and(|at| at <= self.now) {
+        if self.core.next_timer().is_some_and(|at| at <= self.now) {
             let from = usage::thread_time();
-            self.core.alarms(self.now);
+            self.core.run_due_timers(self.now);
             self.in_ticks.count += 1;
             self.in_ticks.time += usage::thread_time() - from;
         }
--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, mpsc};
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc as async_mpsc, watch};
-use workload_manager::core::{ClientPort, Clock, Core, CoreMessage, Handle, Inputs};
+use workload_manager::core::{ClientPort, Clock, Core, CoreMessage, Handle, Mailbox};
 use workload_manager::discovery;
 use workload_manager::limits::Limits;
 use workload_manager::metrics::Metrics;
@@ -90,7 +90,7 @@
     pub(super) fn of(core: &Core<RecordingEngines>, metrics: &Metrics) -> RosterSize {
         RosterSize {
             known: metrics.engines.get() as usize,
-            heard: core.held().1[3],
+            heard: core.state_sizes().1[3],
         }
     }
 }
@@ -167,17 +167,17 @@
 
     async fn run_until_closed(
         &mut self,
-        inputs: &mut Inputs,
+        inputs: &mut Mailbox,
         commands: &mut async_mpsc::UnboundedReceiver<ManagerCommand>,
     ) {
         if self.ticks {
-            self.core.begin(self.clock.now());
+            self.core.start(self.clock.now());
         }
         loop {
             let now = self.clock.now();
             let due = self
                 .core
-                .next_alarm()
+                .next_timer()
                 .map_or(NO_TIMER_MS, |at| (at - now).max(0.0));
             tokio::select! {
                 biased;
@@ -185,12 +185,12 @@
                     Some(command) => self.execute(command),
                     None => return,
                 },
-                input = inputs.input() => match input {
+                input = inputs.next_message() => match input {
                     Some(input) => self.handle(input),
                     None => return,
                 },
                 () = tokio::time::sleep(Duration::from_secs_f64(due / 1000.0)), if self.ticks => {
-                    self.core.alarms(self.clock.now());
+                    self.core.run_due_timers(self.clock.now());
                 }
             }
         }
--- a/benches/scale/recording_ports.rs
+++ b/benches/scale/recording_ports.rs
@@ -10,7 +10,7 @@
     ResultBody, ResultFormat, StatementKind,
 };
 use workload_manager::node_config::EngineRecord;
-use workload_manager::retry_policy::Front;
+use workload_manager::retry_policy::FrontendKind;
 use workload_manager::settings_json::NamedClass;
 use workload_manager::{EngineId, EngineState, LoadReport, Millis, Outcome, RequestId};
 
@@ -114,7 +114,7 @@
         estimated_memory_mb: None,
         data_set: id % fleet::DATA_SETS,
         member: Bytes::new(),
-        front: Front::Platform,
+        frontend: FrontendKind::Platform,
         idempotency_key: None,
         order_key: None,
         statement: Bytes::from_static(b"SELECT 1"),
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -9,7 +9,7 @@
 use crate::metrics::Metrics;
 use crate::net::linger;
 use crate::node_config::engine_named;
-use crate::retry_policy::{Front, Policy, RequestAttributes};
+use crate::retry_policy::{FrontendKind, Policy, RequestAttributes};
 use crate::settings_json::PlatformSettings;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -107,7 +107,11 @@
             out,
             at: self.core.now(),
         };
-        if !self.core.ban(engine, out, mark.at, false).await {
+        if !self
+            .core
+            .set_manual_ejection(engine, out, mark.at, false)
+            .await
+        {
             return Err("no such engine is known");
         }
         // A successor, or the process that this one succeeds, is to have it as well.
@@ -134,11 +138,11 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        let member = member.map_or(usize::MAX, |m| policy.member(m.as_bytes()));
+        let member = member.map_or(usize::MAX, |m| policy.member_position(m.as_bytes()));
         let at = RequestAttributes {
             class,
             member,
-            front: Front::Platform,
+            frontend: FrontendKind::Platform,
             data_set: 0,
         };
         let mut text = String::from("200 keys of attempts, their values and tables\n");
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -71,14 +71,14 @@
 
 impl AttemptState {
     /// It is queued for the connection and ends at this mark.
-    pub fn write(&mut self, whole: u64) {
+    pub fn begin_writing(&mut self, whole: u64) {
         if self.0 == Phase::Waiting {
             self.0 = Phase::Writing(whole);
         }
     }
 
     /// So much was written. The end, where its cancellation was written with that and needs no confirmation.
-    pub fn left(&mut self, written: u64) -> Option<AttemptEnd> {
+    pub fn wrote(&mut self, written: u64) -> Option<AttemptEnd> {
         match self.0 {
             Phase::Writing(whole) if whole <= written => self.0 = Phase::Out,
             Phase::GivingUp {
@@ -95,14 +95,14 @@
     }
 
     /// Whether it is being given up.
-    pub fn giving_up(&self) -> bool {
+    pub fn is_cancelling(&self) -> bool {
         matches!(self.0, Phase::GivingUp { .. } | Phase::Unconfirmed)
     }
 
     /// The engine confirms that it has read all up to the cancellation. Guard: connections are read in no order among
     /// each other, so an attempt that follows over another one could be read before a cancellation that was merely
     /// written.
-    pub fn confirmed(&mut self) -> Option<AttemptEnd> {
+    pub fn cancellation_confirmed(&mut self) -> Option<AttemptEnd> {
         if matches!(
             self.0,
             Phase::GivingUp { confirm: true, .. } | Phase::Unconfirmed
@@ -114,14 +114,14 @@
     }
 
     /// Whether the engine has told its result.
-    pub fn told(&self) -> bool {
+    pub fn has_result(&self) -> bool {
         self.0 == Phase::Told
     }
 
     /// It is no longer wanted. `cancel` queues the cancellation for the engine and returns the mark at which that ends;
     /// it is called where the engine may have or get the attempt. `again` is whether another attempt may follow, so that
     /// the engine has to confirm the cancellation. The end, where there is nothing to wait for.
-    pub fn give_up(&mut self, again: bool, cancel: impl FnOnce() -> u64) -> Option<AttemptEnd> {
+    pub fn cancel(&mut self, again: bool, cancel: impl FnOnce() -> u64) -> Option<AttemptEnd> {
         match self.0 {
             Phase::Waiting => self.end(AttemptEnd::NeverSent),
             // The engine is done with it: the message frees what it holds of the result.
@@ -150,7 +150,7 @@
     }
 
     /// The engine began to tell a good result, of which more is to come. False where it is not wanted any more.
-    pub fn tell(&mut self) -> bool {
+    pub fn begin_result(&mut self) -> bool {
         let fine = matches!(self.0, Phase::Writing(_) | Phase::Out);
         if fine {
             self.0 = Phase::Told;
@@ -169,7 +169,7 @@
     }
 
     /// Its connection is closed, after so much had left.
-    pub fn closed(&mut self, written: u64) -> AttemptEnd {
+    pub fn connection_closed(&mut self, written: u64) -> AttemptEnd {
         let end = match self.0 {
             Phase::Waiting => AttemptEnd::NeverSent,
             Phase::Writing(whole) | Phase::GivingUp { whole, .. } if written < whole => {
@@ -209,7 +209,7 @@
     /// Where it is.
     pub engine: EngineId,
     /// When it was sent, and into which group of engines.
-    pub sent: SentTo,
+    pub sent_to: SentTo,
     /// When its engine last said anything of it.
     pub last_heard_ms: Millis,
     /// Since when, and as what, it is being given up.
@@ -230,77 +230,82 @@
 /// The attempts of one request, and what their ends prove together.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptHistory {
-    made: u16,
+    attempts_made: u16,
     /// Of these, those that count as none.
     uncounted: u16,
-    out: Option<InFlight>,
-    ran: bool,
+    in_flight: Option<InFlight>,
+    ended_may_have_run: bool,
     /// The first attempt that may have run.
-    first_ran: Option<SentTo>,
+    first_possible_run: Option<SentTo>,
 }
 
 impl AttemptHistory {
     /// The attempt that is out.
-    pub fn out(&self) -> Option<&InFlight> {
-        self.out.as_ref()
+    pub fn in_flight(&self) -> Option<&InFlight> {
+        self.in_flight.as_ref()
     }
 
     /// The attempt that is out, if it is this one.
-    pub fn out_as(&mut self, number: u16, engine: Option<EngineId>) -> Option<&mut InFlight> {
-        self.out
+    pub fn in_flight_as(&mut self, number: u16, engine: Option<EngineId>) -> Option<&mut InFlight> {
+        self.in_flight
             .as_mut()
             .filter(|o| o.number == number && engine.is_none_or(|at| at == o.engine))
     }
 
     /// Attempts made, those included that were barred.
-    pub fn made(&self) -> u16 {
-        self.made
+    pub fn attempts_made(&self) -> u16 {
+        self.attempts_made
     }
 
     /// Attempts that count: those for which there was no descriptor were none.
-    pub fn counted(&self) -> u16 {
-        self.made.saturating_sub(self.uncounted)
+    pub fn attempts_counted(&self) -> u16 {
+        self.attempts_made.saturating_sub(self.uncounted)
     }
 
     /// One that ended was no attempt.
-    pub fn uncount(&mut self) {
+    pub fn discount_last(&mut self) {
         self.uncounted = self.uncounted.saturating_add(1);
     }
 
     /// Whether any attempt may have run, the one that is out included.
     pub fn may_have_run(&self) -> bool {
-        self.ran || self.out.is_some()
+        self.ended_may_have_run || self.in_flight.is_some()
     }
 
     /// Whether one that is over may have run.
-    pub fn has_run(&self) -> bool {
-        self.ran
+    pub fn ended_may_have_run(&self) -> bool {
+        self.ended_may_have_run
     }
 
     /// The first attempt that may have run, of those that are over.
-    pub fn first_ran(&self) -> Option<SentTo> {
-        self.first_ran
+    pub fn first_possible_run(&self) -> Option<SentTo> {
+        self.first_possible_run
     }
 
     /// Numbers a further attempt, and says whether it may go out; `repeatable` is whether one may that follows another
     /// which may have run.
-    pub fn next(&mut self, repeatable: bool, cap: u32) -> Result<u16, RetryDenied> {
-        let number = self.made;
-        self.made = self.made.saturating_add(1);
+    pub fn next_attempt(&mut self, repeatable: bool, cap: u32) -> Result<u16, RetryDenied> {
+        let number = self.attempts_made;
+        self.attempts_made = self.attempts_made.saturating_add(1);
         match self {
-            AttemptHistory { out: Some(_), .. } => Err(RetryDenied::AttemptInFlight),
-            AttemptHistory { ran: true, .. } if !repeatable => Err(RetryDenied::MayHaveRun),
-            _ if u32::from(self.counted()) > cap => Err(RetryDenied::AttemptsExhausted),
+            AttemptHistory {
+                in_flight: Some(_), ..
+            } => Err(RetryDenied::AttemptInFlight),
+            AttemptHistory {
+                ended_may_have_run: true,
+                ..
+            } if !repeatable => Err(RetryDenied::MayHaveRun),
+            _ if u32::from(self.attempts_counted()) > cap => Err(RetryDenied::AttemptsExhausted),
             _ => Ok(number),
         }
     }
 
     /// It went out.
-    pub fn sent(&mut self, number: u16, engine: EngineId, sent: SentTo) {
-        self.out = Some(InFlight {
+    pub fn record_sent(&mut self, number: u16, engine: EngineId, sent: SentTo) {
+        self.in_flight = Some(InFlight {
             number,
             engine,
-            sent,
+            sent_to: sent,
             last_heard_ms: sent.at_ms,
             cancelling: None,
         });
@@ -308,23 +313,25 @@
 
     /// The one that is out is given up, and counts as this once that is proven; none where none is, or it is being
     /// given up already.
-    pub fn give_up(&mut self, now: Millis, as_what: Outcome) -> Option<InFlight> {
-        let out = self.out.as_mut().filter(|o| o.cancelling.is_none())?;
+    pub fn begin_cancellation(&mut self, now: Millis, as_what: Outcome) -> Option<InFlight> {
+        let out = self.in_flight.as_mut().filter(|o| o.cancelling.is_none())?;
         out.cancelling = Some((now, as_what));
         Some(*out)
     }
 
     /// The attempt with this number is proven over.
-    pub fn ended(&mut self, number: u16, may_have_run: bool) -> Option<InFlight> {
-        let out = self.out.take_if(|o| o.number == number)?;
-        self.ran |= may_have_run;
-        self.first_ran = self.first_ran.or(may_have_run.then_some(out.sent));
+    pub fn record_end(&mut self, number: u16, may_have_run: bool) -> Option<InFlight> {
+        let out = self.in_flight.take_if(|o| o.number == number)?;
+        self.ended_may_have_run |= may_have_run;
+        self.first_possible_run = self
+            .first_possible_run
+            .or(may_have_run.then_some(out.sent_to));
         Some(out)
     }
 
     /// Part of a result has gone to the client.
-    pub fn streams(&mut self) {
-        self.ran = true;
+    pub fn record_streaming(&mut self) {
+        self.ended_may_have_run = true;
     }
 }
 
--- a/src/clients/flight/mod.rs
+++ b/src/clients/flight/mod.rs
@@ -230,12 +230,12 @@
             && !self
                 .frontend
                 .core
-                .try_tell(CoreMessage::ClientDisconnected(self.id))
+                .try_send(CoreMessage::ClientDisconnected(self.id))
         {
             let (core, id) = (self.frontend.core.clone(), self.id);
             // While the program ends there is nobody left to tell.
             if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-                runtime.spawn(async move { core.tell(CoreMessage::ClientDisconnected(id)).await });
+                runtime.spawn(async move { core.send(CoreMessage::ClientDisconnected(id)).await });
             }
         }
     }
@@ -470,14 +470,14 @@
             estimated_memory_mb: call.memory_mb,
             data_set: sql::dataset(&call.statement).unwrap_or(0),
             member: call.member,
-            front: crate::retry_policy::Front::Flight,
+            frontend: crate::retry_policy::FrontendKind::Flight,
             idempotency_key: None,
             order_key: None,
             statement: call.statement,
             statement_kind: kind,
             client: Arc::new(Port(Mutex::new(Some(port)))),
         };
-        self.frontend.core.tell(CoreMessage::Request(taken)).await;
+        self.frontend.core.send(CoreMessage::Request(taken)).await;
         let answer = answer.await;
         owed.over = true;
         match &answer {
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -123,7 +123,7 @@
         for id in std::mem::take(&mut self.open).into_keys() {
             self.frontend
                 .core
-                .tell(CoreMessage::ClientDisconnected(id))
+                .send(CoreMessage::ClientDisconnected(id))
                 .await;
         }
     }
@@ -313,7 +313,7 @@
                         {
                             self.open.insert(taken.id, (id, ends.unwrap_or_default()));
                             self.owe();
-                            self.frontend.core.tell(CoreMessage::Request(taken)).await;
+                            self.frontend.core.send(CoreMessage::Request(taken)).await;
                         }
                         Ok(_) => {
                             self.frontend.metrics.client_over_limit.increment();
@@ -339,7 +339,7 @@
                         self.open.remove(&request);
                         self.frontend
                             .core
-                            .tell(CoreMessage::ClientDisconnected(request))
+                            .send(CoreMessage::ClientDisconnected(request))
                             .await;
                     }
                 }
@@ -419,7 +419,7 @@
             estimated_memory_mb: estimate("need_mb")?,
             data_set: sql::dataset(&statement).unwrap_or(0),
             member: Bytes::copy_from_slice(member),
-            front: crate::retry_policy::Front::Platform,
+            frontend: crate::retry_policy::FrontendKind::Platform,
             statement_kind: if sql::reads(&statement) {
                 StatementKind::Query
             } else {
--- a/src/command.rs
+++ b/src/command.rs
@@ -3,7 +3,7 @@
 
 use crate::node_config::NodeConfig;
 use crate::operator_config::{self, Fault, Faults, Known};
-use crate::retry_policy::{Front, RequestAttributes};
+use crate::retry_policy::{FrontendKind, RequestAttributes};
 use std::path::Path;
 
 /// What a command printed, and how it ends.
@@ -136,8 +136,8 @@
         },
     };
     let front = match asked.front.as_deref() {
-        None | Some("platform") => Front::Platform,
-        Some("flight") => Front::Flight,
+        None | Some("platform") => FrontendKind::Platform,
+        Some("flight") => FrontendKind::Flight,
         Some(other) => {
             return Done::refused(format!(
                 "workload-manager: {other:?} is no front: platform or flight\n"
@@ -147,7 +147,7 @@
     let at = RequestAttributes {
         class,
         member,
-        front,
+        frontend: front,
         data_set: asked.data_set.unwrap_or(0),
     };
     let mut out = String::new();
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -48,15 +48,15 @@
 const URGENT: usize = 16;
 
 /// Where the core's actor reads.
-pub struct Inputs {
-    inputs: mpsc::Receiver<CoreMessage>,
-    orders: mpsc::Receiver<PriorityMessage>,
+pub struct Mailbox {
+    messages: mpsc::Receiver<CoreMessage>,
+    priority_messages: mpsc::Receiver<PriorityMessage>,
 }
 
-impl Inputs {
+impl Mailbox {
     /// The next ordinary input, for whoever drives a core without [`start`]; none once every [`Handle`] is dropped.
-    pub async fn input(&mut self) -> Option<CoreMessage> {
-        self.inputs.recv().await
+    pub async fn next_message(&mut self) -> Option<CoreMessage> {
+        self.messages.recv().await
     }
 }
 
@@ -64,33 +64,42 @@
 #[derive(Clone)]
 pub struct Handle {
     mailbox: mpsc::Sender<CoreMessage>,
-    urgent: mpsc::Sender<PriorityMessage>,
+    priority: mpsc::Sender<PriorityMessage>,
     ids: Arc<AtomicU32>,
     clock: Clock,
 }
 
 impl Handle {
     /// A mailbox of this size, and a small one that overtakes it; their receivers go to [`start`].
-    pub fn new(size: usize, clock: Clock) -> (Handle, Inputs) {
+    pub fn new(size: usize, clock: Clock) -> (Handle, Mailbox) {
         let (mailbox, inputs) = mpsc::channel(size);
         let (urgent, orders) = mpsc::channel(URGENT);
         (
             Handle {
                 mailbox,
-                urgent,
+                priority: urgent,
                 ids: Arc::new(AtomicU32::new(1)),
                 clock,
             },
-            Inputs { inputs, orders },
+            Mailbox {
+                messages: inputs,
+                priority_messages: orders,
+            },
         )
     }
 
     /// Takes an engine out or gives it back, past all that waits in the mailbox; false where nothing is known of
     /// the engine. `told` is what need not be known, as it was said elsewhere.
-    pub async fn ban(&self, engine: EngineId, out: bool, at: Millis, told: bool) -> bool {
+    pub async fn set_manual_ejection(
+        &self,
+        engine: EngineId,
+        out: bool,
+        at: Millis,
+        told: bool,
+    ) -> bool {
         let (done, said) = oneshot::channel();
         let _ = self
-            .urgent
+            .priority
             .send(PriorityMessage::ManualEjection {
                 engine,
                 ejected: out,
@@ -114,58 +123,58 @@
 
     /// Puts one input into the mailbox, waiting while it is full. The core never waits for its peers, so this
     /// cannot lock up.
-    pub async fn tell(&self, input: CoreMessage) {
+    pub async fn send(&self, input: CoreMessage) {
         let _ = self.mailbox.send(input).await;
     }
 
     /// The same where nothing may wait: false where the mailbox is full.
-    pub fn try_tell(&self, input: CoreMessage) -> bool {
+    pub fn try_send(&self, input: CoreMessage) -> bool {
         self.mailbox.try_send(input).is_ok()
     }
 }
 
 impl Handle {
     /// A place in the mailbox, for what has to be said at one moment to the core and to others.
-    pub async fn place(&self) -> Option<mpsc::Permit<'_, CoreMessage>> {
+    pub async fn reserve(&self) -> Option<mpsc::Permit<'_, CoreMessage>> {
         self.mailbox.reserve().await.ok()
     }
 
     /// The process ends at this time, in Unix ms.
-    pub async fn ends(&self, at: Millis) {
+    pub async fn set_shutdown_deadline(&self, at: Millis) {
         let _ = self
-            .urgent
+            .priority
             .send(PriorityMessage::ShutdownDeadline(at))
             .await;
     }
 
     /// Another process of this workload manager works beside this one, or no longer.
-    pub async fn beside(&self, parts: f64) {
+    pub async fn set_peer_processes(&self, parts: f64) {
         let _ = self
-            .urgent
+            .priority
             .send(PriorityMessage::PeerProcesses(parts))
             .await;
     }
 }
 
 /// Runs the core until its mailbox closes.
-pub async fn start<E: EnginePort>(mut core: Core<E>, from: Inputs, clock: Clock) {
-    let Inputs {
-        mut inputs,
-        mut orders,
+pub async fn run<E: EnginePort>(mut core: Core<E>, from: Mailbox, clock: Clock) {
+    let Mailbox {
+        messages: mut inputs,
+        priority_messages: mut orders,
     } = from;
-    core.begin(clock.now());
+    core.start(clock.now());
     loop {
-        let alarm = core.next_alarm().unwrap_or_else(|| clock.now() + 1000.0);
+        let alarm = core.next_timer().unwrap_or_else(|| clock.now() + 1000.0);
         tokio::select! {
             biased;
             // Guard: staff wait for a second, and a mailbox may stay full for as long as there is load.
-            Some(order) = orders.recv() => core.urgent(clock.now(), order),
+            Some(order) = orders.recv() => core.handle_priority(clock.now(), order),
             input = inputs.recv() => match input {
                 Some(input) => core.handle(clock.now(), input),
                 None => return,
             },
             () = sleep_until(clock.instant(alarm)) => {}
         }
-        core.alarms(clock.now());
+        core.run_due_timers(clock.now());
     }
 }
--- /dev/null
+++ b/src/core/endpoint_list.rs
@@ -0,0 +1,103 @@
+//! The endpoint list in the core: updates reach the engines' actors, the metrics and the dispatcher. The dispatcher is
+//! notified of the complete list or of a subset, as the roster decides; a settings change may move the subset too.
+
+use super::roster::SubsetChange;
+use super::{Core, EnginePort, Event, Membership, Millis, Settings};
+use crate::node_config::{EndpointListEvent, engine_text};
+
+impl<E: EnginePort> Core<E> {
+    /// Applies an event of the endpoint list.
+    pub(super) fn update_endpoint_list(&mut self, now: Millis, event: EndpointListEvent) {
+        let update = self.roster.apply(&event);
+        update
+            .removed
+            .iter()
+            .for_each(|id| self.engines.engine_removed(*id));
+        for record in &update.records {
+            // Engine actors stop sending to a draining or removed engine, whatever the dispatcher still assumes.
+            self.engines.engine_listed(record);
+            if self
+                .gateway
+                .manual_ejections()
+                .contains(&record.entry.engine)
+            {
+                // A record with a new address creates a new actor, which does not know of the ejection.
+                self.engines.set_manually_ejected(record.entry.engine, true);
+            }
+        }
+        let metrics = &self.metrics;
+        let (held, waiting) = self.roster.sizes();
+        metrics.engines.set(held);
+        metrics.engines_waiting.set(waiting);
+        metrics.engines_without_slot.add(update.without_slot.len());
+        metrics.list_unknown_removals.add(update.unknown_removals);
+        metrics.list_duplicate_records.add(update.duplicate_records);
+        metrics.list_address_conflicts.add(update.address_conflicts);
+        metrics
+            .list_unusable_records
+            .add(event.unusable_engines.len());
+        metrics
+            .list_large_removals
+            .add(usize::from(update.large_removal));
+        if let [first, rest @ ..] = &update.without_slot[..] {
+            let (first, more, all) = (engine_text(*first), rest.len(), self.limits.engines);
+            eprintln!(
+                "workload-manager: engine={first} state=passed_over more={more} why=all {all} places are taken"
+            );
+        }
+        if let [first, rest @ ..] = &event.unusable_engines[..] {
+            let (first, more) = (engine_text(*first), rest.len());
+            eprintln!(
+                "workload-manager: engine={first} state=unusable more={more} why=unknown state, zone or kind"
+            );
+        }
+        self.apply_subset_change(now, update.subset_change);
+    }
+
+    /// Applies new settings, then the subset change that they cause.
+    pub(super) fn apply_settings(&mut self, now: Millis, settings: Box<Settings>) {
+        let membership = Membership::from(&*settings);
+        self.notify_dispatcher(now, Event::Settings(settings));
+        if let Some(change) = self.roster.set_membership(membership) {
+            self.metrics.subset_membership_changes.increment();
+            self.check_membership(membership);
+            self.apply_subset_change(now, change);
+        }
+    }
+
+    /// Publishes this manager's ordinal and reports one outside its fleet.
+    pub(super) fn check_membership(&self, membership: Membership) {
+        let Membership { instances, ordinal } = membership;
+        self.metrics.ordinal.set(ordinal as usize);
+        if membership.out_of_range() {
+            self.metrics.subset_ordinal_out_of_range.increment();
+            eprintln!(
+                "workload-manager: ordinal={ordinal} state=out_of_range why=nInstances is {instances}"
+            );
+        }
+    }
+
+    /// Notifies the dispatcher of a change and publishes the size of its engine set.
+    fn apply_subset_change(&mut self, now: Millis, change: SubsetChange) {
+        let metrics = &self.metrics;
+        let (size, zones) = self.roster.subset_sizes();
+        let all = f64::from(self.gateway.settings().instances);
+        metrics.subset_size.set(size);
+        metrics.subset_zones.set(zones);
+        metrics
+            .subset_managers_per_engine
+            .set(self.roster.managers_per_engine().unwrap_or(all).round() as usize);
+        metrics.subset_engines_added.add(change.engines_added);
+        metrics.subset_engines_removed.add(change.engines_removed);
+        metrics
+            .subset_all_unavailable
+            .add(usize::from(change.all_unavailable));
+        self.notify_dispatcher(
+            now,
+            Event::EndpointList {
+                kind: change.kind,
+                entries: change.entries,
+            },
+        );
+    }
+}
--- a/src/core/ends.rs
+++ b/src/core/ends.rs
@@ -1,25 +1,31 @@
 //! How attempts and requests come to their ends: results, failures, deadlines, silence, and what is given up.
 
 use super::{
-    Alarm, Answer, Arc, AttemptEnded, ClientPort, Core, EnginePort, Event, FailureReason,
-    LoadReport, Millis, Outcome, RequestId, ResultBody, ResultFormat,
+    Answer, Arc, AttemptEnded, ClientPort, Core, EnginePort, Event, FailureReason, LoadReport,
+    Millis, Outcome, RequestId, ResultBody, ResultFormat, Timer,
 };
 use crate::attempt::InFlight;
 use crate::metrics::Counter;
 
 impl<E: EnginePort> Core<E> {
-    pub(super) fn streaming(&mut self, now: Millis, id: RequestId, attempt: u16, body: ResultBody) {
+    pub(super) fn result_streaming(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        body: ResultBody,
+    ) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
             return;
         };
         open.streaming = true;
-        open.history.streams();
+        open.history.record_streaming();
         self.metrics.requests_served.increment();
-        open.taken.client.answer(id, Answer::Served(body));
-        self.tell(now, Event::ResultStreaming { id, attempt });
+        open.request.client.answer(id, Answer::Served(body));
+        self.notify_dispatcher(now, Event::ResultStreaming { id, attempt });
     }
 
-    pub(super) fn served(
+    pub(super) fn attempt_succeeded(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -33,24 +39,24 @@
             .or_else(|| streaming.then(|| ResultBody::complete(ResultFormat::Text, Vec::new())))
         else {
             // A good end without a result has run, and there is nothing to pass on.
-            return self.ended(now, id, attempt, (Outcome::Error, true), report, billed);
+            return self.attempt_ended(now, id, attempt, (Outcome::Error, true), report, billed);
         };
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(out) = open.history.ended(attempt, true) else {
+        let Some(out) = open.history.record_end(attempt, true) else {
             return;
         };
-        if !open.over && !open.streaming {
+        if !open.answered && !open.streaming {
             self.metrics.requests_served.increment();
-            open.taken.client.answer(id, Answer::Served(body));
+            open.request.client.answer(id, Answer::Served(body));
         }
-        self.remove(now, id);
-        self.tell_ended(now, id, &out, Outcome::Ok, true, report, billed);
+        self.remove_request(now, id);
+        self.report_attempt_end(now, id, &out, Outcome::Ok, true, report, billed);
     }
 
     /// An attempt is proven over without a result, and may have run or not; the module decides what follows.
-    pub(super) fn ended(
+    pub(super) fn attempt_ended(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -59,28 +65,28 @@
         report: LoadReport,
         billed: (Option<f64>, Option<f64>),
     ) {
-        self.rest_key(now, id, outcome);
+        self.pause_order_key(now, id, outcome);
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(out) = open.history.ended(attempt, ran) else {
+        let Some(out) = open.history.record_end(attempt, ran) else {
             return;
         };
         match outcome {
-            Outcome::NoConnectionSlot => open.history.uncount(),
-            _ => open.last = Some((outcome, out.engine)),
+            Outcome::NoConnectionSlot => open.history.discount_last(),
+            _ => open.last_end = Some((outcome, out.engine)),
         }
         // The client of a stream was told by the break in it.
-        let finished = open.streaming || open.over;
+        let finished = open.streaming || open.answered;
         if finished {
-            self.remove(now, id);
+            self.remove_request(now, id);
         }
-        self.tell_ended(now, id, &out, outcome, finished, report, billed);
+        self.report_attempt_end(now, id, &out, outcome, finished, report, billed);
     }
 
     #[allow(clippy::too_many_arguments)]
     #[expect(clippy::similar_names, reason = "not split yet")]
-    fn tell_ended(
+    fn report_attempt_end(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -90,8 +96,8 @@
         report: LoadReport,
         (billed_ms, billed_mb): (Option<f64>, Option<f64>),
     ) {
-        self.count_end(outcome).increment();
-        let (attempt, engine, took_ms) = (out.number, out.engine, now - out.sent.at_ms);
+        self.outcome_counter(outcome).increment();
+        let (attempt, engine, took_ms) = (out.number, out.engine, now - out.sent_to.at_ms);
         tracing::debug!(id, %engine, attempt, ?outcome, took_ms, finished, billed_ms, inflight = report.inflight, "ended");
         let ended = AttemptEnded {
             id,
@@ -104,10 +110,10 @@
             measured_memory_mb: billed_mb,
             load_report: report,
         };
-        self.tell(now, Event::AttemptEnded(ended));
+        self.notify_dispatcher(now, Event::AttemptEnded(ended));
     }
 
-    pub(super) fn count_end(&self, outcome: Outcome) -> &Counter {
+    pub(super) fn outcome_counter(&self, outcome: Outcome) -> &Counter {
         match outcome {
             Outcome::Ok => &self.metrics.attempts_succeeded,
             Outcome::Error => &self.metrics.attempts_failed,
@@ -123,61 +129,71 @@
 
     /// The client's deadline: whatever the module leaves open is answered, and what is out is given up. Guard: a
     /// module that still holds the request, or would send it once more, gets no further say.
-    pub(super) fn deadline(&mut self, now: Millis, id: RequestId) {
+    pub(super) fn deadline_reached(&mut self, now: Millis, id: RequestId) {
         if self.requests.get(&id).is_some_and(|o| !o.streaming) {
-            self.answer(
+            self.answer_client(
                 now,
                 id,
                 Answer::Failed(FailureReason::DeadlineExceeded),
                 Outcome::TimedOut,
             );
-            self.tell(now, Event::ClientDisconnected { id });
+            self.notify_dispatcher(now, Event::ClientDisconnected { id });
         }
     }
 
     /// An attempt on a machine that vanished says nothing and is not reset. What may be repeated is given up;
     /// what may run once only waits on, as no other attempt is allowed anyway.
-    pub(super) fn silence(&mut self, now: Millis, id: RequestId, attempt: u16, armed: Millis) {
+    pub(super) fn check_attempt_silence(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        armed: Millis,
+    ) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
             return;
         };
-        let Some(heard) = open.history.out_as(attempt, None).map(|o| o.last_heard_ms) else {
+        let Some(heard) = open
+            .history
+            .in_flight_as(attempt, None)
+            .map(|o| o.last_heard_ms)
+        else {
             return;
         };
         let due = heard + self.limits.attempt_silence_ms;
         if due > armed {
-            self.arm(due, Alarm::Silence(id, attempt));
-        } else if self.repeatable(id) {
-            self.give_up(now, id, Outcome::TimedOut);
+            self.set_timer(due, Timer::SilenceCheck(id, attempt));
+        } else if self.is_idempotent(id) {
+            self.cancel_in_flight(now, id, Outcome::TimedOut);
         }
     }
 
     /// Gives up what is out for a request. It stays out, and the module hears nothing, until its engine's actor has
     /// proven it over: a further attempt before that would be out beside it.
-    pub(super) fn give_up(&mut self, now: Millis, id: RequestId, as_what: Outcome) {
+    pub(super) fn cancel_in_flight(&mut self, now: Millis, id: RequestId, as_what: Outcome) {
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(out) = open.history.give_up(now, as_what) else {
+        let Some(out) = open.history.begin_cancellation(now, as_what) else {
             return;
         };
         open.cancellation.cancel();
         self.engines
-            .cancel_attempt(out.engine, id, out.number, !open.over);
-        self.arm(
+            .cancel_attempt(out.engine, id, out.number, !open.answered);
+        self.set_timer(
             now + self.limits.cancellation_resend_ms,
-            Alarm::Quit(id, out.number),
+            Timer::CancellationCheck(id, out.number),
         );
     }
 
     /// No proof so far. Guard: an order that found its mailbox full is given again. Guard: without a proof in its time
     /// nothing may follow, so the request ends.
-    pub(super) fn unproven(&mut self, now: Millis, id: RequestId, attempt: u16) {
+    pub(super) fn check_cancellation(&mut self, now: Millis, id: RequestId, attempt: u16) {
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let (over, streaming) = (open.over, open.streaming);
-        let Some(out) = open.history.out_as(attempt, None) else {
+        let (over, streaming) = (open.answered, open.streaming);
+        let Some(out) = open.history.in_flight_as(attempt, None) else {
             return;
         };
         let (engine, Some((since, _))) = (out.engine, out.cancelling) else {
@@ -185,22 +201,22 @@
         };
         if now - since < self.limits.cancellation_timeout_ms {
             self.engines.cancel_attempt(engine, id, attempt, !over);
-            return self.arm(
+            return self.set_timer(
                 now + self.limits.cancellation_resend_ms,
-                Alarm::Quit(id, attempt),
+                Timer::CancellationCheck(id, attempt),
             );
         }
         self.metrics.cancellations_timed_out.increment();
         if !over && !streaming {
-            self.answer(
+            self.answer_client(
                 now,
                 id,
                 Answer::Failed(FailureReason::AttemptFailed),
                 Outcome::TimedOut,
             );
-            self.tell(now, Event::ClientDisconnected { id });
+            self.notify_dispatcher(now, Event::ClientDisconnected { id });
         }
-        self.ended(
+        self.attempt_ended(
             now,
             id,
             attempt,
@@ -211,8 +227,14 @@
     }
 
     /// The one final answer: whoever comes second finds the request over.
-    pub(super) fn answer(&mut self, now: Millis, id: RequestId, answer: Answer, as_what: Outcome) {
-        let Some(client) = self.close(now, id, as_what) else {
+    pub(super) fn answer_client(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        answer: Answer,
+        as_what: Outcome,
+    ) {
+        let Some(client) = self.close_request(now, id, as_what) else {
             return;
         };
         match answer {
@@ -230,41 +252,42 @@
 
     /// Nothing is owed to the client any more: that is for the caller, and for now. What is out is given up, and the
     /// request is held until that is proven, as its name may not come again before.
-    pub(super) fn close(
+    pub(super) fn close_request(
         &mut self,
         now: Millis,
         id: RequestId,
         as_what: Outcome,
     ) -> Option<Arc<dyn ClientPort>> {
-        let open = self.requests.get_mut(&id).filter(|o| !o.over)?;
-        open.over = true;
+        let open = self.requests.get_mut(&id).filter(|o| !o.answered)?;
+        open.answered = true;
         let (client, out, waiting) = (
-            open.taken.client.clone(),
-            open.history.out().is_some(),
-            open.waiting.take(),
+            open.request.client.clone(),
+            open.history.in_flight().is_some(),
+            open.backoff.take(),
         );
         self.metrics.requests_open.decrement();
         match out {
-            true => self.give_up(now, id, as_what),
-            false => self.remove(now, id),
+            true => self.cancel_in_flight(now, id, as_what),
+            false => self.remove_request(now, id),
         }
         // Guard: the module holds a request until it hears how its attempt ended, and this one never went out.
         if let Some((number, engine, _)) = waiting {
-            self.unsent(now, id, number, engine, Outcome::NotSent);
+            self.report_not_sent(now, id, number, engine, Outcome::NotSent);
         }
         Some(client)
     }
 
-    fn remove(&mut self, now: Millis, id: RequestId) {
+    fn remove_request(&mut self, now: Millis, id: RequestId) {
         let Some(open) = self.requests.remove(&id) else {
             return;
         };
-        self.names.remove(&open.taken.client_reference);
-        self.held_bytes -= open.taken.statement.len();
-        if let Some(key) = open.taken.order_key {
-            self.leave_lease(now, key, id);
+        self.client_references
+            .remove(&open.request.client_reference);
+        self.statement_bytes -= open.request.statement.len();
+        if let Some(key) = open.request.order_key {
+            self.leave_order_lease(now, key, id);
         }
-        if !open.over {
+        if !open.answered {
             self.metrics.requests_open.decrement();
         }
     }
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -16,7 +16,7 @@
 const YIELD_MS: Millis = 120.0;
 
 /// The processes of one workload manager that live, this one left out: a bit for each place.
-pub type Places = u64;
+pub type PeerProcesses = u64;
 
 /// Locks on keys that all processes of one workload manager share, and that end with the process that holds them. No
 /// call waits.
@@ -26,57 +26,61 @@
     /// Unlocks it.
     fn unlock(&mut self, key: OrderKey);
     /// The other processes that live.
-    fn others(&mut self) -> Places;
+    fn live_peers(&mut self) -> PeerProcesses;
     /// Whether any of these, which live no longer, may have held a key at its end.
-    fn held_at_end(&mut self, gone: Places) -> bool;
+    fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool;
     /// Whether a process that was gone before this one started may have held a key at its end.
-    fn left_behind(&self) -> bool;
+    fn may_be_left_behind(&self) -> bool;
 }
 
 /// A lease that this process holds.
 struct Lease {
     /// Requests of the key that the module knows.
-    open: usize,
-    since: Millis,
-    rests_until: Millis,
+    open_requests: usize,
+    acquired_at: Millis,
+    paused_until: Millis,
 }
 
 /// Requests of a key that wait for a lease.
 #[derive(Default)]
-struct Queue {
+struct WaitingRequests {
     ids: VecDeque<RequestId>,
     not_before: Millis,
 }
 
 /// The leases of one process. Without locks there is no other process, and every request goes on at once.
 #[derive(Default)]
-pub(super) struct Leases {
+pub(super) struct OrderLeases {
     locks: Option<Box<dyn OrderLocks>>,
     held: HashMap<OrderKey, Lease>,
     /// Those of them that are held for the rest of their key alone.
-    resting: BTreeSet<OrderKey>,
+    pausing: BTreeSet<OrderKey>,
     /// In the order of keys, so that plays can be repeated.
-    waiting: BTreeMap<OrderKey, Queue>,
-    others: Places,
+    waiting: BTreeMap<OrderKey, WaitingRequests>,
+    peers: PeerProcesses,
     /// All keys that are not held here rest until then: their holder may have died with an attempt out.
-    rests_until: Millis,
+    paused_until: Millis,
 }
 
-impl Leases {
+impl OrderLeases {
     /// Leases that these locks keep apart from other processes'.
-    pub(super) fn new(mut locks: Box<dyn OrderLocks>) -> Leases {
-        let others = locks.others();
-        Leases {
+    pub(super) fn new(mut locks: Box<dyn OrderLocks>) -> OrderLeases {
+        let others = locks.live_peers();
+        OrderLeases {
             locks: Some(locks),
-            others,
-            ..Leases::default()
+            peers: others,
+            ..OrderLeases::default()
         }
     }
 
     /// The process starts. What died a moment ago may have had attempts out, so the keys rest.
-    pub(super) fn begin(&mut self, now: Millis, pause: Millis) {
-        if self.locks.as_ref().is_some_and(|locks| locks.left_behind()) {
-            self.rests_until = now + pause;
+    pub(super) fn start(&mut self, now: Millis, pause: Millis) {
+        if self
+            .locks
+            .as_ref()
+            .is_some_and(|locks| locks.may_be_left_behind())
+        {
+            self.paused_until = now + pause;
         }
     }
 
@@ -92,7 +96,7 @@
             return true;
         }
         if !self.waiting.contains_key(&key) && self.acquire(now, pause, key) {
-            self.add(key, 1);
+            self.add_requests(key, 1);
             return true;
         }
         self.waiting.entry(key).or_default().ids.push_back(id);
@@ -100,7 +104,7 @@
     }
 
     /// A request of this key is over: proven so, or it never went on.
-    pub(super) fn over(&mut self, now: Millis, key: OrderKey, id: RequestId) {
+    pub(super) fn request_closed(&mut self, now: Millis, key: OrderKey, id: RequestId) {
         if let Some(queue) = self.waiting.get_mut(&key)
             && let Some(at) = queue.ids.iter().position(|waiter| *waiter == id)
         {
@@ -109,35 +113,35 @@
                 self.waiting.remove(&key);
             }
         } else if let Some(lease) = self.held.get_mut(&key) {
-            lease.open = lease.open.saturating_sub(1);
+            lease.open_requests = lease.open_requests.saturating_sub(1);
             self.release_if_over(now, key);
         }
     }
 
     /// An attempt of this key ended that may still run.
-    pub(super) fn rest(&mut self, key: OrderKey, until: Millis) {
+    pub(super) fn pause_until(&mut self, key: OrderKey, until: Millis) {
         if let Some(lease) = self.held.get_mut(&key) {
-            lease.rests_until = lease.rests_until.max(until);
+            lease.paused_until = lease.paused_until.max(until);
         }
     }
 
     /// Looks for other processes. One that died may have had attempts out, so the keys rest from now on; true then.
-    pub(super) fn look(&mut self, now: Millis, pause: Millis) -> bool {
+    pub(super) fn check_peers(&mut self, now: Millis, pause: Millis) -> bool {
         let Some(locks) = &mut self.locks else {
             return false;
         };
-        let others = locks.others();
-        let gone = std::mem::replace(&mut self.others, others) & !others;
-        let rests = gone != 0 && locks.held_at_end(gone);
+        let others = locks.live_peers();
+        let gone = std::mem::replace(&mut self.peers, others) & !others;
+        let rests = gone != 0 && locks.may_have_held_at_exit(gone);
         if rests {
-            self.rests_until = now + pause;
+            self.paused_until = now + pause;
         }
         rests
     }
 
     /// Releases what has rested, and names the waiting requests that may go on now, in their order.
     pub(super) fn review(&mut self, now: Millis, pause: Millis) -> Vec<RequestId> {
-        for key in self.resting.iter().copied().collect::<Vec<_>>() {
+        for key in self.pausing.iter().copied().collect::<Vec<_>>() {
             self.release_if_over(now, key);
         }
         let mut admitted = Vec::new();
@@ -152,15 +156,15 @@
             let Some(queue) = self.waiting.remove(&key) else {
                 continue;
             };
-            self.add(key, queue.ids.len());
+            self.add_requests(key, queue.ids.len());
             admitted.extend(queue.ids);
         }
         admitted
     }
 
     /// Whether [`Leases::review`] has something to look at later.
-    pub(super) fn pending(&self) -> bool {
-        !self.waiting.is_empty() || !self.resting.is_empty()
+    pub(super) fn needs_review(&self) -> bool {
+        !self.waiting.is_empty() || !self.pausing.is_empty()
     }
 
     /// How many keys are held or waited for.
@@ -173,37 +177,37 @@
     fn acquire(&mut self, now: Millis, pause: Millis, key: OrderKey) -> bool {
         if let Some(lease) = self.held.get(&key) {
             // Guard: requests that never cease would keep the key from the other process for good.
-            return self.others == 0 || now < lease.since + TURN_MS;
+            return self.peers == 0 || now < lease.acquired_at + TURN_MS;
         }
-        if now < self.rests_until || !self.lock(key) {
+        if now < self.paused_until || !self.lock(key) {
             return false;
         }
         // Guard: it may have been free only as its holder died a moment ago.
-        if self.look(now, pause) {
+        if self.check_peers(now, pause) {
             self.unlock(key);
             return false;
         }
         self.held.insert(
             key,
             Lease {
-                open: 0,
-                since: now,
-                rests_until: now,
+                open_requests: 0,
+                acquired_at: now,
+                paused_until: now,
             },
         );
         true
     }
 
     fn release_if_over(&mut self, now: Millis, key: OrderKey) {
-        let Some(lease) = self.held.get(&key).filter(|lease| lease.open == 0) else {
+        let Some(lease) = self.held.get(&key).filter(|lease| lease.open_requests == 0) else {
             return;
         };
-        if now < lease.rests_until {
-            self.resting.insert(key);
+        if now < lease.paused_until {
+            self.pausing.insert(key);
             return;
         }
         self.held.remove(&key);
-        self.resting.remove(&key);
+        self.pausing.remove(&key);
         self.unlock(key);
         if let Some(queue) = self.waiting.get_mut(&key) {
             queue.not_before = now + YIELD_MS;
@@ -211,10 +215,10 @@
     }
 
     /// So many more requests of a key that is held go on.
-    fn add(&mut self, key: OrderKey, requests: usize) {
+    fn add_requests(&mut self, key: OrderKey, requests: usize) {
         if let Some(lease) = self.held.get_mut(&key) {
-            lease.open += requests;
-            self.resting.remove(&key);
+            lease.open_requests += requests;
+            self.pausing.remove(&key);
         }
     }
 
--- a/src/core/leases/tests.rs
+++ b/src/core/leases/tests.rs
@@ -33,7 +33,7 @@
     fn unlock(&mut self, key: OrderKey) {
         self.shared(|all| all.keys.remove(&key));
     }
-    fn others(&mut self) -> Places {
+    fn live_peers(&mut self) -> PeerProcesses {
         let me = self.1;
         self.shared(|all| {
             all.living
@@ -43,10 +43,10 @@
                 .sum()
         })
     }
-    fn held_at_end(&mut self, gone: Places) -> bool {
+    fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool {
         self.shared(|all| all.unclean.iter().any(|p| gone >> p & 1 == 1))
     }
-    fn left_behind(&self) -> bool {
+    fn may_be_left_behind(&self) -> bool {
         self.shared(|all| !all.unclean.is_empty())
     }
 }
@@ -54,15 +54,15 @@
 /// Two processes of one workload manager.
 struct Two {
     shared: Arc<Mutex<Shared>>,
-    old: Leases,
-    new: RefCell<Leases>,
+    old: OrderLeases,
+    new: RefCell<OrderLeases>,
 }
 
 impl Two {
     fn new() -> Two {
         let shared: Arc<Mutex<Shared>> = Arc::default();
         shared.lock().expect("lock").living.extend([0, 1]);
-        let leases = |n| Leases::new(Box::new(InMemory(shared.clone(), n)));
+        let leases = |n| OrderLeases::new(Box::new(InMemory(shared.clone(), n)));
         Two {
             old: leases(0),
             new: leases(1).into(),
@@ -95,11 +95,11 @@
 
 #[test]
 fn without_locks_everything_goes_on_and_nothing_is_kept() {
-    let mut leases = Leases::default();
+    let mut leases = OrderLeases::default();
     assert!(leases.admit(0.0, PAUSE, key(1), 1) && leases.admit(0.0, PAUSE, key(1), 2));
-    leases.rest(key(1), 100.0);
-    leases.over(0.0, key(1), 1);
-    assert!(!leases.pending() && leases.entries() == 0);
+    leases.pause_until(key(1), 100.0);
+    leases.request_closed(0.0, key(1), 1);
+    assert!(!leases.needs_review() && leases.entries() == 0);
 }
 
 #[test]
@@ -108,10 +108,10 @@
     assert!(two.old.admit(0.0, PAUSE, key(1), 1) && two.old.admit(0.0, PAUSE, key(1), 2));
     assert!(!two.admit(0.0, key(1), 1), "the other process has the key");
     assert!(two.admit(0.0, key(2), 2), "another key is free");
-    two.old.over(10.0, key(1), 1);
+    two.old.request_closed(10.0, key(1), 1);
     assert!(two.review(50.0).is_empty(), "one more is open");
     assert!(!two.admit(60.0, key(1), 3));
-    two.old.over(70.0, key(1), 2);
+    two.old.request_closed(70.0, key(1), 2);
     assert_eq!(two.review(100.0), [1, 3], "in the order in which they came");
     assert!(!two.old.admit(100.0, PAUSE, key(1), 3));
 }
@@ -120,15 +120,17 @@
 fn a_key_is_held_while_it_rests() {
     let mut two = Two::new();
     assert!(two.old.admit(0.0, PAUSE, key(1), 1) && !two.admit(0.0, key(1), 1));
-    two.old.rest(key(1), 310.0);
-    two.old.over(10.0, key(1), 1);
+    two.old.pause_until(key(1), 310.0);
+    two.old.request_closed(10.0, key(1), 1);
     assert!(
-        two.old.pending()
+        two.old.needs_review()
             && two.old.review(300.0, PAUSE).is_empty()
             && two.review(300.0).is_empty()
     );
     assert!(
-        two.old.review(310.0, PAUSE).is_empty() && !two.old.pending() && two.old.entries() == 0
+        two.old.review(310.0, PAUSE).is_empty()
+            && !two.old.needs_review()
+            && two.old.entries() == 0
     );
     assert_eq!(two.review(311.0), [1]);
 }
@@ -138,10 +140,10 @@
 fn a_resting_key_takes_requests_of_its_holder() {
     let mut two = Two::new();
     assert!(two.old.admit(0.0, PAUSE, key(1), 1));
-    two.old.rest(key(1), 310.0);
-    two.old.over(10.0, key(1), 1);
+    two.old.pause_until(key(1), 310.0);
+    two.old.request_closed(10.0, key(1), 1);
     assert!(two.old.admit(20.0, PAUSE, key(1), 2));
-    assert!(!two.old.pending() && two.old.review(400.0, PAUSE).is_empty());
+    assert!(!two.old.needs_review() && two.old.review(400.0, PAUSE).is_empty());
     assert!(!two.admit(400.0, key(1), 1), "its second request is open");
 }
 
@@ -153,7 +155,7 @@
     assert!(two.old.admit(0.0, PAUSE, key(1), 1));
     two.old_ends();
     if looks {
-        assert!(two.new.borrow_mut().look(1000.0, PAUSE));
+        assert!(two.new.borrow_mut().check_peers(1000.0, PAUSE));
     }
     assert!(!two.admit(1000.0, key(1), 1), "its attempt may still run");
     assert!(two.review(1299.0).is_empty());
@@ -165,8 +167,8 @@
     let mut two = Two::new();
     assert!(two.old.admit(0.0, PAUSE, key(1), 1));
     two.old_ends();
-    two.new = Leases::new(Box::new(InMemory(two.shared.clone(), 1))).into();
-    two.new.borrow_mut().begin(1000.0, PAUSE);
+    two.new = OrderLeases::new(Box::new(InMemory(two.shared.clone(), 1))).into();
+    two.new.borrow_mut().start(1000.0, PAUSE);
     assert!(!two.admit(1299.0, key(1), 1));
     assert_eq!(two.review(1300.0), [1]);
 }
@@ -175,7 +177,7 @@
 fn nothing_rests_after_a_process_that_ended_without_a_key() {
     let mut two = Two::new();
     assert!(two.old.admit(0.0, PAUSE, key(1), 1));
-    two.old.over(10.0, key(1), 1);
+    two.old.request_closed(10.0, key(1), 1);
     two.old_ends();
     assert!(two.admit(20.0, key(1), 1));
 }
@@ -193,14 +195,14 @@
         !two.old.admit(TURN_MS, PAUSE, key(1), 3),
         "its turn is over"
     );
-    two.old.over(600.0, key(1), 1);
-    two.old.over(610.0, key(1), 2);
+    two.old.request_closed(600.0, key(1), 1);
+    two.old.request_closed(610.0, key(1), 2);
     assert!(
         two.old.review(650.0, PAUSE).is_empty(),
         "it leaves the key alone for a while"
     );
     assert_eq!(two.review(650.0), [1]);
-    two.new.borrow_mut().over(700.0, key(1), 1);
+    two.new.borrow_mut().request_closed(700.0, key(1), 1);
     assert_eq!(two.old.review(610.0 + YIELD_MS, PAUSE), [3]);
 }
 
@@ -208,7 +210,7 @@
 fn a_key_in_steady_use_stays_where_no_other_process_lives() {
     let mut two = Two::new();
     two.old_ends();
-    two.new.borrow_mut().look(0.0, PAUSE);
+    two.new.borrow_mut().check_peers(0.0, PAUSE);
     assert!(two.admit(0.0, key(1), 1) && two.admit(10.0 * TURN_MS, key(1), 2));
 }
 
@@ -217,11 +219,13 @@
     let mut two = Two::new();
     assert!(two.old.admit(0.0, PAUSE, key(1), 1));
     assert!(!two.admit(0.0, key(1), 1) && !two.admit(0.0, key(1), 2));
-    two.new.borrow_mut().over(10.0, key(1), 1);
-    two.old.over(20.0, key(1), 1);
+    two.new.borrow_mut().request_closed(10.0, key(1), 1);
+    two.old.request_closed(20.0, key(1), 1);
     assert_eq!(two.review(50.0), [2]);
-    two.new.borrow_mut().over(60.0, key(1), 2);
+    two.new.borrow_mut().request_closed(60.0, key(1), 2);
     assert!(
-        !two.new.borrow().pending() && two.new.borrow().entries() == 0 && two.old.entries() == 0
+        !two.new.borrow().needs_review()
+            && two.new.borrow().entries() == 0
+            && two.old.entries() == 0
     );
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,6 +8,7 @@
 
 mod actor;
 mod alarms;
+mod endpoint_list;
 mod ends;
 mod leases;
 mod narrow;
@@ -15,8 +16,8 @@
 mod ports;
 mod roster;
 
-pub use actor::{Clock, Handle, Inputs, start};
-pub use leases::{OrderLocks, Places};
+pub use actor::{Clock, Handle, Mailbox, run};
+pub use leases::{OrderLocks, PeerProcesses};
 pub use ports::*;
 
 use crate::attempt::{AttemptHistory, SentTo, never_ran};
@@ -26,31 +27,30 @@
 };
 use crate::limits::Limits;
 use crate::metrics::Metrics;
-use crate::node_config::{EndpointListEvent, engine_text};
 use crate::retry_policy::{AttemptPolicy, Policy, RequestAttributes};
 use crate::subset::{Membership, Subset};
-use alarms::{Alarm, At};
+use alarms::{DueTime, Timer};
 use bytes::Bytes;
-use leases::Leases;
-use roster::{News, Roster};
+use leases::OrderLeases;
+use roster::Roster;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::sync::Arc;
 
-struct Open {
-    taken: AcceptedRequest,
+struct RequestState {
+    request: AcceptedRequest,
     history: AttemptHistory,
     streaming: bool,
     /// Its client has the final answer, or has left; it is held for the attempt that is not proven over.
-    over: bool,
+    answered: bool,
     memory_mb: f64,
     priority: u8,
     /// What its policy allows, resolved when it was taken; a reload may lower its attempts.
-    keys: AttemptPolicy,
+    policy: AttemptPolicy,
     /// How, and where, its last attempt ended.
-    last: Option<(Outcome, EngineId)>,
+    last_end: Option<(Outcome, EngineId)>,
     /// An attempt that waits out its back-off: its number, engine and time-out.
-    waiting: Option<(u16, EngineId, Option<Millis>)>,
+    backoff: Option<(u16, EngineId, Option<Millis>)>,
     /// Reaches the attempt that is out, past its engine's mailbox.
     cancellation: CancellationFlag,
 }
@@ -64,24 +64,24 @@
     engines: E,
     limits: Arc<Limits>,
     metrics: Arc<Metrics>,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, RequestState>,
     /// Clients' names of the requests that are open.
-    names: HashSet<Bytes>,
+    client_references: HashSet<Bytes>,
     /// Bytes of their statements.
-    held_bytes: usize,
+    statement_bytes: usize,
     /// The engines of the list.
     roster: Roster,
     /// When the process is ended, once that is known.
-    ends: Option<Millis>,
-    alarms: BinaryHeap<Reverse<(At, u64, Alarm)>>,
-    armed: u64,
+    shutdown_at: Option<Millis>,
+    timers: BinaryHeap<Reverse<(DueTime, u64, Timer)>>,
+    timers_set: u64,
     actions: Vec<Action>,
     /// The operators' policy of attempts; without their file it sets nothing.
     policy: Arc<Policy>,
     /// Leases on order keys, beside another process.
-    leases: Leases,
+    order_leases: OrderLeases,
     /// Their alarm is armed.
-    review_armed: bool,
+    lease_review_set: bool,
 }
 
 impl<E: EnginePort> Core<E> {
@@ -104,15 +104,15 @@
             limits,
             metrics,
             requests: HashMap::new(),
-            names: HashSet::new(),
-            held_bytes: 0,
-            ends: None,
-            alarms: BinaryHeap::new(),
-            armed: 0,
+            client_references: HashSet::new(),
+            statement_bytes: 0,
+            shutdown_at: None,
+            timers: BinaryHeap::new(),
+            timers_set: 0,
             actions: Vec::new(),
             policy: Arc::default(),
-            leases: Leases::default(),
-            review_armed: false,
+            order_leases: OrderLeases::default(),
+            lease_review_set: false,
         };
         core.check_membership(membership);
         Ok(core)
@@ -126,49 +126,51 @@
     }
 
     /// The first event: the module sets its timers.
-    pub fn begin(&mut self, now: Millis) {
-        self.begin_leases(now);
-        self.tell(now, Event::Started);
+    pub fn start(&mut self, now: Millis) {
+        self.start_order_leases(now);
+        self.notify_dispatcher(now, Event::Started);
     }
 
     /// Requests open now: those that owe an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.metrics.requests_open.get() as usize
     }
 
     /// How many entries are held for requests, engines and alarms: here, and in the module.
-    pub fn held(&self) -> ([usize; 4], [usize; 4]) {
+    pub fn state_sizes(&self) -> ([usize; 4], [usize; 4]) {
         let core = [
             self.requests.len(),
-            self.names.len(),
-            self.roster.entries(),
-            self.alarms.len(),
+            self.client_references.len(),
+            self.roster.state_size(),
+            self.timers.len(),
         ];
         (core, self.gateway.state_sizes())
     }
 
     /// When the next alarm is due.
-    pub fn next_alarm(&self) -> Option<Millis> {
-        self.alarms.peek().map(|Reverse((at, ..))| at.0)
+    pub fn next_timer(&self) -> Option<Millis> {
+        self.timers.peek().map(|Reverse((at, ..))| at.0)
     }
 
     /// Runs the alarms that are due.
-    pub fn alarms(&mut self, now: Millis) {
+    pub fn run_due_timers(&mut self, now: Millis) {
         while let Some(Reverse((at, _, alarm))) = self
-            .alarms
+            .timers
             .peek()
             .copied()
             .filter(|Reverse((at, ..))| at.0 <= now)
         {
-            self.alarms.pop();
+            self.timers.pop();
             match alarm {
-                Alarm::Module(token) => self.tell(now, Event::Timer { token }),
-                Alarm::Deadline(id) => self.deadline(now, id),
-                Alarm::Quit(id, attempt) => self.unproven(now, id, attempt),
-                Alarm::Silence(id, attempt) => self.silence(now, id, attempt, at.0),
-                Alarm::BackOff(id, attempt) => self.backed_off(now, id, attempt),
-                Alarm::AttemptDue(id, attempt) => self.attempt_due(now, id, attempt),
-                Alarm::Leases => self.review_leases(now),
+                Timer::Dispatcher(token) => self.notify_dispatcher(now, Event::Timer { token }),
+                Timer::RequestDeadline(id) => self.deadline_reached(now, id),
+                Timer::CancellationCheck(id, attempt) => self.check_cancellation(now, id, attempt),
+                Timer::SilenceCheck(id, attempt) => {
+                    self.check_attempt_silence(now, id, attempt, at.0)
+                }
+                Timer::BackoffElapsed(id, attempt) => self.backoff_elapsed(now, id, attempt),
+                Timer::AttemptTimeout(id, attempt) => self.attempt_timed_out(now, id, attempt),
+                Timer::LeaseReview => self.review_order_leases(now),
             }
             // The module's timer comes often enough to publish what it believes.
             let ejected = self.gateway.ejected_engines();
@@ -184,14 +186,14 @@
     )]
     pub fn handle(&mut self, now: Millis, input: CoreMessage) {
         match input {
-            CoreMessage::Request(taken) => self.take(now, taken),
-            CoreMessage::ClientDisconnected(id) => self.left(now, id),
-            CoreMessage::EndpointList(event) => self.list(now, event),
+            CoreMessage::Request(taken) => self.accept_request(now, taken),
+            CoreMessage::ClientDisconnected(id) => self.client_disconnected(now, id),
+            CoreMessage::EndpointList(event) => self.update_endpoint_list(now, event),
             CoreMessage::Settings { settings, policy } => {
                 if let Some(settings) = settings {
-                    self.settings(now, settings);
+                    self.apply_settings(now, settings);
                 }
-                self.policy_in_force(policy);
+                self.apply_policy(policy);
             }
             CoreMessage::Attempt {
                 engine,
@@ -203,31 +205,41 @@
                 let Some(open) = self.requests.get_mut(&id) else {
                     return;
                 };
-                let over = open.over;
-                let Some(out) = open.history.out_as(attempt, Some(engine)) else {
+                let over = open.answered;
+                let Some(out) = open.history.in_flight_as(attempt, Some(engine)) else {
                     return; // proven over before this came
                 };
                 out.last_heard_ms = now;
                 let quitting = out.cancelling;
                 match news {
-                    AttemptEvent::Progress(Some(note)) if quitting.is_none() => self.tell(
-                        now,
-                        Event::Progress {
-                            id,
-                            attempt,
-                            progress: note,
-                        },
-                    ),
+                    AttemptEvent::Progress(Some(note)) if quitting.is_none() => self
+                        .notify_dispatcher(
+                            now,
+                            Event::Progress {
+                                id,
+                                attempt,
+                                progress: note,
+                            },
+                        ),
                     AttemptEvent::Progress(_) => {}
                     AttemptEvent::ResultStreaming(_) if over || quitting.is_some() => {}
-                    AttemptEvent::ResultStreaming(body) => self.streaming(now, id, attempt, body),
+                    AttemptEvent::ResultStreaming(body) => {
+                        self.result_streaming(now, id, attempt, body)
+                    }
                     // A good answer that crossed the cancellation is one all the same, as long as an answer is owed.
                     AttemptEvent::Ended {
                         outcome: Outcome::Ok,
                         measured_work_ms: billed_ms,
                         measured_memory_mb: billed_mb,
                         body,
-                    } => self.served(now, id, attempt, report, (billed_ms, billed_mb), body),
+                    } => self.attempt_succeeded(
+                        now,
+                        id,
+                        attempt,
+                        report,
+                        (billed_ms, billed_mb),
+                        body,
+                    ),
                     AttemptEvent::Ended {
                         outcome,
                         measured_work_ms: billed_ms,
@@ -235,7 +247,7 @@
                         ..
                     } => {
                         let ran = !never_ran(outcome);
-                        self.ended(
+                        self.attempt_ended(
                             now,
                             id,
                             attempt,
@@ -249,7 +261,7 @@
                         self.metrics.cancellations_confirmed.increment();
                         self.metrics.cancellation_latency.record(now - since);
                         let end = (outcome, end.may_have_run());
-                        self.ended(now, id, attempt, end, report, (None, None))
+                        self.attempt_ended(now, id, attempt, end, report, (None, None))
                     }
                 }
             }
@@ -257,20 +269,22 @@
     }
 
     /// Takes an order that did not wait in the mailbox.
-    pub fn urgent(&mut self, now: Millis, order: PriorityMessage) {
+    pub fn handle_priority(&mut self, now: Millis, order: PriorityMessage) {
         match order {
             PriorityMessage::ShutdownDeadline(at) => {
-                self.ends = Some(at);
+                self.shutdown_at = Some(at);
                 for id in self.requests.keys().copied().collect::<Vec<_>>() {
-                    self.arm(at, Alarm::Deadline(id));
+                    self.set_timer(at, Timer::RequestDeadline(id));
                 }
             }
             PriorityMessage::PeerProcesses(parts) => {
-                self.look_beside(now);
-                let change = Event::PeerProcesses {
-                    capacity_divisor: parts,
-                };
-                self.tell(now, change);
+                self.check_peer_processes(now);
+                self.notify_dispatcher(
+                    now,
+                    Event::PeerProcesses {
+                        capacity_divisor: parts,
+                    },
+                );
             }
             PriorityMessage::ManualEjection {
                 engine,
@@ -280,12 +294,12 @@
                 done,
             } => {
                 let held = self.gateway.manual_ejections().contains(&engine);
-                let known = held || self.roster.named(engine) || told && out;
+                let known = held || self.roster.is_listed(engine) || told && out;
                 // Guard: what is not listed grows with nothing; it holds a ban only while there is room.
                 let fits =
                     !out || held || self.gateway.manual_ejections().len() < self.limits.engines;
                 if known && fits || told && !out {
-                    self.tell(
+                    self.notify_dispatcher(
                         now,
                         Event::ManualEjection {
                             engine,
@@ -294,7 +308,7 @@
                         },
                     );
                     if !out {
-                        self.roster.given_back(engine, at);
+                        self.roster.reset_slow_start(engine, at);
                     }
                     self.engines.set_manually_ejected(engine, out);
                     let ejected = self.gateway.ejected_engines();
@@ -306,12 +320,12 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet")]
-    fn take(&mut self, now: Millis, mut taken: AcceptedRequest) {
+    fn accept_request(&mut self, now: Millis, mut taken: AcceptedRequest) {
         self.metrics.requests_accepted.increment();
         let id = taken.id;
         // Guard: a kept connection on which there always is something open brings requests to the very end, and what
         // that finds open is lost. So none outlives it.
-        if let Some(ends) = self.ends {
+        if let Some(ends) = self.shutdown_at {
             taken.deadline_ms = taken.deadline_ms.min(ends);
             if ends <= now {
                 self.metrics.requests_rejected.increment();
@@ -324,14 +338,14 @@
             }
         }
         // Guard: engines tell attempts apart by this name, so one that is open already may not come again.
-        if self.names.contains(&taken.client_reference) {
+        if self.client_references.contains(&taken.client_reference) {
             self.metrics.client_bad_calls.increment();
             self.metrics.requests_failed.increment();
             return taken
                 .client
                 .answer(id, Answer::Failed(FailureReason::AttemptFailed));
         }
-        let bytes = self.held_bytes + taken.statement.len();
+        let bytes = self.statement_bytes + taken.statement.len();
         if self.requests.len() >= self.limits.open_requests
             || bytes > self.limits.share(self.limits.open_statement_bytes)
         {
@@ -360,137 +374,54 @@
         };
         let at = RequestAttributes {
             class,
-            member: self.policy.member(&taken.member),
-            front: taken.front,
+            member: self.policy.member_position(&taken.member),
+            frontend: taken.frontend,
             data_set: taken.data_set,
         };
         let keys = self.policy.resolve(&at);
         if let Some(whole) = keys.timeout_ms {
             taken.deadline_ms = taken.deadline_ms.min(now + whole);
         }
-        self.arm(
+        self.set_timer(
             taken.deadline_ms - self.limits.answer_margin_ms,
-            Alarm::Deadline(id),
+            Timer::RequestDeadline(id),
         );
-        let open = Open {
-            taken,
+        let open = RequestState {
+            request: taken,
             history: AttemptHistory::default(),
             streaming: false,
-            over: false,
+            answered: false,
             memory_mb: 0.0,
             priority: 1,
-            keys,
-            last: None,
-            waiting: None,
+            policy: keys,
+            last_end: None,
+            backoff: None,
             cancellation: CancellationFlag::default(),
         };
-        let t = &open.taken;
+        let t = &open.request;
         let (name, member) = (
             || crate::log::lossy_text(&t.client_reference),
             || crate::log::lossy_text(&t.member),
         );
         tracing::debug!(id, r#ref = %name(), class = %t.class.name, member = %member(), due_ms = t.deadline_ms, cost_ms = t.estimated_work_ms, data_set = t.data_set, "taken");
         self.metrics.requests_open.increment();
-        self.held_bytes = bytes;
-        self.names.insert(open.taken.client_reference.clone());
+        self.statement_bytes = bytes;
+        self.client_references
+            .insert(open.request.client_reference.clone());
         self.requests.insert(id, open);
-        self.admit(now, id);
+        self.submit_when_leased(now, id);
     }
 
     /// The client left: nothing is owed, and what is out is given up at once, as it would only take room.
-    fn left(&mut self, now: Millis, id: RequestId) {
-        if self.close(now, id, Outcome::Cancelled).is_some() {
+    fn client_disconnected(&mut self, now: Millis, id: RequestId) {
+        if self.close_request(now, id, Outcome::Cancelled).is_some() {
             self.metrics.client_disconnects.increment();
-            self.tell(now, Event::ClientDisconnected { id });
-        }
-    }
-
-    fn list(&mut self, now: Millis, event: EndpointListEvent) {
-        let step = self.roster.take(&event);
-        step.dropped
-            .iter()
-            .for_each(|id| self.engines.engine_removed(*id));
-        for line in &step.lines {
-            // Guard: sends to what drains or is gone end here, whatever the module holds.
-            self.engines.engine_listed(line);
-            if self.gateway.manual_ejections().contains(&line.entry.engine) {
-                self.engines.set_manually_ejected(line.entry.engine, true); // a new address has a new actor
-            }
-        }
-        let metrics = &self.metrics;
-        let (held, waiting) = self.roster.sizes();
-        metrics.engines.set(held);
-        metrics.engines_waiting.set(waiting);
-        metrics.engines_without_slot.add(step.passed.len());
-        metrics.list_unknown_removals.add(step.unknown);
-        metrics.list_duplicate_records.add(step.repeated);
-        metrics.list_address_conflicts.add(step.shared);
-        metrics
-            .list_unusable_records
-            .add(event.unusable_engines.len());
-        metrics.list_large_removals.add(usize::from(step.cut));
-        if let [first, rest @ ..] = &step.passed[..] {
-            let (first, more, all) = (engine_text(*first), rest.len(), self.limits.engines);
-            eprintln!(
-                "workload-manager: engine={first} state=passed_over more={more} why=all {all} places are taken"
-            );
-        }
-        if let [first, rest @ ..] = &event.unusable_engines[..] {
-            let (first, more) = (engine_text(*first), rest.len());
-            eprintln!(
-                "workload-manager: engine={first} state=unusable more={more} why=unknown state, zone or kind"
-            );
-        }
-        self.subset_news(now, step.news);
-    }
-
-    /// Takes new settings. What they change of the subset is told after them.
-    fn settings(&mut self, now: Millis, settings: Box<Settings>) {
-        let membership = Membership::from(&*settings);
-        self.tell(now, Event::Settings(settings));
-        if let Some(news) = self.roster.set_membership(membership) {
-            self.metrics.subset_membership_changes.increment();
-            self.check_membership(membership);
-            self.subset_news(now, news);
-        }
-    }
-
-    /// Shows this manager's place in its fleet, and whether it can be one.
-    fn check_membership(&self, membership: Membership) {
-        let Membership { instances, ordinal } = membership;
-        self.metrics.ordinal.set(ordinal as usize);
-        if membership.out_of_range() {
-            self.metrics.subset_ordinal_out_of_range.increment();
-            eprintln!(
-                "workload-manager: ordinal={ordinal} state=out_of_range why=nInstances is {instances}"
-            );
+            self.notify_dispatcher(now, Event::ClientDisconnected { id });
         }
     }
 
-    /// Tells the module what it hears of the list, and shows the size of that.
-    fn subset_news(&mut self, now: Millis, news: News) {
-        let metrics = &self.metrics;
-        let (size, zones) = self.roster.subset_sizes();
-        let all = f64::from(self.gateway.settings().instances);
-        metrics.subset_size.set(size);
-        metrics.subset_zones.set(zones);
-        metrics
-            .subset_managers_per_engine
-            .set(self.roster.holders().unwrap_or(all).round() as usize);
-        metrics.subset_engines_added.add(news.joined);
-        metrics.subset_engines_removed.add(news.left);
-        metrics.subset_all_unavailable.add(usize::from(news.lost));
-        self.tell(
-            now,
-            Event::EndpointList {
-                kind: news.kind,
-                entries: news.entries,
-            },
-        );
-    }
-
     /// Hands the module one event, carries out what it wants, and what follows from that at once.
-    fn tell(&mut self, now: Millis, event: Event) {
+    fn notify_dispatcher(&mut self, now: Millis, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.gateway.handle(now, event, &mut actions);
         let mut moot = Vec::new();
@@ -501,7 +432,7 @@
                     engine,
                     timeout_ms,
                 } => {
-                    if let Some(outcome) = self.send(now, id, engine, timeout_ms) {
+                    if let Some(outcome) = self.start_attempt(now, id, engine, timeout_ms) {
                         moot.push((id, engine, outcome));
                     }
                 }
@@ -509,7 +440,7 @@
                     id,
                     memory_mb,
                     priority,
-                } => self.terms(id, memory_mb, priority),
+                } => self.set_attempt_terms(id, memory_mb, priority),
                 Action::Reject {
                     id,
                     retry_after_ms: hold_off_ms,
@@ -519,7 +450,7 @@
                         .requests
                         .get(&id)
                         .is_none_or(|o| o.history.may_have_run());
-                    let sure = !ran || self.repeatable(id);
+                    let sure = !ran || self.is_idempotent(id);
                     let answer = if sure {
                         Answer::Rejected {
                             retry_after_ms: hold_off_ms,
@@ -527,17 +458,17 @@
                     } else {
                         Answer::Failed(FailureReason::AttemptFailed)
                     };
-                    self.answer(now, id, answer, Outcome::Cancelled);
+                    self.answer_client(now, id, answer, Outcome::Cancelled);
                 }
-                Action::Fail { id } => self.answer(
+                Action::Fail { id } => self.answer_client(
                     now,
                     id,
                     Answer::Failed(FailureReason::AttemptFailed),
                     Outcome::Cancelled,
                 ),
-                Action::CancelAttempt { id, attempt } => self.call_off(now, id, attempt),
+                Action::CancelAttempt { id, attempt } => self.cancel_attempt(now, id, attempt),
                 Action::SetTimer { after_ms, token } => {
-                    self.arm(now + after_ms.max(1.0), Alarm::Module(token))
+                    self.set_timer(now + after_ms.max(1.0), Timer::Dispatcher(token))
                 }
                 Action::Log { line } => eprintln!("workload-manager: {line}"),
                 // Engines may not be probed, and the feed pushes: nothing to do.
@@ -549,13 +480,13 @@
             let attempt = self
                 .requests
                 .get(&id)
-                .map_or(0, |o| o.history.made().saturating_sub(1));
-            self.unsent(now, id, attempt, engine, outcome);
+                .map_or(0, |o| o.history.attempts_made().saturating_sub(1));
+            self.report_not_sent(now, id, attempt, engine, outcome);
         }
     }
 
     /// Tells the module that an attempt never went out, and why.
-    fn unsent(
+    fn report_not_sent(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -563,10 +494,10 @@
         engine: EngineId,
         outcome: Outcome,
     ) {
-        self.count_end(outcome).increment();
+        self.outcome_counter(outcome).increment();
         tracing::debug!(id, %engine, attempt, ?outcome, "not sent");
         if let Some(open) = self.requests.get_mut(&id) {
-            open.last = Some((outcome, engine));
+            open.last_end = Some((outcome, engine));
         }
         let ended = AttemptEnded {
             id,
@@ -574,65 +505,66 @@
             engine,
             outcome,
             elapsed_ms: 0.0,
-            answered: self.requests.get(&id).is_none_or(|o| o.over),
+            answered: self.requests.get(&id).is_none_or(|o| o.answered),
             measured_work_ms: None,
             measured_memory_mb: None,
             load_report: LoadReport::default(),
         };
-        self.tell(now, Event::AttemptEnded(ended));
+        self.notify_dispatcher(now, Event::AttemptEnded(ended));
     }
 
-    fn repeatable(&self, id: RequestId) -> bool {
+    fn is_idempotent(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
-            .is_some_and(|o| o.taken.class.class.idempotency == Idempotency::Idempotent)
+            .is_some_and(|o| o.request.class.class.idempotency == Idempotency::Idempotent)
     }
 
     /// Until when an attempt may be written at this engine: infinite where none that may have run went before, or the
     /// request may be repeated at any time; none where it may not, or no more. By key a repeat is dropped by the engines of
     /// one group, and for a while from the first attempt that may have run.
-    fn repeat_until(&self, now: Millis, id: RequestId, engine: EngineId) -> Option<Millis> {
+    fn resend_deadline(&self, now: Millis, id: RequestId, engine: EngineId) -> Option<Millis> {
         let open = self.requests.get(&id)?;
-        let class = &open.taken.class.class;
-        if !open.history.has_run() || class.idempotency == Idempotency::Idempotent {
+        let class = &open.request.class.class;
+        if !open.history.ended_may_have_run() || class.idempotency == Idempotency::Idempotent {
             return Some(Millis::INFINITY);
         }
         let (Idempotency::WithKey(scope), Some(first)) =
-            (class.idempotency, open.history.first_ran())
+            (class.idempotency, open.history.first_possible_run())
         else {
             return None;
         };
-        let (zone, cell) = self.roster.group(engine)?;
+        let (zone, cell) = self.roster.location(engine)?;
         let remembers = match scope {
             DedupScope::All => true,
             DedupScope::Zone => zone == first.zone,
             DedupScope::Cell => cell == first.cell,
         };
-        let keyed = remembers && open.taken.idempotency_key.is_some();
+        let keyed = remembers && open.request.idempotency_key.is_some();
         keyed
             .then_some(first.at_ms + class.dedup_window_ms - REPEAT_MARGIN_MS)
             .filter(|until| now < *until)
     }
 
     /// Starts an attempt, or says why it cannot be; then it provably never ran.
-    fn send(
+    fn start_attempt(
         &mut self,
         now: Millis,
         id: RequestId,
         engine: EngineId,
         timeout_ms: Option<Millis>,
     ) -> Option<Outcome> {
-        let repeatable = self.repeat_until(now, id, engine).is_some();
-        let ready = self.roster.ready(engine) && !self.gateway.manual_ejections().contains(&engine);
+        let repeatable = self.resend_deadline(now, id, engine).is_some();
+        let ready =
+            self.roster.is_ready(engine) && !self.gateway.manual_ejections().contains(&engine);
         let cap = self.gateway.settings().max_attempts;
         let open = self.requests.get_mut(&id)?;
         // Guards: one attempt out at a time, also while one waits out its back-off; no second run of what may run
         // once, no more than the cap, none for who has an answer.
         let next = open
             .history
-            .next(repeatable, cap)
+            .next_attempt(repeatable, cap)
             .ok()
-            .filter(|_| !open.over && open.waiting.is_none());
+            .filter(|_| !open.answered && open.backoff.is_none());
         let Some(number) = next.filter(|_| ready) else {
             self.metrics.sends_blocked_by_guard.increment();
             return Some(if next.is_none() {
@@ -641,10 +573,10 @@
                 Outcome::NoConnection
             });
         };
-        match self.narrow(now, id, number, engine) {
-            Some(Ok(())) => self.launch(now, id, number, engine, timeout_ms),
+        match self.check_retry_policy(now, id, number, engine) {
+            Some(Ok(())) => self.send_attempt(now, id, number, engine, timeout_ms),
             Some(Err(wait)) => {
-                self.wait_out(now, id, (number, engine, timeout_ms), wait);
+                self.start_backoff(now, id, (number, engine, timeout_ms), wait);
                 None
             }
             None => Some(Outcome::NotSent),
@@ -652,7 +584,7 @@
     }
 
     /// Hands an attempt that may go out to its engine's actor.
-    fn launch(
+    fn send_attempt(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -661,35 +593,35 @@
         timeout_ms: Option<Millis>,
     ) -> Option<Outcome> {
         // Guard: where it has waited out a back-off, its time may be over.
-        let Some(until_ms) = self.repeat_until(now, id, engine) else {
+        let Some(until_ms) = self.resend_deadline(now, id, engine) else {
             return Some(Outcome::NotSent);
         };
-        let (zone, cell) = self.roster.group(engine).unwrap_or_default();
+        let (zone, cell) = self.roster.location(engine).unwrap_or_default();
         let open = self.requests.get_mut(&id)?;
-        let own = open.keys.attempt_timeout_ms;
+        let own = open.policy.attempt_timeout_ms;
         let timeout_ms = timeout_ms.filter(|t| *t > 0.0).or(own);
-        let due_ms = timeout_ms.map_or(open.taken.deadline_ms, |t| {
-            (now + t).min(open.taken.deadline_ms)
+        let due_ms = timeout_ms.map_or(open.request.deadline_ms, |t| {
+            (now + t).min(open.request.deadline_ms)
         });
         open.cancellation = CancellationFlag::default();
         let ask = AttemptRequest {
             id,
             attempt: number,
-            client_reference: open.taken.client_reference.clone(),
-            class: open.taken.class.clone(),
+            client_reference: open.request.client_reference.clone(),
+            class: open.request.class.clone(),
             deadline_ms: due_ms,
             send_before_ms: until_ms,
             memory_mb: open.memory_mb,
             priority: open.priority,
-            idempotency_key: open.taken.idempotency_key.clone(),
-            statement: open.taken.statement.clone(),
-            statement_kind: open.taken.statement_kind,
+            idempotency_key: open.request.idempotency_key.clone(),
+            statement: open.request.statement.clone(),
+            statement_kind: open.request.statement_kind,
             cancellation: open.cancellation.clone(),
         };
         if !self.engines.start_attempt(engine, ask) {
             return Some(Outcome::NoConnection);
         }
-        open.history.sent(
+        open.history.record_sent(
             number,
             engine,
             SentTo {
@@ -701,18 +633,18 @@
         tracing::debug!(id, %engine, attempt = number, due_ms, "sent");
         self.metrics.attempts_started.increment();
         if self.limits.attempt_silence_ms.is_finite() {
-            self.arm(
+            self.set_timer(
                 now + self.limits.attempt_silence_ms,
-                Alarm::Silence(id, number),
+                Timer::SilenceCheck(id, number),
             );
         }
         if let Some(own) = own {
-            self.arm(now + own, Alarm::AttemptDue(id, number));
+            self.set_timer(now + own, Timer::AttemptTimeout(id, number));
         }
         None
     }
 
-    fn terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
+    fn set_attempt_terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
@@ -720,7 +652,7 @@
         let before = std::mem::replace(&mut open.priority, priority.min(3));
         if let Some(out) = open
             .history
-            .out()
+            .in_flight()
             .filter(|o| before != open.priority && o.cancelling.is_none())
         {
             self.engines
@@ -729,9 +661,5 @@
     }
 }
 
-#[cfg(test)]
-mod interleavings;
-#[cfg(test)]
-mod subsets;
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/core/narrow.rs
+++ b/src/core/narrow.rs
@@ -3,7 +3,7 @@
 //! `attempts`; here they meet requests, timers and counters.
 
 use super::{
-    Alarm, Arc, Core, EngineId, EnginePort, Millis, Outcome, Policy, RequestAttributes, RequestId,
+    Arc, Core, EngineId, EnginePort, Millis, Outcome, Policy, RequestAttributes, RequestId, Timer,
     never_ran,
 };
 use crate::retry_policy::RetryDecision;
@@ -11,7 +11,7 @@
 impl<E: EnginePort> Core<E> {
     /// Whether an attempt may go out now: `Some(Ok)`; after a back-off of so many ms: `Some(Err(wait))`; or not at
     /// all, as its policy has no attempt left, none after the last end, or its budget is spent: `None`.
-    pub(super) fn narrow(
+    pub(super) fn check_retry_policy(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -19,13 +19,19 @@
         engine: EngineId,
     ) -> Option<Result<(), Millis>> {
         let open = self.requests.get_mut(&id)?;
-        let made = open.history.counted().saturating_sub(1);
+        let made = open.history.attempts_counted().saturating_sub(1);
         if made == 0 {
-            open.keys.budget.iter().for_each(|budget| budget.first(now));
+            open.policy
+                .budget
+                .iter()
+                .for_each(|budget| budget.record_first_attempt(now));
             return Some(Ok(()));
         }
-        let (end, before) = open.last.unwrap_or((Outcome::NotSent, engine));
-        match open.keys.retry_decision(made, end, now, chance(id, number)) {
+        let (end, before) = open.last_end.unwrap_or((Outcome::NotSent, engine));
+        match open
+            .policy
+            .retry_decision(made, end, now, chance(id, number))
+        {
             RetryDecision::NotRetryable => {
                 tracing::debug!(
                     id,
@@ -52,7 +58,7 @@
     }
 
     /// Holds an attempt back until its back-off is over; the module takes it as out meanwhile.
-    pub(super) fn wait_out(
+    pub(super) fn start_backoff(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -62,87 +68,91 @@
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        open.waiting = Some(attempt);
+        open.backoff = Some(attempt);
         tracing::debug!(id, attempt = attempt.0, wait_ms = wait, "backs off");
         self.metrics.retries_delayed_by_backoff.increment();
-        self.arm(now + wait, Alarm::BackOff(id, attempt.0));
+        self.set_timer(now + wait, Timer::BackoffElapsed(id, attempt.0));
     }
 
     /// The back-off is over: the attempt goes out where its engine still takes it, else the module hears why not.
-    pub(super) fn backed_off(&mut self, now: Millis, id: RequestId, number: u16) {
+    pub(super) fn backoff_elapsed(&mut self, now: Millis, id: RequestId, number: u16) {
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some((_, engine, timeout_ms)) = open.waiting.take_if(|w| w.0 == number) else {
+        let Some((_, engine, timeout_ms)) = open.backoff.take_if(|w| w.0 == number) else {
             return;
         };
-        let ready = self.roster.ready(engine) && !self.gateway.manual_ejections().contains(&engine);
+        let ready =
+            self.roster.is_ready(engine) && !self.gateway.manual_ejections().contains(&engine);
         // Guard: an engine that drains, or was taken out, meanwhile gets nothing.
         let unsent = if ready {
-            self.launch(now, id, number, engine, timeout_ms)
+            self.send_attempt(now, id, number, engine, timeout_ms)
         } else {
             Some(Outcome::NoConnection)
         };
         if let Some(outcome) = unsent {
-            self.unsent(now, id, number, engine, outcome);
+            self.report_not_sent(now, id, number, engine, outcome);
         }
     }
 
     /// An attempt has had its time: it is given up as timed out, and its end proven as for any other.
-    pub(super) fn attempt_due(&mut self, now: Millis, id: RequestId, number: u16) {
+    pub(super) fn attempt_timed_out(&mut self, now: Millis, id: RequestId, number: u16) {
         let Some(open) = self
             .requests
             .get_mut(&id)
-            .filter(|o| !o.streaming && !o.over)
+            .filter(|o| !o.streaming && !o.answered)
         else {
             return;
         };
         if open
             .history
-            .out_as(number, None)
+            .in_flight_as(number, None)
             .is_some_and(|out| out.cancelling.is_none())
         {
             self.metrics.attempt_timeouts.increment();
-            self.give_up(now, id, Outcome::TimedOut);
+            self.cancel_in_flight(now, id, Outcome::TimedOut);
         }
     }
 
     /// The module calls an attempt off to send another. Guard: where the policy allows none after it, the attempt goes
     /// on, as it may still answer.
-    pub(super) fn call_off(&mut self, now: Millis, id: RequestId, attempt: u16) {
+    pub(super) fn cancel_attempt(&mut self, now: Millis, id: RequestId, attempt: u16) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.streaming) else {
             return;
         };
-        if open.history.out_as(attempt, None).is_none() {
+        if open.history.in_flight_as(attempt, None).is_none() {
             return;
         }
         if open
-            .keys
-            .allows_retry_after(open.history.counted(), Outcome::Cancelled)
+            .policy
+            .allows_retry_after(open.history.attempts_counted(), Outcome::Cancelled)
         {
-            self.give_up(now, id, Outcome::Cancelled);
+            self.cancel_in_flight(now, id, Outcome::Cancelled);
         } else {
             self.metrics.cancellations_denied_by_policy.increment();
         }
     }
 
     /// A new policy: requests keep the one they were taken under, but none has more attempts than the new one allows.
-    pub(super) fn policy_in_force(&mut self, policy: Arc<Policy>) {
-        policy.carry(&self.policy);
+    pub(super) fn apply_policy(&mut self, policy: Arc<Policy>) {
+        policy.carry_over_budgets(&self.policy);
         for open in self.requests.values_mut() {
             let at = RequestAttributes {
                 class: self
                     .gateway
                     .settings()
-                    .class_position(&open.taken.class.name, &open.taken.class.class)
+                    .class_position(&open.request.class.name, &open.request.class.class)
                     .unwrap_or(usize::MAX),
-                member: policy.member(&open.taken.member),
-                front: open.taken.front,
-                data_set: open.taken.data_set,
+                member: policy.member_position(&open.request.member),
+                frontend: open.request.frontend,
+                data_set: open.request.data_set,
             };
             if let Some(lower) = policy.resolve(&at).max_attempts {
-                open.keys.max_attempts =
-                    Some(open.keys.max_attempts.map_or(lower, |held| held.min(lower)));
+                open.policy.max_attempts = Some(
+                    open.policy
+                        .max_attempts
+                        .map_or(lower, |held| held.min(lower)),
+                );
             }
         }
         self.policy = policy;
--- a/src/core/narrow/tests.rs
+++ b/src/core/narrow/tests.rs
@@ -5,7 +5,7 @@
 use crate::decision::EngineEntry;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
-use crate::node_config::{EngineRecord, engine_id};
+use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::operator_config::{self, Known};
 use crate::settings_json::{self, NamedClass};
 use std::sync::Mutex;
@@ -124,7 +124,7 @@
             estimated_memory_mb: None,
             data_set: 0,
             member: Bytes::new(),
-            front: crate::retry_policy::Front::Platform,
+            frontend: crate::retry_policy::FrontendKind::Platform,
             idempotency_key: None,
             order_key: None,
             statement: Bytes::from_static(b"select 1"),
@@ -167,7 +167,7 @@
     rig.ends(10.0, Outcome::Error);
     // The module reads the request's own number and sends nothing more.
     assert_eq!((rig.asked(), rig.answers()), (1, vec![(1, "refused")]));
-    assert_eq!(rig.core.open(), 0);
+    assert_eq!(rig.core.open_requests(), 0);
 }
 
 #[test]
@@ -195,9 +195,9 @@
         (1, 1),
         "a reset may have loaded the engine"
     );
-    rig.core.alarms(109.0);
+    rig.core.run_due_timers(109.0);
     assert_eq!(rig.asked(), 1);
-    rig.core.alarms(110.0);
+    rig.core.run_due_timers(110.0);
     assert_eq!(rig.asked(), 2, "the wait is over");
     let first = rig.core.engines.asked[1].0;
     rig.ends(120.0, Outcome::Rejected);
@@ -232,9 +232,9 @@
 fn an_attempt_has_its_time_and_then_another_goes() {
     let mut rig = Rig::new("version = 1\n[attempts.default]\nattempt_timeout_ms = 500\n");
     rig.take(0.0, 1, 0);
-    rig.core.alarms(499.0);
+    rig.core.run_due_timers(499.0);
     assert!(rig.core.engines.quits.is_empty());
-    rig.core.alarms(500.0);
+    rig.core.run_due_timers(500.0);
     assert_eq!(
         (
             rig.core.engines.quits.len(),
@@ -265,12 +265,12 @@
     rig.take(0.0, 1, 0);
     rig.ends(6000.0, Outcome::Reset);
     assert_eq!(rig.metrics.retries_delayed_by_backoff.get(), 1);
-    rig.core.alarms(15_000.0);
+    rig.core.run_due_timers(15_000.0);
     assert_eq!(rig.answers(), [(1, "failed")]);
-    rig.core.alarms(30_000.0);
+    rig.core.run_due_timers(30_000.0);
     assert_eq!(rig.asked(), 1, "the waiting attempt died with its request");
     assert_eq!(
-        (rig.core.held().0[0], rig.core.held().1[0]),
+        (rig.core.state_sizes().0[0], rig.core.state_sizes().1[0]),
         (0, 0),
         "neither the core nor the module holds it"
     );
@@ -328,7 +328,7 @@
 fn a_call_off_that_nothing_may_follow_is_not_carried_out() {
     let mut rig = Rig::new("version = 1\n[attempts.default]\nretry_on = [\"full\", \"error\"]\n");
     rig.take(0.0, 1, 0);
-    rig.core.call_off(10.0, 1, 0);
+    rig.core.cancel_attempt(10.0, 1, 0);
     assert_eq!(
         (
             rig.core.engines.quits.len(),
@@ -338,7 +338,7 @@
     );
     let mut rig = Rig::new("version = 1\n");
     rig.take(0.0, 1, 0);
-    rig.core.call_off(10.0, 1, 0);
+    rig.core.cancel_attempt(10.0, 1, 0);
     assert_eq!(rig.core.engines.quits.len(), 1, "without the file it is");
 }
 
--- a/src/core/order/tests.rs
+++ b/src/core/order/tests.rs
@@ -6,14 +6,13 @@
 use crate::core::AttemptRequest;
 use crate::core::ClientPort;
 use crate::core::CoreMessage;
-use crate::core::Places;
+use crate::core::PeerProcesses;
 use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
 use crate::decision::LoadReport;
 use crate::limits::Limits;
-use crate::node_config::EndpointListEvent;
-use crate::node_config::{EngineRecord, engine_id};
+use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass, PlatformSettings};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -30,13 +29,13 @@
         !self.0.load(Ordering::Relaxed)
     }
     fn unlock(&mut self, _: OrderKey) {}
-    fn others(&mut self) -> Places {
+    fn live_peers(&mut self) -> PeerProcesses {
         1
     }
-    fn held_at_end(&mut self, _: Places) -> bool {
+    fn may_have_held_at_exit(&mut self, _: PeerProcesses) -> bool {
         false
     }
-    fn left_behind(&self) -> bool {
+    fn may_be_left_behind(&self) -> bool {
         false
     }
 }
@@ -109,7 +108,7 @@
         )
         .expect("core");
         let mut core = core.with_order_locks(Some(Box::new(elsewhere.clone())));
-        core.begin(0.0);
+        core.start(0.0);
         let entries = vec![listed(1, EngineState::Ready)];
         core.handle(
             0.0,
@@ -144,7 +143,7 @@
 
     /// The requests that the module knows.
     fn known(&self) -> usize {
-        self.core.held().1[0]
+        self.core.state_sizes().1[0]
     }
 }
 
@@ -153,16 +152,20 @@
     let mut rig = Rig::new();
     rig.take(10.0, 1, 0, 9000.0);
     rig.take(20.0, 2, 0, 9000.0);
-    rig.core.alarms(100.0);
+    rig.core.run_due_timers(100.0);
     assert_eq!(
-        (rig.known(), rig.core.open(), rig.core.engines.0.len()),
+        (
+            rig.known(),
+            rig.core.open_requests(),
+            rig.core.engines.0.len()
+        ),
         (0, 2, 0)
     );
     assert_eq!(rig.core.metrics.requests_held_for_order_key.get(), 2);
     rig.free();
-    rig.core.alarms(149.0);
+    rig.core.run_due_timers(149.0);
     assert_eq!(rig.known(), 0, "it looks every 50 ms");
-    rig.core.alarms(160.0);
+    rig.core.run_due_timers(160.0);
     let first = (engine_id(1), 1, 0);
     assert_eq!(
         (rig.known(), &rig.core.engines.0[..]),
@@ -193,17 +196,21 @@
     let mut rig = Rig::new();
     rig.take(10.0, 1, 0, 400.0);
     rig.take(10.0, 2, 0, 9000.0);
-    rig.core.alarms(400.0);
+    rig.core.run_due_timers(400.0);
     assert_eq!(rig.answers(), [(1, false)]);
     rig.core.handle(410.0, CoreMessage::ClientDisconnected(2));
     rig.free();
-    rig.core.alarms(1000.0);
-    let (core, module) = rig.core.held();
+    rig.core.run_due_timers(1000.0);
+    let (core, module) = rig.core.state_sizes();
     assert_eq!(
-        (rig.core.open(), core[..2].to_vec(), module[..3].to_vec()),
+        (
+            rig.core.open_requests(),
+            core[..2].to_vec(),
+            module[..3].to_vec()
+        ),
         (0, vec![0; 2], vec![0; 3])
     );
-    assert!(rig.core.engines.0.is_empty() && !rig.core.leases.pending());
+    assert!(rig.core.engines.0.is_empty() && !rig.core.order_leases.needs_review());
 }
 
 /// Guard: settings may change meanwhile; a class goes by its name, and one that went is refused, as nothing has run.
@@ -221,7 +228,7 @@
         },
     );
     rig.free();
-    rig.core.alarms(100.0);
+    rig.core.run_due_timers(100.0);
     assert_eq!(rig.answers(), [(1, true)]);
     assert_eq!(rig.core.engines.0, [(engine_id(1), 2, 0)]);
 }
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -130,7 +130,7 @@
     /// Its member's name; empty where the platform names none.
     pub member: Bytes,
     /// The front that it came over.
-    pub front: crate::retry_policy::Front,
+    pub frontend: crate::retry_policy::FrontendKind,
     /// The key by which engines tell a repeat of it, where its class may be repeated by key.
     pub idempotency_key: Option<Bytes>,
     /// The key whose requests run one at a time, where its class keeps order.
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -14,172 +14,180 @@
 /// The engines that are taken up, and those that wait for a place.
 #[derive(Debug)]
 pub(super) struct Roster {
-    places: usize,
-    held: BTreeMap<EngineId, EngineRecord>,
+    capacity: usize,
+    engines: BTreeMap<EngineId, EngineRecord>,
     /// Passed over; as many as there are places at most, and the rest is known again with the next whole list.
     waiting: BTreeMap<EngineId, EngineRecord>,
     /// Who was last listed as ready at an address.
-    at: HashMap<SocketAddr, EngineId>,
+    ready_at: HashMap<SocketAddr, EngineId>,
     subset: Subset,
     /// What the decision module was told of the subset; none where it hears of the whole list.
-    told: Option<BTreeMap<EngineId, EngineEntry>>,
+    reported_subset: Option<BTreeMap<EngineId, EngineEntry>>,
 }
 
 /// What the decision module is told after an event.
 #[derive(Debug)]
-pub(super) struct News {
+pub(super) struct SubsetChange {
     pub(super) kind: ListUpdateKind,
     pub(super) entries: Vec<EngineEntry>,
     /// Engines that the subset gained and lost.
-    pub(super) joined: usize,
-    pub(super) left: usize,
+    pub(super) engines_added: usize,
+    pub(super) engines_removed: usize,
     /// None of the engines held before takes work any more.
-    pub(super) lost: bool,
+    pub(super) all_unavailable: bool,
 }
 
 /// What an event of the list comes to.
 #[derive(Debug, Default)]
-pub(super) struct Step {
+pub(super) struct RosterUpdate {
     /// Engines that a whole list names no longer.
-    pub(super) dropped: Vec<EngineId>,
+    pub(super) removed: Vec<EngineId>,
     /// A whole list leaves more than half of them out.
-    pub(super) cut: bool,
+    pub(super) large_removal: bool,
     /// Lines for the engines' actors, in order.
-    pub(super) lines: Vec<EngineRecord>,
+    pub(super) records: Vec<EngineRecord>,
     /// What the module is told.
-    pub(super) news: News,
+    pub(super) subset_change: SubsetChange,
     /// Engines that found no place.
-    pub(super) passed: Vec<EngineId>,
+    pub(super) without_slot: Vec<EngineId>,
     /// Records that tell the end of an engine that is not known.
-    pub(super) unknown: usize,
+    pub(super) unknown_removals: usize,
     /// Records of an engine that the same event names again: the last one holds.
-    pub(super) repeated: usize,
+    pub(super) duplicate_records: usize,
     /// Records of an engine at the address of another one that is not gone.
-    pub(super) shared: usize,
+    pub(super) address_conflicts: usize,
 }
 
 impl Roster {
     pub(super) fn new(places: usize, subset: Subset) -> Roster {
         let (held, waiting, at) = Default::default();
         Roster {
-            places,
-            held,
+            capacity: places,
+            engines: held,
             waiting,
-            at,
+            ready_at: at,
             subset,
-            told: None,
+            reported_subset: None,
         }
     }
 
     /// How many are taken up, and how many wait.
     pub(super) fn sizes(&self) -> (usize, usize) {
-        (self.held.len(), self.waiting.len())
+        (self.engines.len(), self.waiting.len())
     }
 
     /// Engines that the decision module hears of, and the zones of those that take work.
     pub(super) fn subset_sizes(&self) -> (usize, usize) {
         (
-            self.told.as_ref().map_or(self.held.len(), BTreeMap::len),
+            self.reported_subset
+                .as_ref()
+                .map_or(self.engines.len(), BTreeMap::len),
             self.subset.zones(),
         )
     }
 
     /// The mean number of managers that hold an engine, where the module hears of a subset.
-    pub(super) fn holders(&self) -> Option<f64> {
-        let entry = self.told.as_ref()?.values().next()?;
+    pub(super) fn managers_per_engine(&self) -> Option<f64> {
+        let entry = self.reported_subset.as_ref()?.values().next()?;
         entry.sharing.map(|holders| holders.mean_managers)
     }
 
     /// How many entries it holds in all.
-    pub(super) fn entries(&self) -> usize {
-        self.held.len() + self.waiting.len() + self.at.len()
+    pub(super) fn state_size(&self) -> usize {
+        self.engines.len() + self.waiting.len() + self.ready_at.len()
     }
 
     /// Whether an engine may get attempts.
-    pub(super) fn ready(&self, engine: EngineId) -> bool {
-        self.held
+    pub(super) fn is_ready(&self, engine: EngineId) -> bool {
+        self.engines
             .get(&engine)
             .is_some_and(|line| line.entry.state == EngineState::Ready)
     }
 
     /// The zone and cell of one that is taken up.
-    pub(super) fn group(&self, engine: EngineId) -> Option<(u8, u16)> {
-        self.held
+    pub(super) fn location(&self, engine: EngineId) -> Option<(u8, u16)> {
+        self.engines
             .get(&engine)
             .map(|line| (line.entry.zone, line.entry.cell))
     }
 
     /// Whether the list names it, ready or not, taken up or not.
-    pub(super) fn named(&self, engine: EngineId) -> bool {
-        self.held.contains_key(&engine) || self.waiting.contains_key(&engine)
+    pub(super) fn is_listed(&self, engine: EngineId) -> bool {
+        self.engines.contains_key(&engine) || self.waiting.contains_key(&engine)
     }
 
     /// Takes an event of the list in.
-    pub(super) fn take(&mut self, event: &EndpointListEvent) -> Step {
-        let mut step = self.take_up(event);
-        let touched: Vec<EngineId> = step.lines.iter().map(|line| line.entry.engine).collect();
-        for id in step.dropped.iter().chain(&touched) {
+    pub(super) fn apply(&mut self, event: &EndpointListEvent) -> RosterUpdate {
+        let mut step = self.apply_records(event);
+        let touched: Vec<EngineId> = step.records.iter().map(|line| line.entry.engine).collect();
+        for id in step.removed.iter().chain(&touched) {
             let ready = self
-                .held
+                .engines
                 .get(id)
                 .filter(|line| line.entry.state == EngineState::Ready);
             self.subset.set(*id, ready.map(|line| line.entry.zone));
         }
-        let entries = step.lines.iter().map(|line| line.entry.clone()).collect();
-        step.news = self.news(event.kind, entries);
+        let entries = step.records.iter().map(|line| line.entry.clone()).collect();
+        step.subset_change = self.subset_change(event.kind, entries);
         step
     }
 
     /// Takes new settings; what the module is to be told, if they change the subset.
-    pub(super) fn set_membership(&mut self, membership: Membership) -> Option<News> {
+    pub(super) fn set_membership(&mut self, membership: Membership) -> Option<SubsetChange> {
         let changed = self.subset.set_membership(membership);
-        changed.then(|| self.news(ListUpdateKind::Delta, Vec::new()))
+        changed.then(|| self.subset_change(ListUpdateKind::Delta, Vec::new()))
     }
 
     /// An engine was given back by hand, so it counts as started then, whatever the list says. Where the module hears
     /// of it, it knows; else it is told with the engine.
-    pub(super) fn given_back(&mut self, engine: EngineId, at: Millis) {
+    pub(super) fn reset_slow_start(&mut self, engine: EngineId, at: Millis) {
         let unheard = self
-            .told
+            .reported_subset
             .as_ref()
             .is_some_and(|told| !told.contains_key(&engine));
-        if let Some(line) = self.held.get_mut(&engine).filter(|_| unheard) {
+        if let Some(line) = self.engines.get_mut(&engine).filter(|_| unheard) {
             line.entry.started_at_ms = line.entry.started_at_ms.max(at);
         }
     }
 
     /// What the module is told: of the whole list its `changes`, of a subset how it differs from what was told.
-    fn news(&mut self, kind: ListUpdateKind, changes: Vec<EngineEntry>) -> News {
+    fn subset_change(&mut self, kind: ListUpdateKind, changes: Vec<EngineEntry>) -> SubsetChange {
         let members = self.subset.members();
-        let before = self.told.take();
+        let before = self.reported_subset.take();
         let lost = before.as_ref().is_some_and(|told| {
             !told.is_empty() && !told.keys().any(|engine| self.subset.is_ready(*engine))
         });
-        let whole = |kind, entries| News {
+        let whole = |kind, entries| SubsetChange {
             kind,
             entries,
-            joined: 0,
-            left: 0,
-            lost,
+            engines_added: 0,
+            engines_removed: 0,
+            all_unavailable: lost,
         };
         match (members, before) {
             (None, None) => whole(kind, changes),
             (None, Some(_)) => whole(
                 ListUpdateKind::Full,
-                self.held.values().map(|line| line.entry.clone()).collect(),
+                self.engines
+                    .values()
+                    .map(|line| line.entry.clone())
+                    .collect(),
             ),
             (Some(members), before) => {
                 let told = self.member_entries(&members);
                 let news = difference(before.as_ref(), &told);
-                self.told = Some(told);
-                News { lost, ..news }
+                self.reported_subset = Some(told);
+                SubsetChange {
+                    all_unavailable: lost,
+                    ..news
+                }
             }
         }
     }
 
     fn member_entries(&self, members: &Members) -> BTreeMap<EngineId, EngineEntry> {
         let entry = |(engine, holders): (&EngineId, &EngineSharing)| {
-            let line = self.held.get(engine)?;
+            let line = self.engines.get(engine)?;
             Some((
                 *engine,
                 EngineEntry {
@@ -191,11 +199,11 @@
         members.iter().filter_map(entry).collect()
     }
 
-    fn take_up(&mut self, event: &EndpointListEvent) -> Step {
-        let mut step = Step::default();
+    fn apply_records(&mut self, event: &EndpointListEvent) -> RosterUpdate {
+        let mut step = RosterUpdate::default();
         let mut last = HashMap::new();
         for (i, line) in event.records.iter().enumerate() {
-            step.repeated += usize::from(last.insert(line.entry.engine, i).is_some());
+            step.duplicate_records += usize::from(last.insert(line.entry.engine, i).is_some());
         }
         if event.kind == ListUpdateKind::Full {
             // Guard: an engine that a whole list leaves out is gone for good; nothing of it stays. One that it names in
@@ -203,15 +211,20 @@
             let named =
                 |id: &EngineId| last.contains_key(id) || event.unusable_engines.contains(id);
             self.waiting.retain(|id, _| named(id));
-            step.dropped = self.held.keys().copied().filter(|id| !named(id)).collect();
-            step.cut = step.dropped.len() > self.held.len() / 2;
-            step.dropped.iter().for_each(|id| self.leave(*id));
+            step.removed = self
+                .engines
+                .keys()
+                .copied()
+                .filter(|id| !named(id))
+                .collect();
+            step.large_removal = step.removed.len() > self.engines.len() / 2;
+            step.removed.iter().for_each(|id| self.remove(*id));
             let stays = event
                 .unusable_engines
                 .iter()
                 .filter(|id| !last.contains_key(id));
-            step.lines
-                .extend(stays.filter_map(|id| self.held.get(id)).cloned());
+            step.records
+                .extend(stays.filter_map(|id| self.engines.get(id)).cloned());
         }
         // Ends first, so that what comes in the same event finds their places.
         let lines = event
@@ -225,31 +238,31 @@
         for line in gone {
             let id = line.entry.engine;
             let waited = self.waiting.remove(&id).is_some();
-            if self.held.contains_key(&id) {
-                self.leave(id);
-                step.lines.push(line.clone());
+            if self.engines.contains_key(&id) {
+                self.remove(id);
+                step.records.push(line.clone());
             } else if !waited {
-                step.unknown += 1;
+                step.unknown_removals += 1;
             }
         }
         for line in others {
             let id = line.entry.engine;
-            if !self.held.contains_key(&id) && self.held.len() >= self.places {
-                let room = self.waiting.len() < self.places || self.waiting.contains_key(&id);
+            if !self.engines.contains_key(&id) && self.engines.len() >= self.capacity {
+                let room = self.waiting.len() < self.capacity || self.waiting.contains_key(&id);
                 let waited = room && self.waiting.insert(id, line.clone()).is_some();
-                step.passed.extend((!waited).then_some(id));
+                step.without_slot.extend((!waited).then_some(id));
                 continue;
             }
             self.waiting.remove(&id);
-            self.enter(line.clone(), &mut step);
+            self.insert(line.clone(), &mut step);
         }
-        self.fill(&mut step);
+        self.fill_free_slots(&mut step);
         step
     }
 
     /// Takes up who waits, as far as there are places.
-    fn fill(&mut self, step: &mut Step) {
-        while self.held.len() < self.places && !self.waiting.is_empty() {
+    fn fill_free_slots(&mut self, step: &mut RosterUpdate) {
+        while self.engines.len() < self.capacity && !self.waiting.is_empty() {
             let ready = self
                 .waiting
                 .iter()
@@ -258,22 +271,22 @@
             let Some(line) = next.and_then(|id| self.waiting.remove(&id)) else {
                 return;
             };
-            self.enter(line, step);
+            self.insert(line, step);
         }
     }
 
     /// Guard: one address is one process, so whoever started there last has taken the place of the other. The list may
     /// tell that later; until then the earlier one takes nothing new, as its attempts would reach the newcomer, which
     /// is cold.
-    fn enter(&mut self, mut line: EngineRecord, step: &mut Step) {
+    fn insert(&mut self, mut line: EngineRecord, step: &mut RosterUpdate) {
         let (id, address) = (line.entry.engine, line.address);
-        self.leave(id);
+        self.remove(id);
         if line.entry.state == EngineState::Ready {
             let other = self
-                .at
+                .ready_at
                 .get(&address)
-                .and_then(|other| self.held.get_mut(other));
-            step.shared += usize::from(other.is_some());
+                .and_then(|other| self.engines.get_mut(other));
+            step.address_conflicts += usize::from(other.is_some());
             match other {
                 Some(other) if other.entry.started_at_ms > line.entry.started_at_ms => {
                     line.entry.state = EngineState::Draining;
@@ -281,33 +294,33 @@
                 Some(other) => {
                     if other.entry.state == EngineState::Ready {
                         other.entry.state = EngineState::Draining;
-                        step.lines.push(other.clone());
+                        step.records.push(other.clone());
                     }
-                    self.at.insert(address, id);
+                    self.ready_at.insert(address, id);
                 }
-                None => drop(self.at.insert(address, id)),
+                None => drop(self.ready_at.insert(address, id)),
             }
         }
-        self.held.insert(id, line.clone());
-        step.lines.push(line);
+        self.engines.insert(id, line.clone());
+        step.records.push(line);
     }
 
-    fn leave(&mut self, id: EngineId) {
-        let address = self.held.remove(&id).map(|line| line.address);
-        if let Some(address) = address.filter(|at| self.at.get(at) == Some(&id)) {
-            self.at.remove(&address);
+    fn remove(&mut self, id: EngineId) {
+        let address = self.engines.remove(&id).map(|line| line.address);
+        if let Some(address) = address.filter(|at| self.ready_at.get(at) == Some(&id)) {
+            self.ready_at.remove(&address);
         }
     }
 }
 
-impl Default for News {
-    fn default() -> News {
-        News {
+impl Default for SubsetChange {
+    fn default() -> SubsetChange {
+        SubsetChange {
             kind: ListUpdateKind::Delta,
             entries: Vec::new(),
-            joined: 0,
-            left: 0,
-            lost: false,
+            engines_added: 0,
+            engines_removed: 0,
+            all_unavailable: false,
         }
     }
 }
@@ -318,14 +331,14 @@
 fn difference(
     before: Option<&BTreeMap<EngineId, EngineEntry>>,
     told: &BTreeMap<EngineId, EngineEntry>,
-) -> News {
+) -> SubsetChange {
     let Some(before) = before else {
         let entries: Vec<EngineEntry> = told.values().cloned().collect();
-        return News {
+        return SubsetChange {
             kind: ListUpdateKind::Full,
-            joined: entries.len(),
+            engines_added: entries.len(),
             entries,
-            ..News::default()
+            ..SubsetChange::default()
         };
     };
     let left = before
@@ -346,12 +359,12 @@
         .iter()
         .filter(|(engine, entry)| before.get(engine) != Some(entry));
     entries.extend(changed.map(|(_, entry)| entry.clone()));
-    News {
+    SubsetChange {
         kind: ListUpdateKind::Delta,
         entries,
-        joined,
-        left,
-        lost: false,
+        engines_added: joined,
+        engines_removed: left,
+        all_unavailable: false,
     }
 }
 
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -39,7 +39,7 @@
 }
 
 fn ready(roster: &Roster, ids: impl Iterator<Item = u32>) -> usize {
-    ids.filter(|id| roster.ready(engine_id(*id))).count()
+    ids.filter(|id| roster.is_ready(engine_id(*id))).count()
 }
 
 /// A thousand engines at the start, six in ten replaced at once several times over, the old ones draining a while:
@@ -47,12 +47,12 @@
 #[test]
 fn a_large_list_and_its_releases() {
     let mut roster = Roster::new(PLACES, whole());
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(0..1024, EngineState::Ready),
     ));
     assert_eq!(
-        (step.lines.len(), step.passed.len(), roster.sizes()),
+        (step.records.len(), step.without_slot.len(), roster.sizes()),
         (1024, 0, (1024, 0))
     );
     for round in 0..20 {
@@ -62,14 +62,14 @@
         );
         let mut changes = lines(old.clone(), EngineState::Draining);
         changes.extend(lines(new.clone(), EngineState::Ready));
-        let step = roster.take(&event(ListUpdateKind::Delta, changes));
-        assert!(step.passed.is_empty() && ready(&roster, old.clone()) == 0);
+        let step = roster.apply(&event(ListUpdateKind::Delta, changes));
+        assert!(step.without_slot.is_empty() && ready(&roster, old.clone()) == 0);
         assert_eq!((ready(&roster, new), roster.sizes().0), (614, 1638));
-        roster.take(&event(
+        roster.apply(&event(
             ListUpdateKind::Delta,
             lines(old, EngineState::Removed),
         ));
-        assert_eq!((roster.sizes(), roster.entries()), ((1024, 0), 2048));
+        assert_eq!((roster.sizes(), roster.state_size()), ((1024, 0), 2048));
     }
 }
 
@@ -78,127 +78,141 @@
 #[test]
 fn past_the_bound() {
     let mut roster = Roster::new(4, whole());
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(1..7, EngineState::Ready),
     ));
     assert_eq!(
-        (step.lines.len(), step.passed),
+        (step.records.len(), step.without_slot),
         (4, vec![engine_id(5), engine_id(6)])
     );
-    assert!(!roster.ready(engine_id(5)) && roster.named(engine_id(5)));
-    let step = roster.take(&event(
+    assert!(!roster.is_ready(engine_id(5)) && roster.is_listed(engine_id(5)));
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(5..6, EngineState::Draining),
     ));
     assert_eq!(
-        (step.lines.len(), step.passed.len(), roster.sizes()),
+        (step.records.len(), step.without_slot.len(), roster.sizes()),
         (0, 0, (4, 2))
     );
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(1..2, EngineState::Removed),
     ));
-    assert_eq!(step.lines.len(), 2, "the end, and who takes the place");
-    assert!(roster.ready(engine_id(6)) && roster.sizes() == (4, 1));
-    let step = roster.take(&event(
+    assert_eq!(step.records.len(), 2, "the end, and who takes the place");
+    assert!(roster.is_ready(engine_id(6)) && roster.sizes() == (4, 1));
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(5..6, EngineState::Removed),
     ));
     assert_eq!(
-        (step.lines.len(), step.unknown, roster.sizes()),
+        (step.records.len(), step.unknown_removals, roster.sizes()),
         (0, 0, (4, 0))
     );
     // A list of ten with the same four in it: four wait, and two are beyond.
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(2..12, EngineState::Ready),
     ));
-    assert_eq!((step.passed.len(), roster.sizes()), (6, (4, 4)));
-    let step = roster.take(&event(
+    assert_eq!((step.without_slot.len(), roster.sizes()), (6, (4, 4)));
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(8..12, EngineState::Ready),
     ));
     assert_eq!(
-        (step.dropped.len(), ready(&roster, 8..12), roster.sizes()),
+        (step.removed.len(), ready(&roster, 8..12), roster.sizes()),
         (4, 4, (4, 0))
     );
-    assert_eq!(roster.entries(), 8);
+    assert_eq!(roster.state_size(), 8);
 }
 
 /// Records that make little sense each have one meaning, and are counted.
 #[test]
 fn odd_records() {
     let mut roster = Roster::new(8, whole());
-    roster.take(&event(
+    roster.apply(&event(
         ListUpdateKind::Full,
         lines(1..4, EngineState::Ready),
     ));
     // The end of an engine that nobody knows is passed on to nobody.
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(9..10, EngineState::Removed),
     ));
-    assert_eq!((step.lines.len(), step.unknown), (0, 1));
+    assert_eq!((step.records.len(), step.unknown_removals), (0, 1));
     // Twice in one event: the last one holds, also where that is its end.
     let twice = [EngineState::Ready, EngineState::Draining]
         .map(|s| lines(1..2, s))
         .concat();
-    let step = roster.take(&event(ListUpdateKind::Delta, twice));
+    let step = roster.apply(&event(ListUpdateKind::Delta, twice));
     assert_eq!(
-        (step.lines.len(), step.repeated, roster.ready(engine_id(1))),
+        (
+            step.records.len(),
+            step.duplicate_records,
+            roster.is_ready(engine_id(1))
+        ),
         (1, 1, false)
     );
     let twice = [EngineState::Ready, EngineState::Removed]
         .map(|s| lines(2..3, s))
         .concat();
     assert_eq!(
-        roster.take(&event(ListUpdateKind::Delta, twice)).repeated,
+        roster
+            .apply(&event(ListUpdateKind::Delta, twice))
+            .duplicate_records,
         1
     );
-    assert!(!roster.named(engine_id(2)));
+    assert!(!roster.is_listed(engine_id(2)));
     // Told as it is: nothing changes. Back after its end: as any other.
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(3..4, EngineState::Ready),
     ));
     assert_eq!(
-        (step.lines.len(), step.repeated, step.unknown, step.shared),
+        (
+            step.records.len(),
+            step.duplicate_records,
+            step.unknown_removals,
+            step.address_conflicts
+        ),
         (1, 0, 0, 0)
     );
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(2..3, EngineState::Ready),
     ));
-    assert!(step.lines.len() == 1 && roster.ready(engine_id(2)) && roster.entries() == 5);
+    assert!(step.records.len() == 1 && roster.is_ready(engine_id(2)) && roster.state_size() == 5);
 }
 
 /// Guard: a newcomer at the address of an engine that is not gone is the one that is reached there.
 #[test]
 fn one_address_is_one_engine() {
     let mut roster = Roster::new(8, whole());
-    roster.take(&event(
+    roster.apply(&event(
         ListUpdateKind::Full,
         vec![
             at(1, EngineState::Ready, 1, 0.0),
             at(2, EngineState::Ready, 2, 0.0),
         ],
     ));
-    roster.take(&event(
+    roster.apply(&event(
         ListUpdateKind::Delta,
         vec![at(1, EngineState::Draining, 1, 0.0)],
     ));
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         vec![at(3, EngineState::Ready, 1, 50.0)],
     ));
-    assert_eq!((step.lines.len(), roster.ready(engine_id(3))), (1, true));
-    let step = roster.take(&event(
+    assert_eq!(
+        (step.records.len(), roster.is_ready(engine_id(3))),
+        (1, true)
+    );
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         vec![at(4, EngineState::Ready, 2, 60.0)],
     ));
     let told: Vec<_> = step
-        .lines
+        .records
         .iter()
         .map(|l| (l.entry.engine, l.entry.state))
         .collect();
@@ -206,7 +220,7 @@
         (engine_id(2), EngineState::Draining),
         (engine_id(4), EngineState::Ready),
     ];
-    assert_eq!((step.shared, &told[..]), (1, &want[..]));
+    assert_eq!((step.address_conflicts, &told[..]), (1, &want[..]));
     // A whole list that still names the earlier one, in whatever order, brings it no work.
     let both = || {
         [
@@ -215,17 +229,17 @@
         ]
     };
     for order in [both().to_vec(), both().into_iter().rev().collect()] {
-        roster.take(&event(ListUpdateKind::Full, order));
-        assert!(roster.ready(engine_id(4)) && !roster.ready(engine_id(2)));
+        roster.apply(&event(ListUpdateKind::Full, order));
+        assert!(roster.is_ready(engine_id(4)) && !roster.is_ready(engine_id(2)));
     }
     // It moved: at an address of its own it takes work again.
-    roster.take(&event(
+    roster.apply(&event(
         ListUpdateKind::Delta,
         vec![at(2, EngineState::Ready, 7, 0.0)],
     ));
-    assert!(roster.ready(engine_id(2)) && roster.ready(engine_id(4)));
-    roster.take(&event(ListUpdateKind::Full, Vec::new()));
-    assert_eq!(roster.entries(), 0);
+    assert!(roster.is_ready(engine_id(2)) && roster.is_ready(engine_id(4)));
+    roster.apply(&event(ListUpdateKind::Full, Vec::new()));
+    assert_eq!(roster.state_size(), 0);
 }
 
 /// Guard: a record that cannot be used leaves its engine as it was, also in a whole list; one that leaves out most is
@@ -233,7 +247,7 @@
 #[test]
 fn records_that_cannot_be_used_and_lists_that_leave_out_most() {
     let mut roster = Roster::new(8, whole());
-    roster.take(&event(
+    roster.apply(&event(
         ListUpdateKind::Full,
         lines(1..6, EngineState::Ready),
     ));
@@ -242,20 +256,28 @@
         unusable_engines: unusable,
         ..event(ListUpdateKind::Full, lines(1..2, EngineState::Ready))
     };
-    let step = roster.take(&whole);
+    let step = roster.apply(&whole);
     assert_eq!(
-        (step.dropped.len(), step.cut, step.lines.len()),
+        (step.removed.len(), step.large_removal, step.records.len()),
         (3, true, 2)
     );
-    assert!(roster.ready(engine_id(2)) && !roster.named(engine_id(7)));
-    let step = roster.take(&event(
+    assert!(roster.is_ready(engine_id(2)) && !roster.is_listed(engine_id(7)));
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(2..3, EngineState::Ready),
     ));
-    assert_eq!((step.dropped.len(), step.cut), (1, false), "half of them");
-    let step = roster.take(&event(ListUpdateKind::Full, Vec::new()));
-    assert_eq!((step.cut, roster.sizes()), (true, (0, 0)));
-    assert!(!roster.take(&event(ListUpdateKind::Full, Vec::new())).cut);
+    assert_eq!(
+        (step.removed.len(), step.large_removal),
+        (1, false),
+        "half of them"
+    );
+    let step = roster.apply(&event(ListUpdateKind::Full, Vec::new()));
+    assert_eq!((step.large_removal, roster.sizes()), (true, (0, 0)));
+    assert!(
+        !roster
+            .apply(&event(ListUpdateKind::Full, Vec::new()))
+            .large_removal
+    );
 }
 
 /// A roster whose module hears of 16 engines at most, as one of a hundred managers.
@@ -277,7 +299,7 @@
 struct Heard(BTreeMap<EngineId, EngineEntry>);
 
 impl Heard {
-    fn take(&mut self, news: &News) {
+    fn take(&mut self, news: &SubsetChange) {
         if news.kind == ListUpdateKind::Full {
             self.0.clear();
         }
@@ -301,42 +323,44 @@
 #[test]
 fn every_listed_engine_is_known() {
     let (mut roster, mut heard) = (bounded(), Heard::default());
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(0..300, EngineState::Ready),
     ));
-    heard.take(&step.news);
+    heard.take(&step.subset_change);
     let (size, zones) = roster.subset_sizes();
     assert!((12..=18).contains(&size) && zones == 1, "{size}");
     assert_eq!(
-        (step.lines.len(), heard.0.len(), ready(&roster, 0..300)),
+        (step.records.len(), heard.0.len(), ready(&roster, 0..300)),
         (300, size, 300)
     );
     let held = heard.ready();
     let other = (0..300)
         .find(|id| !held.contains(&engine_id(*id)))
         .expect("one that is not held");
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(other..other + 1, EngineState::Draining),
     ));
-    heard.take(&step.news);
+    heard.take(&step.subset_change);
     assert_eq!(
-        (step.lines.len(), roster.ready(engine_id(other))),
+        (step.records.len(), roster.is_ready(engine_id(other))),
         (1, false)
     );
     // One that is held drains: the next in order is told with the same event, and it itself as gone.
     let drained = u32::from_be_bytes(held[0].addr);
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(drained..drained + 1, EngineState::Draining),
     ));
-    heard.take(&step.news);
+    heard.take(&step.subset_change);
     assert_eq!(
-        (step.lines.len(), step.lines[0].entry.state),
+        (step.records.len(), step.records[0].entry.state),
         (1, EngineState::Draining)
     );
-    assert!(!heard.0.contains_key(&held[0]) && !roster.ready(held[0]) && roster.named(held[0]));
+    assert!(
+        !heard.0.contains_key(&held[0]) && !roster.is_ready(held[0]) && roster.is_listed(held[0])
+    );
     assert!(heard.0.len() >= size - 1 && heard.0.values().all(|entry| entry.sharing.is_some()));
 }
 
@@ -345,31 +369,35 @@
 #[test]
 fn lists_that_pass_the_bound() {
     let (mut roster, mut heard) = (bounded(), Heard::default());
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(0..16, EngineState::Ready),
     ));
-    heard.take(&step.news);
+    heard.take(&step.subset_change);
     assert!(heard.0.len() == 16 && heard.0.values().all(|entry| entry.sharing.is_none()));
-    assert_eq!((roster.subset_sizes().0, roster.holders()), (16, None));
+    assert_eq!(
+        (roster.subset_sizes().0, roster.managers_per_engine()),
+        (16, None)
+    );
     for end in [40, 200] {
-        let step = roster.take(&event(
+        let step = roster.apply(&event(
             ListUpdateKind::Delta,
             lines(16..end, EngineState::Ready),
         ));
-        heard.take(&step.news);
+        heard.take(&step.subset_change);
         assert!((10..=18).contains(&heard.0.len()) && roster.subset_sizes().0 == heard.0.len());
         assert!(
-            heard.0.values().all(|entry| entry.sharing.is_some()) && roster.holders().is_some()
+            heard.0.values().all(|entry| entry.sharing.is_some())
+                && roster.managers_per_engine().is_some()
         );
     }
     heard.take(
         &roster
-            .take(&event(
+            .apply(&event(
                 ListUpdateKind::Delta,
                 lines(12..200, EngineState::Draining),
             ))
-            .news,
+            .subset_change,
     );
     assert_eq!(
         (heard.ready().len(), heard.0.len()),
@@ -378,11 +406,11 @@
     );
     heard.take(
         &roster
-            .take(&event(
+            .apply(&event(
                 ListUpdateKind::Delta,
                 lines(12..200, EngineState::Removed),
             ))
-            .news,
+            .subset_change,
     );
     assert!(heard.0.len() == 12 && heard.0.values().all(|entry| entry.sharing.is_none()));
 }
@@ -392,14 +420,8 @@
 #[test]
 fn subsets_of_lists_that_are_cut() {
     let (mut roster, mut heard) = (bounded(), Heard::default());
-    heard.take(
-        &roster
-            .take(&event(
-                ListUpdateKind::Full,
-                lines(0..300, EngineState::Ready),
-            ))
-            .news,
-    );
+    let complete = event(ListUpdateKind::Full, lines(0..300, EngineState::Ready));
+    heard.take(&roster.apply(&complete).subset_change);
     let held = heard.ready();
     let left = || (0..300).filter(|id| !held.contains(&engine_id(*id)));
     let gone: Vec<EngineRecord> = held
@@ -409,46 +431,44 @@
             lines(id..id + 1, EngineState::Removed)
         })
         .collect();
-    let step = roster.take(&event(ListUpdateKind::Delta, gone));
-    heard.take(&step.news);
-    assert!(step.news.lost && step.news.left == held.len());
+    let step = roster.apply(&event(ListUpdateKind::Delta, gone));
+    heard.take(&step.subset_change);
+    assert!(step.subset_change.all_unavailable && step.subset_change.engines_removed == held.len());
     assert!(
         heard.0.len() >= 10 && held.iter().all(|id| !heard.0.contains_key(id)),
         "{}",
         heard.0.len()
     );
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(left(), EngineState::Ready),
     ));
     assert!(
-        !step.news.lost && step.news.entries.is_empty(),
+        !step.subset_change.all_unavailable && step.subset_change.entries.is_empty(),
         "the same list again"
     );
     let cut: Vec<u32> = left().step_by(3).collect();
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(cut.iter().copied(), EngineState::Ready),
     ));
-    heard.take(&step.news);
+    heard.take(&step.subset_change);
     assert!(
-        step.cut
+        step.large_removal
             && heard
                 .ready()
                 .iter()
                 .all(|id| cut.contains(&u32::from_be_bytes(id.addr)))
     );
-    let step = roster.take(&event(ListUpdateKind::Full, Vec::new()));
-    heard.take(&step.news);
-    assert!(step.cut && step.news.lost && heard.0.is_empty() && roster.subset_sizes() == (0, 0));
-    heard.take(
-        &roster
-            .take(&event(
-                ListUpdateKind::Full,
-                lines(0..300, EngineState::Ready),
-            ))
-            .news,
+    let step = roster.apply(&event(ListUpdateKind::Full, Vec::new()));
+    heard.take(&step.subset_change);
+    assert!(
+        step.large_removal
+            && step.subset_change.all_unavailable
+            && heard.0.is_empty()
+            && roster.subset_sizes() == (0, 0)
     );
+    heard.take(&roster.apply(&complete).subset_change);
     assert_eq!(heard.ready(), held, "the same list, the same subset");
 }
 
@@ -458,11 +478,11 @@
     let (mut roster, mut heard) = (bounded(), Heard::default());
     heard.take(
         &roster
-            .take(&event(
+            .apply(&event(
                 ListUpdateKind::Full,
                 lines(0..300, EngineState::Ready),
             ))
-            .news,
+            .subset_change,
     );
     let before = heard.ready();
     assert!(
@@ -480,7 +500,7 @@
         })
         .expect("another ordinal");
     heard.take(&news);
-    assert!(news.joined > 0 && news.left > 0 && heard.ready() != before);
+    assert!(news.engines_added > 0 && news.engines_removed > 0 && heard.ready() != before);
     let news = roster
         .set_membership(Membership {
             instances: 60,
@@ -507,14 +527,14 @@
 #[test]
 fn given_back_while_not_held() {
     let mut roster = bounded();
-    let step = roster.take(&event(
+    let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(0..300, EngineState::Ready),
     ));
-    let (mut heard, held) = (Heard::default(), step.news.entries.clone());
-    heard.take(&step.news);
+    let (mut heard, held) = (Heard::default(), step.subset_change.entries.clone());
+    heard.take(&step.subset_change);
     for id in 0..300 {
-        roster.given_back(engine_id(id), 5000.0);
+        roster.reset_slow_start(engine_id(id), 5000.0);
     }
     let gone = held.iter().map(|entry| {
         at(
@@ -526,8 +546,8 @@
     });
     heard.take(
         &roster
-            .take(&event(ListUpdateKind::Delta, gone.collect()))
-            .news,
+            .apply(&event(ListUpdateKind::Delta, gone.collect()))
+            .subset_change,
     );
     assert!(!heard.0.is_empty() && heard.0.values().all(|entry| entry.started_at_ms == 5000.0));
     assert!(held.iter().all(|entry| entry.started_at_ms == 0.0));
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,11 +1,14 @@
 //! Tests of the core alone: engines and clients that say nothing.
 
+mod attempt_interleavings;
+mod engine_subsets;
+
 use super::*;
 use crate::attempt::AttemptEnd;
 use crate::decision::EngineEntry;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
-use crate::node_config::{EngineRecord, engine_id};
+use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass};
 
 /// Engines that take attempts and say nothing; what they are told to give up, and what the list says of them, is kept.
@@ -69,7 +72,7 @@
         estimated_memory_mb: None,
         data_set: 0,
         member: Bytes::new(),
-        front: crate::retry_policy::Front::Platform,
+        frontend: crate::retry_policy::FrontendKind::Platform,
         idempotency_key: None,
         order_key: None,
         statement: Bytes::new(),
@@ -98,11 +101,11 @@
         Arc::default(),
     )
     .expect("core");
-    core.begin(0.0);
+    core.start(0.0);
     let (mut now, mut most) = (0.0, ([0; 4], [0; 4]));
     for round in 0..3000 {
         now += 20.0;
-        core.alarms(now);
+        core.run_due_timers(now);
         let next = round / 10 + 1;
         let (kind, entries) = match round % 10 {
             0 if next % 2 == 0 => (ListUpdateKind::Full, vec![listed(next, EngineState::Ready)]),
@@ -175,17 +178,17 @@
                 },
             );
         }
-        let held = core.held();
+        let held = core.state_sizes();
         if round == 999 {
             most = held;
         }
     }
-    let end = core.held();
+    let end = core.state_sizes();
     for (end, most) in end.0.iter().chain(&end.1).zip(most.0.iter().chain(&most.1)) {
         assert!(
             *end <= most + most / 2 + 8,
             "{:?} grew from {most:?}",
-            core.held()
+            core.state_sizes()
         );
     }
     assert!(end.0[3] < 2500 && end.0[2] < 10 && end.1[3] < 10, "{end:?}");
@@ -243,7 +246,7 @@
         core.handle(0.0, CoreMessage::Request(one));
         let open = core.requests.get_mut(&1).expect("open");
         open.history = AttemptHistory::default();
-        open.history.sent(
+        open.history.record_sent(
             0,
             engine_id(1),
             SentTo {
@@ -252,17 +255,17 @@
                 at_ms: 100.0,
             },
         );
-        open.history.ended(0, true).expect("out");
+        open.history.record_end(0, true).expect("out");
         for (n, reached) in (1..=3).zip(reach) {
-            let until = core.repeat_until(700.0, 1, engine_id(n));
+            let until = core.resend_deadline(700.0, 1, engine_id(n));
             assert_eq!(until, (reached > 0).then_some(799.0), "{scope} {key} {n}");
         }
         assert_eq!(
-            core.send(800.0, 1, engine_id(1), None),
+            core.start_attempt(800.0, 1, engine_id(1), None),
             Some(Outcome::NotSent)
         );
         assert_eq!(
-            core.launch(800.0, 1, 1, engine_id(1), None),
+            core.send_attempt(800.0, 1, 1, engine_id(1), None),
             Some(Outcome::NotSent),
             "after a back-off"
         );
@@ -302,22 +305,22 @@
         core.handle(now, CoreMessage::Request(one));
     };
     ask(&mut core, 1000.0, 1, 50.0);
-    core.urgent(1000.0, PriorityMessage::ShutdownDeadline(6000.0));
+    core.handle_priority(1000.0, PriorityMessage::ShutdownDeadline(6000.0));
     ask(&mut core, 5000.0, 2, 50.0);
     assert_eq!(
-        (core.open(), core.engines.0.len()),
+        (core.open_requests(), core.engines.0.len()),
         (2, 2),
         "what comes before is begun"
     );
-    core.alarms(6000.0);
+    core.run_due_timers(6000.0);
     assert_eq!(
-        (core.open(), metrics.requests_failed.get()),
+        (core.open_requests(), metrics.requests_failed.get()),
         (0, 2),
         "what is not done is answered"
     );
     ask(&mut core, 6001.0, 3, 50.0);
     assert_eq!(
-        (core.open(), metrics.requests_rejected.get()),
+        (core.open_requests(), metrics.requests_rejected.get()),
         (0, 1),
         "and what comes then is turned away"
     );
@@ -362,13 +365,13 @@
     };
     core.handle(0.0, ask(1));
     // No engine says anything: the attempt is given up for its silence.
-    core.alarms(3001.0);
+    core.run_due_timers(3001.0);
     assert_eq!(
         (core.engines.0.len(), core.engines.1.len()),
         (1, 1),
         "nothing goes out before the proof"
     );
-    core.alarms(3100.0);
+    core.run_due_timers(3100.0);
     assert!(core.engines.1.len() > 1, "the order is given again");
     core.handle(3200.0, ask(2));
     assert_eq!(
@@ -376,11 +379,14 @@
         1,
         "the name is taken as long as its attempt may be out"
     );
-    core.alarms(4990.0);
-    assert_eq!((core.open(), metrics.cancellations_timed_out.get()), (1, 0));
-    core.alarms(5100.0);
+    core.run_due_timers(4990.0);
+    assert_eq!(
+        (core.open_requests(), metrics.cancellations_timed_out.get()),
+        (1, 0)
+    );
+    core.run_due_timers(5100.0);
     assert_eq!(
-        (core.open(), core.engines.0.len()),
+        (core.open_requests(), core.engines.0.len()),
         (0, 1),
         "it ends, and nothing follows"
     );
@@ -388,14 +394,17 @@
         (
             metrics.requests_failed.get(),
             metrics.cancellations_timed_out.get(),
-            core.held().0[0]
+            core.state_sizes().0[0]
         ),
         (2, 1, 0)
     );
     // A client that leaves is owed nothing, and its name is held until the proof.
     core.handle(6000.0, ask(3));
     core.handle(6001.0, CoreMessage::ClientDisconnected(3));
-    assert_eq!((core.open(), core.held().0[..2] == [1, 1]), (0, true));
+    assert_eq!(
+        (core.open_requests(), core.state_sizes().0[..2] == [1, 1]),
+        (0, true)
+    );
     let (engine, id, attempt) = *core.engines.1.last().expect("quit");
     let (report, news) = (
         LoadReport::default(),
@@ -411,7 +420,7 @@
             event: news,
         },
     );
-    assert_eq!(core.held().0[..2], [0, 0]);
+    assert_eq!(core.state_sizes().0[..2], [0, 0]);
 }
 
 /// Staff may take out as many engines as the list has places: of a thousand listed ones all, and each comes back.
@@ -439,7 +448,7 @@
     );
     let mut say = |n: u32, out| {
         let (done, mut said) = tokio::sync::oneshot::channel();
-        core.urgent(
+        core.handle_priority(
             1.0,
             PriorityMessage::ManualEjection {
                 engine: engine_id(n),
@@ -476,7 +485,7 @@
         metrics.clone(),
     )
     .expect("core");
-    core.begin(0.0);
+    core.start(0.0);
     let line = |n: u32, state| {
         let mut line = listed(n, state);
         line.address = ([127, 1, (n >> 8) as u8, n as u8], 5050).into();
@@ -520,9 +529,9 @@
         );
         assert_eq!(passed, (known, 0, 0), "{state:?}");
     }
-    core.alarms(1000.0);
+    core.run_due_timers(1000.0);
     assert_eq!(
-        (core.held().0[2], core.held().1[3]),
+        (core.state_sizes().0[2], core.state_sizes().1[3]),
         (0, 0),
         "in the roster and in the module"
     );
--- a/src/core/interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -2,12 +2,11 @@
 //! their turns, no engine has an attempt of a request while another one may be running, and what may run once only
 //! runs once. Connections are modelled round the real [`Life`]; the core and the module are the real ones.
 
-use super::tests::{listed, taken};
 use super::*;
 use crate::attempt::{AttemptEnd, AttemptState};
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
-use crate::node_config::{EngineRecord, engine_id};
+use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -98,7 +97,7 @@
                 });
             let conn = &mut self.conns[at].1;
             let mut life = AttemptState::default();
-            life.write(conn.push(Sent::Ask(key)));
+            life.begin_writing(conn.push(Sent::Ask(key)));
             conn.attempts.insert(key, Attempt { life, again: false });
             return;
         };
@@ -107,7 +106,7 @@
             let Some(mut attempt) = conn.attempts.remove(&key) else {
                 continue;
             };
-            let end = attempt.life.give_up(again, || {
+            let end = attempt.life.cancel(again, || {
                 attempt.again = again;
                 let mark = conn.push(Sent::Quit(key));
                 if again {
@@ -133,7 +132,7 @@
         let left = conn
             .attempts
             .iter_mut()
-            .filter_map(|(key, a)| a.life.left(written).map(|end| (*key, end)));
+            .filter_map(|(key, a)| a.life.wrote(written).map(|end| (*key, end)));
         for (key, end) in left.collect::<Vec<_>>() {
             self.ends(at, key, AttemptEvent::Cancelled(end));
         }
@@ -184,9 +183,12 @@
         let Some(attempt) = conn.attempts.get_mut(&key) else {
             return;
         };
-        let given_up = attempt.life.giving_up();
+        let given_up = attempt.life.is_cancelling();
         let told = match said {
-            None => attempt.life.confirmed().map(AttemptEvent::Cancelled),
+            None => attempt
+                .life
+                .cancellation_confirmed()
+                .map(AttemptEvent::Cancelled),
             Some(outcome) => {
                 let end = attempt.life.answered(!never_ran(outcome));
                 let body = (outcome == Outcome::Ok)
@@ -213,8 +215,8 @@
     fn close(&mut self, at: usize) {
         let (engine, mut conn) = self.conns.remove(at);
         for (key, mut attempt) in std::mem::take(&mut conn.attempts) {
-            let given_up = attempt.life.giving_up();
-            let end = attempt.life.closed(conn.written);
+            let given_up = attempt.life.is_cancelling();
+            let end = attempt.life.connection_closed(conn.written);
             let outcome = if end == AttemptEnd::NeverSent {
                 Outcome::NoConnection
             } else {
@@ -300,7 +302,7 @@
     let mut core =
         Core::new(parsed.settings, 7, port.clone(), limits, metrics.clone()).expect("core");
     let (mut now, mut next) = (1000.0, 1);
-    core.begin(now);
+    core.start(now);
     (1..=ENGINES).for_each(|n| ready(&mut core, now, n, EngineState::Ready));
     let mut left = 0;
     for (what, pick) in steps.iter().copied() {
@@ -325,7 +327,7 @@
             }
             2 if pick % 4 == 0 => {
                 now += [20.0, 60.0, 300.0, 900.0][pick / 8 % 4];
-                core.alarms(now);
+                core.run_due_timers(now);
             }
             5 if pick % 4 == 0 => ready(
                 &mut core,
@@ -337,7 +339,7 @@
             19 if pick % 16 == 0 => {
                 let (done, _) = tokio::sync::oneshot::channel();
                 let (engine, out) = (engine_id(1 + pick as u32 / 64 % ENGINES), pick & 16 == 0);
-                core.urgent(
+                core.handle_priority(
                     now,
                     PriorityMessage::ManualEjection {
                         engine,
@@ -397,11 +399,11 @@
     // In the end each has its answer, though nothing is proven any more.
     for _ in 0..400 {
         now += 50.0;
-        core.alarms(now);
+        core.run_due_timers(now);
     }
     let answered = told.0.lock().unwrap_or_else(PoisonError::into_inner).len();
     assert!(
-        answered + left >= next as usize - 1 && core.held().0[0] == 0,
+        answered + left >= next as usize - 1 && core.state_sizes().0[0] == 0,
         "{answered} and {left} of {next}"
     );
 }
--- a/src/core/subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -1,12 +1,11 @@
 //! Tests of engine subsets in the core: what changes of them leave alone, what the counters show, and the budget of cold
 //! engines over a whole fleet of decision modules whose lists differ.
 
-use super::tests::{Nobody, listed, taken};
 use super::*;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
 use crate::metrics::Gauge;
-use crate::node_config::{EngineRecord, engine_id};
+use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass, PlatformSettings};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -74,7 +73,7 @@
             metrics.clone(),
         );
         let mut core = made.expect("settings that were parsed");
-        core.begin(0.0);
+        core.start(0.0);
         Manager {
             core,
             asked,
@@ -149,7 +148,7 @@
     for _ in 0..60 {
         out.extend(manager.request(10.0, 50.0));
     }
-    let held = manager.core.held().1[3];
+    let held = manager.core.state_sizes().1[3];
     assert!(
         out.len() > 30 && (24..=36).contains(&held),
         "{} sent to {held}",
@@ -164,13 +163,13 @@
             policy: Arc::default(),
         },
     );
-    manager.core.alarms(100.0);
+    manager.core.run_due_timers(100.0);
     assert!(
         manager.metrics.subset_engines_removed.get() > 20
             && manager.metrics.subset_membership_changes.get() == 1
     );
     assert!(
-        manager.core.held().1[3] > held,
+        manager.core.state_sizes().1[3] > held,
         "those that still run something, and the new ones"
     );
     let before: Vec<EngineId> = out.iter().map(|(engine, ..)| *engine).collect();
@@ -181,12 +180,12 @@
     }
     let all = out.len() as u64;
     out.into_iter().for_each(|one| manager.served(200.0, one));
-    manager.core.alarms(300.0);
+    manager.core.run_due_timers(300.0);
     assert_eq!(manager.metrics.requests_served.get(), all);
     assert!(
-        (24..=36).contains(&manager.core.held().1[3]),
+        (24..=36).contains(&manager.core.state_sizes().1[3]),
         "{}",
-        manager.core.held().1[3]
+        manager.core.state_sizes().1[3]
     );
 }
 
@@ -257,7 +256,7 @@
             if (heard_at..heard_at + 50.0).contains(&now) {
                 manager.list(now, ListUpdateKind::Delta, changes.clone());
             }
-            manager.core.alarms(now);
+            manager.core.run_due_timers(now);
             let mut out = Vec::new();
             for _ in 0..5 {
                 out.extend(manager.request(now, WORK_MS));
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -110,7 +110,7 @@
             continue; // told already, over an earlier connection
         }
         let number = event.number;
-        core.tell(CoreMessage::EndpointList(event)).await;
+        core.send(CoreMessage::EndpointList(event)).await;
         *last = number; // only now: where this was dropped before, the event is asked for again
         metrics.feed_events.increment();
         // A whole list is much larger than a change, and comes once.
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -79,7 +79,7 @@
             .await
             .expect("both");
         for (number, entries) in [(1, 1024), (2, 614), (3, 614)] {
-            let Some(CoreMessage::EndpointList(event)) = inputs.input().await else {
+            let Some(CoreMessage::EndpointList(event)) = inputs.next_message().await else {
                 panic!("no event")
             };
             assert_eq!((event.number, event.records.len()), (number, entries));
--- a/src/engines/context.rs
+++ b/src/engines/context.rs
@@ -48,7 +48,7 @@
         news: AttemptEvent,
     ) {
         self.core
-            .tell(CoreMessage::Attempt {
+            .send(CoreMessage::Attempt {
                 engine,
                 id,
                 attempt,
--- a/src/engines/flight/mod.rs
+++ b/src/engines/flight/mod.rs
@@ -192,7 +192,7 @@
     let again = quit.unwrap_or(false);
     let end = match wire.get() {
         None => AttemptState::default()
-            .give_up(again, || 0)
+            .cancel(again, || 0)
             .unwrap_or(AttemptEnd::NeverSent),
         Some(wire) => prove_on(&link, wire.clone(), again).await,
     };
@@ -212,10 +212,10 @@
     let mut life = AttemptState::default();
     let mark = wire.mark();
     // When the attempt itself was sent is not known: it may have been, from the moment that it had a connection.
-    life.write(0);
-    life.give_up(again, || mark);
+    life.begin_writing(0);
+    life.cancel(again, || mark);
     let mut end = match timeout(limits.cancellation_write_timeout, wire.left(mark)).await {
-        Ok(true) => life.left(mark),
+        Ok(true) => life.wrote(mark),
         _ => None,
     };
     if end.is_none()
@@ -225,14 +225,14 @@
             Ok(true)
         )
     {
-        end = life.confirmed();
+        end = life.cancellation_confirmed();
     }
     if end.is_none() && !wire.closed() {
         link.context.metrics.cancellations_unconfirmed.increment();
         wire.cut();
         let _ = wire.left(u64::MAX).await;
     }
-    end.unwrap_or_else(|| life.closed(0))
+    end.unwrap_or_else(|| life.connection_closed(0))
 }
 
 struct Link {
--- a/src/engines/lines/answers.rs
+++ b/src/engines/lines/answers.rs
@@ -91,7 +91,7 @@
             return Ok(());
         };
         // Of one that is being given up the engine has let its pages go; what fits the answer is a result.
-        if !attempt.life.tell() && all > 1 {
+        if !attempt.life.begin_result() && all > 1 {
             return self
                 .over(
                     &reply.name,
@@ -197,7 +197,7 @@
         let Some(attempt) = self.attempts.get_mut(name) else {
             return Ok(());
         };
-        let given_up = attempt.life.giving_up();
+        let given_up = attempt.life.is_cancelling();
         let end = attempt.life.answered(!never_ran(outcome));
         let told = if given_up {
             AttemptEvent::Cancelled(end)
--- a/src/engines/lines/connection.rs
+++ b/src/engines/lines/connection.rs
@@ -227,8 +227,8 @@
     fn end_attempts(&mut self) {
         let written = self.out.written();
         for (_, mut attempt) in std::mem::take(&mut self.attempts) {
-            let given_up = attempt.life.giving_up();
-            let told = match attempt.life.closed(written) {
+            let given_up = attempt.life.is_cancelling();
+            let told = match attempt.life.connection_closed(written) {
                 end if given_up => AttemptEvent::Cancelled(end),
                 // An attempt that was not written whole provably never ran; any other may have.
                 AttemptEnd::NeverSent => AttemptEvent::end(Outcome::NoConnection),
@@ -407,7 +407,7 @@
             let end = self
                 .attempts
                 .get_mut(&cancellation.name)
-                .and_then(|a| a.life.confirmed());
+                .and_then(|a| a.life.cancellation_confirmed());
             end.into_iter()
                 .for_each(|end| self.given_up(&cancellation.name, end));
         }
@@ -421,7 +421,7 @@
             let end = self
                 .attempts
                 .get_mut(&cancellation.name)
-                .and_then(|a| a.life.left(written));
+                .and_then(|a| a.life.wrote(written));
             match end {
                 Some(end) => self.given_up(&cancellation.name, end),
                 None if cancellation.tag.is_some() => unconfirmed.push_back(cancellation),
@@ -432,7 +432,7 @@
         self.cancellations = unconfirmed;
         if let Some((_, name)) = self.unwritten.take_if(|(whole, _)| *whole <= written) {
             self.context.metrics.attempts_written.increment();
-            self.attempts.get_mut(&name).map(|a| a.life.left(written));
+            self.attempts.get_mut(&name).map(|a| a.life.wrote(written));
         }
     }
 
@@ -465,7 +465,7 @@
             let whole = self.out.push(&b"\r\n"[..]);
             self.unwritten = Some((whole, ask.client_reference.clone()));
             let mut life = AttemptState::default();
-            life.write(whole);
+            life.begin_writing(whole);
             self.attempts.insert(
                 ask.client_reference.clone(),
                 Attempt {
@@ -531,9 +531,9 @@
             return;
         };
         // A query that has ended holds pages, one that has not runs on: each has its own message.
-        let verb = if at.life.told() { "FREE" } else { "QUIT" };
+        let verb = if at.life.has_result() { "FREE" } else { "QUIT" };
         let (limits, out) = (&self.context.limits, &mut self.out);
-        let end = at.life.give_up(again, || {
+        let end = at.life.cancel(again, || {
             let mark = line(out, verb, &name, None);
             let tag = again.then(|| {
                 self.tags += 1;
@@ -569,7 +569,7 @@
         else {
             return;
         };
-        let end = AttemptState::default().give_up(again, || 0);
+        let end = AttemptState::default().cancel(again, || 0);
         if let (Some(end), Some(ask)) = (end, self.waiting.remove(i)) {
             self.end(ask, AttemptEvent::Cancelled(end));
         }
--- a/src/engines/many.rs
+++ b/src/engines/many.rs
@@ -6,7 +6,7 @@
 use crate::core::tests::taken;
 use crate::core::{
     AcceptedRequest, Answer, AttemptEvent, ClientPort, Clock, Core, CoreMessage, EnginePort,
-    Handle, Inputs, start,
+    Handle, Mailbox, run,
 };
 use crate::decision::{EngineEntry, EngineState, ListUpdateKind, Outcome, RequestId};
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
@@ -68,7 +68,7 @@
 struct Rig {
     fleet: Fleet,
     context: EngineContext,
-    news: Inputs,
+    news: Mailbox,
     most: u64,
 }
 
@@ -99,7 +99,7 @@
     }
 
     async fn end(&mut self) -> (RequestId, Outcome) {
-        let input = timeout(Duration::from_secs(20), self.news.input())
+        let input = timeout(Duration::from_secs(20), self.news.next_message())
             .await
             .expect("an end");
         assert!(
@@ -181,10 +181,10 @@
         let (limits, metrics) = (context.limits.clone(), context.metrics.clone());
         let core =
             Core::new(settings, 7, Fleet::new(context), limits, metrics.clone()).expect("core");
-        tokio::spawn(start(core, inputs, Clock::new()));
+        tokio::spawn(run(core, inputs, Clock::new()));
         let entries = engines(200, None).await;
         handle
-            .tell(CoreMessage::EndpointList(EndpointListEvent {
+            .send(CoreMessage::EndpointList(EndpointListEvent {
                 number: 1,
                 kind: ListUpdateKind::Full,
                 records: entries,
@@ -199,7 +199,7 @@
                 let one = taken(id, &class, handle.now() + 15_000.0, 50.0, client.clone());
                 let name = Bytes::from(format!("{id:016x}"));
                 handle
-                    .tell(CoreMessage::Request(AcceptedRequest {
+                    .send(CoreMessage::Request(AcceptedRequest {
                         client_reference: name,
                         data_set: id,
                         ..one
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -7,7 +7,7 @@
 use crate::core::tests::taken;
 use crate::core::{
     Answer, AttemptEvent, AttemptRequest, CancellationFlag, ClientPort, Clock, Core, CoreMessage,
-    EnginePort, Handle, Inputs, StatementKind,
+    EnginePort, Handle, Mailbox, StatementKind,
 };
 use crate::decision::{EngineEntry, EngineId, EngineState, ListUpdateKind, Outcome, RequestId};
 use crate::limits::Limits;
@@ -28,7 +28,7 @@
 pub(super) struct Rig {
     pub(super) listener: TcpListener,
     orders: mpsc::Sender<Order>,
-    news: Inputs,
+    news: Mailbox,
     pub(super) context: EngineContext,
     pub(super) admission: Arc<Admission>,
 }
@@ -73,7 +73,7 @@
 
     /// The next end, with its attempt.
     pub(super) async fn end(&mut self) -> (u32, AttemptEvent) {
-        match timeout(Duration::from_secs(20), self.news.input())
+        match timeout(Duration::from_secs(20), self.news.next_message())
             .await
             .expect("an end")
         {
@@ -89,7 +89,9 @@
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        timeout(Duration::ZERO, self.news.input()).await.is_err()
+        timeout(Duration::ZERO, self.news.next_message())
+            .await
+            .is_err()
     }
 }
 
@@ -153,7 +155,7 @@
             (1..context.limits.mailbox_messages)
                 .for_each(|_| fleet.set_priority(engine_id(1), 9, 0, 2));
             fleet.engine_listed(&at(last));
-            let told = timeout(Duration::from_secs(20), news.input())
+            let told = timeout(Duration::from_secs(20), news.next_message())
                 .await
                 .expect("an end");
             let Some(CoreMessage::Attempt {
@@ -213,7 +215,7 @@
             peer.read_u8().await.is_ok()
         };
         let told = async {
-            match timeout(Duration::from_secs(20), news.input())
+            match timeout(Duration::from_secs(20), news.next_message())
                 .await
                 .expect("an end")
             {
--- a/src/hot_restart.rs
+++ b/src/hot_restart.rs
@@ -255,7 +255,7 @@
             // The old one stops accepting as soon as the successor is ready, and what it does with a cold engine
             // falls off from then on; the successor has nearly all that comes.
             let part = if self.succeeds { 4.0 / 3.0 } else { 4.0 };
-            core.beside(if both { part } else { 1.0 }).await;
+            core.set_peer_processes(if both { part } else { 1.0 }).await;
             eprintln!(
                 "workload-manager: another process of this workload manager {}",
                 if both { "lives" } else { "has gone" }
@@ -264,9 +264,10 @@
         for (engine, mark) in self.news(core.now()) {
             // One given back lately has to be out before it can come back, and is cold from then on.
             if !mark.out {
-                core.ban(engine, true, mark.at, true).await;
+                core.set_manual_ejection(engine, true, mark.at, true).await;
             }
-            core.ban(engine, mark.out, mark.at, true).await;
+            core.set_manual_ejection(engine, mark.out, mark.at, true)
+                .await;
         }
     }
 }
--- a/src/hot_restart/order_locks.rs
+++ b/src/hot_restart/order_locks.rs
@@ -7,7 +7,7 @@
 //! was unlocked by a process that lives. A place's byte tells, once its process has gone, whether that held a key at its
 //! end.
 
-use crate::core::{OrderKey, OrderLocks, Places};
+use crate::core::{OrderKey, OrderLocks, PeerProcesses};
 use crate::metrics::Metrics;
 use nix::errno::Errno;
 use nix::fcntl::{FcntlArg, fcntl};
@@ -20,7 +20,7 @@
 
 /// Places for processes: two live in an upgrade. Each begins at the one of its id, so that a place is hardly taken again
 /// before its end was noticed.
-const PLACES: i64 = Places::BITS as i64;
+const PLACES: i64 = PeerProcesses::BITS as i64;
 
 /// What a place's byte says: nobody had it yet, its process may hold keys, or it ended without any.
 const UNUSED: u8 = 0;
@@ -34,7 +34,7 @@
     held: usize,
     /// Places whose processes were gone before this one started, and had ended with keys. They are marked clean at this
     /// one's end, when every other process that lives has long noticed.
-    left_behind: Places,
+    left_behind: PeerProcesses,
     metrics: Arc<Metrics>,
 }
 
@@ -58,7 +58,7 @@
                     metrics,
                 };
                 // What the place's former process left is this one's to take note of.
-                let free = !locks.others();
+                let free = !locks.live_peers();
                 locks.left_behind = locks.unclean(free);
                 locks.file.write_all_at(&[AT_WORK], place as u64)?;
                 return Ok(locks);
@@ -71,7 +71,7 @@
     }
 
     /// Those of these places whose last process may have held a key at its end.
-    fn unclean(&self, places: Places) -> Places {
+    fn unclean(&self, places: PeerProcesses) -> PeerProcesses {
         let mut bytes = [0; PLACES as usize];
         let read = self.file.read_at(&mut bytes, 0).unwrap_or_default();
         let unclean = |place: usize| {
@@ -84,7 +84,7 @@
     }
 
     /// Adds to `found` the places from `first` up to `end` that other processes hold.
-    fn add_others(&self, first: i64, end: i64, found: &mut Places) {
+    fn add_others(&self, first: i64, end: i64, found: &mut PeerProcesses) {
         if first >= end {
             return;
         }
@@ -120,17 +120,17 @@
         }
     }
 
-    fn others(&mut self) -> Places {
+    fn live_peers(&mut self) -> PeerProcesses {
         let mut found = 0;
         self.add_others(0, PLACES, &mut found);
         found
     }
 
-    fn held_at_end(&mut self, gone: Places) -> bool {
+    fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool {
         self.unclean(gone) != 0
     }
 
-    fn left_behind(&self) -> bool {
+    fn may_be_left_behind(&self) -> bool {
         self.left_behind != 0
     }
 }
--- a/src/hot_restart/order_locks/tests.rs
+++ b/src/hot_restart/order_locks/tests.rs
@@ -51,21 +51,24 @@
 fn processes_see_each_other_and_how_one_ended() {
     let path = file("ends");
     let mut old = open(&path);
-    assert_eq!(old.others(), 0);
+    assert_eq!(old.live_peers(), 0);
     let (mut new, mut third) = (open(&path), open(&path));
     let places = [1 << old.place, 1 << new.place, 1 << third.place];
-    assert_eq!(old.others(), places[1] | places[2]);
-    assert_eq!(third.others(), places[0] | places[1]);
+    assert_eq!(old.live_peers(), places[1] | places[2]);
+    assert_eq!(third.live_peers(), places[0] | places[1]);
     assert!(old.try_lock(key(1)) && old.try_lock(key(2)));
     old.unlock(key(1));
     drop(old);
-    assert_eq!(third.others(), places[1]);
-    assert!(third.held_at_end(places[0]), "it held a key");
+    assert_eq!(third.live_peers(), places[1]);
+    assert!(third.may_have_held_at_exit(places[0]), "it held a key");
     assert!(new.try_lock(key(2)), "which is free");
     new.unlock(key(2));
     drop(new);
-    assert_eq!(third.others(), 0);
-    assert!(!third.held_at_end(places[1]) && third.held_at_end(places[0] | places[1]));
+    assert_eq!(third.live_peers(), 0);
+    assert!(
+        !third.may_have_held_at_exit(places[1])
+            && third.may_have_held_at_exit(places[0] | places[1])
+    );
     let _ = fs::remove_file(&path);
 }
 
@@ -74,14 +77,14 @@
 fn a_kill_before_the_start_is_noticed() {
     let path = file("kill");
     let mut first = open(&path);
-    assert!(!first.left_behind() && first.try_lock(key(1)));
+    assert!(!first.may_be_left_behind() && first.try_lock(key(1)));
     let beside = open(&path);
-    assert!(!beside.left_behind(), "the first one lives");
+    assert!(!beside.may_be_left_behind(), "the first one lives");
     drop(first);
     let second = open(&path);
-    assert!(second.left_behind());
+    assert!(second.may_be_left_behind());
     drop((beside, second));
-    assert!(!open(&path).left_behind());
+    assert!(!open(&path).may_be_left_behind());
     let _ = fs::remove_file(&path);
 }
 
@@ -94,7 +97,11 @@
     let nobodys = (0..PLACES)
         .find(|place| *place != locks.place)
         .expect("a place");
-    assert!(locks.others() == 0 && locks.held_at_end(1 << nobodys) && locks.left_behind());
+    assert!(
+        locks.live_peers() == 0
+            && locks.may_have_held_at_exit(1 << nobodys)
+            && locks.may_be_left_behind()
+    );
     assert!(locks.try_lock(key(1)));
     let _ = fs::remove_file(&path);
 }
@@ -104,6 +111,6 @@
     let path = file("places");
     let mut all: Vec<OrderLockFile> = (0..PLACES).map(|_| open(&path)).collect();
     assert!(OrderLockFile::open(&path, Arc::default()).is_err());
-    assert_eq!(all[0].others().count_ones(), Places::BITS - 1);
+    assert_eq!(all[0].live_peers().count_ones(), PeerProcesses::BITS - 1);
     let _ = fs::remove_file(&path);
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::{self, OperationsServer};
 use crate::clients::{Frontend, flight, msgpack_rpc};
-use crate::core::{Clock, Core, CoreMessage, Handle, OrderLocks, start};
+use crate::core::{Clock, Core, CoreMessage, Handle, OrderLocks, run};
 use crate::discovery;
 use crate::engines::{EngineContext, Fleet};
 use crate::hot_restart::{self, StateWriter, Store};
@@ -107,11 +107,11 @@
         if path.as_ref().is_some_and(|p| p.exists()) {
             metrics.operator_config_loads.increment();
         }
-        tokio::spawn(start(made, inputs, clock));
+        tokio::spawn(run(made, inputs, clock));
         let mut last = config.last_known_event;
         for event in config.events {
             last = last.max(event.number);
-            core.tell(CoreMessage::EndpointList(event)).await;
+            core.send(CoreMessage::EndpointList(event)).await;
         }
         let (feed, address) = watch::channel(config.feed);
         let (spoken, mut heard) = watch::channel(false);
@@ -266,7 +266,7 @@
         new: &PlatformSettings,
         policy: Arc<Policy>,
     ) {
-        let Some(place) = self.core.place().await else {
+        let Some(place) = self.core.reserve().await else {
             return;
         };
         let settings = (*old != *new).then(|| Box::new(new.settings.clone()));
@@ -317,7 +317,7 @@
             .fold(0.0, f64::max);
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
         self.core
-            .ends(self.core.now() + longest.min(millis(most)) + millis(spare))
+            .set_shutdown_deadline(self.core.now() + longest.min(millis(most)) + millis(spare))
             .await;
         let late = Instant::now()
             + if handed {
--- a/src/operator_config/check.rs
+++ b/src/operator_config/check.rs
@@ -6,8 +6,8 @@
 use super::text::{FileText, TableText};
 use crate::decision::{Idempotency, Millis};
 use crate::retry_policy::{
-    AttemptPolicy, Backoff, Budget, Front, HedgingDelay, HedgingPolicy, Match, OutcomeSet, Policy,
-    RETRYABLE_OUTCOMES, Route, RouteFault,
+    AttemptPolicy, Backoff, Budget, FrontendKind, HedgingDelay, HedgingPolicy, OutcomeSet, Policy,
+    RETRYABLE_OUTCOMES, Route, RouteError, RouteMatch,
 };
 use crate::settings_json::PlatformSettings;
 use std::collections::{BTreeSet, HashSet};
@@ -128,7 +128,7 @@
     )
 }
 
-const FRONTS: [(&str, Front); 2] = [("platform", Front::Platform), ("flight", Front::Flight)];
+const FRONTS: [(&str, FrontendKind); 2] = FrontendKind::NAMES;
 
 /// Faults that the file shows without the platform's settings.
 #[expect(clippy::too_many_lines, reason = "not split yet")]
@@ -313,7 +313,7 @@
     let mut by_class: Vec<AttemptPolicy> = Vec::new();
     for class in &known.classes {
         let mut held = if class.once {
-            default.for_once()
+            default.for_non_idempotent()
         } else {
             default.clone()
         };
@@ -331,7 +331,7 @@
         routes.push(Route {
             name: table.text.name.clone().unwrap_or_default(),
             matches,
-            keys: keys(table.text),
+            policy: keys(table.text),
         });
     }
     for table in all.iter().filter(|t| t.kind != Kind::Route) {
@@ -347,8 +347,8 @@
         for (at, class) in known.classes.iter().enumerate() {
             if route.matches.class.as_ref().is_none_or(|c| c.contains(&at)) {
                 let mut held = by_class[at].clone();
-                held.override_with(&route.keys);
-                against(table, &route.keys, &held, class, known, &mut faults);
+                held.override_with(&route.policy);
+                against(table, &route.policy, &held, class, known, &mut faults);
             }
         }
     }
@@ -371,9 +371,9 @@
 }
 
 /// What a route matches, by positions; unknown names are faults.
-fn matches(table: &Table<'_>, known: &Known, faults: &mut Faults<'_>) -> Match {
+fn matches(table: &Table<'_>, known: &Known, faults: &mut Faults<'_>) -> RouteMatch {
     let Some(m) = &table.text.matches else {
-        return Match::default();
+        return RouteMatch::default();
     };
     let mut by_name = |key: &str, names: &Option<Vec<String>>, among: Vec<&str>| {
         names.as_ref().map(|names| {
@@ -419,10 +419,10 @@
         .data_set
         .as_ref()
         .map(|sets| sets.iter().copied().collect());
-    Match {
+    RouteMatch {
         class,
         member,
-        front,
+        frontend: front,
         data_set,
     }
 }
@@ -463,7 +463,7 @@
         );
     }
     if let Some(ends) = own.retry_on.filter(|_| class.once && narrow) {
-        let ran: Vec<&str> = ends.that_may_have_run().collect();
+        let ran: Vec<&str> = ends.names_that_may_have_run().collect();
         if !ran.is_empty() {
             let what = format!(
                 "class {name} may run once only, and after {} it may have run",
@@ -539,7 +539,7 @@
 }
 
 /// A fault between routes, with the line of the route that it names last.
-fn route_fault(fault: RouteFault, all: &[Table<'_>], faults: &mut Faults<'_>) {
+fn route_fault(fault: RouteError, all: &[Table<'_>], faults: &mut Faults<'_>) {
     let path_of = |name: &str| {
         all.iter()
             .find(|t| t.kind == Kind::Route && t.text.name.as_deref() == Some(name))
@@ -547,11 +547,11 @@
     };
     let what = fault.to_string();
     let (path, mend) = match &fault {
-        RouteFault::Empty(name) => (path_of(name), "name what it is to match"),
-        RouteFault::Disagree(_, b, _) => {
+        RouteError::Empty(name) => (path_of(name), "name what it is to match"),
+        RouteError::Disagree(_, b, _) => {
             (path_of(b), "let one route lie within the other, or agree")
         }
-        RouteFault::TooMany(_) => (None, "leave some values out"),
+        RouteError::TooMany(_) => (None, "leave some values out"),
     };
     let what = what.split("; ").next().unwrap_or(&what).to_owned();
     faults.at(
--- a/src/operator_config/tests.rs
+++ b/src/operator_config/tests.rs
@@ -3,7 +3,7 @@
 use super::check::KnownClass;
 use super::*;
 use crate::decision::Outcome;
-use crate::retry_policy::{Front, OutcomeSet, RequestAttributes};
+use crate::retry_policy::{FrontendKind, OutcomeSet, RequestAttributes};
 
 fn known(parallel_tries: bool) -> Known {
     let class = |name: &str, once| KnownClass {
@@ -45,7 +45,7 @@
 const AT: RequestAttributes = RequestAttributes {
     class: 1,
     member: 0,
-    front: Front::Flight,
+    frontend: FrontendKind::Flight,
     data_set: 17,
 };
 
@@ -69,7 +69,7 @@
         (Some(4000.0), Some(2), Some(9000.0))
     );
     let elsewhere = policy.resolve(&RequestAttributes {
-        front: Front::Platform,
+        frontend: FrontendKind::Platform,
         ..AT
     });
     assert_eq!(elsewhere.max_attempts, Some(3));
--- a/src/retry_policy/budget.rs
+++ b/src/retry_policy/budget.rs
@@ -16,7 +16,7 @@
     /// The window, in ms.
     pub window_ms: Millis,
     /// Shared by the requests of one table; the core's one thread alone takes it.
-    spent: Mutex<BudgetUsage>,
+    usage: Mutex<BudgetUsage>,
 }
 
 impl PartialEq for Budget {
@@ -34,22 +34,22 @@
             ratio,
             min_per_s,
             window_ms,
-            spent: Mutex::default(),
+            usage: Mutex::default(),
         }
     }
 
     /// A first attempt goes out.
-    pub fn first(&self, now: Millis) {
-        self.with(|spent, budget| spent.first(budget, now));
+    pub fn record_first_attempt(&self, now: Millis) {
+        self.with(|spent, budget| spent.record_first_attempt(budget, now));
     }
 
     /// A further attempt would go out: whether it may, which counts it.
-    pub fn take(&self, now: Millis) -> bool {
-        self.with(|spent, budget| spent.take(budget, now))
+    pub fn try_take(&self, now: Millis) -> bool {
+        self.with(|spent, budget| spent.try_take(budget, now))
     }
 
     /// Takes over what an earlier budget of the same table and figures has spent, so that a reload saves nothing up.
-    pub fn carry(&self, earlier: &Budget) {
+    pub fn carry_over(&self, earlier: &Budget) {
         if self == earlier {
             let spent = earlier.with(|spent, _| spent.clone());
             self.with(|mine, _| *mine = spent);
@@ -59,7 +59,7 @@
     fn with<T>(&self, what: impl FnOnce(&mut BudgetUsage, &Budget) -> T) -> T {
         // Guard: a panic elsewhere while it was held leaves counts that are still counts.
         let mut spent = self
-            .spent
+            .usage
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         what(&mut spent, self)
@@ -76,13 +76,13 @@
 
 impl BudgetUsage {
     /// A first attempt goes out.
-    pub fn first(&mut self, budget: &Budget, now: Millis) {
+    pub fn record_first_attempt(&mut self, budget: &Budget, now: Millis) {
         self.slide(budget, now);
         self.slots[SLOTS - 1].0 += 1;
     }
 
     /// A further attempt would go out: whether it may, which counts it.
-    pub fn take(&mut self, budget: &Budget, now: Millis) -> bool {
+    pub fn try_take(&mut self, budget: &Budget, now: Millis) -> bool {
         self.slide(budget, now);
         let (first, further) = self
             .slots
--- a/src/retry_policy/keys.rs
+++ b/src/retry_policy/keys.rs
@@ -35,15 +35,15 @@
     }
 
     /// Whether it has this end.
-    pub fn has(self, end: Outcome) -> bool {
+    pub fn contains(self, end: Outcome) -> bool {
         self.0 & OutcomeSet::bit(end) != 0
     }
 
     /// Those among them after which the attempt may have run.
-    pub fn that_may_have_run(self) -> impl Iterator<Item = &'static str> {
+    pub fn names_that_may_have_run(self) -> impl Iterator<Item = &'static str> {
         RETRYABLE_OUTCOMES
             .iter()
-            .filter(move |(_, end)| self.has(*end) && !never_ran(*end))
+            .filter(move |(_, end)| self.contains(*end) && !never_ran(*end))
             .map(|(name, _)| *name)
     }
 
@@ -142,23 +142,23 @@
     }
 
     /// The names of the keys that both set, and to different values.
-    pub fn disagree(&self, other: &AttemptPolicy) -> Vec<&'static str> {
+    pub fn conflicting_keys(&self, other: &AttemptPolicy) -> Vec<&'static str> {
         let differ = |((key, a), (_, b)): (Shown, Shown)| {
             matches!((a, b), (Some(a), Some(b)) if a != b).then_some(key)
         };
-        self.shown()
+        self.key_values()
             .into_iter()
-            .zip(other.shown())
+            .zip(other.key_values())
             .filter_map(differ)
             .collect()
     }
 
     /// Each key with its value as the file writes it, none where this table leaves it out.
-    pub fn shown(&self) -> [Shown; 7] {
+    pub fn key_values(&self) -> [Shown; 7] {
         let ends = |ends: &OutcomeSet| {
             let names: Vec<String> = RETRYABLE_OUTCOMES
                 .iter()
-                .filter(|(_, e)| ends.has(*e))
+                .filter(|(_, e)| ends.contains(*e))
                 .map(|(n, _)| format!("{n:?}"))
                 .collect();
             format!("[{}]", names.join(", "))
@@ -204,7 +204,7 @@
     /// Whether another attempt may follow this end after so many, budget aside.
     pub fn allows_retry_after(&self, made: u16, end: Outcome) -> bool {
         self.max_attempts.is_none_or(|most| u32::from(made) < most)
-            && self.retry_on.is_none_or(|ends| ends.has(end))
+            && self.retry_on.is_none_or(|ends| ends.contains(end))
     }
 }
 
@@ -232,7 +232,11 @@
         if !self.allows_retry_after(made, end) {
             return RetryDecision::NotRetryable;
         }
-        if self.budget.as_ref().is_some_and(|budget| !budget.take(now)) {
+        if self
+            .budget
+            .as_ref()
+            .is_some_and(|budget| !budget.try_take(now))
+        {
             return RetryDecision::BudgetExhausted;
         }
         RetryDecision::RetryAfter(self.backoff.map_or(0.0, |wait| wait.wait_ms(made, chance)))
--- a/src/retry_policy/latency.rs
+++ b/src/retry_policy/latency.rs
@@ -39,7 +39,7 @@
     }
 
     /// An attempt was served after so long.
-    pub fn see(&mut self, took_ms: Millis, now: Millis) {
+    pub fn record(&mut self, took_ms: Millis, now: Millis) {
         self.slide(now);
         let took = if took_ms.is_finite() {
             took_ms.max(1.0).round() as u64
--- a/src/retry_policy/mod.rs
+++ b/src/retry_policy/mod.rs
@@ -15,7 +15,7 @@
 };
 pub use latency::Latency;
 pub use policy::{EffectiveValue, Policy};
-pub use routes::{Fault as RouteFault, Front, Match, RequestAttributes, Route, Routes};
+pub use routes::{FrontendKind, RequestAttributes, Route, RouteError, RouteMatch, Routes};
 
 #[cfg(test)]
 mod tests;
--- a/src/retry_policy/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -2,7 +2,7 @@
 //! of a request's keys comes from.
 
 use super::keys::{AttemptPolicy, OutcomeSet, RETRYABLE_OUTCOMES};
-use super::routes::{Fault, RequestAttributes, Route, Routes};
+use super::routes::{RequestAttributes, Route, RouteError, Routes};
 use crate::attempt::never_ran;
 use std::cmp::Reverse;
 
@@ -24,7 +24,7 @@
     default: AttemptPolicy,
     /// By the position of the class in the settings, with its name.
     classes: Vec<(String, Option<AttemptPolicy>)>,
-    listed: Vec<Route>,
+    routes_in_order: Vec<Route>,
     /// Members by position.
     members: Vec<String>,
 }
@@ -38,11 +38,11 @@
         classes: Vec<(String, bool, Option<AttemptPolicy>)>,
         routes: Vec<Route>,
         members: Vec<String>,
-    ) -> Result<Policy, Vec<Fault>> {
+    ) -> Result<Policy, Vec<RouteError>> {
         let mut laid = Vec::new();
         for (_, once, own) in &classes {
             let mut keys = if *once {
-                default.for_once()
+                default.for_non_idempotent()
             } else {
                 default.clone()
             };
@@ -58,13 +58,13 @@
             routes: routes_index,
             default,
             classes,
-            listed: routes,
+            routes_in_order: routes,
             members,
         })
     }
 
     /// A member's position by its name, as routes match it; `usize::MAX` for one that no route can name.
-    pub fn member(&self, name: &[u8]) -> usize {
+    pub fn member_position(&self, name: &[u8]) -> usize {
         self.members
             .iter()
             .position(|m| m.as_bytes() == name)
@@ -75,7 +75,7 @@
     pub fn is_empty(&self) -> bool {
         self.default == AttemptPolicy::default()
             && self.classes.iter().all(|(_, own)| own.is_none())
-            && self.listed.is_empty()
+            && self.routes_in_order.is_empty()
     }
 
     /// The keys that hold for a request: a lookup whose cost does not grow with the routes.
@@ -93,7 +93,11 @@
             .map_or(("", None), |(n, own)| (n.as_str(), own.as_ref()));
         let mut tables: Vec<(String, &AttemptPolicy)> = vec![("default".to_owned(), &self.default)];
         tables.extend(own.map(|keys| (format!("class {name}"), keys)));
-        let mut mine: Vec<&Route> = self.listed.iter().filter(|r| r.matches.holds(at)).collect();
+        let mut mine: Vec<&Route> = self
+            .routes_in_order
+            .iter()
+            .filter(|r| r.matches.matches(at))
+            .collect();
         mine.sort_by_key(|r| {
             (
                 r.matches.pattern().count_ones(),
@@ -103,16 +107,17 @@
         });
         tables.extend(
             mine.into_iter()
-                .map(|r| (format!("route {}", r.name), &r.keys)),
+                .map(|r| (format!("route {}", r.name), &r.policy)),
         );
-        let shown = held.shown();
+        let shown = held.key_values();
         shown
             .into_iter()
             .map(|(key, value)| {
-                let from = tables
-                    .iter()
-                    .rev()
-                    .find(|(_, keys)| keys.shown().iter().any(|(k, v)| *k == key && v.is_some()));
+                let from = tables.iter().rev().find(|(_, keys)| {
+                    keys.key_values()
+                        .iter()
+                        .any(|(k, v)| *k == key && v.is_some())
+                });
                 let from = value
                     .as_ref()
                     .and(from)
@@ -127,7 +132,7 @@
     }
 
     /// Takes over what the budgets of an earlier policy have spent, table by table.
-    pub fn carry(&self, earlier: &Policy) {
+    pub fn carry_over_budgets(&self, earlier: &Policy) {
         let pairs = [(&self.default, &earlier.default)].into_iter();
         let classes = self.classes.iter().filter_map(|(name, own)| {
             let before = earlier
@@ -138,13 +143,13 @@
                 .as_ref()?;
             Some((own.as_ref()?, before))
         });
-        let routes = self.listed.iter().filter_map(|r| {
-            let before = earlier.listed.iter().find(|e| e.name == r.name)?;
-            Some((&r.keys, &before.keys))
+        let routes = self.routes_in_order.iter().filter_map(|r| {
+            let before = earlier.routes_in_order.iter().find(|e| e.name == r.name)?;
+            Some((&r.policy, &before.policy))
         });
         for (now, before) in pairs.chain(classes).chain(routes) {
             if let (Some(now), Some(before)) = (&now.budget, &before.budget) {
-                now.carry(before);
+                now.carry_over(before);
             }
         }
     }
@@ -153,11 +158,11 @@
 impl AttemptPolicy {
     /// These keys as they may reach a class that runs once only: no second copies, and no further attempt after an
     /// end at which the attempt may have run.
-    pub fn for_once(&self) -> AttemptPolicy {
+    pub fn for_non_idempotent(&self) -> AttemptPolicy {
         let never = |ends: OutcomeSet| {
             let kept = RETRYABLE_OUTCOMES
                 .iter()
-                .filter(move |(_, e)| never_ran(*e) && ends.has(*e));
+                .filter(move |(_, e)| never_ran(*e) && ends.contains(*e));
             kept.fold(OutcomeSet::default(), |all, (_, e)| all.with(*e))
         };
         let retry_on = self.retry_on.map(never);
