--- a/src/retry_policy/routes.rs
+++ b/src/retry_policy/routes.rs
@@ -11,13 +11,21 @@
 
 /// The front over which a request came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Front {
+pub enum FrontendKind {
     /// The platform's MessagePack-RPC.
     Platform,
     /// Arrow Flight SQL.
     Flight,
 }
 
+impl FrontendKind {
+    /// All front ends, with their names in the operators' file.
+    pub const NAMES: [(&'static str, FrontendKind); 2] = [
+        ("platform", FrontendKind::Platform),
+        ("flight", FrontendKind::Flight),
+    ];
+}
+
 /// What a request is, as far as routes ask. Classes and members by their positions in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestAttributes {
@@ -26,20 +34,20 @@
     /// Its member.
     pub member: usize,
     /// Its front.
-    pub front: Front,
+    pub frontend: FrontendKind,
     /// Its data set.
     pub data_set: u32,
 }
 
 /// What a route matches. A set that is left out matches all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Match {
+pub struct RouteMatch {
     /// Classes.
     pub class: Option<BTreeSet<usize>>,
     /// Members.
     pub member: Option<BTreeSet<usize>>,
     /// Fronts.
-    pub front: Option<BTreeSet<Front>>,
+    pub frontend: Option<BTreeSet<FrontendKind>>,
     /// Data sets.
     pub data_set: Option<BTreeSet<u32>>,
 }
@@ -59,36 +67,36 @@
     }
 }
 
-impl Match {
+impl RouteMatch {
     /// Whether all that it matches is matched by `other`.
-    pub fn within(&self, other: &Match) -> bool {
+    pub fn is_within(&self, other: &RouteMatch) -> bool {
         within(&self.class, &other.class)
             && within(&self.member, &other.member)
-            && within(&self.front, &other.front)
+            && within(&self.frontend, &other.frontend)
             && within(&self.data_set, &other.data_set)
     }
 
     /// Whether a request may match both.
-    pub fn meets(&self, other: &Match) -> bool {
+    pub fn overlaps(&self, other: &RouteMatch) -> bool {
         meets(&self.class, &other.class)
             && meets(&self.member, &other.member)
-            && meets(&self.front, &other.front)
+            && meets(&self.frontend, &other.frontend)
             && meets(&self.data_set, &other.data_set)
     }
 
     /// Whether nothing can match it.
-    pub fn empty(&self) -> bool {
-        self.cells() == 0
+    pub fn is_empty(&self) -> bool {
+        self.combinations() == 0
     }
 
     /// Whether it matches a request.
-    pub fn holds(&self, at: &RequestAttributes) -> bool {
+    pub fn matches(&self, at: &RequestAttributes) -> bool {
         fn has<T: Ord>(set: &Option<BTreeSet<T>>, value: &T) -> bool {
             set.as_ref().is_none_or(|all| all.contains(value))
         }
         has(&self.class, &at.class)
             && has(&self.member, &at.member)
-            && has(&self.front, &at.front)
+            && has(&self.frontend, &at.frontend)
             && has(&self.data_set, &at.data_set)
     }
 
@@ -97,7 +105,7 @@
         let bits = [
             self.class.is_some(),
             self.member.is_some(),
-            self.front.is_some(),
+            self.frontend.is_some(),
             self.data_set.is_some(),
         ];
         bits.iter()
@@ -107,15 +115,15 @@
 
     /// How many combinations of values it names: the broader, the more.
     pub fn size(&self) -> usize {
-        self.cells()
+        self.combinations()
     }
 
     /// Combinations of the values that it names.
-    fn cells(&self) -> usize {
+    fn combinations(&self) -> usize {
         let all = [
             self.class.as_ref().map(BTreeSet::len),
             self.member.as_ref().map(BTreeSet::len),
-            self.front.as_ref().map(BTreeSet::len),
+            self.frontend.as_ref().map(BTreeSet::len),
             self.data_set.as_ref().map(BTreeSet::len),
         ];
         all.into_iter().flatten().fold(1, usize::saturating_mul)
@@ -128,14 +136,14 @@
     /// Its name.
     pub name: String,
     /// What it matches.
-    pub matches: Match,
+    pub matches: RouteMatch,
     /// What it sets.
-    pub keys: AttemptPolicy,
+    pub policy: AttemptPolicy,
 }
 
 /// Why routes cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum RouteError {
     /// Nothing can match it.
     Empty(String),
     /// Both match some request, neither lies within the other, and they disagree on these keys.
@@ -144,19 +152,19 @@
     TooMany(usize),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for RouteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Empty(name) => write!(
+            RouteError::Empty(name) => write!(
                 f,
                 "route {name:?} can match no request; name what it is to match"
             ),
-            Fault::Disagree(a, b, keys) => write!(
+            RouteError::Disagree(a, b, keys) => write!(
                 f,
                 "routes {a:?} and {b:?} match the same requests and disagree on {}; let one lie within the other",
                 keys.join(", ")
             ),
-            Fault::TooMany(cells) => {
+            RouteError::TooMany(cells) => {
                 write!(
                     f,
                     "routes name {cells} combinations of matchers, more than {CELLS}; leave some out"
@@ -167,14 +175,19 @@
 }
 
 /// A cell: the values of a request, and none where a route leaves the matcher out.
-type Cell = (Option<usize>, Option<usize>, Option<Front>, Option<u32>);
+type Cell = (
+    Option<usize>,
+    Option<usize>,
+    Option<FrontendKind>,
+    Option<u32>,
+);
 
 fn cell(at: &RequestAttributes, pattern: u8) -> Cell {
     let has = |bit: u8| pattern & bit != 0;
     (
         has(1).then_some(at.class),
         has(2).then_some(at.member),
-        has(4).then_some(at.front),
+        has(4).then_some(at.frontend),
         has(8).then_some(at.data_set),
     )
 }
@@ -184,6 +197,43 @@
         .map_or(vec![None], |all| all.iter().copied().map(Some).collect())
 }
 
+/// All reasons why these routes cannot be used together.
+fn route_errors(routes: &[Route]) -> Vec<RouteError> {
+    let mut faults: Vec<RouteError> = routes
+        .iter()
+        .filter(|r| r.matches.is_empty())
+        .map(|r| RouteError::Empty(r.name.clone()))
+        .collect();
+    for (i, a) in routes.iter().enumerate() {
+        for b in routes[i + 1..]
+            .iter()
+            .filter(|b| a.matches.overlaps(&b.matches))
+        {
+            // Two that match the same lie within each other, and neither is the narrower.
+            let (inner, outer) = (
+                a.matches.is_within(&b.matches),
+                b.matches.is_within(&a.matches),
+            );
+            let keys = if inner == outer {
+                a.policy.conflicting_keys(&b.policy)
+            } else {
+                Vec::new()
+            };
+            if !keys.is_empty() {
+                faults.push(RouteError::Disagree(a.name.clone(), b.name.clone(), keys));
+            }
+        }
+    }
+    let cells = routes
+        .iter()
+        .map(|r| r.matches.combinations())
+        .fold(0, usize::saturating_add);
+    if cells > CELLS {
+        faults.push(RouteError::TooMany(cells));
+    }
+    faults
+}
+
 /// All keys, ready to be looked up.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
@@ -200,36 +250,8 @@
         default: &AttemptPolicy,
         classes: &[Option<AttemptPolicy>],
         routes: &[Route],
-    ) -> Result<Routes, Vec<Fault>> {
-        let mut faults: Vec<Fault> = routes
-            .iter()
-            .filter(|r| r.matches.empty())
-            .map(|r| Fault::Empty(r.name.clone()))
-            .collect();
-        for (i, a) in routes.iter().enumerate() {
-            for b in routes[i + 1..]
-                .iter()
-                .filter(|b| a.matches.meets(&b.matches))
-            {
-                // Two that match the same lie within each other, and neither is the narrower.
-                let (inner, outer) = (a.matches.within(&b.matches), b.matches.within(&a.matches));
-                let keys = if inner == outer {
-                    a.keys.disagree(&b.keys)
-                } else {
-                    Vec::new()
-                };
-                if !keys.is_empty() {
-                    faults.push(Fault::Disagree(a.name.clone(), b.name.clone(), keys));
-                }
-            }
-        }
-        let cells = routes
-            .iter()
-            .map(|r| r.matches.cells())
-            .fold(0, usize::saturating_add);
-        if cells > CELLS {
-            faults.push(Fault::TooMany(cells));
-        }
+    ) -> Result<Routes, Vec<RouteError>> {
+        let faults = route_errors(routes);
         if !faults.is_empty() {
             return Err(faults);
         }
@@ -242,7 +264,7 @@
         // The broader first, so that the narrower of one cell is laid over it: of two routes that name values of the same
         // matchers, the one within the other names fewer combinations.
         let mut order: Vec<&Route> = routes.iter().collect();
-        order.sort_by_key(|route| Reverse(route.matches.cells()));
+        order.sort_by_key(|route| Reverse(route.matches.combinations()));
         let mut patterns = BTreeSet::new();
         for route in order {
             let m = &route.matches;
@@ -250,13 +272,13 @@
             patterns.insert((pattern.count_ones(), pattern));
             for class in each(&m.class) {
                 for member in each(&m.member) {
-                    for front in each(&m.front) {
+                    for front in each(&m.frontend) {
                         for data_set in each(&m.data_set) {
                             index
                                 .cells
                                 .entry((class, member, front, data_set))
                                 .or_default()
-                                .override_with(&route.keys);
+                                .override_with(&route.policy);
                         }
                     }
                 }
--- a/src/retry_policy/tests.rs
+++ b/src/retry_policy/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of policies: routes against a plain reading of the rule, budgets and back-off.
 
-use super::routes::Fault;
+use super::routes::RouteError;
 use super::*;
 use crate::decision::Outcome;
 use proptest::prelude::*;
@@ -23,22 +23,22 @@
     keys: AttemptPolicy,
 ) -> Route {
     let set = |all: &[usize]| all.iter().copied().collect::<BTreeSet<_>>();
-    let matches = Match {
+    let matches = RouteMatch {
         class: class.map(set),
         member: member.map(set),
-        ..Match::default()
+        ..RouteMatch::default()
     };
     Route {
         name: name.to_owned(),
         matches,
-        keys,
+        policy: keys,
     }
 }
 
 const AT: RequestAttributes = RequestAttributes {
     class: 1,
     member: 2,
-    front: Front::Platform,
+    frontend: FrontendKind::Platform,
     data_set: 17,
 };
 
@@ -89,9 +89,9 @@
         route("nothing", Some(&[]), None, AttemptPolicy::default()),
     ];
     let faults = Routes::new(&AttemptPolicy::default(), &[], &routes).expect_err("faults");
-    let pair = |a: &str, b: &str| Fault::Disagree(a.into(), b.into(), vec!["timeout_ms"]);
+    let pair = |a: &str, b: &str| RouteError::Disagree(a.into(), b.into(), vec!["timeout_ms"]);
     let wanted = [
-        Fault::Empty("nothing".into()),
+        RouteError::Empty("nothing".into()),
         pair("by class", "by member"),
         pair("by class", "twin"),
         pair("by member", "twin"),
@@ -112,7 +112,7 @@
     )];
     assert_eq!(
         Routes::new(&AttemptPolicy::default(), &[], &routes).expect_err("fault"),
-        [Fault::TooMany(1_000_000)]
+        [RouteError::TooMany(1_000_000)]
     );
 }
 
@@ -126,17 +126,17 @@
     ) -> impl Strategy<Value = Option<BTreeSet<T>>> {
         prop::option::of(prop::collection::btree_set(of, 1..3))
     }
-    let front = || prop_oneof![Just(Front::Platform), Just(Front::Flight)];
+    let front = || prop_oneof![Just(FrontendKind::Platform), Just(FrontendKind::Flight)];
     let matches = (
         some(0..3usize),
         some(0..3usize),
         some(front()),
         some(0..3u32),
     )
-        .prop_map(|(class, member, front, data_set)| Match {
+        .prop_map(|(class, member, front, data_set)| RouteMatch {
             class,
             member,
-            front,
+            frontend: front,
             data_set,
         });
     let route = (
@@ -147,14 +147,14 @@
         .prop_map(|(matches, a, b)| Route {
             name: String::new(),
             matches,
-            keys: keys(a.map(f64::from), b),
+            policy: keys(a.map(f64::from), b),
         });
     let at =
         (0..3usize, 0..3usize, front(), 0..3u32).prop_map(|(class, member, front, data_set)| {
             RequestAttributes {
                 class,
                 member,
-                front,
+                frontend: front,
                 data_set,
             }
         });
@@ -175,24 +175,27 @@
         };
         *tried.borrow_mut().0 += 1;
         let one = |set: BTreeSet<usize>| Some(set);
-        let here = Match {
+        let here = RouteMatch {
             class: one([at.class].into()),
             member: one([at.member].into()),
-            front: Some([at.front].into()),
+            frontend: Some([at.frontend].into()),
             data_set: Some([at.data_set].into()),
         };
-        let mine: Vec<&Route> = routes.iter().filter(|r| here.within(&r.matches)).collect();
+        let mine: Vec<&Route> = routes
+            .iter()
+            .filter(|r| here.is_within(&r.matches))
+            .collect();
         let narrowest = |sets: &dyn Fn(&Route) -> bool| {
             let all: Vec<&&Route> = mine.iter().filter(|r| sets(r)).collect();
             let inner = |r: &&&Route| {
                 !all.iter()
-                    .any(|o| o.matches.within(&r.matches) && !r.matches.within(&o.matches))
+                    .any(|o| o.matches.is_within(&r.matches) && !r.matches.is_within(&o.matches))
             };
-            all.iter().find(|r| inner(r)).map(|r| r.keys.clone())
+            all.iter().find(|r| inner(r)).map(|r| r.policy.clone())
         };
         let held = index.resolve(&at);
-        let timeout = narrowest(&|r| r.keys.timeout_ms.is_some()).and_then(|k| k.timeout_ms);
-        let most = narrowest(&|r| r.keys.max_attempts.is_some()).and_then(|k| k.max_attempts);
+        let timeout = narrowest(&|r| r.policy.timeout_ms.is_some()).and_then(|k| k.timeout_ms);
+        let most = narrowest(&|r| r.policy.max_attempts.is_some()).and_then(|k| k.max_attempts);
         prop_assert_eq!(held.timeout_ms, timeout.or(Some(9.0)));
         prop_assert_eq!(held.max_attempts, most.or(Some(9)));
         Ok(())
@@ -212,8 +215,8 @@
     let (mut now, mut last) = (100_000.0, Vec::new());
     for n in 0..60_000 {
         now += 1.0;
-        spent.first(&budget, now);
-        last.extend(spent.take(&budget, now).then_some(now));
+        spent.record_first_attempt(&budget, now);
+        last.extend(spent.try_take(&budget, now).then_some(now));
         if n % 100 == 0 {
             let from = last.partition_point(|at| *at <= now - 9_000.0);
             assert!((last.len() - from) as f64 <= 0.1 * 10_000.0 + 30.0, "{now}");
@@ -221,13 +224,13 @@
     }
     assert!(last.len() > 5_000, "and it is used: {}", last.len());
     now += 3_600_000.0;
-    let free = (0..100).filter(|_| spent.take(&budget, now)).count();
+    let free = (0..100).filter(|_| spent.try_take(&budget, now)).count();
     assert_eq!(
         free, 30,
         "an hour of quiet leaves the window's own and no more"
     );
     assert!(
-        !spent.take(&budget, now - 5_000.0),
+        !spent.try_take(&budget, now - 5_000.0),
         "a clock that goes back gives nothing"
     );
 }
@@ -284,7 +287,7 @@
         AttemptPolicy::default().retry_decision(9, Outcome::Reset, 0.0, 0.0),
         RetryDecision::RetryAfter(0.0)
     );
-    let ran: Vec<&str> = OutcomeSet::all().that_may_have_run().collect();
+    let ran: Vec<&str> = OutcomeSet::all().names_that_may_have_run().collect();
     assert_eq!(ran, ["reset", "error", "timed-out"]);
 }
 
@@ -293,20 +296,20 @@
 fn usual_times_fade() {
     let mut usual = Latency::new(10_000.0);
     for n in 0..49 {
-        usual.see(f64::from(n), 1000.0);
+        usual.record(f64::from(n), 1000.0);
     }
     assert_eq!(usual.quantile(0.5, 1000.0), None, "too few");
     for n in 49..1000 {
-        usual.see(f64::from(n), 2000.0);
+        usual.record(f64::from(n), 2000.0);
     }
     let p95 = usual.quantile(0.95, 2000.0).expect("enough");
     assert!((940.0..960.0).contains(&p95), "{p95}");
     // A new period stands in for the old one once it has enough.
-    usual.see(5.0, 12_000.0);
+    usual.record(5.0, 12_000.0);
     assert_eq!(usual.quantile(0.95, 12_000.0), Some(p95));
-    (0..60).for_each(|_| usual.see(5.0, 12_000.0));
+    (0..60).for_each(|_| usual.record(5.0, 12_000.0));
     assert_eq!(usual.quantile(0.95, 12_000.0), Some(5.0));
     assert_eq!(usual.quantile(0.95, 90_000.0), None, "long ago");
-    usual.see(f64::NAN, 90_000.0);
-    usual.see(-1.0, 90_000.0);
+    usual.record(f64::NAN, 90_000.0);
+    usual.record(-1.0, 90_000.0);
 }
--- a/tests/source_size.rs
+++ b/tests/source_size.rs
@@ -10,7 +10,6 @@
 const NOT_SPLIT_YET: [(&str, usize); 11] = [
     ("src/clients/flight/mod.rs", 685),
     ("src/clients/msgpack_rpc/connection.rs", 529),
-    ("src/core/interleavings.rs", 425),
     ("src/core/mod.rs", 738),
     ("src/decision/interface.rs", 551),
     ("src/decision/mod.rs", 1473),
