--- a/src/admin.rs
+++ b/src/admin.rs
@@ -3,7 +3,7 @@
 //! what is asked is read off published figures, and what is told goes past the queue.
 
 use crate::core::Handle;
-use crate::hot_restart::{Mark, StateWriter};
+use crate::hot_restart::{ManualEjection, StateWriter};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
@@ -103,19 +103,19 @@
     /// Says yes only once the module has it.
     async fn ban(&self, id: &str, out: bool) -> Result<(), &'static str> {
         let engine = engine_named(id).ok_or("no engine has such an id")?;
-        let mark = Mark {
-            out,
-            at: self.core.now(),
+        let ejection = ManualEjection {
+            ejected: out,
+            decided_at_ms: self.core.now(),
         };
         if !self
             .core
-            .set_manual_ejection(engine, out, mark.at, false)
+            .set_manual_ejection(engine, out, ejection.decided_at_ms, false)
             .await
         {
             return Err("no such engine is known");
         }
         // A successor, or the process that this one succeeds, is to have it as well.
-        self.state_writer.record(engine, mark).await;
+        self.state_writer.record(engine, ejection).await;
         Ok(())
     }
 
--- a/src/hot_restart/order_locks/tests.rs
+++ b/src/hot_restart/order_lock_file/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module. Each open file stands for a process: its locks are its description's.
+//! Tests of the lock file. Each open file stands for a process, as locks belong to the open file description.
 
 use super::*;
 use std::fs;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_key_is_locked_by_one_process() {
+fn a_locked_key_is_refused_to_other_processes() {
     let path = file("one");
     let (mut old, mut new) = (open(&path), open(&path));
     assert!(old.try_lock(key(1)) && !new.try_lock(key(1)) && new.try_lock(key(2)));
@@ -32,84 +32,77 @@
     let _ = fs::remove_file(&path);
 }
 
-/// Many keys take one descriptor and no room in the file.
+/// Many keys take one descriptor and no space in the file.
 #[test]
-fn the_file_stays_small() {
+fn a_thousand_locked_keys_take_no_space_in_the_file() {
     let path = file("small");
     let mut locks = open(&path);
     let keys: Vec<OrderKey> = (0..1024u32)
         .map(|n| OrderKey::new(&n.to_be_bytes()))
         .collect();
     assert!(keys.iter().all(|key| locks.try_lock(*key)));
-    assert!(fs::metadata(&path).expect("file").len() <= PLACES as u64);
+    assert!(fs::metadata(&path).expect("file").len() <= SLOTS as u64);
     let mut other = open(&path);
     assert!(!keys.iter().any(|key| other.try_lock(*key)));
     let _ = fs::remove_file(&path);
 }
 
 #[test]
-fn processes_see_each_other_and_how_one_ended() {
+fn an_end_with_a_locked_key_is_seen_by_the_other_processes() {
     let path = file("ends");
     let mut old = open(&path);
     assert_eq!(old.live_peers(), 0);
     let (mut new, mut third) = (open(&path), open(&path));
-    let places = [1 << old.place, 1 << new.place, 1 << third.place];
-    assert_eq!(old.live_peers(), places[1] | places[2]);
-    assert_eq!(third.live_peers(), places[0] | places[1]);
+    let slots = [1 << old.own_slot, 1 << new.own_slot, 1 << third.own_slot];
+    assert_eq!(old.live_peers(), slots[1] | slots[2]);
+    assert_eq!(third.live_peers(), slots[0] | slots[1]);
     assert!(old.try_lock(key(1)) && old.try_lock(key(2)));
     old.unlock(key(1));
     drop(old);
-    assert_eq!(third.live_peers(), places[1]);
-    assert!(third.may_have_held_at_exit(places[0]), "it held a key");
-    assert!(new.try_lock(key(2)), "which is free");
+    assert_eq!(third.live_peers(), slots[1]);
+    assert!(third.may_have_held_at_exit(slots[0]), "it held a key");
+    assert!(new.try_lock(key(2)), "the key is free");
     new.unlock(key(2));
     drop(new);
     assert_eq!(third.live_peers(), 0);
-    assert!(
-        !third.may_have_held_at_exit(places[1])
-            && third.may_have_held_at_exit(places[0] | places[1])
-    );
+    assert!(!third.may_have_held_at_exit(slots[1]) && third.may_have_held_at_exit(slots[0] | slots[1]));
     let _ = fs::remove_file(&path);
 }
 
-/// One that starts after a kill takes note of it, as long as nobody has ended as planned since.
+/// A process that starts after a kill notices it, unless another process has ended gracefully since.
 #[test]
-fn a_kill_before_the_start_is_noticed() {
+fn a_kill_before_the_start_is_noticed_until_a_graceful_end() {
     let path = file("kill");
     let mut first = open(&path);
     assert!(!first.may_be_left_behind() && first.try_lock(key(1)));
-    let beside = open(&path);
-    assert!(!beside.may_be_left_behind(), "the first one lives");
+    let peer = open(&path);
+    assert!(!peer.may_be_left_behind(), "the first one is running");
     drop(first);
     let second = open(&path);
     assert!(second.may_be_left_behind());
-    drop((beside, second));
+    drop((peer, second));
     assert!(!open(&path).may_be_left_behind());
     let _ = fs::remove_file(&path);
 }
 
-/// Guard: a file that holds anything else counts as an end with keys, and one that is too long harms nothing.
+/// A slot with unknown content counts as an end with keys; a file that is too long does no harm.
 #[test]
-fn a_spoilt_file_makes_keys_rest() {
+fn unknown_slot_content_counts_as_an_end_with_keys() {
     let path = file("spoilt");
     fs::write(&path, "?".repeat(1000)).expect("file");
     let mut locks = open(&path);
-    let nobodys = (0..PLACES)
-        .find(|place| *place != locks.place)
-        .expect("a place");
-    assert!(
-        locks.live_peers() == 0
-            && locks.may_have_held_at_exit(1 << nobodys)
-            && locks.may_be_left_behind()
-    );
+    let unused = (0..SLOTS)
+        .find(|slot| *slot != locks.own_slot)
+        .expect("a slot");
+    assert!(locks.live_peers() == 0 && locks.may_have_held_at_exit(1 << unused) && locks.may_be_left_behind());
     assert!(locks.try_lock(key(1)));
     let _ = fs::remove_file(&path);
 }
 
 #[test]
-fn places_are_bounded() {
+fn opening_fails_when_every_slot_is_taken() {
     let path = file("places");
-    let mut all: Vec<OrderLockFile> = (0..PLACES).map(|_| open(&path)).collect();
+    let mut all: Vec<OrderLockFile> = (0..SLOTS).map(|_| open(&path)).collect();
     assert!(OrderLockFile::open(&path, Arc::default()).is_err());
     assert_eq!(all[0].live_peers().count_ones(), PeerProcesses::BITS - 1);
     let _ = fs::remove_file(&path);
--- /dev/null
+++ b/src/hot_restart/peer_process.rs
@@ -0,0 +1,79 @@
+//! Detection of the peer process, by file locks.
+//!
+//! Each process locks one of two slot files for as long as it lives; the system releases the lock however the process
+//! ends. The peer is running while the other slot is locked.
+
+use super::shared_file;
+use crate::limits::Limits;
+use std::fs::{File, TryLockError};
+use std::io;
+use std::path::Path;
+use tokio::time::sleep;
+
+/// Extensions of the slot files: at most two processes take part in a hot restart.
+const SLOT_FILES: [&str; 2] = ["place-0", "place-1"];
+
+/// This process's slot, and the one in which its peer is looked for.
+pub(super) struct PeerDetector {
+    /// Locked while this process lives.
+    _own_slot: Option<File>,
+    /// The other slot; `None` where both were locked already, so that other processes are certainly running.
+    peer_slot: Option<File>,
+}
+
+impl PeerDetector {
+    /// Opens the slot files and locks a free one.
+    ///
+    /// # Errors
+    ///
+    /// A slot file cannot be opened or created.
+    pub(super) async fn open(folder: &Path, name: &str, limits: &Limits) -> io::Result<Self> {
+        let mut slots = Vec::with_capacity(SLOT_FILES.len());
+        for extension in SLOT_FILES {
+            slots.push(open_for_locking(&shared_file(folder, name, extension))?);
+        }
+        let own_slot = lock_free_slot(&mut slots, limits).await;
+        let peer_slot = own_slot.as_ref().and_then(|_| slots.pop());
+        Ok(PeerDetector {
+            _own_slot: own_slot,
+            peer_slot,
+        })
+    }
+
+    /// Whether another process of this workload manager is running.
+    pub(super) fn peer_is_running(&self) -> bool {
+        let Some(peer_slot) = &self.peer_slot else {
+            return true;
+        };
+        match peer_slot.try_lock() {
+            Ok(()) => {
+                let _ = peer_slot.unlock();
+                false
+            }
+            Err(TryLockError::WouldBlock) => true,
+            Err(TryLockError::Error(_)) => false,
+        }
+    }
+}
+
+/// Locks one of the slots and takes it out of the list. Retries, as a running peer locks the free slot for a moment
+/// whenever it looks for this process.
+async fn lock_free_slot(slots: &mut Vec<File>, limits: &Limits) -> Option<File> {
+    for _ in 0..limits.state_lock_attempts {
+        let free = slots.iter().position(|slot| slot.try_lock().is_ok());
+        if let Some(index) = free {
+            return Some(slots.remove(index));
+        }
+        sleep(limits.state_lock_retry_delay).await;
+    }
+    None
+}
+
+/// Opens a file that serves only as a lock, and creates it where it is missing.
+pub(super) fn open_for_locking(path: &Path) -> io::Result<File> {
+    File::options()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(path)
+}
--- a/src/hot_restart/tests.rs
+++ b/src/hot_restart/tests.rs
@@ -1,22 +1,28 @@
-//! Tests of this module.
+//! Tests of the store, the peer detection and the stored state file.
 
 use super::*;
+use crate::core::Handle;
+use crate::decision::EngineId;
+use crate::metrics::Metrics;
 use crate::node_config::engine_id;
 use rstest::rstest;
+use std::fs;
+use std::sync::Arc;
 
-async fn store(dir: &Path) -> Store {
+async fn open_store(folder: &Path, metrics: &Arc<Metrics>) -> StateStore {
     let limits =
         crate::engines::EngineContext::for_tests(Handle::new(4, Default::default()).0).limits;
-    Store::open(dir, "n1", limits, Arc::default())
+    StateStore::open(folder, "n1", limits, metrics.clone())
         .await
         .expect("store")
 }
 
-fn folder(name: &str) -> PathBuf {
-    let dir = std::env::temp_dir().join(format!("magpiechute-test-{}-{name}", std::process::id()));
-    let _ = fs::remove_dir_all(&dir);
-    fs::create_dir_all(&dir).expect("folder");
-    dir
+fn empty_folder(name: &str) -> PathBuf {
+    let folder =
+        std::env::temp_dir().join(format!("magpiechute-test-{}-{name}", std::process::id()));
+    let _ = fs::remove_dir_all(&folder);
+    fs::create_dir_all(&folder).expect("folder");
+    folder
 }
 
 fn run<T>(test: impl Future<Output = T>) -> T {
@@ -26,38 +32,50 @@
     runtime.expect("runtime").block_on(test)
 }
 
-/// Two processes see each other for as long as both live, and the later call wins wherever it was said.
+fn ejection(ejected: bool, decided_at_ms: f64) -> ManualEjection {
+    ManualEjection {
+        ejected,
+        decided_at_ms,
+    }
+}
+
+fn change(engine: u32, ejected: bool, decided_at_ms: f64) -> (EngineId, ManualEjection) {
+    (engine_id(engine), ejection(ejected, decided_at_ms))
+}
+
+/// Two processes see each other for as long as both live, and the later decision wins whichever process took it.
 #[test]
-fn two_processes_are_of_one_mind() {
-    let dir = folder("two");
+fn two_processes_exchange_ejections_and_the_latest_decision_wins() {
+    let folder = empty_folder("two");
+    let metrics = Arc::default();
     run(async {
-        let mark = |out, at| Mark { out, at };
-        let mut old = store(&dir).await;
-        assert!(!old.another());
-        old.record(engine_id(1), mark(true, 100.0)).await;
-        let mut new = store(&dir).await;
-        assert!(old.another() && new.another());
-        assert_eq!(new.news(100.0), [(engine_id(1), mark(true, 100.0))]);
-        new.record(engine_id(2), mark(true, 200.0)).await;
-        old.record(engine_id(1), mark(false, 300.0)).await;
-        assert_eq!(old.news(300.0), [(engine_id(2), mark(true, 200.0))]);
-        assert_eq!(new.news(300.0), [(engine_id(1), mark(false, 300.0))]);
-        new.record(engine_id(1), mark(true, 250.0)).await;
-        assert_eq!(old.news(300.0), [], "an earlier call changes nothing");
+        let mut old = open_store(&folder, &metrics).await;
+        assert!(!old.peer_is_running());
+        old.record(engine_id(1), ejection(true, 100.0)).await;
+        let mut new = open_store(&folder, &metrics).await;
+        assert!(old.peer_is_running() && new.peer_is_running());
+        assert_eq!(new.take_peer_changes(100.0), [change(1, true, 100.0)]);
+        new.record(engine_id(2), ejection(true, 200.0)).await;
+        old.record(engine_id(1), ejection(false, 300.0)).await;
+        assert_eq!(old.take_peer_changes(300.0), [change(2, true, 200.0)]);
+        assert_eq!(new.take_peer_changes(300.0), [change(1, false, 300.0)]);
+        new.record(engine_id(1), ejection(true, 250.0)).await;
+        assert_eq!(
+            old.take_peer_changes(300.0),
+            [],
+            "an earlier decision changes nothing"
+        );
         drop(old);
-        assert!(!new.another());
+        assert!(!new.peer_is_running());
         drop(new);
-        let mut last = store(&dir).await;
-        let held = last.news(400.0);
-        assert!(
-            held.contains(&(engine_id(2), mark(true, 200.0))),
-            "{held:?}"
-        );
+        let mut last = open_store(&folder, &metrics).await;
+        let changes = last.take_peer_changes(400.0);
+        assert!(changes.contains(&change(2, true, 200.0)), "{changes:?}");
     });
-    let _ = fs::remove_dir_all(&dir);
+    let _ = fs::remove_dir_all(&folder);
 }
 
-/// Guard: spoilt state stops no start, and what of it is sound still holds.
+/// A damaged file does not stop a start, and its sound records are used.
 #[rstest]
 #[case::noise("noise", "\u{1}\u{2}", 0)]
 #[case::cut_short("cut", r#"{"version":1,"engines":{"s-00000001":{"out":tr"#, 0)]
@@ -77,23 +95,60 @@
     0
 )]
 #[case::too_long("long", &" ".repeat(100_000), 0)]
-fn spoilt_state(#[case] name: &str, #[case] text: &str, #[case] sound: usize) {
-    let dir = folder(name);
-    fs::write(dir.join("magpiechute-n1.state"), text).expect("file");
+fn damaged_state_is_counted_and_its_sound_records_are_used(
+    #[case] name: &str,
+    #[case] text: &str,
+    #[case] sound_records: usize,
+) {
+    let folder = empty_folder(name);
+    fs::write(folder.join("magpiechute-n1.state"), text).expect("file");
+    let metrics: Arc<Metrics> = Arc::default();
     run(async {
-        let mut store = store(&dir).await;
-        assert_eq!(store.news(100.0).len(), sound);
-        assert_eq!(store.metrics.state_errors.get(), 1);
-        store
-            .record(
-                engine_id(2),
-                Mark {
-                    out: true,
-                    at: 200.0,
-                },
-            )
-            .await;
-        assert!(store.news(200.0).is_empty() && store.metrics.state_errors.get() == 1);
+        let mut store = open_store(&folder, &metrics).await;
+        assert_eq!(store.take_peer_changes(100.0).len(), sound_records);
+        assert_eq!(metrics.state_errors.get(), 1);
+        store.record(engine_id(2), ejection(true, 200.0)).await;
+        assert!(store.take_peer_changes(200.0).is_empty() && metrics.state_errors.get() == 1);
+    });
+    let _ = fs::remove_dir_all(&folder);
+}
+
+/// The text of a file as the versions before and after the renames write it.
+const STORED_TEXT: &str = r#"{"version":1,"engines":{"s-00000001":{"out":true,"at":1796200000123.0},"s-0000000a":{"out":false,"at":1796200000456.5}}}"#;
+
+#[test]
+fn a_stored_state_of_the_version_before_is_read() {
+    let folder = empty_folder("stored-read");
+    fs::write(folder.join("magpiechute-n1.state"), STORED_TEXT).expect("file");
+    let metrics: Arc<Metrics> = Arc::default();
+    run(async {
+        let mut store = open_store(&folder, &metrics).await;
+        assert_eq!(
+            store.take_peer_changes(1_796_200_001_000.0),
+            [
+                change(1, true, 1_796_200_000_123.0),
+                change(10, false, 1_796_200_000_456.5)
+            ]
+        );
+        assert_eq!(metrics.state_errors.get(), 0);
+    });
+    let _ = fs::remove_dir_all(&folder);
+}
+
+#[test]
+fn the_stored_state_is_written_as_by_the_version_before() {
+    let folder = empty_folder("stored-written");
+    let metrics = Arc::default();
+    run(async {
+        let mut store = open_store(&folder, &metrics).await;
+        let (returned, ejected) = (
+            change(10, false, 1_796_200_000_456.5),
+            change(1, true, 1_796_200_000_123.0),
+        );
+        store.record(ejected.0, ejected.1).await;
+        store.record(returned.0, returned.1).await;
     });
-    let _ = fs::remove_dir_all(&dir);
+    let path = folder.join("magpiechute-n1.state");
+    assert_eq!(fs::read_to_string(path).expect("file"), STORED_TEXT);
+    let _ = fs::remove_dir_all(&folder);
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,7 +5,7 @@
 use crate::core::{Clock, Core, CoreMessage, Handle, OrderLocks, run};
 use crate::discovery;
 use crate::engines::{EngineContext, Fleet};
-use crate::hot_restart::{self, StateWriter, Store};
+use crate::hot_restart::{self, PeerSync, StateStore, StateWriter};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
@@ -79,7 +79,7 @@
         let (limits, metrics) = (Arc::new(limits), Arc::<Metrics>::default());
         let store = open_store(&config, &limits, &metrics).await;
         let order_locks = open_order_locks(&config, &metrics);
-        let succeeds = store.as_ref().is_some_and(Store::another);
+        let succeeds = store.as_ref().is_some_and(StateStore::peer_is_running);
         let sockets = Sockets::bind(&config, fronts).await?;
         let fixed = (config.listen, (config.max_descriptors, config.memory_mb));
         let parsed = Arc::new(config.settings);
@@ -127,10 +127,11 @@
             settings.clone(),
         ));
         let (state_writer, said) = StateWriter::new(&limits);
-        if let Some(mut store) = store {
-            // Before it takes anything it knows what was taken out by hand.
-            store.pass_on(&core).await;
-            tokio::spawn(hot_restart::run(store, said, core.clone(), limits.clone()));
+        if let Some(store) = store {
+            let mut sync = PeerSync::new(store, core.clone(), limits.clone());
+            // The manual ejections have to be known before the first request.
+            sync.synchronize().await;
+            tokio::spawn(sync.run(said));
         }
         let in_force = Arc::new(Mutex::new(policy));
         let ops = sockets.operations.map(|(listener, at)| {
@@ -391,9 +392,9 @@
     config: &NodeConfig,
     limits: &Arc<Limits>,
     metrics: &Arc<Metrics>,
-) -> Option<Store> {
+) -> Option<StateStore> {
     let folder = config.shared_folder.as_ref()?;
-    let opened = Store::open(folder, &config.name, limits.clone(), metrics.clone()).await;
+    let opened = StateStore::open(folder, &config.name, limits.clone(), metrics.clone()).await;
     opened
         .inspect_err(|e| eprintln!("workload-manager: no state in {}: {e}", folder.display()))
         .ok()
@@ -402,7 +403,7 @@
 /// The locks on order keys in that folder. Guard: without them the order of a key holds within this process alone.
 fn open_order_locks(config: &NodeConfig, metrics: &Arc<Metrics>) -> Option<Box<dyn OrderLocks>> {
     let folder = config.shared_folder.as_ref()?;
-    let opened = hot_restart::order_locks(folder, &config.name, metrics.clone());
+    let opened = hot_restart::open_order_locks(folder, &config.name, metrics.clone());
     opened
         .inspect_err(|e| {
             eprintln!(
