--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -127,9 +127,15 @@
             Manager::new(&plan, ordinal, &parsed, (&limits, &metrics), clock, reports);
         let (_feed, address) = watch::channel(plan.feed);
         let (_settings, settings) = watch::channel(Arc::new(parsed));
-        let (spoken, _spoken) = watch::channel(false);
-        let reader = discovery::follow(address, 0, handle, limits, metrics, spoken, settings);
-        let reader = tokio::spawn(reader);
+        let (first_frame_received, _first_frame) = watch::channel(false);
+        let context = discovery::FollowerContext {
+            core: handle,
+            limits,
+            metrics,
+            first_frame_received,
+            settings,
+        };
+        let reader = tokio::spawn(discovery::follow(address, 0, context));
         manager.run_until_closed(&mut inputs, &mut commands).await;
         reader.abort();
     }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,198 +1,79 @@
-//! The list of engines: the control feed, followed by one actor that connects anew whenever it fails.
+//! Endpoint discovery: follows the discovery feed, which announces every change of the endpoint list, and passes its
+//! events to the core.
+//!
+//! [`frame`] decodes the feed's wire form and [`session`] reads one connection. The actor here owns the connection and
+//! reconnects with a backoff whenever it fails. `node` starts it with the address and the number of the last event that
+//! the configuration knows; the core is the only receiver of its events.
 
-use crate::core::{CoreMessage, Handle};
-use crate::decision::{EngineEntry, EngineId, EngineState, ListUpdateKind};
+mod frame;
+mod session;
+
+use crate::core::Handle;
 use crate::limits::Limits;
 use crate::metrics::Metrics;
-use crate::node_config::{EndpointListEvent, EngineRecord, address, engine_id};
 use crate::settings_json::PlatformSettings;
+use session::SessionError;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::time::{sleep, timeout};
-
-const RECORD: usize = 27;
-const FRAME_HEAD: usize = 9;
-/// Bytes that stay with the reader of frames between two of them.
-const FRAME_KEPT: usize = 4096;
-
-/// Why the feed has to be connected anew.
-#[derive(Debug, PartialEq, Eq)]
-enum Fault {
-    Lost,
-    Silent,
-    Malformed,
-}
+use tokio::time::sleep;
 
-impl From<std::io::Error> for Fault {
-    fn from(_: std::io::Error) -> Fault {
-        Fault::Lost
-    }
+/// What the follower of the feed works with.
+pub struct FollowerContext {
+    /// Receives each event once, in the order of the numbers.
+    pub core: Handle,
+    /// Times and sizes.
+    pub limits: Arc<Limits>,
+    /// Counts connections, events and failures.
+    pub metrics: Arc<Metrics>,
+    /// Turns true with the first frame.
+    pub first_frame_received: watch::Sender<bool>,
+    /// Records are read against the newest settings.
+    pub settings: watch::Receiver<Arc<PlatformSettings>>,
 }
 
-impl From<tokio::time::error::Elapsed> for Fault {
-    fn from(_: tokio::time::error::Elapsed) -> Fault {
-        Fault::Silent
-    }
-}
-
-/// Follows the feed from event `last` on, at whatever address it has by now: the numbers continue there. Each event goes
-/// to `core`; `spoken` turns true with the first frame. Records are read against the newest `settings`. It ends once the
-/// sender of `feed` is dropped.
+/// Follows the feed from the event after `last_event` on. A changed address in `feed` is connected to at once, as event
+/// numbers continue there. Ends once the sender of `feed` is dropped.
 pub async fn follow(
     mut feed: watch::Receiver<SocketAddr>,
-    mut last: u64,
-    core: Handle,
-    limits: Arc<Limits>,
-    metrics: Arc<Metrics>,
-    spoken: watch::Sender<bool>,
-    settings: watch::Receiver<Arc<PlatformSettings>>,
+    mut last_event: u64,
+    context: FollowerContext,
 ) {
-    let (first, longest) = limits.feed_reconnect_backoff;
-    let mut wait = first;
+    let (first_backoff, max_backoff) = context.limits.feed_reconnect_backoff;
+    let mut backoff = first_backoff;
     loop {
-        let (before, at) = (last, *feed.borrow_and_update());
-        // Guard: a feed that has moved tells nothing further where it was, though the connection stays open for
-        // a while; it is left at once. The session can be dropped at any point, as `last` counts applied events.
-        let moved = tokio::select! {
+        let (event_before, address) = (last_event, *feed.borrow_and_update());
+        // A feed that has moved announces nothing further at its old address, although that connection stays open for a
+        // while. The session may be dropped at any point, because `last_event` counts only events passed on.
+        let address_change = tokio::select! {
             biased;
-            moved = feed.changed() => Some(moved),
-            done = session(at, &mut last, &core, &limits, &metrics, &spoken, &settings) => {
-                match done {
-                    Ok(()) | Err(Fault::Lost) => {}
-                    Err(Fault::Silent) => metrics.feed_timeouts.increment(),
-                    Err(Fault::Malformed) => metrics.feed_malformed.increment(),
-                }
-                wait = if last > before { first } else { (wait * 2).min(longest) };
+            change = feed.changed() => Some(change),
+            result = session::run(address, &mut last_event, &context) => {
+                let Err(error) = result;
+                count_failure(&error, &context.metrics);
+                let made_progress = last_event > event_before;
+                backoff = if made_progress { first_backoff } else { (backoff * 2).min(max_backoff) };
                 tokio::select! {
-                    moved = feed.changed() => Some(moved),
-                    () = sleep(wait) => None,
+                    change = feed.changed() => Some(change),
+                    () = sleep(backoff) => None,
                 }
             }
         };
-        match moved {
-            Some(Ok(())) => wait = first,
-            Some(Err(_)) => return, // the program has ended
+        match address_change {
+            Some(Ok(())) => backoff = first_backoff,
+            Some(Err(_sender_dropped)) => return,
             None => {}
         }
     }
 }
 
-async fn session(
-    feed: SocketAddr,
-    last: &mut u64,
-    core: &Handle,
-    limits: &Limits,
-    metrics: &Metrics,
-    spoken: &watch::Sender<bool>,
-    settings: &watch::Receiver<Arc<PlatformSettings>>,
-) -> Result<(), Fault> {
-    // A feed that accepts nothing, or says nothing, may have been cut off while engines drain: go elsewhere in
-    // time, as what it has to tell counts as told.
-    let mut stream = timeout(limits.feed_connect_timeout, TcpStream::connect(feed)).await??;
-    metrics.feed_connections.increment();
-    stream.write_all(&last.to_be_bytes()).await?;
-    let mut frame = Vec::new();
-    loop {
-        // Guard: the whole frame is due in time; one that comes byte by byte is as good as none.
-        timeout(
-            limits.feed_read_timeout,
-            receive(&mut stream, &mut frame, limits.feed_frame_bytes),
-        )
-        .await??;
-        let event = read_frame(&frame, &settings.borrow()).ok_or(Fault::Malformed)?;
-        // Later events come without a pause, so that the first word tells what the start was not told.
-        spoken.send_replace(true);
-        let Some(event) = event else { continue };
-        if event.number <= *last {
-            continue; // told already, over an earlier connection
-        }
-        let number = event.number;
-        core.send(CoreMessage::EndpointList(event)).await;
-        *last = number; // only now: where this was dropped before, the event is asked for again
-        metrics.feed_events.increment();
-        // A whole list is much larger than a change, and comes once.
-        frame.shrink_to(FRAME_KEPT);
-    }
-}
-
-async fn receive(stream: &mut TcpStream, frame: &mut Vec<u8>, most: usize) -> Result<(), Fault> {
-    let length = stream.read_u32().await? as usize;
-    if !(FRAME_HEAD..=most).contains(&length) {
-        return Err(Fault::Malformed);
-    }
-    frame.resize(length, 0);
-    stream.read_exact(frame).await?;
-    Ok(())
-}
-
-/// One frame behind its length; `Some(None)` where it tells nothing new, `None` where it cannot be read.
-fn read_frame(frame: &[u8], settings: &PlatformSettings) -> Option<Option<EndpointListEvent>> {
-    let (head, payload) = frame.split_at_checked(FRAME_HEAD)?;
-    let number = u64::from_be_bytes(head[..8].try_into().ok()?);
-    let kind = match head[8] {
-        0 if payload.is_empty() => return Some(None),
-        1 => ListUpdateKind::Full,
-        2 => ListUpdateKind::Delta,
-        _ => return None,
-    };
-    let records = payload.chunks_exact(RECORD);
-    if !records.remainder().is_empty() {
-        return None;
-    }
-    // Guard: a record that says what nobody knows is passed over alone. Were the frame a fault, it would come again with
-    // every connection, and no later event would be heard.
-    let (mut entries, mut unusable) = (Vec::new(), Vec::new());
-    for record in records {
-        let engine = engine_id(u32::from_be_bytes(record[..4].try_into().ok()?));
-        match read_record(engine, record, settings) {
-            Some(line) => entries.push(line),
-            None => unusable.push(engine),
-        }
-    }
-    Some(Some(EndpointListEvent {
-        number,
-        kind,
-        records: entries,
-        unusable_engines: unusable,
-    }))
-}
-
-fn read_record(engine: EngineId, r: &[u8], settings: &PlatformSettings) -> Option<EngineRecord> {
-    let four = |at: usize| r.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
-    let two = |at: usize| {
-        r.get(at..at + 2)
-            .and_then(|b| <[u8; 2]>::try_from(b).ok())
-            .map(u16::from_be_bytes)
-    };
-    let state = match r[10] {
-        0 => EngineState::Ready,
-        1 => EngineState::Draining,
-        2 => EngineState::Removed,
-        _ => return None,
-    };
-    let among = |names: &[String], at: u8| names.is_empty() || usize::from(at) < names.len();
-    let known = among(&settings.zones, r[11]) && among(&settings.machine_types, r[12]);
-    if state == EngineState::Ready && !known {
-        return None;
+/// A lost connection is ordinary and has no counter of its own: the next connection is counted.
+fn count_failure(error: &SessionError, metrics: &Metrics) {
+    match error {
+        SessionError::ConnectionLost(_) => {}
+        SessionError::TimedOut(_) => metrics.feed_timeouts.increment(),
+        SessionError::MalformedFrame(_) => metrics.feed_malformed.increment(),
     }
-    let started = u64::from_be_bytes(r.get(19..27)?.try_into().ok()?);
-    let entry = EngineEntry {
-        engine,
-        zone: r[11],
-        machine_type: u16::from(r[12]),
-        cell: two(13)?,
-        state,
-        nominal_capacity: f64::from(u32::from_be_bytes(four(15)?)) / 1000.0,
-        started_at_ms: started as f64,
-        sharing: None,
-    };
-    Some(EngineRecord {
-        entry,
-        address: address(four(4)?, two(8)?),
-    })
 }
 
 #[cfg(test)]
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -1,13 +1,17 @@
-//! Tests of this module.
+//! Tests of the follower on a real connection, and of the frames that it decodes.
 
+use super::frame::{Frame, FrameError, HEADER_BYTES, RECORD_BYTES, decode};
 use super::*;
-use crate::core::Clock;
+use crate::core::{Clock, CoreMessage};
+use crate::decision::EngineState;
 use crate::engines::EngineContext;
-use tokio::net::TcpListener;
+use crate::node_config::engine_id;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
 
 /// A frame with one record for each engine, as the feed writes it.
 fn frame(number: u64, kind: u8, ids: std::ops::Range<u32>, state: u8) -> Vec<u8> {
-    let mut frame = (FRAME_HEAD as u32 + ids.len() as u32 * RECORD as u32)
+    let mut frame = (HEADER_BYTES as u32 + ids.len() as u32 * RECORD_BYTES as u32)
         .to_be_bytes()
         .to_vec();
     frame.extend(number.to_be_bytes());
@@ -30,10 +34,10 @@
     (stream, last)
 }
 
-/// A list of a thousand comes whole. The feed falls silent in the middle of a release, breaks off inside the event
-/// that names the newcomers, and tells it again: each event is passed on once, whole and in order.
+/// A list of a thousand engines arrives complete. The feed falls silent in the middle of a release, closes inside the
+/// event that lists the new engines, and sends that event again: each event is passed on once, complete and in order.
 #[test]
-fn a_feed_that_fails_in_the_middle_of_a_large_release() {
+fn each_event_is_passed_on_once_when_the_feed_fails_during_a_large_release() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -45,17 +49,16 @@
         limits.feed_read_timeout = std::time::Duration::from_millis(50);
         let metrics: Arc<Metrics> = Arc::default();
         let (_feed, address) = watch::channel(feed.local_addr().expect("address"));
-        let (spoken, _) = watch::channel(false);
+        let (first_frame_received, _) = watch::channel(false);
         let (_settings, settings) = watch::channel(Arc::new(EngineContext::settings_for_tests()));
-        tokio::spawn(follow(
-            address,
-            0,
+        let context = FollowerContext {
             core,
-            Arc::new(limits),
-            metrics.clone(),
-            spoken,
+            limits: Arc::new(limits),
+            metrics: metrics.clone(),
+            first_frame_received,
             settings,
-        ));
+        };
+        tokio::spawn(follow(address, 0, context));
         let (mut stream, last) = accept(&feed).await;
         assert_eq!(last, 0);
         stream
@@ -65,17 +68,17 @@
         stream
             .write_all(&frame(2, 2, 0..614, 1))
             .await
-            .expect("drains");
+            .expect("draining");
         let (mut next, last) = accept(&feed).await;
         assert_eq!((last, metrics.feed_timeouts.get()), (2, 1));
-        let newcomers = frame(3, 2, 1024..1638, 0);
-        next.write_all(&newcomers[..newcomers.len() / 2])
+        let added = frame(3, 2, 1024..1638, 0);
+        next.write_all(&added[..added.len() / 2])
             .await
             .expect("a half");
         drop(next);
         let (mut next, last) = accept(&feed).await;
         assert_eq!(last, 2);
-        next.write_all(&[frame(2, 2, 0..614, 1), newcomers].concat())
+        next.write_all(&[frame(2, 2, 0..614, 1), added].concat())
             .await
             .expect("both");
         for (number, entries) in [(1, 1024), (2, 614), (3, 614)] {
@@ -90,20 +93,23 @@
         );
     });
 }
-/// Guard: one record that says what nobody knows does not cost the others, nor the frames behind it; and word of a
-/// drain or an end holds whatever else its record says.
+
+/// One record with unknown values does not cost the other records or later frames. A draining or removed engine is
+/// reported whatever else its record holds.
 #[test]
-fn records_that_say_what_nobody_knows() {
+fn a_record_with_unknown_values_is_left_out_alone() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":1,"giveUpMs":9}],
         "guarantees":{"coldMs":1,"coldShare":0.3,"overloadForMs":1,"tipMultiple":3},
         "limits":{"attemptsCap":6},"zones":["hall-a","hall-b"],"shapes":["std-8c"]}"#;
     let settings = crate::settings_json::parse(text.as_bytes()).expect("settings");
     let read = |state: u8, zone: u8, kind: u8| {
         let mut frame = frame(7, 2, 1..4, 0).split_off(4);
-        let second = FRAME_HEAD + RECORD;
+        let second = HEADER_BYTES + RECORD_BYTES;
         frame[second + 10..second + 13].copy_from_slice(&[state, zone, kind]);
-        let event = read_frame(&frame, &settings).flatten().expect("an event");
-        let states: Vec<_> = event.records.iter().map(|l| l.entry.state).collect();
+        let Ok(Frame::Event(event)) = decode(&frame, &settings) else {
+            panic!("no event")
+        };
+        let states: Vec<_> = event.records.iter().map(|r| r.entry.state).collect();
         (states, event.unusable_engines)
     };
     let ready = EngineState::Ready;
@@ -122,8 +128,9 @@
         read(2, 9, 9),
         (vec![ready, EngineState::Removed, ready], Vec::new())
     );
-    // A frame that is cut short cannot be read at all.
+    // A frame that is cut short cannot be decoded at all.
     let mut short = frame(7, 2, 1..4, 0).split_off(4);
     short.pop();
-    assert!(read_frame(&short, &settings).is_none());
+    let error = decode(&short, &settings).expect_err("cut short");
+    assert_eq!(error, FrameError::PartialRecord(RECORD_BYTES - 1));
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -116,16 +116,14 @@
         let (feed, address) = watch::channel(config.feed);
         let (spoken, mut heard) = watch::channel(false);
         let (parsed, settings) = watch::channel(parsed);
-        let from = (core.clone(), limits.clone(), metrics.clone());
-        tokio::spawn(discovery::follow(
-            address,
-            last,
-            from.0,
-            from.1,
-            from.2,
-            spoken,
-            settings.clone(),
-        ));
+        let context = discovery::FollowerContext {
+            core: core.clone(),
+            limits: limits.clone(),
+            metrics: metrics.clone(),
+            first_frame_received: spoken,
+            settings: settings.clone(),
+        };
+        tokio::spawn(discovery::follow(address, last, context));
         let (state_writer, said) = StateWriter::new(&limits);
         if let Some(store) = store {
             let mut sync = PeerSync::new(store, core.clone(), limits.clone());
