--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -3,7 +3,7 @@
 use super::fleet;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
-use workload_manager::node_config::{EndpointListEvent, EngineRecord, engine_text};
+use workload_manager::node_config::{EndpointListEvent, EngineRecord, format_engine_id};
 use workload_manager::{EngineState, ListUpdateKind};
 
 /// The number of the event that holds the full list.
@@ -58,7 +58,7 @@
         EngineState::Removed => "left",
     };
     json!({
-        "instanceId": engine_text(line.entry.engine),
+        "instanceId": format_engine_id(line.entry.engine),
         "hostPort": line.address.to_string(),
         "zone": format!("zone-{}", line.entry.zone),
         "machineType": "std",
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet at its size: settings of a manager, and lists of engines spread over zones.
 
-use workload_manager::node_config::{EndpointListEvent, EngineRecord, address, engine_id};
+use workload_manager::node_config::{EndpointListEvent, EngineRecord, engine_id, socket_address};
 use workload_manager::settings_json::{self, PlatformSettings};
 use workload_manager::{EngineEntry, EngineState, ListUpdateKind};
 
@@ -68,7 +68,7 @@
     };
     EngineRecord {
         entry,
-        address: address([127, middle, low, last], ENGINE_PORT + u16::from(high)),
+        address: socket_address([127, middle, low, last], ENGINE_PORT + u16::from(high)),
     }
 }
 
--- a/benches/scale/manager_process.rs
+++ b/benches/scale/manager_process.rs
@@ -120,7 +120,7 @@
         let begun = Instant::now();
         self.signal("HUP")?;
         let over = |line: &str| {
-            line.contains("follows the control feed") || line.contains("goes on with the old")
+            line.contains("reload complete feed=") || line.contains("reload refused, the old")
         };
         self.await_line("a reload's end", over)?;
         Ok(begun.elapsed())
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -8,7 +8,7 @@
 use crate::limits::Limits;
 use crate::metrics::Metrics;
 use crate::net::linger;
-use crate::node_config::engine_named;
+use crate::node_config::parse_engine_id;
 use crate::retry_policy::{FrontendKind, Policy, RequestAttributes};
 use crate::settings_json::PlatformSettings;
 use std::collections::VecDeque;
@@ -102,7 +102,7 @@
 
     /// Says yes only once the module has it.
     async fn ban(&self, id: &str, out: bool) -> Result<(), &'static str> {
-        let engine = engine_named(id).ok_or("no engine has such an id")?;
+        let engine = parse_engine_id(id).ok_or("no engine has such an id")?;
         let ejection = ManualEjection {
             ejected: out,
             decided_at_ms: self.core.now(),
@@ -158,7 +158,7 @@
     async fn answer(&self, line: &str) -> String {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
         let said = match words[..] {
-            ["READY"] if self.lifecycle.fit() => Ok("ready"),
+            ["READY"] if self.lifecycle.is_ready() => Ok("ready"),
             ["READY"] => Err("not ready"),
             ["STATS"] => return format!("{}EOF\n", self.metrics.admin_figures()),
             ["POLICY", class] => return self.policy(class, None),
@@ -166,11 +166,11 @@
             ["DISABLE", id] => self.ban(id, true).await.map(|()| "taken out"),
             ["ENABLE", id] => self.ban(id, false).await.map(|()| "may serve again"),
             ["DRAIN"] => {
-                self.lifecycle.set(|state| state.drained = true);
+                self.lifecycle.update(|state| state.drained = true);
                 Ok("clients are sent away")
             }
             ["UNDRAIN"] => {
-                self.lifecycle.set(|state| state.drained = false);
+                self.lifecycle.update(|state| state.drained = false);
                 Ok("clients may come")
             }
             [] => Err("an empty line"),
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -103,7 +103,8 @@
         let instance = r.u16(1);
         self.instances.remove(&instance);
         let text = batch.tail(r.u32(11), r.u32(15) as usize, "the settings")?;
-        let made = settings_json::parse(text).and_then(|p| {
+        let parsed = settings_json::parse(text).map_err(|e| e.to_string());
+        let made = parsed.and_then(|p| {
             let gateway = Dispatcher::new(p.settings, r.u64(3)).map_err(|e| e.to_string())?;
             Ok(Instance {
                 gateway,
--- a/src/clients/connection_slots.rs
+++ b/src/clients/connection_slots.rs
@@ -183,9 +183,9 @@
 
     /// Drains whenever the lifecycle says that clients are to leave. Runs until the lifecycle is dropped.
     pub(crate) async fn follow_lifecycle(self: Arc<ConnectionSlots>, lifecycle: Arc<Lifecycle>) {
-        let mut state = lifecycle.follow();
+        let mut state = lifecycle.subscribe();
         loop {
-            self.set_draining(state.borrow_and_update().leaving());
+            self.set_draining(state.borrow_and_update().is_draining());
             if state.changed().await.is_err() {
                 return;
             }
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -144,7 +144,7 @@
             // A slow reader holds at most a few answers here: then nothing more is read from it.
             let held = self.out.waiting() > 2 * self.frontend.limits.result_bytes as u64;
             let patience = self.patience();
-            let leaving = self.frontend.lifecycle.now().leaving();
+            let leaving = self.frontend.lifecycle.current().is_draining();
             let untaken = self.taken_at + self.frontend.limits.client_idle_timeout;
             tokio::select! {
                 biased;
@@ -195,7 +195,7 @@
     fn patience(&self) -> Instant {
         let idle = self.idle_since + self.frontend.limits.client_idle_timeout;
         let limits = &self.frontend.limits;
-        let evicted = self.evicted && !self.frontend.lifecycle.now().leaving();
+        let evicted = self.evicted && !self.frontend.lifecycle.current().is_draining();
         let silence = if evicted {
             limits.evicted_client_read_timeout
         } else {
@@ -262,7 +262,7 @@
         self.slot
             .set_open_requests(self.open.len() + usize::from(waiting > 0));
         // Half a request is owed its rest, and a client that is to go a close in order: each has its own bound.
-        let goes = self.last > 0 && self.frontend.lifecycle.now().leaving();
+        let goes = self.last > 0 && self.frontend.lifecycle.current().is_draining();
         self.owes(!self.done() || !self.input.is_empty() || goes);
     }
 
@@ -301,7 +301,7 @@
                         self.slot.stay();
                     }
                     if method.as_ref() == b"health" {
-                        let fit = !self.frontend.lifecycle.now().leaving();
+                        let fit = !self.frontend.lifecycle.current().is_draining();
                         self.slot.mark_proven();
                         self.out.push(msgpack::health(id, fit));
                         continue;
--- a/src/clients/msgpack_rpc/listener.rs
+++ b/src/clients/msgpack_rpc/listener.rs
@@ -18,12 +18,12 @@
         frontend.metrics.clone(),
     );
     tokio::spawn(slots.clone().follow_lifecycle(frontend.lifecycle.clone()));
-    let mut lifecycle = frontend.lifecycle.follow();
+    let mut lifecycle = frontend.lifecycle.subscribe();
     loop {
         let accepted = tokio::select! {
             biased;
             // The other process accepts on this socket; a connection taken here would be closed without an answer.
-            _ = lifecycle.wait_for(|state| state.handed) => return,
+            _ = lifecycle.wait_for(|state| state.listener_handed_over) => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
--- a/src/command.rs
+++ b/src/command.rs
@@ -2,7 +2,7 @@
 //! and its exit code, so that tests need no process.
 
 use crate::node_config::NodeConfig;
-use crate::operator_config::{self, Fault, Faults, Known};
+use crate::operator_config::{self, Fault, Faults, PlatformConstraints};
 use crate::retry_policy::{FrontendKind, RequestAttributes};
 use std::path::Path;
 
@@ -28,11 +28,11 @@
 }
 
 /// What the settings of a platform's configuration tell; without one, nothing.
-fn known(config: Option<&Path>) -> Result<Option<Known>, String> {
+fn known(config: Option<&Path>) -> Result<Option<PlatformConstraints>, String> {
     config
         .map(|path| {
             NodeConfig::load(path)
-                .map(|c| Known::of(&c.settings))
+                .map(|c| PlatformConstraints::from_settings(&c.settings))
                 .map_err(|e| e.to_string())
         })
         .transpose()
@@ -42,8 +42,8 @@
     if !json {
         return format!("{faults}\n");
     }
-    let each = |f: &Fault| serde_json::json!({"file": faults.file, "line": f.line, "key": f.key, "what": f.what, "mend": f.mend});
-    let all: Vec<serde_json::Value> = faults.all.iter().map(each).collect();
+    let each = |f: &Fault| serde_json::json!({"file": faults.file, "line": f.line, "key": f.key, "what": f.problem, "mend": f.suggestion});
+    let all: Vec<serde_json::Value> = faults.faults.iter().map(each).collect();
     format!("{}\n", serde_json::Value::Array(all))
 }
 
@@ -55,7 +55,7 @@
     };
     let named = |all| Faults {
         file: path.display().to_string(),
-        all,
+        faults: all,
     };
     let source = match operator_config::read(path) {
         Ok(Some(source)) => source,
@@ -67,7 +67,7 @@
         }
         Err(fault) => return Done::refused(shown(&named(vec![fault]), json)),
     };
-    let checked = operator_config::judge(&source, known.as_ref()).map(|_| ());
+    let checked = operator_config::parse_and_check(&source, known.as_ref()).map(|_| ());
     match checked {
         Ok(()) => {
             let against = if known.is_some() {
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -3,7 +3,7 @@
 
 use super::roster::SubsetChange;
 use super::{Core, EnginePort, Event, Membership, Millis, Settings};
-use crate::node_config::{EndpointListEvent, engine_text};
+use crate::node_config::{EndpointListEvent, format_engine_id};
 
 impl<E: EnginePort> Core<E> {
     /// Applies an event of the endpoint list.
@@ -40,13 +40,13 @@
             .list_large_removals
             .add(usize::from(update.large_removal));
         if let [first, rest @ ..] = &update.without_slot[..] {
-            let (first, more, all) = (engine_text(*first), rest.len(), self.limits.engines);
+            let (first, more, all) = (format_engine_id(*first), rest.len(), self.limits.engines);
             eprintln!(
                 "workload-manager: engine={first} state=passed_over more={more} why=all {all} places are taken"
             );
         }
         if let [first, rest @ ..] = &event.unusable_engines[..] {
-            let (first, more) = (engine_text(*first), rest.len());
+            let (first, more) = (format_engine_id(*first), rest.len());
             eprintln!(
                 "workload-manager: engine={first} state=unusable more={more} why=unknown state, zone or kind"
             );
--- a/src/core/narrow/tests.rs
+++ b/src/core/narrow/tests.rs
@@ -6,7 +6,7 @@
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
-use crate::operator_config::{self, Known};
+use crate::operator_config::{self, PlatformConstraints};
 use crate::settings_json::{self, NamedClass};
 use std::sync::Mutex;
 
@@ -57,12 +57,12 @@
     metrics: Arc<Metrics>,
     client: Arc<Client>,
     classes: Vec<Arc<NamedClass>>,
-    known: Known,
+    known: PlatformConstraints,
 }
 
-fn policy(known: &Known, text: &str) -> Arc<Policy> {
-    let (_, policy) =
-        operator_config::judge(text, Some(known)).unwrap_or_else(|faults| panic!("{faults:?}"));
+fn policy(known: &PlatformConstraints, text: &str) -> Arc<Policy> {
+    let (_, policy) = operator_config::parse_and_check(text, Some(known))
+        .unwrap_or_else(|faults| panic!("{faults:?}"));
     Arc::new(policy.expect("a policy"))
 }
 
@@ -70,7 +70,7 @@
     /// A core with two ready engines and this file.
     fn new(text: &str) -> Rig {
         let parsed = settings_json::parse(SETTINGS.as_bytes()).expect("settings");
-        let known = Known::of(&parsed);
+        let known = PlatformConstraints::from_settings(&parsed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
         let metrics: Arc<Metrics> = Arc::default();
         let core = Core::new(
--- a/src/hot_restart/order_lock_file/tests.rs
+++ b/src/hot_restart/order_lock_file/tests.rs
@@ -65,7 +65,9 @@
     new.unlock(key(2));
     drop(new);
     assert_eq!(third.live_peers(), 0);
-    assert!(!third.may_have_held_at_exit(slots[1]) && third.may_have_held_at_exit(slots[0] | slots[1]));
+    assert!(
+        !third.may_have_held_at_exit(slots[1]) && third.may_have_held_at_exit(slots[0] | slots[1])
+    );
     let _ = fs::remove_file(&path);
 }
 
@@ -94,7 +96,11 @@
     let unused = (0..SLOTS)
         .find(|slot| *slot != locks.own_slot)
         .expect("a slot");
-    assert!(locks.live_peers() == 0 && locks.may_have_held_at_exit(1 << unused) && locks.may_be_left_behind());
+    assert!(
+        locks.live_peers() == 0
+            && locks.may_have_held_at_exit(1 << unused)
+            && locks.may_be_left_behind()
+    );
     assert!(locks.try_lock(key(1)));
     let _ = fs::remove_file(&path);
 }
--- a/src/hot_restart/peer_sync.rs
+++ b/src/hot_restart/peer_sync.rs
@@ -78,9 +78,13 @@
             // An engine that was returned to service begins with slow start. The core starts that where an ejected
             // engine returns, so it is ejected first.
             if !ejection.ejected {
-                self.core.set_manual_ejection(engine, true, at_ms, true).await;
+                self.core
+                    .set_manual_ejection(engine, true, at_ms, true)
+                    .await;
             }
-            self.core.set_manual_ejection(engine, ejection.ejected, at_ms, true).await;
+            self.core
+                .set_manual_ejection(engine, ejection.ejected, at_ms, true)
+                .await;
         }
     }
 
@@ -93,11 +97,11 @@
         }
         let metrics = self.store.metrics();
         metrics.peer_processes.set(usize::from(running));
-        self.core.set_peer_processes(self.capacity_divisor(running)).await;
-        eprintln!(
-            "workload-manager: another process of this workload manager {}",
-            if running { "lives" } else { "has gone" }
-        );
+        self.core
+            .set_peer_processes(self.capacity_divisor(running))
+            .await;
+        let change = if running { "started" } else { "ended" };
+        tracing::info!("peer process {change}");
     }
 
     fn capacity_divisor(&self, peer_is_running: bool) -> f64 {
--- a/src/hot_restart/state_store.rs
+++ b/src/hot_restart/state_store.rs
@@ -6,7 +6,7 @@
 use crate::decision::{EngineId, Millis};
 use crate::limits::Limits;
 use crate::metrics::Metrics;
-use crate::node_config::{engine_named, engine_text};
+use crate::node_config::{format_engine_id, parse_engine_id};
 use std::collections::BTreeMap;
 use std::fs::{self, File, Metadata};
 use std::io;
@@ -127,7 +127,7 @@
     fn merge(&mut self, stored: StoredState, now: Millis) {
         for (id, ejection) in stored.ejections {
             let plausible = (0.0..=now + MAX_CLOCK_SKEW_MS).contains(&ejection.decided_at_ms);
-            let Some(engine) = engine_named(&id).filter(|_| plausible) else {
+            let Some(engine) = parse_engine_id(&id).filter(|_| plausible) else {
                 self.metrics.state_errors.increment();
                 continue;
             };
@@ -148,10 +148,8 @@
         self.forget_old_returns(ejection.decided_at_ms);
         if let Err(error) = self.write() {
             self.metrics.state_errors.increment();
-            eprintln!(
-                "workload-manager: cannot write {}: {error}",
-                self.state_path.display()
-            );
+            let path = self.state_path.display();
+            tracing::warn!(%path, %error, "cannot write the stored state");
         }
         if locked {
             let _ = self.write_lock.unlock();
@@ -181,7 +179,7 @@
         let ejections = self
             .ejections
             .iter()
-            .map(|(engine, ejection)| (engine_text(*engine), *ejection))
+            .map(|(engine, ejection)| (format_engine_id(*engine), *ejection))
             .collect();
         StoredState::new(ejections).replace(&self.state_path)
     }
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,53 +1,56 @@
-//! Whether this program is to have clients: a state of the node, which the fronts follow and operations set.
+//! Whether this node accepts clients: one state, set by the node and by on-call staff, followed by the front ends.
 
 use tokio::sync::watch;
 
-/// What has been said so far.
+/// What has been decided so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct State {
-    /// It can serve: its listeners, its core and its list are up.
+pub(crate) struct LifecycleState {
+    /// The start is complete: listeners, core and endpoint list are up.
     pub(crate) serving: bool,
-    /// Staff sent its clients away.
+    /// On-call staff sent the clients away.
     pub(crate) drained: bool,
-    /// It ends as planned.
-    pub(crate) ending: bool,
-    /// Another process accepts clients on the same socket, so this one does no more.
-    pub(crate) handed: bool,
+    /// A graceful shutdown has begun.
+    pub(crate) shutting_down: bool,
+    /// Another process accepts clients on the same socket, so this one accepts no more.
+    pub(crate) listener_handed_over: bool,
 }
 
-impl State {
-    /// Whether clients are to come.
-    pub(crate) fn fit(self) -> bool {
-        self.serving && !self.leaving()
+impl LifecycleState {
+    /// Whether new clients are welcome, as the readiness check reports it.
+    pub(crate) fn is_ready(self) -> bool {
+        self.serving && !self.is_draining()
     }
 
-    /// Whether clients are to go. What still arrives is served.
-    pub(crate) fn leaving(self) -> bool {
-        self.drained || self.ending
+    /// Whether clients are asked to leave. What still arrives is served.
+    pub(crate) fn is_draining(self) -> bool {
+        self.drained || self.shutting_down
     }
 }
 
-/// The one place where the state is held.
-pub(crate) struct Lifecycle(watch::Sender<State>);
+/// The owner of the state.
+pub(crate) struct Lifecycle(watch::Sender<LifecycleState>);
 
 impl Lifecycle {
+    /// A node that has not finished its start.
     pub(crate) fn new() -> Lifecycle {
-        Lifecycle(watch::channel(State::default()).0)
+        Lifecycle(watch::channel(LifecycleState::default()).0)
     }
 
-    pub(crate) fn now(&self) -> State {
+    pub(crate) fn current(&self) -> LifecycleState {
         *self.0.borrow()
     }
 
-    pub(crate) fn fit(&self) -> bool {
-        self.now().fit()
+    /// Whether new clients are welcome now.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.current().is_ready()
     }
 
-    pub(crate) fn set(&self, change: impl FnOnce(&mut State)) {
+    /// Changes the state and notifies its followers.
+    pub(crate) fn update(&self, change: impl FnOnce(&mut LifecycleState)) {
         self.0.send_modify(change);
     }
 
-    pub(crate) fn follow(&self) -> watch::Receiver<State> {
+    pub(crate) fn subscribe(&self) -> watch::Receiver<LifecycleState> {
         self.0.subscribe()
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,14 +2,18 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use std::io::Write;
+use std::io::{self, Write};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use std::pin::pin;
 use std::process::ExitCode;
+use thiserror::Error;
 use workload_manager::command::{self, Asked, Done};
-use workload_manager::node::Node;
+use workload_manager::log::LogError;
+use workload_manager::node::{Node, StartError};
 use workload_manager::node_config::{ConfigError, NodeConfig};
-use workload_manager::operator_config::{Known, Operators};
-use workload_manager::signals::{Heard, Signals};
+use workload_manager::operator_config::{OperatorConfig, OperatorConfigError, PlatformConstraints};
+use workload_manager::signals::{Signal, Signals};
 
 /// A workload manager: when, and on which shared SQL engine, each query runs.
 #[derive(Parser)]
@@ -101,103 +105,137 @@
     let _ = std::io::stderr().write_all(done.err.as_bytes());
 }
 
+/// Why the program ends with an error.
+#[derive(Debug, Error)]
+enum RunError {
+    #[error("no runtime: {0}")]
+    Runtime(io::Error),
+    #[error("cannot hear signals: {0}")]
+    Signals(io::Error),
+    #[error("NODE_CONFIG does not name a configuration")]
+    NoConfiguration,
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Operators(#[from] OperatorConfigError),
+    #[error(transparent)]
+    Log(#[from] LogError),
+    #[error(transparent)]
+    Start(#[from] StartError),
+}
+
 fn serve() -> ExitCode {
-    let done = tokio::runtime::Builder::new_current_thread()
+    let result = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|e| ConfigError(format!("no runtime: {e}")))
+        .map_err(RunError::Runtime)
         .and_then(|runtime| runtime.block_on(run()));
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("workload-manager: {problem}");
+        Err(error) => {
+            // The log may not be set up yet.
+            eprintln!("workload-manager: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-async fn run() -> Result<(), ConfigError> {
-    let path = std::env::var_os("NODE_CONFIG")
-        .ok_or_else(|| ConfigError("NODE_CONFIG does not name a configuration".to_owned()))?;
-    // Guard: heard from the first moment on, as SIGHUP would end a program that does not hear it.
-    let mut signals =
-        Signals::hear().map_err(|e| ConfigError(format!("cannot hear signals: {e}")))?;
-    let config = load(Path::new(&path))?;
-    let fronts =
-        std::env::var_os("MAGPIECHUTE_FRONTS").unwrap_or_else(|| "deploy/fronts.toml".into());
-    let file =
-        std::env::var_os("MAGPIECHUTE_FILE").unwrap_or_else(|| "deploy/magpiechute.toml".into());
-    let known = Known::of(&config.settings);
-    let operators =
-        Operators::load(Path::new(&file), Path::new(&fronts), &known).map_err(ConfigError)?;
-    workload_manager::log::init(&operators.log).map_err(|e| ConfigError(e.to_string()))?;
+async fn run() -> Result<(), RunError> {
+    let path = std::env::var_os("NODE_CONFIG").ok_or(RunError::NoConfiguration)?;
+    let path = Path::new(&path);
+    // First of all: without a handler SIGHUP ends the program.
+    let mut signals = Signals::install().map_err(RunError::Signals)?;
+    let config = load(path)?;
+    let operators = load_operator_config(&config)?;
+    workload_manager::log::init(&operators.log)?;
     let name = config.name.clone();
     let node = Node::start(config, operators).await?;
-    let ops = node
-        .ops
-        .map_or(String::new(), |at| format!(", is operated at {at}"));
-    tracing::info!("{name} serves on {}{ops}", node.listen);
+    let admin = node.admin.map_or(String::new(), |address| {
+        format!(", is operated at {address}")
+    });
+    tracing::info!("{name} serves on {}{admin}", node.listen);
+    serve_until_signalled(&node, &mut signals, path).await;
+    shut_down(&node, &mut signals, path).await;
+    print_metrics(&node);
+    Ok(())
+}
+
+/// Handles signals until one asks for the end.
+async fn serve_until_signalled(node: &Node, signals: &mut Signals, path: &Path) {
     loop {
         match signals.next().await {
-            Ok(Heard::Terminate | Heard::Interrupt) => break,
-            Ok(Heard::Reload) => node.reload(load(Path::new(&path))).await,
-            Ok(Heard::Print) => say(format!("workload-manager: {}", node.metrics)),
-            Err(problem) => {
-                // A program that cannot be told to end would have to be killed: it ends now, as planned.
-                say(format!(
-                    "workload-manager: no longer hears signals ({problem}), and ends as planned"
-                ));
-                break;
+            Ok(Signal::Terminate | Signal::Interrupt) => return,
+            Ok(Signal::Reload) => node.reload(load(path)).await,
+            Ok(Signal::Print) => print_metrics(node),
+            Err(error) => {
+                // A program that no signal can end would have to be killed.
+                tracing::error!(%error, "signals can no longer be received, shutting down");
+                return;
             }
         }
     }
-    let mut end = std::pin::pin!(node.finish());
+}
+
+/// Shuts down and handles signals meanwhile. What is open, or still arrives, is served by the endpoint list, so a changed
+/// address of the discovery feed is followed until the end. A second signal to end changes nothing.
+async fn shut_down(node: &Node, signals: &mut Signals, path: &Path) {
+    let mut shutdown = pin!(node.shut_down());
     loop {
         tokio::select! {
-            () = &mut end => break,
-            // A second word to end changes nothing. Guard: what is open, or still comes, is served by the control feed,
-            // and where that goes meanwhile it is followed, or word of drains would not be heard any more.
-            heard = signals.next() => match heard {
-                Ok(Heard::Reload) => node.reload(load(Path::new(&path))).await,
-                Ok(Heard::Print) => say(format!("workload-manager: {}", node.metrics)),
-                Ok(Heard::Terminate | Heard::Interrupt) => {}
-                Err(_) => {
-                    (&mut end).await;
-                    break;
-                }
+            () = &mut shutdown => return,
+            signal = signals.next() => match signal {
+                Ok(Signal::Reload) => node.reload(load(path)).await,
+                Ok(Signal::Print) => print_metrics(node),
+                Ok(Signal::Terminate | Signal::Interrupt) => {}
+                Err(_) => return shutdown.await,
             }
         }
     }
-    say(format!("workload-manager: {}", node.metrics));
-    Ok(())
 }
 
-/// Writes a line to standard error in one write, as that is not buffered and a line of counters has hundreds of parts.
-fn say(mut line: String) {
-    line.push('\n');
-    // Guard: a log that cannot be written changes nothing of the service.
-    let _ = std::io::stderr().write_all(line.as_bytes());
+/// Writes the counters to standard error in one write, as that is not buffered and the line has hundreds of parts.
+fn print_metrics(node: &Node) {
+    let line = format!("workload-manager: {}\n", node.metrics);
+    // Service does not depend on whether its log can be written.
+    let _ = io::stderr().write_all(line.as_bytes());
 }
 
-/// The configuration, whole and checked, as a start or SIGHUP finds it.
+/// The operators' file, or where there is none the older file of front ends.
+fn load_operator_config(config: &NodeConfig) -> Result<OperatorConfig, OperatorConfigError> {
+    let path_from = |variable: &str, default: &str| {
+        std::env::var_os(variable).map_or_else(|| PathBuf::from(default), PathBuf::from)
+    };
+    let front_ends = path_from("MAGPIECHUTE_FRONTS", "deploy/fronts.toml");
+    let file = path_from("MAGPIECHUTE_FILE", "deploy/magpiechute.toml");
+    let constraints = PlatformConstraints::from_settings(&config.settings);
+    OperatorConfig::load(&file, &front_ends, &constraints)
+}
+
+/// Reads the configuration, with what the environment replaces in it, at a start or reload.
 fn load(path: &Path) -> Result<NodeConfig, ConfigError> {
     let mut config = NodeConfig::load(path)?;
-    if let Ok(listen) = std::env::var("NODE_LISTEN") {
-        config.listen = listen
-            .parse()
-            .map_err(|_| ConfigError(format!("NODE_LISTEN {listen:?} is not an address")))?;
+    if let Some(listen) = address_from_environment("NODE_LISTEN")? {
+        config.listen = listen;
     }
-    if let Ok(ops) = std::env::var("NODE_OPS") {
-        config.ops = Some(
-            ops.parse()
-                .map_err(|_| ConfigError(format!("NODE_OPS {ops:?} is not an address")))?,
-        );
+    if let Some(admin) = address_from_environment("NODE_OPS")? {
+        config.admin = Some(admin);
     }
-    if let Ok(fd) = std::env::var("NODE_LISTEN_FD") {
-        let fd = fd.parse().ok().filter(|fd| *fd > 2);
-        config.listen_fd =
-            Some(fd.ok_or_else(|| ConfigError("NODE_LISTEN_FD is not a descriptor".to_owned()))?);
+    if let Ok(value) = std::env::var("NODE_LISTEN_FD") {
+        // The first three descriptors are the standard streams.
+        let descriptor = value.parse().ok().filter(|descriptor| *descriptor > 2);
+        let descriptor = descriptor.ok_or(ConfigError::EnvironmentDescriptor(value))?;
+        config.listen_fd = Some(descriptor);
     }
     config.shared_folder = std::env::var_os("TMPDIR").map(Into::into);
     Ok(config)
 }
+
+fn address_from_environment(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    let Ok(value) = std::env::var(variable) else {
+        return Ok(None);
+    };
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(ConfigError::EnvironmentAddress { variable, value }),
+    }
+}
--- /dev/null
+++ b/src/node/reload.rs
@@ -0,0 +1,166 @@
+//! Reload of the configuration: checks a new one completely, then puts it in force in one step or refuses it.
+
+use super::Node;
+use crate::core::CoreMessage;
+use crate::node_config::{ConfigError, NodeConfig};
+use crate::operator_config::{self, Faults, PlatformConstraints};
+use crate::retry_policy::Policy;
+use crate::settings_json::PlatformSettings;
+use std::net::SocketAddr;
+use std::sync::{Arc, PoisonError};
+use thiserror::Error;
+
+/// Why a reload is refused.
+#[derive(Debug, Error)]
+enum ReloadError {
+    /// The configuration cannot be read or used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// A key of the configuration in force is missing in the new one. At a start it would have a default, but here the
+    /// default would replace a value without notice.
+    #[error("configuration: {0} is missing")]
+    MissingKey(String),
+    /// The operators' file cannot be used with the new settings.
+    #[error(transparent)]
+    OperatorFile(#[from] Faults),
+}
+
+/// The settings that only a start can change.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct StartOnlySettings {
+    listen: SocketAddr,
+    max_descriptors: usize,
+    memory_mb: usize,
+}
+
+impl StartOnlySettings {
+    pub(super) fn of(config: &NodeConfig) -> Self {
+        StartOnlySettings {
+            listen: config.listen,
+            max_descriptors: config.max_descriptors,
+            memory_mb: config.memory_mb,
+        }
+    }
+
+    /// The names of the settings that differ from those of the new configuration.
+    fn changed_by(&self, config: &NodeConfig) -> impl Iterator<Item = &'static str> {
+        let new = StartOnlySettings::of(config);
+        let limits = |settings: &Self| (settings.max_descriptors, settings.memory_mb);
+        let listen_changed = new.listen != self.listen;
+        let limits_changed = limits(&new) != limits(self);
+        [("listen", listen_changed), ("limits", limits_changed)]
+            .into_iter()
+            .filter_map(|(name, changed)| changed.then_some(name))
+    }
+}
+
+/// Whether two settings differ in what connections and limits were set up with at the start.
+fn connection_settings_differ(old: &PlatformSettings, new: &PlatformSettings) -> bool {
+    let of_connections = |settings: &PlatformSettings| {
+        (
+            settings.connect_timeout_ms,
+            settings.engine_idle_timeout_ms,
+            settings.attempts_per_connection,
+            settings.max_open_requests,
+            settings.settings.progress_interval_ms,
+        )
+    };
+    of_connections(old) != of_connections(new)
+}
+
+impl Node {
+    /// Puts a new configuration in force, or keeps the old one where the new one cannot be used. Connections, requests
+    /// and engines stay: the settings and the discovery feed's address may change while the program runs. The events
+    /// in the configuration are those of its start and are not used; the feed announces changes under its own numbers.
+    pub async fn reload(&self, config: Result<NodeConfig, ConfigError>) {
+        let checked = config
+            .map_err(ReloadError::from)
+            .and_then(|config| self.check_reload(config));
+        let (config, policy) = match checked {
+            Ok(checked) => checked,
+            Err(error) => {
+                self.metrics.reloads_rejected.increment();
+                tracing::warn!(%error, "reload refused, the old configuration stays in force");
+                return;
+            }
+        };
+        let old_settings = self.settings.borrow().clone();
+        self.warn_of_start_only_changes(&old_settings, &config);
+        self.apply_settings(&old_settings, &config.settings, policy)
+            .await;
+        *self
+            .config_values
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = config.values;
+        self.feed
+            .send_if_modified(|feed| std::mem::replace(feed, config.feed) != config.feed);
+        self.metrics.reloads.increment();
+        tracing::info!(feed = %config.feed, "reload complete");
+    }
+
+    fn warn_of_start_only_changes(&self, old_settings: &PlatformSettings, config: &NodeConfig) {
+        let connections = connection_settings_differ(old_settings, &config.settings)
+            .then_some("settings of connections");
+        for setting in self.start_only.changed_by(config).chain(connections) {
+            tracing::warn!(setting, "a changed setting takes effect at the next start");
+        }
+    }
+
+    /// Checks a new configuration together with the operators' file; both are used or neither. Returns it with the
+    /// retry policy of that file.
+    fn check_reload(&self, config: NodeConfig) -> Result<(NodeConfig, Arc<Policy>), ReloadError> {
+        let missing_key = config.missing_key(
+            &self
+                .config_values
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        );
+        if let Some(key) = missing_key {
+            return Err(ReloadError::MissingKey(key));
+        }
+        let Some(path) = &self.operator_file else {
+            return Ok((config, Arc::default()));
+        };
+        let constraints = PlatformConstraints::from_settings(&config.settings);
+        match operator_config::load(path, &constraints) {
+            Ok(loaded) => {
+                let policy = loaded.map(|file| Arc::new(file.policy));
+                Ok((config, policy.unwrap_or_default()))
+            }
+            Err(faults) => {
+                self.metrics.operator_config_rejected.increment();
+                Err(faults.into())
+            }
+        }
+    }
+
+    /// Replaces settings and policy in one step. The core's mailbox slot is reserved first and nothing is awaited after
+    /// that, so a request is handled under the old ones by front ends and core alike, or under the new ones by both.
+    async fn apply_settings(
+        &self,
+        old: &PlatformSettings,
+        new: &PlatformSettings,
+        policy: Arc<Policy>,
+    ) {
+        let Some(mailbox_slot) = self.core.reserve().await else {
+            return;
+        };
+        let settings = (*old != *new).then(|| Box::new(new.settings.clone()));
+        if settings.is_some() {
+            for class in &new.classes {
+                self.metrics.class(&class.name);
+            }
+            self.settings.send_replace(Arc::new(new.clone()));
+            tracing::info!("new settings in force");
+        }
+        *self.policy.lock().unwrap_or_else(PoisonError::into_inner) = policy.clone();
+        mailbox_slot.send(CoreMessage::Settings { settings, policy });
+        if self
+            .operator_file
+            .as_ref()
+            .is_some_and(|path| path.exists())
+        {
+            self.metrics.operator_config_loads.increment();
+        }
+    }
+}
--- /dev/null
+++ b/src/node/sockets.rs
@@ -0,0 +1,120 @@
+//! The sockets of a node: bound at the start, before any actor runs.
+
+use crate::node_config::{ConfigError, NodeConfig, OptionalFronts, loopback};
+use std::io;
+use std::net::SocketAddr;
+use thiserror::Error;
+use tokio::net::{TcpListener, UdpSocket};
+use tokio_listener::{Listener, ListenerAddress, SystemOptions, UserOptions};
+
+/// Why a socket cannot be opened.
+#[derive(Debug, Error)]
+pub enum BindError {
+    /// An address in a configuration file cannot be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The address is not free, or not this machine's.
+    #[error("cannot listen on {address}: {source}")]
+    Address {
+        /// The address.
+        address: SocketAddr,
+        /// What the system reported.
+        source: io::Error,
+    },
+    /// The inherited descriptor is no listening TCP socket.
+    #[error("cannot listen on descriptor {descriptor}: {source}")]
+    Descriptor {
+        /// The descriptor's number.
+        descriptor: i32,
+        /// What the system reported.
+        source: io::Error,
+    },
+}
+
+/// A socket with the address that it is bound to.
+pub(super) struct Bound<S> {
+    pub(super) socket: S,
+    pub(super) address: SocketAddr,
+}
+
+/// The SNMP agent's socket.
+pub(super) struct AgentSocket {
+    pub(super) bound: Bound<UdpSocket>,
+    /// The community that may read.
+    pub(super) community: String,
+}
+
+/// All sockets of a node.
+pub(super) struct Sockets {
+    pub(super) platform: Bound<TcpListener>,
+    pub(super) flight: Option<Bound<TcpListener>>,
+    pub(super) admin: Option<Bound<TcpListener>>,
+    pub(super) agent: Option<AgentSocket>,
+}
+
+impl Sockets {
+    /// Opens all sockets that the configuration and the operators' file name.
+    pub(super) async fn bind(
+        config: &NodeConfig,
+        front_ends: OptionalFronts,
+    ) -> Result<Sockets, BindError> {
+        let platform = match config.listen_fd {
+            Some(descriptor) => inherit(descriptor).await?,
+            None => bind_tcp(config.listen).await?,
+        };
+        let flight = match &front_ends.flight {
+            Some(front_end) => Some(bind_tcp(loopback(&front_end.listen, "flight")?).await?),
+            None => None,
+        };
+        let admin = match config.admin {
+            Some(address) => Some(bind_tcp(address).await?),
+            None => None,
+        };
+        let agent = match front_ends.snmp {
+            Some(agent) => Some(AgentSocket {
+                bound: bind_udp(loopback(&agent.listen, "snmp")?).await?,
+                community: agent.community,
+            }),
+            None => None,
+        };
+        Ok(Sockets {
+            platform,
+            flight,
+            admin,
+            agent,
+        })
+    }
+}
+
+/// The listening socket that the platform owns and hands over under this descriptor.
+async fn inherit(descriptor: i32) -> Result<Bound<TcpListener>, BindError> {
+    let failed = |source: io::Error| BindError::Descriptor { descriptor, source };
+    let mut options = UserOptions::default();
+    options.sd_accept_ignore_environment = true;
+    let listener = Listener::bind(
+        &ListenerAddress::FromFd(descriptor),
+        &SystemOptions::default(),
+        &options,
+    )
+    .await
+    .map_err(failed)?;
+    let socket = listener
+        .try_into_tcp_listener()
+        .map_err(|_| failed(io::Error::other("it is no TCP socket")))?;
+    let address = socket.local_addr().map_err(failed)?;
+    Ok(Bound { socket, address })
+}
+
+async fn bind_tcp(address: SocketAddr) -> Result<Bound<TcpListener>, BindError> {
+    let failed = |source| BindError::Address { address, source };
+    let socket = TcpListener::bind(address).await.map_err(failed)?;
+    let address = socket.local_addr().map_err(failed)?;
+    Ok(Bound { socket, address })
+}
+
+async fn bind_udp(address: SocketAddr) -> Result<Bound<UdpSocket>, BindError> {
+    let failed = |source| BindError::Address { address, source };
+    let socket = UdpSocket::bind(address).await.map_err(failed)?;
+    let address = socket.local_addr().map_err(failed)?;
+    Ok(Bound { socket, address })
+}
--- /dev/null
+++ b/src/node/startup.rs
@@ -0,0 +1,338 @@
+//! The start of a node: opens its sockets, then starts its actors, each after what it depends on. The front ends come
+//! last, so that no request arrives before the endpoint list and the manual ejections are known.
+
+use super::Node;
+use super::reload::StartOnlySettings;
+use super::sockets::{AgentSocket, BindError, Bound, Sockets};
+use crate::admin::{self, OperationsServer};
+use crate::clients::{Frontend, flight, msgpack_rpc};
+use crate::core::{self, Clock, Core, CoreMessage, Handle, OrderLocks};
+use crate::decision::{Settings, SettingsError};
+use crate::discovery::{self, FollowerContext};
+use crate::engines::{EngineContext, Fleet};
+use crate::hot_restart::{self, PeerSync, StateStore, StateWriter};
+use crate::lifecycle::Lifecycle;
+use crate::limits::Limits;
+use crate::metrics::Metrics;
+use crate::node_config::{EndpointListEvent, EngineProtocol, NodeConfig};
+use crate::operator_config::OperatorConfig;
+use crate::retry_policy::Policy;
+use crate::settings_json::PlatformSettings;
+use crate::snmp;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::{Arc, Mutex};
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+/// Why a node cannot start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// A socket cannot be opened.
+    #[error(transparent)]
+    Bind(#[from] BindError),
+    /// The dispatcher refuses the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// What nearly every actor of the node holds.
+#[derive(Clone)]
+struct Services {
+    limits: Arc<Limits>,
+    metrics: Arc<Metrics>,
+    lifecycle: Arc<Lifecycle>,
+}
+
+/// What the node shares with its peer process. Without a shared folder, or where it cannot be used, the node runs
+/// all the same and knows of no other process.
+struct SharedState {
+    store: Option<StateStore>,
+    order_locks: Option<Box<dyn OrderLocks>>,
+    /// Another process of this workload manager was running when this one started.
+    is_successor: bool,
+}
+
+/// Starts the node. The settings are in force and the node accepts clients when this returns.
+pub(super) async fn start(
+    config: NodeConfig,
+    operators: OperatorConfig,
+) -> Result<Node, StartError> {
+    let engine_protocol = operators.engine_protocol();
+    let services = Services::new(&config, engine_protocol);
+    let shared_state = SharedState::open(&config, &services).await;
+    let is_successor = shared_state.is_successor;
+    let sockets = Sockets::bind(&config, operators.front_ends).await?;
+    let start_only = StartOnlySettings::of(&config);
+    let dispatcher = DispatcherSetup {
+        settings: config.settings.settings.clone(),
+        seed: config.seed,
+        is_successor,
+        policy: operators.policy.clone(),
+        order_locks: shared_state.order_locks,
+    };
+    let core = start_core(dispatcher, engine_protocol, &services)?;
+    count_operator_file(operators.path.as_deref(), &services.metrics);
+    let last_event = send_known_events(&core, config.events, config.last_known_event).await;
+    let (feed, feed_address) = watch::channel(config.feed);
+    let (settings_sender, settings) = watch::channel(Arc::new(config.settings));
+    let first_frame = start_discovery(feed_address, last_event, &core, settings.clone(), &services);
+    let state_writer = start_peer_sync(shared_state.store, &core, &services).await;
+    let policy = Arc::new(Mutex::new(operators.policy));
+    let admin_server = services.admin_server(&core, state_writer, &policy, &settings);
+    let admin = sockets
+        .admin
+        .map(|bound| spawn_listener(bound, |listener| admin::listen(listener, admin_server)));
+    register_classes(&settings.borrow(), &services.metrics);
+    if is_successor {
+        wait_for_first_frame(first_frame, &services.limits).await;
+    }
+    let frontend = services.frontend(&core, settings);
+    let flight_frontend = frontend.clone();
+    let flight = sockets
+        .flight
+        .map(|bound| spawn_listener(bound, |listener| flight::listen(listener, flight_frontend)));
+    let listen = spawn_listener(sockets.platform, |listener| {
+        msgpack_rpc::listen(listener, frontend)
+    });
+    let snmp = sockets
+        .agent
+        .map(|socket| start_agent(socket, config.name, &services));
+    services.lifecycle.update(|state| state.serving = true);
+    Ok(Node {
+        listen,
+        flight,
+        snmp,
+        admin,
+        metrics: services.metrics,
+        limits: services.limits,
+        start_only,
+        config_values: Mutex::new(config.values),
+        settings: settings_sender,
+        operator_file: operators.path,
+        policy,
+        feed,
+        lifecycle: services.lifecycle,
+        core,
+        listener_is_inherited: config.listen_fd.is_some(),
+    })
+}
+
+impl Services {
+    fn new(config: &NodeConfig, engine_protocol: EngineProtocol) -> Self {
+        let limits = Limits::new(
+            config.max_descriptors,
+            config.memory_mb,
+            engine_protocol == EngineProtocol::Lines,
+            &config.settings,
+        );
+        Services {
+            limits: Arc::new(limits),
+            metrics: Arc::default(),
+            lifecycle: Arc::new(Lifecycle::new()),
+        }
+    }
+
+    fn admin_server(
+        &self,
+        core: &Handle,
+        state_writer: StateWriter,
+        policy: &Arc<Mutex<Arc<Policy>>>,
+        settings: &watch::Receiver<Arc<PlatformSettings>>,
+    ) -> OperationsServer {
+        OperationsServer {
+            core: core.clone(),
+            metrics: self.metrics.clone(),
+            limits: self.limits.clone(),
+            lifecycle: self.lifecycle.clone(),
+            state_writer,
+            policy: policy.clone(),
+            parsed: settings.clone(),
+        }
+    }
+
+    /// What the front ends hold.
+    fn frontend(
+        &self,
+        core: &Handle,
+        settings: watch::Receiver<Arc<PlatformSettings>>,
+    ) -> Frontend {
+        Frontend {
+            core: core.clone(),
+            settings,
+            limits: self.limits.clone(),
+            metrics: self.metrics.clone(),
+            lifecycle: self.lifecycle.clone(),
+            buffer_pools: Arc::default(),
+        }
+    }
+}
+
+impl SharedState {
+    async fn open(config: &NodeConfig, services: &Services) -> Self {
+        let Some(folder) = &config.shared_folder else {
+            return SharedState {
+                store: None,
+                order_locks: None,
+                is_successor: false,
+            };
+        };
+        let store = open_store(folder, &config.name, services).await;
+        let order_locks = open_order_locks(folder, &config.name, &services.metrics);
+        let is_successor = store.as_ref().is_some_and(StateStore::peer_is_running);
+        SharedState {
+            store,
+            order_locks,
+            is_successor,
+        }
+    }
+}
+
+async fn open_store(folder: &Path, name: &str, services: &Services) -> Option<StateStore> {
+    let (limits, metrics) = (services.limits.clone(), services.metrics.clone());
+    StateStore::open(folder, name, limits, metrics)
+        .await
+        .inspect_err(|error| {
+            let folder = folder.display();
+            tracing::warn!(%folder, %error, "no shared state, manual ejections hold for this process alone");
+        })
+        .ok()
+}
+
+fn open_order_locks(
+    folder: &Path,
+    name: &str,
+    metrics: &Arc<Metrics>,
+) -> Option<Box<dyn OrderLocks>> {
+    hot_restart::open_order_locks(folder, name, metrics.clone())
+        .inspect_err(|error| {
+            let folder = folder.display();
+            tracing::warn!(%folder, %error, "no order locks, the order of a key holds within this process alone");
+        })
+        .ok()
+}
+
+/// What the core's dispatcher is made of.
+struct DispatcherSetup {
+    settings: Settings,
+    seed: u64,
+    is_successor: bool,
+    policy: Arc<Policy>,
+    order_locks: Option<Box<dyn OrderLocks>>,
+}
+
+/// Starts the core with its engine connections.
+fn start_core(
+    setup: DispatcherSetup,
+    engine_protocol: EngineProtocol,
+    services: &Services,
+) -> Result<Handle, SettingsError> {
+    let (limits, metrics) = (&services.limits, &services.metrics);
+    let clock = Clock::new();
+    let (handle, inputs) = Handle::new(limits.mailbox_messages, clock);
+    let uses_flight = engine_protocol == EngineProtocol::Flight;
+    let engines = EngineContext::new(handle.clone(), limits.clone(), metrics.clone(), uses_flight);
+    // With the seed of its predecessor a successor would act at the same random times.
+    let seed = if setup.is_successor {
+        setup.seed ^ clock.now().to_bits()
+    } else {
+        setup.seed
+    };
+    let core = Core::new(
+        setup.settings,
+        seed,
+        Fleet::new(engines),
+        limits.clone(),
+        metrics.clone(),
+    )?
+    .with_policy(setup.policy)
+    .with_order_locks(setup.order_locks);
+    tokio::spawn(core::run(core, inputs, clock));
+    Ok(handle)
+}
+
+/// Passes the events that the configuration knows to the core; returns the number of the last one.
+async fn send_known_events(core: &Handle, events: Vec<EndpointListEvent>, last_known: u64) -> u64 {
+    let mut last_event = last_known;
+    for event in events {
+        last_event = last_event.max(event.number);
+        core.send(CoreMessage::EndpointList(event)).await;
+    }
+    last_event
+}
+
+/// Starts the follower of the discovery feed; the receiver turns true with the feed's first frame.
+fn start_discovery(
+    feed: watch::Receiver<SocketAddr>,
+    last_event: u64,
+    core: &Handle,
+    settings: watch::Receiver<Arc<PlatformSettings>>,
+    services: &Services,
+) -> watch::Receiver<bool> {
+    let (first_frame_received, first_frame) = watch::channel(false);
+    let context = FollowerContext {
+        core: core.clone(),
+        limits: services.limits.clone(),
+        metrics: services.metrics.clone(),
+        first_frame_received,
+        settings,
+    };
+    tokio::spawn(discovery::follow(feed, last_event, context));
+    first_frame
+}
+
+/// Starts the exchange with the peer process, where there is a store. The manual ejections of the peer are in force
+/// when this returns.
+async fn start_peer_sync(
+    store: Option<StateStore>,
+    core: &Handle,
+    services: &Services,
+) -> StateWriter {
+    let (writer, mailbox) = StateWriter::new(&services.limits);
+    if let Some(store) = store {
+        let mut sync = PeerSync::new(store, core.clone(), services.limits.clone());
+        sync.synchronize().await;
+        tokio::spawn(sync.run(mailbox));
+    }
+    writer
+}
+
+/// Counts the operators' file as loaded, where there is one.
+fn count_operator_file(path: Option<&Path>, metrics: &Metrics) {
+    if path.is_some_and(Path::exists) {
+        metrics.operator_config_loads.increment();
+    }
+}
+
+/// Makes the figures of each class visible before its first request.
+fn register_classes(settings: &PlatformSettings, metrics: &Metrics) {
+    for class in &settings.classes {
+        metrics.class(&class.name);
+    }
+}
+
+/// Waits until the feed is connected, within a limit. The list in a successor's configuration is that of the first
+/// start, and may name engines that are gone.
+async fn wait_for_first_frame(mut first_frame: watch::Receiver<bool>, limits: &Limits) {
+    let received = first_frame.wait_for(|received| *received);
+    let _ = timeout(limits.first_feed_event_timeout, received).await;
+}
+
+/// Starts what accepts connections on this socket, and returns the socket's address.
+fn spawn_listener<F>(bound: Bound<TcpListener>, listen: impl FnOnce(TcpListener) -> F) -> SocketAddr
+where
+    F: Future<Output = ()> + 'static + Send,
+{
+    tokio::spawn(listen(bound.socket));
+    bound.address
+}
+
+/// Starts the SNMP agent, and returns its address.
+fn start_agent(socket: AgentSocket, name: String, services: &Services) -> SocketAddr {
+    let (metrics, limits) = (services.metrics.clone(), services.limits.clone());
+    let agent = snmp::Agent::new(socket.community, name, metrics, limits);
+    tokio::spawn(agent.listen(socket.bound.socket));
+    socket.bound.address
+}
--- /dev/null
+++ b/src/node_config/missing_key.rs
@@ -0,0 +1,32 @@
+//! Search for a key that one JSON document has and another lacks.
+
+use serde_json::Value;
+
+/// The dotted path of a key that `reference` has and `document` lacks. Of the objects in an array, each has to have
+/// the keys that all objects of the reference's array have.
+pub(super) fn find(reference: &Value, document: &Value) -> Option<String> {
+    find_below(reference, document).map(|path| path.trim_start_matches('.').to_owned())
+}
+
+fn find_below(reference: &Value, document: &Value) -> Option<String> {
+    match (reference, document) {
+        (Value::Object(reference), Value::Object(document)) => {
+            reference
+                .iter()
+                .find_map(|(key, value)| match document.get(key) {
+                    None => Some(format!(".{key}")),
+                    Some(below) => find_below(value, below).map(|path| format!(".{key}{path}")),
+                })
+        }
+        (Value::Array(reference), Value::Array(document)) => {
+            let objects: Vec<_> = reference.iter().filter_map(Value::as_object).collect();
+            let (first, others) = objects.split_first()?;
+            first
+                .keys()
+                .filter(|key| others.iter().all(|other| other.contains_key(*key)))
+                .find(|key| document.iter().any(|entry| entry.get(key).is_none()))
+                .map(|key| format!("[].{key}"))
+        }
+        _ => None,
+    }
+}
--- a/src/operator_config/check.rs
+++ b/src/operator_config/check.rs
@@ -15,42 +15,42 @@
 
 /// What the platform's settings tell that the file is held against.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct PlatformConstraints {
     /// Classes by position.
-    pub classes: Vec<KnownClass>,
+    pub classes: Vec<ClassConstraints>,
     /// Members by position; none where the platform names no tenants.
     pub members: Vec<String>,
     /// Attempts that the platform allows a request, the first included.
-    pub attempts_cap: u32,
+    pub max_attempts: u32,
     /// Whether a request may have two attempts out at once.
-    pub parallel_tries: bool,
+    pub parallel_attempts_allowed: bool,
 }
 
 /// A class of the settings.
 #[derive(Clone, Debug)]
-pub struct KnownClass {
+pub struct ClassConstraints {
     /// Its name.
     pub name: String,
     /// Whether a repeat may do harm: it may run once only, or once within a group of engines and a span of time.
-    pub once: bool,
+    pub not_idempotent: bool,
     /// How long its clients wait, in ms.
-    pub give_up_ms: Millis,
+    pub client_timeout_ms: Millis,
 }
 
-impl Known {
+impl PlatformConstraints {
     /// What the settings tell.
-    pub fn of(parsed: &PlatformSettings) -> Known {
+    pub fn from_settings(parsed: &PlatformSettings) -> PlatformConstraints {
         let s = &parsed.settings;
-        let class = |(name, c): (&String, &crate::decision::Class)| KnownClass {
+        let class = |(name, c): (&String, &crate::decision::Class)| ClassConstraints {
             name: name.clone(),
-            once: c.idempotency != Idempotency::Idempotent,
-            give_up_ms: c.client_timeout_ms,
+            not_idempotent: c.idempotency != Idempotency::Idempotent,
+            client_timeout_ms: c.client_timeout_ms,
         };
-        Known {
+        PlatformConstraints {
             classes: s.class_names.iter().zip(&s.classes).map(class).collect(),
             members: parsed.tenants.clone(),
-            attempts_cap: s.max_attempts,
-            parallel_tries: parsed.parallel_attempts_allowed,
+            max_attempts: s.max_attempts,
+            parallel_attempts_allowed: parsed.parallel_attempts_allowed,
         }
     }
 }
@@ -93,7 +93,7 @@
 /// Collects faults, each with the line of its key, and each once.
 struct Faults<'s> {
     source: &'s str,
-    all: Vec<Fault>,
+    faults: Vec<Fault>,
     seen: HashSet<(String, String)>,
 }
 
@@ -107,11 +107,11 @@
         let what = what.into();
         if self.seen.insert((key.clone(), what.clone())) {
             let line = line_of(self.source, &key);
-            self.all.push(Fault {
+            self.faults.push(Fault {
                 line,
                 key,
-                what,
-                mend: mend.into(),
+                problem: what,
+                suggestion: mend.into(),
             });
         }
     }
@@ -135,7 +135,7 @@
 pub(super) fn alone(text: &FileText, source: &str) -> Vec<Fault> {
     let mut faults = Faults {
         source,
-        all: Vec::new(),
+        faults: Vec::new(),
         seen: HashSet::new(),
     };
     let mut names = HashSet::new();
@@ -234,7 +234,7 @@
             );
         }
     }
-    faults.all
+    faults.faults
 }
 
 /// `p95` as 0.95.
@@ -285,12 +285,12 @@
 pub(super) fn policy(
     text: &FileText,
     source: &str,
-    known: &Known,
+    known: &PlatformConstraints,
     earlier: Vec<Fault>,
 ) -> Result<Policy, Vec<Fault>> {
     let mut faults = Faults {
         source,
-        all: earlier,
+        faults: earlier,
         seen: HashSet::new(),
     };
     let class_at = |name: &str| known.classes.iter().position(|c| c.name == name);
@@ -312,7 +312,7 @@
     let default = keys(&text.attempts.default);
     let mut by_class: Vec<AttemptPolicy> = Vec::new();
     for class in &known.classes {
-        let mut held = if class.once {
+        let mut held = if class.not_idempotent {
             default.for_non_idempotent()
         } else {
             default.clone()
@@ -352,11 +352,11 @@
             }
         }
     }
-    if faults.all.is_empty() {
+    if faults.faults.is_empty() {
         let classes = known.classes.iter().map(|c| {
             (
                 c.name.clone(),
-                c.once,
+                c.not_idempotent,
                 text.attempts.class.get(&c.name).map(keys),
             )
         });
@@ -367,11 +367,11 @@
                 .for_each(|fault| route_fault(fault, &all, &mut faults)),
         }
     }
-    super::sorted(faults.all).map(|()| Policy::default())
+    super::sorted(faults.faults).map(|()| Policy::default())
 }
 
 /// What a route matches, by positions; unknown names are faults.
-fn matches(table: &Table<'_>, known: &Known, faults: &mut Faults<'_>) -> RouteMatch {
+fn matches(table: &Table<'_>, known: &PlatformConstraints, faults: &mut Faults<'_>) -> RouteMatch {
     let Some(m) = &table.text.matches else {
         return RouteMatch::default();
     };
@@ -433,20 +433,20 @@
     table: &Table<'_>,
     own: &AttemptPolicy,
     held: &AttemptPolicy,
-    class: &KnownClass,
-    known: &Known,
+    class: &ClassConstraints,
+    known: &PlatformConstraints,
     faults: &mut Faults<'_>,
 ) {
     let (path, name) = (table.path.as_str(), class.name.as_str());
     let narrow = table.kind != Kind::Default;
-    if own.hedging.is_some() && !known.parallel_tries {
+    if own.hedging.is_some() && !known.parallel_attempts_allowed {
         faults.at(
             path,
             "second_copy",
             "the platform's settings allow one attempt out at a time (limits.parallelTries)",
             "remove second_copy",
         );
-    } else if own.hedging.is_some() && class.once && narrow {
+    } else if own.hedging.is_some() && class.not_idempotent && narrow {
         faults.at(
             path,
             "second_copy",
@@ -462,7 +462,7 @@
             "remove second_copy",
         );
     }
-    if let Some(ends) = own.retry_on.filter(|_| class.once && narrow) {
+    if let Some(ends) = own.retry_on.filter(|_| class.not_idempotent && narrow) {
         let ran: Vec<&str> = ends.names_that_may_have_run().collect();
         if !ran.is_empty() {
             let what = format!(
@@ -479,18 +479,18 @@
     }
     let request = held
         .timeout_ms
-        .unwrap_or(class.give_up_ms)
-        .min(class.give_up_ms);
-    if let Some(ms) = own.timeout_ms.filter(|ms| *ms > class.give_up_ms) {
+        .unwrap_or(class.client_timeout_ms)
+        .min(class.client_timeout_ms);
+    if let Some(ms) = own.timeout_ms.filter(|ms| *ms > class.client_timeout_ms) {
         let what = format!(
             "{ms} ms is longer than the give-up time of class {name}, {} ms",
-            class.give_up_ms
+            class.client_timeout_ms
         );
         faults.at(
             path,
             "timeout_ms",
             what,
-            format!("set {} or less", class.give_up_ms),
+            format!("set {} or less", class.client_timeout_ms),
         );
     }
     if let Some(one) = held.attempt_timeout_ms.filter(|one| *one > request)
@@ -506,22 +506,22 @@
             format!("set {request} or less"),
         );
     }
-    if let Some(most) = own.max_attempts.filter(|most| *most > known.attempts_cap) {
+    if let Some(most) = own.max_attempts.filter(|most| *most > known.max_attempts) {
         let what = format!(
             "{most} attempts are more than the platform allows, {}",
-            known.attempts_cap
+            known.max_attempts
         );
         faults.at(
             path,
             "max_attempts",
             what,
-            format!("set {} or less", known.attempts_cap),
+            format!("set {} or less", known.max_attempts),
         );
     }
     let attempts = held
         .max_attempts
-        .unwrap_or(known.attempts_cap)
-        .min(known.attempts_cap);
+        .unwrap_or(known.max_attempts)
+        .min(known.max_attempts);
     if let Some(wait) = held
         .backoff
         .map(|b| b.all_ms(attempts))
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -6,14 +6,16 @@
 mod lines;
 pub mod text;
 
-pub use check::Known;
+pub use check::PlatformConstraints;
 pub use text::FileText;
 
+use crate::node_config::{ConfigError, EngineProtocol, OptionalFronts};
 use crate::retry_policy::Policy;
 use garde::Validate;
 use std::fmt;
 use std::io::Read;
-use std::path::Path;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
 
 /// The largest file that is read, in bytes.
 pub const LARGEST: u64 = 1 << 20;
@@ -28,19 +30,19 @@
     /// The key, as a dotted path; empty for the file as a whole.
     pub key: String,
     /// What is wrong.
-    pub what: String,
+    pub problem: String,
     /// What would be right.
-    pub mend: String,
+    pub suggestion: String,
 }
 
 impl Fault {
     /// A fault of the file as a whole.
-    pub fn whole(what: impl Into<String>, mend: impl Into<String>) -> Fault {
+    pub fn of_file(what: impl Into<String>, mend: impl Into<String>) -> Fault {
         Fault {
             line: None,
             key: String::new(),
-            what: what.into(),
-            mend: mend.into(),
+            problem: what.into(),
+            suggestion: mend.into(),
         }
     }
 }
@@ -53,7 +55,7 @@
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        write!(f, "{}; {}", self.what, self.mend)
+        write!(f, "{}; {}", self.problem, self.suggestion)
     }
 }
 
@@ -63,19 +65,19 @@
     /// The file, as it was named.
     pub file: String,
     /// Each fault, in the order of the file where lines are known.
-    pub all: Vec<Fault>,
+    pub faults: Vec<Fault>,
 }
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let n = self.all.len();
+        let n = self.faults.len();
         write!(
             f,
             "{} cannot be used ({n} fault{}):",
             self.file,
             if n == 1 { "" } else { "s" }
         )?;
-        self.all
+        self.faults
             .iter()
             .try_for_each(|fault| write!(f, "\n  {}: {fault}", self.file))
     }
@@ -87,7 +89,7 @@
 /// is a folder, too large, not UTF-8, or changes while it is read; each says what to do.
 pub fn read(path: &Path) -> Result<Option<String>, Fault> {
     let fault = |what: String| {
-        Fault::whole(
+        Fault::of_file(
             what,
             "give the path of a readable TOML file of 1 MiB at most",
         )
@@ -129,7 +131,7 @@
         }
         before = Some(bytes);
     }
-    Err(Fault::whole(
+    Err(Fault::of_file(
         "changed while it was read, three times",
         "write it elsewhere and move it into place",
     ))
@@ -137,14 +139,14 @@
 
 /// Parses a file's text and checks what it can judge alone. Errors: every fault, with its line.
 pub fn parse(source: &str) -> Result<FileText, Vec<Fault>> {
-    judge(source, None).map(|(text, _)| text)
+    parse_and_check(source, None).map(|(text, _)| text)
 }
 
 /// Parses a file's text and checks all of it: alone, and against the settings where they are known, which makes its
 /// policy. Errors: every fault, with its line; a file that is no TOML of this form stops at its first.
-pub fn judge(
+pub fn parse_and_check(
     source: &str,
-    known: Option<&Known>,
+    known: Option<&PlatformConstraints>,
 ) -> Result<(FileText, Option<Policy>), Vec<Fault>> {
     let text: FileText = toml::from_str(source).map_err(|e| {
         let line = e.span().map(|span| lines::line_at(source, span.start));
@@ -152,8 +154,8 @@
         vec![Fault {
             line,
             key: String::new(),
-            what: message,
-            mend: mend_of_syntax(e.message()).to_owned(),
+            problem: message,
+            suggestion: mend_of_syntax(e.message()).to_owned(),
         }]
     })?;
     let mut faults: Vec<Fault> = match text.validate() {
@@ -172,8 +174,8 @@
                 Fault {
                     line,
                     key,
-                    what,
-                    mend: "set it within its range".to_owned(),
+                    problem: what,
+                    suggestion: "set it within its range".to_owned(),
                 }
             })
             .collect(),
@@ -222,66 +224,95 @@
 
 /// What the operators' files set at a start: fronts and policy, and where to read them again at SIGHUP.
 #[derive(Clone, Debug, Default)]
-pub struct Operators {
+pub struct OperatorConfig {
     /// The further fronts.
-    pub fronts: crate::node_config::OptionalFronts,
+    pub front_ends: OptionalFronts,
     /// The policy of attempts; without a file it sets nothing.
-    pub policy: std::sync::Arc<Policy>,
+    pub policy: Arc<Policy>,
     /// The file, where there is one, read again at SIGHUP.
-    pub path: Option<std::path::PathBuf>,
+    pub path: Option<PathBuf>,
     /// What is logged, and how.
     pub log: text::LogText,
 }
 
-impl From<crate::node_config::OptionalFronts> for Operators {
-    fn from(fronts: crate::node_config::OptionalFronts) -> Operators {
-        Operators {
-            fronts,
-            ..Operators::default()
+impl From<OptionalFronts> for OperatorConfig {
+    fn from(front_ends: OptionalFronts) -> OperatorConfig {
+        OperatorConfig {
+            front_ends,
+            ..OperatorConfig::default()
         }
     }
 }
 
-impl Operators {
-    /// Reads the operators' file at `path`, held against these settings; where there is none, the older file of
-    /// fronts at `fronts`, with a warning, for one version. Errors: a file that cannot be used, with all its faults.
-    pub fn load(path: &Path, fronts: &Path, known: &Known) -> Result<Operators, String> {
-        match load(path, known).map_err(|faults| faults.to_string())? {
-            Some(loaded) => {
-                let fronts = crate::node_config::OptionalFronts {
-                    flight: loaded.text.flight,
-                    snmp: loaded.text.snmp,
-                };
-                let policy = std::sync::Arc::new(loaded.policy);
-                Ok(Operators {
-                    fronts,
-                    policy,
-                    path: Some(path.to_owned()),
-                    log: loaded.text.log,
-                })
-            }
-            None => {
-                let old =
-                    crate::node_config::OptionalFronts::load(fronts).map_err(|e| e.to_string())?;
-                if fronts.exists() {
-                    eprintln!(
-                        "workload-manager: {} is read for this version only: move its tables into {}",
-                        fronts.display(),
-                        path.display()
-                    );
-                }
-                let path = Some(path.to_owned());
-                Ok(Operators {
-                    fronts: old,
-                    policy: std::sync::Arc::default(),
-                    path,
-                    log: text::LogText::default(),
-                })
-            }
+impl From<Loaded> for OperatorConfig {
+    fn from(loaded: Loaded) -> OperatorConfig {
+        OperatorConfig {
+            front_ends: OptionalFronts {
+                flight: loaded.text.flight,
+                snmp: loaded.text.snmp,
+            },
+            policy: Arc::new(loaded.policy),
+            path: None,
+            log: loaded.text.log,
         }
     }
 }
 
+/// Why the operators' files cannot be used at a start.
+#[derive(Debug, thiserror::Error)]
+pub enum OperatorConfigError {
+    /// The operators' file has faults.
+    #[error(transparent)]
+    File(#[from] Faults),
+    /// The older file of front ends cannot be used.
+    #[error(transparent)]
+    FrontEnds(#[from] ConfigError),
+}
+
+impl OperatorConfig {
+    /// Reads the operators' file at `path` and checks it against these constraints. Where there is none, the older file
+    /// of front ends is read, with a warning, for one version.
+    ///
+    /// # Errors
+    ///
+    /// One of the files cannot be used; the error holds all faults.
+    pub fn load(
+        path: &Path,
+        front_ends: &Path,
+        constraints: &PlatformConstraints,
+    ) -> Result<OperatorConfig, OperatorConfigError> {
+        let from_file = match load(path, constraints)? {
+            Some(loaded) => OperatorConfig::from(loaded),
+            None => OperatorConfig::from(load_front_ends(front_ends, path)?),
+        };
+        Ok(OperatorConfig {
+            path: Some(path.to_owned()),
+            ..from_file
+        })
+    }
+
+    /// What the engines of the list speak.
+    pub(crate) fn engine_protocol(&self) -> EngineProtocol {
+        let flight = self.front_ends.flight.as_ref();
+        flight
+            .map(|front_end| front_end.engines)
+            .unwrap_or_default()
+    }
+}
+
+/// Reads the older file of front ends. The log is not set up yet, so the warning is written directly.
+fn load_front_ends(path: &Path, successor: &Path) -> Result<OptionalFronts, ConfigError> {
+    let front_ends = OptionalFronts::load(path)?;
+    if path.exists() {
+        eprintln!(
+            "workload-manager: {} is read for this version only: move its tables into {}",
+            path.display(),
+            successor.display()
+        );
+    }
+    Ok(front_ends)
+}
+
 /// A file read, sound, and held against the settings in use.
 #[derive(Clone, Debug, Default)]
 pub struct Loaded {
@@ -293,15 +324,15 @@
 
 /// Reads, parses and checks a file against the settings. `Ok(None)` where there is no such file. Errors: every
 /// fault, with the file's name.
-pub fn load(path: &Path, known: &Known) -> Result<Option<Loaded>, Faults> {
+pub fn load(path: &Path, known: &PlatformConstraints) -> Result<Option<Loaded>, Faults> {
     let named = |all| Faults {
         file: path.display().to_string(),
-        all,
+        faults: all,
     };
     let Some(source) = read(path).map_err(|fault| named(vec![fault]))? else {
         return Ok(None);
     };
-    let (text, policy) = judge(&source, Some(known)).map_err(named)?;
+    let (text, policy) = parse_and_check(&source, Some(known)).map_err(named)?;
     Ok(Some(Loaded {
         text,
         policy: policy.unwrap_or_default(),
--- a/src/operator_config/tests.rs
+++ b/src/operator_config/tests.rs
@@ -1,25 +1,25 @@
 //! Tests of the operators' file: what a sound file sets, every fault with its line, and reads that go wrong.
 
-use super::check::KnownClass;
+use super::check::ClassConstraints;
 use super::*;
 use crate::decision::Outcome;
 use crate::retry_policy::{FrontendKind, OutcomeSet, RequestAttributes};
 
-fn known(parallel_tries: bool) -> Known {
-    let class = |name: &str, once| KnownClass {
+fn known(parallel_tries: bool) -> PlatformConstraints {
+    let class = |name: &str, once| ClassConstraints {
         name: name.to_owned(),
-        once,
-        give_up_ms: 15_000.0,
+        not_idempotent: once,
+        client_timeout_ms: 15_000.0,
     };
-    Known {
+    PlatformConstraints {
         classes: vec![
             class("seat-check", false),
             class("usage-report", false),
             class("log-load", true),
         ],
         members: vec!["member-north".to_owned(), "member-south".to_owned()],
-        attempts_cap: 6,
-        parallel_tries,
+        max_attempts: 6,
+        parallel_attempts_allowed: parallel_tries,
     }
 }
 
@@ -49,12 +49,12 @@
     data_set: 17,
 };
 
-fn faults(text: &str, known: &Known) -> Vec<Fault> {
-    judge(text, Some(known)).err().unwrap_or_default()
+fn faults(text: &str, known: &PlatformConstraints) -> Vec<Fault> {
+    parse_and_check(text, Some(known)).err().unwrap_or_default()
 }
 
-fn policy(text: &str, known: &Known) -> crate::retry_policy::Policy {
-    judge(text, Some(known))
+fn policy(text: &str, known: &PlatformConstraints) -> crate::retry_policy::Policy {
+    parse_and_check(text, Some(known))
         .expect("sound")
         .1
         .expect("a policy")
@@ -196,9 +196,9 @@
             "attempts.route[0].retry_on"
         ]
     );
-    assert!(all[0].what.contains("may run once only"), "{}", all[0]);
+    assert!(all[0].problem.contains("may run once only"), "{}", all[0]);
     assert!(
-        all[2].what.contains("log-load") && all[2].what.contains("reset"),
+        all[2].problem.contains("log-load") && all[2].problem.contains("reset"),
         "{}",
         all[2]
     );
@@ -301,8 +301,8 @@
     for (text, line, what) in cases {
         let all = parse(text).expect_err(text);
         assert_eq!(all[0].line, line, "{text:?}: {all:?}");
-        assert!(all[0].what.contains(what), "{text:?}: {all:?}");
-        assert!(!all[0].mend.is_empty());
+        assert!(all[0].problem.contains(what), "{text:?}: {all:?}");
+        assert!(!all[0].suggestion.is_empty());
     }
 }
 
@@ -311,14 +311,22 @@
     let dir = std::env::temp_dir().join(format!("magpiechute-file-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("folder");
     assert_eq!(read(&dir.join("none.toml")), Ok(None));
-    assert!(read(&dir).expect_err("a folder").what.contains("folder"));
+    assert!(read(&dir).expect_err("a folder").problem.contains("folder"));
     let big = dir.join("big.toml");
     std::fs::write(&big, vec![b'#'; (LARGEST + 1) as usize]).expect("write");
-    assert!(read(&big).expect_err("too large").what.contains("larger"));
+    assert!(
+        read(&big)
+            .expect_err("too large")
+            .problem
+            .contains("larger")
+    );
     let bad = dir.join("bad.toml");
     std::fs::write(&bad, b"version = 1\n# \xff\n").expect("write");
     let fault = read(&bad).expect_err("not UTF-8");
-    assert_eq!((fault.line, fault.what.contains("UTF-8")), (Some(2), true));
+    assert_eq!(
+        (fault.line, fault.problem.contains("UTF-8")),
+        (Some(2), true)
+    );
     let good = dir.join("good.toml");
     std::fs::write(&good, GOOD).expect("write");
     assert_eq!(read(&good), Ok(Some(GOOD.to_owned())));
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -15,7 +15,7 @@
 
 /// What a signal asks of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Signal {
     /// SIGHUP: read the configuration anew.
     Reload,
     /// SIGTERM: end as planned.
@@ -27,11 +27,11 @@
 }
 
 /// The signals, in the order in which they are taken when several came at once.
-const HEARD: [(Heard, i32); 4] = [
-    (Heard::Terminate, SIGTERM),
-    (Heard::Interrupt, SIGINT),
-    (Heard::Reload, SIGHUP),
-    (Heard::Print, SIGUSR1),
+const HEARD: [(Signal, i32); 4] = [
+    (Signal::Terminate, SIGTERM),
+    (Signal::Interrupt, SIGINT),
+    (Signal::Reload, SIGHUP),
+    (Signal::Print, SIGUSR1),
 ];
 
 /// Four flags behind one pipe; five descriptors in all, held for the life of the process.
@@ -44,7 +44,7 @@
 
 impl Signals {
     /// Installs the handlers. Errors: the pipe cannot be made or a handler cannot be set (the message says which).
-    pub fn hear() -> io::Result<Signals> {
+    pub fn install() -> io::Result<Signals> {
         let (reader, writer) = io::pipe()?;
         let flags = [(); 4].map(|()| Arc::new(AtomicBool::new(false)));
         for ((_, signal), flag) in HEARD.iter().zip(&flags) {
@@ -61,7 +61,7 @@
     }
 
     /// The next signal heard. Errors: the pipe can no longer be read, which leaves the program deaf to signals.
-    pub async fn next(&mut self) -> io::Result<Heard> {
+    pub async fn next(&mut self) -> io::Result<Signal> {
         let mut bytes = [0u8; 64];
         loop {
             if let Some(at) = self.pending.iter().position(|p| *p) {
--- a/tests/order_upgrade.rs
+++ b/tests/order_upgrade.rs
@@ -132,8 +132,7 @@
         first.step("send", &["1", CLASS, KEY, allow]).await;
         soon("ASK c1.1", fleet.step("e", "expect", &["ASK", "c1.1"])).await;
         let new = Process::start(&config, &folder).await;
-        old.says("another process of this workload manager lives")
-            .await;
+        old.says("peer process started").await;
         (
             Upgrade {
                 fleet,
--- a/tests/scenarios/process.rs
+++ b/tests/scenarios/process.rs
@@ -75,10 +75,7 @@
     let mut kept = TcpStream::connect(at).expect("connect");
     assert!(fit(&mut kept));
     let (new, mut new_said, new_ops) = start();
-    line_with(
-        &mut old_said,
-        "another process of this workload manager lives",
-    );
+    line_with(&mut old_said, "peer process started");
     assert!(call(new_ops, "READY").starts_with("200"));
     assert!(
         skipped(new_ops, 1),
@@ -94,10 +91,7 @@
         0,
         "a kept connection is closed"
     );
-    line_with(
-        &mut new_said,
-        "another process of this workload manager has gone",
-    );
+    line_with(&mut new_said, "peer process ended");
     assert!(fit(&mut TcpStream::connect(at).expect("connect")));
     end(new);
     // What is lying about in the folder stops no start.
@@ -167,11 +161,11 @@
     for (text, says) in [
         (
             "{".to_owned(),
-            "goes on with the old configuration: configuration: EOF",
+            "reload refused, the old configuration stays in force error=configuration: EOF",
         ),
         (
             good().replace("127.0.0.1:1", "127.0.0.1:2"),
-            "follows the control feed at 127.0.0.1:2",
+            "reload complete feed=127.0.0.1:2",
         ),
     ] {
         std::fs::write(&path, text).expect("file");
@@ -276,7 +270,7 @@
     ["TERM", "HUP"]
         .into_iter()
         .for_each(|name| signal(&child, name));
-    line_with(&mut said, &format!("follows the control feed at {address}"));
+    line_with(&mut said, &format!("reload complete feed={address}"));
     let mut last = [0; 8];
     feed.accept()
         .expect("accept")
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -40,7 +40,7 @@
 use workload_manager::node_config::{
     EngineProtocol, FlightFrontConfig, NodeConfig, OptionalFronts, SnmpAgentConfig,
 };
-use workload_manager::operator_config::{self, Known, Operators};
+use workload_manager::operator_config::{self, OperatorConfig, PlatformConstraints};
 
 /// A planned end is over by then: the platform kills the process 3.7 s after SIGTERM, and a busy machine may be late.
 const KILLED: Duration = Duration::from_secs(7);
@@ -216,18 +216,21 @@
             flight: Some(front),
             snmp: Some(agent),
         };
-        let judged = operator_config::judge(stage.operators, Some(&Known::of(&config.settings)));
+        let judged = operator_config::parse_and_check(
+            stage.operators,
+            Some(&PlatformConstraints::from_settings(&config.settings)),
+        );
         let policy = Arc::new(judged.expect("operators' file").1.unwrap_or_default());
-        let operators = Operators {
-            fronts,
+        let operators = OperatorConfig {
+            front_ends: fronts,
             policy,
-            ..Operators::default()
+            ..OperatorConfig::default()
         };
         let node = Node::start(config, operators).await.expect("node");
         let manager = snmp::Manager::new(node.snmp.expect("agent")).await;
         let (metrics, listen) = (node.metrics.clone(), (node.listen, node.flight));
         let (clients, flights, callers) = Default::default();
-        let (ops, node, ending) = (node.ops.expect("operations"), Arc::new(node), None);
+        let (ops, node, ending) = (node.admin.expect("operations"), Arc::new(node), None);
         Scene {
             node,
             ended: false,
@@ -285,10 +288,10 @@
             ("n", "close") => {
                 if !self.ended {
                     self.ended = true;
-                    self.node.stop();
+                    self.node.begin_shutdown();
                     let node = self.node.clone();
                     self.ending = Some((
-                        tokio::spawn(async move { node.finish().await }),
+                        tokio::spawn(async move { node.shut_down().await }),
                         Instant::now(),
                     ));
                 }
--- a/tests/source_size.rs
+++ b/tests/source_size.rs
@@ -15,8 +15,6 @@
     ("src/decision/mod.rs", 1473),
     ("src/engines/flight/mod.rs", 585),
     ("src/engines/lines/connection.rs", 620),
-    ("src/node.rs", 472),
-    ("src/node_config.rs", 411),
     ("src/operator_config/check.rs", 563),
 ];
 
