--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -8,12 +8,13 @@
 pub(crate) mod flight;
 pub(crate) mod msgpack;
 pub(crate) mod msgpack_rpc;
+mod pending;
 
-use crate::core::Handle;
+use crate::core::{Answer, Handle};
 use crate::decision::Millis;
 use crate::lifecycle::Lifecycle;
 use crate::limits::{Limits, MemoryPool};
-use crate::metrics::{ClassOutcomes, Metrics};
+use crate::metrics::{ClassOutcomes, Counter, Metrics};
 use crate::settings_json::{NamedClass, PlatformSettings};
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -88,6 +89,15 @@
     }
 }
 
+/// The counter of a class for this answer.
+pub(crate) fn outcome_counter<'a>(outcomes: &'a ClassOutcomes, answer: &Answer) -> &'a Counter {
+    match answer {
+        Answer::Served(_) => &outcomes.served,
+        Answer::Rejected { .. } => &outcomes.rejected,
+        Answer::Failed(_) => &outcomes.failed,
+    }
+}
+
 /// Parses a decimal number; `None` unless it is finite and not negative.
 pub(crate) fn parse_non_negative(text: &[u8]) -> Option<f64> {
     let value: f64 = std::str::from_utf8(text).ok()?.trim().parse().ok()?;
--- /dev/null
+++ b/src/clients/msgpack/reader.rs
@@ -0,0 +1,379 @@
+//! Reads clients' messages out of the bytes received so far.
+
+use super::{Call, Fields, Message, MessageError};
+use crate::limits::Limits;
+use bytes::{Bytes, BytesMut};
+use rmp::Marker;
+use rmp::decode::{self, NumValueReadError, RmpRead, ValueReadError};
+use std::io::Cursor;
+use std::ops::Range;
+
+/// `type` of a call.
+const CALL: u64 = 0;
+/// Elements of a call: type, id, method, parameters.
+const CALL_ELEMENTS: u32 = 4;
+/// `type` of a notification.
+const NOTIFICATION: u64 = 2;
+/// Elements of a notification: type, method, parameters.
+const NOTIFICATION_ELEMENTS: u32 = 3;
+/// Method of the notification that withdraws a call.
+const CANCEL_METHOD: &[u8] = b"cancel";
+/// Parameters of a call at most: fields, body.
+const MAX_PARAMETERS: u32 = 2;
+
+/// Takes one message off the front of the buffer; `None` if the buffer does not hold a complete one.
+///
+/// # Errors
+///
+/// If no continuation of the bytes could become a valid message, or if a message exceeds the limits. Nothing is taken
+/// then.
+pub(crate) fn take_message(
+    buffer: &mut BytesMut,
+    limits: &Limits,
+) -> Result<Option<Message>, MessageError> {
+    let mut reader = Reader {
+        input: Cursor::new(&buffer[..]),
+        limits,
+    };
+    match reader.message() {
+        Ok(parts) => {
+            let length = reader.position();
+            let bytes = buffer.split_to(length).freeze();
+            Ok(Some(parts.slice(&bytes)))
+        }
+        Err(ParseError::Invalid(error)) => Err(error),
+        Err(ParseError::Incomplete) if buffer.len() > limits.message_bytes => {
+            Err(MessageError::TooLong {
+                bytes: buffer.len(),
+                limit: limits.message_bytes,
+            })
+        }
+        Err(ParseError::Incomplete) => Ok(None),
+    }
+}
+
+/// Why parsing stopped.
+enum ParseError {
+    /// The rest of the message has not arrived yet.
+    Incomplete,
+    Invalid(MessageError),
+}
+
+impl From<MessageError> for ParseError {
+    fn from(error: MessageError) -> ParseError {
+        ParseError::Invalid(error)
+    }
+}
+
+impl From<std::io::Error> for ParseError {
+    /// Reading from memory fails at the end of the bytes only.
+    fn from(_: std::io::Error) -> ParseError {
+        ParseError::Incomplete
+    }
+}
+
+impl From<ValueReadError> for ParseError {
+    fn from(error: ValueReadError) -> ParseError {
+        match error {
+            ValueReadError::InvalidMarkerRead(_) | ValueReadError::InvalidDataRead(_) => {
+                ParseError::Incomplete
+            }
+            ValueReadError::TypeMismatch(_) => MessageError::UnexpectedForm.into(),
+        }
+    }
+}
+
+impl From<NumValueReadError> for ParseError {
+    fn from(error: NumValueReadError) -> ParseError {
+        match error {
+            NumValueReadError::InvalidMarkerRead(_) | NumValueReadError::InvalidDataRead(_) => {
+                ParseError::Incomplete
+            }
+            _ => MessageError::UnexpectedForm.into(),
+        }
+    }
+}
+
+type ParseResult<T> = Result<T, ParseError>;
+
+/// Where the names and values of a call's fields are.
+type FieldRanges = Vec<(Range<usize>, Range<usize>)>;
+
+/// Where the parts of a message are in its bytes.
+enum MessageParts {
+    Call {
+        id: u64,
+        method: Range<usize>,
+        parameters: ParameterRanges,
+    },
+    Cancel {
+        id: u64,
+    },
+    UnknownNotification,
+}
+
+/// Where a call's parameters are; `None` for what is missing or has another type.
+#[derive(Default)]
+struct ParameterRanges {
+    fields: Option<FieldRanges>,
+    body: Option<Range<usize>>,
+}
+
+impl MessageParts {
+    /// The message, as slices of its bytes.
+    fn slice(self, bytes: &Bytes) -> Message {
+        match self {
+            MessageParts::Call {
+                id,
+                method,
+                parameters,
+            } => Message::Call(Call {
+                id,
+                method: bytes.slice(method),
+                fields: parameters.fields.map(|ranges| slice_fields(ranges, bytes)),
+                body: parameters.body.map(|range| bytes.slice(range)),
+            }),
+            MessageParts::Cancel { id } => Message::Cancel { id },
+            MessageParts::UnknownNotification => Message::UnknownNotification,
+        }
+    }
+}
+
+fn slice_fields(ranges: FieldRanges, bytes: &Bytes) -> Fields {
+    let slices = ranges
+        .into_iter()
+        .map(|(name, value)| (bytes.slice(name), bytes.slice(value)));
+    Fields(slices.collect())
+}
+
+struct Reader<'a> {
+    input: Cursor<&'a [u8]>,
+    limits: &'a Limits,
+}
+
+impl Reader<'_> {
+    fn position(&self) -> usize {
+        self.input.position() as usize
+    }
+
+    fn peek_marker(&self) -> ParseResult<Marker> {
+        self.input
+            .get_ref()
+            .get(self.position())
+            .map(|byte| Marker::from_u8(*byte))
+            .ok_or(ParseError::Incomplete)
+    }
+
+    /// The next `length` bytes. A length over the limit fails at once, without waiting for the bytes.
+    fn bytes(&mut self, length: u32) -> ParseResult<Range<usize>> {
+        let start = self.position();
+        let length = length as usize;
+        self.check_length(length)?;
+        if start + length > self.input.get_ref().len() {
+            return Err(ParseError::Incomplete);
+        }
+        self.input.set_position((start + length) as u64);
+        Ok(start..start + length)
+    }
+
+    fn check_length(&self, bytes: usize) -> Result<(), MessageError> {
+        let limit = self.limits.message_bytes;
+        if bytes > limit {
+            return Err(MessageError::TooLong { bytes, limit });
+        }
+        Ok(())
+    }
+
+    fn string(&mut self) -> ParseResult<Range<usize>> {
+        let length = decode::read_str_len(&mut self.input)?;
+        self.bytes(length)
+    }
+
+    fn binary(&mut self) -> ParseResult<Range<usize>> {
+        let length = decode::read_bin_len(&mut self.input)?;
+        self.bytes(length)
+    }
+
+    fn array_length(&mut self) -> ParseResult<u32> {
+        Ok(decode::read_array_len(&mut self.input)?)
+    }
+
+    fn message(&mut self) -> ParseResult<MessageParts> {
+        let elements = self.array_length()?;
+        let message_type: u64 = decode::read_int(&mut self.input)?;
+        match (message_type, elements) {
+            (CALL, CALL_ELEMENTS) => self.call(),
+            (NOTIFICATION, NOTIFICATION_ELEMENTS) => self.notification(),
+            _ => Err(MessageError::UnexpectedForm.into()),
+        }
+    }
+
+    fn call(&mut self) -> ParseResult<MessageParts> {
+        let id = decode::read_int(&mut self.input)?;
+        let method = self.string()?;
+        let parameters = self.parameters()?;
+        Ok(MessageParts::Call {
+            id,
+            method,
+            parameters,
+        })
+    }
+
+    fn notification(&mut self) -> ParseResult<MessageParts> {
+        let method = self.string()?;
+        let is_cancel = &self.input.get_ref()[method] == CANCEL_METHOD;
+        if is_cancel && matches!(self.peek_marker()?, Marker::FixArray(1)) {
+            self.array_length()?;
+            let id = decode::read_int(&mut self.input)?;
+            return Ok(MessageParts::Cancel { id });
+        }
+        self.skip_value()?;
+        Ok(MessageParts::UnknownNotification)
+    }
+
+    /// The parameters: a map of strings to strings, then binary data. Values of other types are skipped, so that the
+    /// call can be answered with an error.
+    fn parameters(&mut self) -> ParseResult<ParameterRanges> {
+        let start = self.position();
+        if !is_array(self.peek_marker()?) {
+            self.skip_value()?;
+            return Ok(ParameterRanges::default());
+        }
+        let count = self.array_length()?;
+        if !(1..=MAX_PARAMETERS).contains(&count) {
+            self.input.set_position(start as u64);
+            self.skip_value()?;
+            return Ok(ParameterRanges::default());
+        }
+        let fields = self.fields()?;
+        let body = if count == MAX_PARAMETERS {
+            self.body()?
+        } else {
+            None
+        };
+        Ok(ParameterRanges { fields, body })
+    }
+
+    fn body(&mut self) -> ParseResult<Option<Range<usize>>> {
+        if is_binary(self.peek_marker()?) {
+            return self.binary().map(Some);
+        }
+        self.skip_value()?;
+        Ok(None)
+    }
+
+    fn fields(&mut self) -> ParseResult<Option<FieldRanges>> {
+        if !is_map(self.peek_marker()?) {
+            self.skip_value()?;
+            return Ok(None);
+        }
+        let count = decode::read_map_len(&mut self.input)? as usize;
+        let limit = self.limits.message_fields;
+        if count > limit {
+            return Err(MessageError::TooManyFields { count, limit }.into());
+        }
+        let mut fields = Vec::with_capacity(count);
+        let mut all_strings = true;
+        for _ in 0..count {
+            match (self.string_or_skip()?, self.string_or_skip()?) {
+                (Some(name), Some(value)) => fields.push((name, value)),
+                _ => all_strings = false,
+            }
+        }
+        Ok(all_strings.then_some(fields))
+    }
+
+    /// A string; `None` if the next value is something else, which is skipped.
+    fn string_or_skip(&mut self) -> ParseResult<Option<Range<usize>>> {
+        if is_string(self.peek_marker()?) {
+            return self.string().map(Some);
+        }
+        self.skip_value()?;
+        Ok(None)
+    }
+
+    fn skip_value(&mut self) -> ParseResult<()> {
+        self.skip_nested(self.limits.message_depth)
+    }
+
+    /// Skips one value with collections nested at most `depth` deep. The bound keeps a few bytes from asking for any
+    /// depth of the stack.
+    fn skip_nested(&mut self, depth: usize) -> ParseResult<()> {
+        let marker = self.peek_marker()?;
+        if is_array(marker) {
+            let count = self.array_length()? as usize;
+            self.skip_elements(count, depth)
+        } else if is_map(marker) {
+            let count = decode::read_map_len(&mut self.input)? as usize;
+            self.skip_elements(count.saturating_mul(2), depth)
+        } else if is_string(marker) {
+            self.string().map(|_| ())
+        } else if is_binary(marker) {
+            self.binary().map(|_| ())
+        } else {
+            let length = self.scalar_length(marker)?;
+            self.input.read_u8()?;
+            self.bytes(length).map(|_| ())
+        }
+    }
+
+    fn skip_elements(&mut self, count: usize, depth: usize) -> ParseResult<()> {
+        // An element takes a byte at least, so a message within its limit never has more of them.
+        self.check_length(count)?;
+        let remaining_depth = depth.checked_sub(1).ok_or(MessageError::TooDeep)?;
+        (0..count).try_for_each(|_| self.skip_nested(remaining_depth))
+    }
+
+    /// Bytes after the marker of a value that is neither a collection nor a string nor binary data.
+    fn scalar_length(&self, marker: Marker) -> ParseResult<u32> {
+        Ok(match marker {
+            Marker::Null | Marker::True | Marker::False | Marker::FixPos(_) | Marker::FixNeg(_) => {
+                0
+            }
+            Marker::U8 | Marker::I8 => 1,
+            Marker::U16 | Marker::I16 | Marker::FixExt1 => 2,
+            Marker::U32 | Marker::I32 | Marker::F32 => 4,
+            Marker::U64 | Marker::I64 | Marker::F64 => 8,
+            // An extension has its type in one byte, and its length before that if the marker does not tell it.
+            Marker::FixExt2 => 3,
+            Marker::FixExt4 => 5,
+            Marker::FixExt8 => 9,
+            Marker::FixExt16 => 17,
+            Marker::Ext8 => 2 + u32::from(u8::from_be_bytes(self.peek_after_marker()?)),
+            Marker::Ext16 => 3 + u32::from(u16::from_be_bytes(self.peek_after_marker()?)),
+            Marker::Ext32 => u32::from_be_bytes(self.peek_after_marker()?).saturating_add(5),
+            _ => return Err(MessageError::UnexpectedForm.into()),
+        })
+    }
+
+    fn peek_after_marker<const N: usize>(&self) -> ParseResult<[u8; N]> {
+        let start = self.position() + 1;
+        self.input
+            .get_ref()
+            .get(start..start + N)
+            .and_then(|bytes| bytes.try_into().ok())
+            .ok_or(ParseError::Incomplete)
+    }
+}
+
+fn is_array(marker: Marker) -> bool {
+    matches!(
+        marker,
+        Marker::FixArray(_) | Marker::Array16 | Marker::Array32
+    )
+}
+
+fn is_map(marker: Marker) -> bool {
+    matches!(marker, Marker::FixMap(_) | Marker::Map16 | Marker::Map32)
+}
+
+fn is_string(marker: Marker) -> bool {
+    matches!(
+        marker,
+        Marker::FixStr(_) | Marker::Str8 | Marker::Str16 | Marker::Str32
+    )
+}
+
+fn is_binary(marker: Marker) -> bool {
+    matches!(marker, Marker::Bin8 | Marker::Bin16 | Marker::Bin32)
+}
--- /dev/null
+++ b/src/clients/msgpack/writer.rs
@@ -0,0 +1,96 @@
+//! Encodes answers: `[1, id, error, result]`.
+
+use bytes::Bytes;
+use rmp::encode::{self, ByteBuf};
+
+/// The empty map of fields that ends every answer with a result.
+pub(crate) const END_OF_ANSWER: &[u8] = &[0x80];
+
+/// The type of an answer among the messages of MessagePack-RPC.
+const ANSWER_TYPE: u64 = 1;
+/// Elements of an answer: type, id, error, result.
+const ANSWER_ELEMENTS: u32 = 4;
+/// Elements of a result: body, fields. An error likewise: name, fields.
+const RESULT_ELEMENTS: u32 = 2;
+/// Room for an answer without its result, so that encoding one allocates once.
+const HEAD_BYTES: usize = 32;
+
+/// The beginning of an answer with a result of `body_bytes`. The body follows, then [`END_OF_ANSWER`].
+pub(crate) fn result_head(id: u64, body_bytes: usize) -> Bytes {
+    let mut answer = Encoder::answer(id);
+    answer.nil();
+    answer.array(RESULT_ELEMENTS);
+    answer.binary_head(body_bytes);
+    answer.finish()
+}
+
+/// An answer with an error: its name, and one field with more about it, if any.
+pub(crate) fn error_answer(id: u64, name: &str, field: Option<(&str, &str)>) -> Bytes {
+    let mut answer = Encoder::answer(id);
+    answer.array(RESULT_ELEMENTS);
+    answer.string(name);
+    answer.map(field.iter().len() as u32);
+    if let Some((name, value)) = field {
+        answer.string(name);
+        answer.string(value);
+    }
+    answer.nil();
+    answer.finish()
+}
+
+/// The answer to a health check.
+pub(crate) fn health_answer(id: u64, accepts_requests: bool) -> Bytes {
+    let mut answer = Encoder::answer(id);
+    answer.nil();
+    answer.array(RESULT_ELEMENTS);
+    answer.boolean(accepts_requests);
+    answer.map(0);
+    answer.finish()
+}
+
+/// Writes MessagePack to memory, which cannot fail.
+struct Encoder(ByteBuf);
+
+impl Encoder {
+    /// Begins an answer: `[1, id, ...`.
+    fn answer(id: u64) -> Encoder {
+        let mut encoder = Encoder(ByteBuf::with_capacity(HEAD_BYTES));
+        encoder.array(ANSWER_ELEMENTS);
+        encoder.integer(ANSWER_TYPE);
+        encoder.integer(id);
+        encoder
+    }
+
+    fn nil(&mut self) {
+        let Ok(()) = encode::write_nil(&mut self.0);
+    }
+
+    fn boolean(&mut self, value: bool) {
+        let Ok(()) = encode::write_bool(&mut self.0, value);
+    }
+
+    fn integer(&mut self, value: u64) {
+        let Ok(_) = encode::write_uint(&mut self.0, value);
+    }
+
+    fn string(&mut self, value: &str) {
+        let Ok(()) = encode::write_str(&mut self.0, value);
+    }
+
+    fn array(&mut self, elements: u32) {
+        let Ok(_) = encode::write_array_len(&mut self.0, elements);
+    }
+
+    fn map(&mut self, fields: u32) {
+        let Ok(_) = encode::write_map_len(&mut self.0, fields);
+    }
+
+    /// The marker and length of binary data; the data follow.
+    fn binary_head(&mut self, bytes: usize) {
+        let Ok(_) = encode::write_bin_len(&mut self.0, bytes as u32);
+    }
+
+    fn finish(self) -> Bytes {
+        self.0.into_vec().into()
+    }
+}
--- /dev/null
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -0,0 +1,220 @@
+//! Encodes answers and queues them until the client reads them.
+
+use crate::clients::Frontend;
+use crate::clients::msgpack;
+use crate::core::{Answer, ClientPort, FailureReason, ResultBody};
+use crate::decision::{Millis, RequestId};
+use crate::limits::{Limits, MemoryReservation};
+use crate::metrics::Metrics;
+use crate::net::Outbox;
+use crate::rows;
+use bytes::Bytes;
+use std::io;
+use std::sync::Arc;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// Results of the largest size that may wait for a client to read them; above that nothing more is read from it.
+const MAX_UNREAD_RESULTS: u64 = 2;
+
+/// Field of a rejection: milliseconds until the client may send the request again.
+const RETRY_AFTER_FIELD: &str = "cooldown";
+
+/// Shorter advice is left out, in ms: it would be printed as 0.
+const MIN_RETRY_AFTER_MS: Millis = 1.0;
+
+/// Takes answers from the core to a connection's actor.
+pub(super) struct AnswerChannel(mpsc::Sender<(RequestId, Answer)>);
+
+impl AnswerChannel {
+    /// A channel that holds `capacity` answers.
+    pub(super) fn new(
+        capacity: usize,
+    ) -> (Arc<AnswerChannel>, mpsc::Receiver<(RequestId, Answer)>) {
+        let (sender, answers) = mpsc::channel(capacity);
+        (Arc::new(AnswerChannel(sender)), answers)
+    }
+}
+
+impl ClientPort for AnswerChannel {
+    fn answer(&self, id: RequestId, answer: Answer) {
+        // The channel holds an answer for each request that may be open, so it is never full. It is closed if the
+        // client has gone; then nobody needs the answer.
+        let _ = self.0.try_send((id, answer));
+    }
+}
+
+/// The errors of the protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ErrorName {
+    /// Rejected; the request did not run.
+    Overloaded,
+    DeadlineExceeded,
+    /// Failed; the request may have run.
+    Internal,
+    /// The method is neither a class nor the health check.
+    NoMethod,
+    /// The parameters cannot be used.
+    Argument,
+}
+
+impl ErrorName {
+    /// The error's name on the wire.
+    fn as_str(self) -> &'static str {
+        match self {
+            ErrorName::Overloaded => "Overloaded",
+            ErrorName::DeadlineExceeded => "DeadlineExceeded",
+            ErrorName::Internal => "Internal",
+            ErrorName::NoMethod => "NoMethodError",
+            ErrorName::Argument => "ArgumentError",
+        }
+    }
+}
+
+impl From<FailureReason> for ErrorName {
+    fn from(reason: FailureReason) -> ErrorName {
+        match reason {
+            FailureReason::DeadlineExceeded => ErrorName::DeadlineExceeded,
+            FailureReason::AttemptFailed => ErrorName::Internal,
+        }
+    }
+}
+
+/// Why a result was answered with an error instead.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum UndeliverableResult {
+    /// It cannot be written as text, or it is still streaming.
+    #[error("the protocol cannot carry this form of result")]
+    UnsupportedForm,
+    #[error("{bytes} bytes, {limit} allowed")]
+    TooLarge { bytes: usize, limit: usize },
+    #[error("unread answers of all clients use the memory reserved for them")]
+    BuffersFull,
+}
+
+/// The answers of one connection that its client has not read yet.
+pub(super) struct AnswerQueue {
+    outbox: Outbox,
+    reservation: MemoryReservation,
+    /// When the socket last accepted bytes, or the queue was last empty.
+    last_progress: Instant,
+    limits: Arc<Limits>,
+    metrics: Arc<Metrics>,
+}
+
+impl AnswerQueue {
+    pub(super) fn new(frontend: &Frontend) -> AnswerQueue {
+        AnswerQueue {
+            outbox: Outbox::default(),
+            reservation: MemoryReservation::new(&frontend.buffer_pools.output),
+            last_progress: Instant::now(),
+            limits: frontend.limits.clone(),
+            metrics: frontend.metrics.clone(),
+        }
+    }
+
+    /// Writes as much as the socket accepts now.
+    ///
+    /// # Errors
+    ///
+    /// Those of the socket.
+    pub(super) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
+        let written_before = self.outbox.written();
+        self.outbox.flush(stream)?;
+        if self.outbox.is_empty() || self.outbox.written() > written_before {
+            self.last_progress = Instant::now();
+        }
+        Ok(())
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.outbox.is_empty()
+    }
+
+    /// Whether so much is unread that no more calls are to be read.
+    pub(super) fn is_full(&self) -> bool {
+        self.outbox.waiting() > MAX_UNREAD_RESULTS * self.limits.result_bytes as u64
+    }
+
+    /// When a client that reads none of its answers is given up.
+    pub(super) fn write_deadline(&self) -> Instant {
+        self.last_progress + self.limits.client_idle_timeout
+    }
+
+    /// Reserves the memory of what is queued, within the limit or not; returns its bytes.
+    pub(super) fn update_reservation(&mut self) -> usize {
+        let queued_bytes = self.outbox.waiting() as usize;
+        self.reserve(queued_bytes);
+        queued_bytes
+    }
+
+    fn reserve(&mut self, bytes: usize) -> bool {
+        let limit = self.limits.share(self.limits.output_bytes);
+        self.reservation.set(bytes, limit)
+    }
+
+    pub(super) fn push_health(&mut self, message_id: u64, accepts_requests: bool) {
+        self.outbox
+            .push(msgpack::health_answer(message_id, accepts_requests));
+    }
+
+    pub(super) fn push_error(&mut self, message_id: u64, error: ErrorName) {
+        self.outbox
+            .push(msgpack::error_answer(message_id, error.as_str(), None));
+    }
+
+    pub(super) fn push_rejection(&mut self, message_id: u64, retry_after_ms: Millis) {
+        let advice = format!("{retry_after_ms:.0}");
+        let field =
+            (retry_after_ms >= MIN_RETRY_AFTER_MS).then_some((RETRY_AFTER_FIELD, advice.as_str()));
+        let name = ErrorName::Overloaded.as_str();
+        self.outbox
+            .push(msgpack::error_answer(message_id, name, field));
+    }
+
+    /// Queues a result in the chunks in which it came. One that cannot be delivered is answered with an error.
+    ///
+    /// # Errors
+    ///
+    /// If the error was queued instead of the result.
+    pub(super) fn push_result(
+        &mut self,
+        message_id: u64,
+        body: &ResultBody,
+    ) -> Result<(), UndeliverableResult> {
+        let chunks = self
+            .deliverable_chunks(body)
+            .inspect_err(|_| self.push_error(message_id, ErrorName::Internal))?;
+        self.outbox
+            .push(msgpack::result_head(message_id, total_bytes(&chunks)));
+        for chunk in chunks {
+            self.outbox.push(chunk);
+        }
+        self.outbox.push(msgpack::END_OF_ANSWER);
+        Ok(())
+    }
+
+    /// The chunks of a result, with memory reserved for them.
+    fn deliverable_chunks(&mut self, body: &ResultBody) -> Result<Vec<Bytes>, UndeliverableResult> {
+        if body.remaining_chunks.is_some() {
+            return Err(UndeliverableResult::UnsupportedForm);
+        }
+        let chunks = rows::text(body).map_err(|_| UndeliverableResult::UnsupportedForm)?;
+        let bytes = total_bytes(&chunks);
+        let limit = self.limits.result_bytes;
+        if bytes > limit {
+            return Err(UndeliverableResult::TooLarge { bytes, limit });
+        }
+        // The unread answers of all clients together must not fill the memory.
+        if !self.reserve(self.outbox.waiting() as usize + bytes) {
+            self.metrics.client_over_limit.increment();
+            return Err(UndeliverableResult::BuffersFull);
+        }
+        Ok(chunks)
+    }
+}
+
+fn total_bytes(chunks: &[Bytes]) -> usize {
+    chunks.iter().map(Bytes::len).sum()
+}
--- /dev/null
+++ b/src/clients/msgpack_rpc/call.rs
@@ -0,0 +1,193 @@
+//! Turns a call into a request for the core.
+
+use super::answers::ErrorName;
+use crate::clients::msgpack::{Call, Fields};
+use crate::clients::{Frontend, is_client_reference, is_token, parse_non_negative};
+use crate::core::{AcceptedRequest, ClientPort, OrderKey, StatementKind};
+use crate::decision::{Idempotency, Millis};
+use crate::retry_policy;
+use crate::settings_json::NamedClass;
+use crate::sql;
+use bytes::Bytes;
+use std::sync::Arc;
+
+/// Fields of a call, by their names on the wire.
+mod field {
+    /// The request's reference: 16 hex digits.
+    pub(super) const REFERENCE: &str = "ref";
+    /// Milliseconds from the call's arrival to its deadline.
+    pub(super) const ALLOWED_MS: &str = "allow";
+    pub(super) const TENANT: &str = "project";
+    pub(super) const IDEMPOTENCY_KEY: &str = "replay";
+    /// Requests of a class that keeps order run one after the other if they have the same key.
+    pub(super) const ORDER_KEY: &str = "lookup";
+    /// Present on a request that the client sends again.
+    pub(super) const RETRY: &str = "dup";
+    /// Estimate of the work, in milliseconds on one core.
+    pub(super) const WORK_MS: &str = "effort";
+    /// Estimate of the memory, in MB.
+    pub(super) const MEMORY_MB: &str = "need_mb";
+}
+
+/// The only value of [`field::RETRY`].
+const RETRY_MARK: &[u8] = b"1";
+
+/// Why a call is no request.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum CallError {
+    #[error("no class is named as the method")]
+    UnknownMethod,
+    #[error("the parameters are not a map of strings and binary data")]
+    UnexpectedParameters,
+    #[error("field `{0}` is missing")]
+    MissingField(&'static str),
+    #[error("field `{name}` cannot be {value:?}")]
+    InvalidField { name: &'static str, value: Bytes },
+}
+
+impl From<&CallError> for ErrorName {
+    fn from(error: &CallError) -> ErrorName {
+        match error {
+            CallError::UnknownMethod => ErrorName::NoMethod,
+            CallError::UnexpectedParameters
+            | CallError::MissingField(_)
+            | CallError::InvalidField { .. } => ErrorName::Argument,
+        }
+    }
+}
+
+/// Parses a call that arrived at `now_ms`. The core sends the request's answer to `client`.
+///
+/// # Errors
+///
+/// If the method is no class, or its parameters lack a field or have one that cannot be used.
+pub(super) fn parse_request(
+    frontend: &Frontend,
+    now_ms: Millis,
+    call: Call,
+    client: Arc<dyn ClientPort>,
+) -> Result<AcceptedRequest, CallError> {
+    let class = frontend
+        .class(&call.method)
+        .ok_or(CallError::UnknownMethod)?;
+    let (Some(fields), Some(statement)) = (call.fields, call.body) else {
+        return Err(CallError::UnexpectedParameters);
+    };
+    let reference = required(&fields, field::REFERENCE, |text| is_client_reference(text))?;
+    let allowed_ms = allowed_ms(&fields)?;
+    let tenant = required(&fields, field::TENANT, |name| {
+        frontend.is_known_tenant(name)
+    })?;
+    let idempotency_key = idempotency_key(frontend, &class, &fields)?;
+    let order_key = order_key(frontend, &class, &fields)?;
+    count_retry(frontend, &fields)?;
+    Ok(AcceptedRequest {
+        id: frontend.core.next_id(),
+        client_reference: reference.clone(),
+        deadline_ms: frontend.deadline_ms(now_ms, &class, allowed_ms),
+        class,
+        estimated_work_ms: estimate(frontend, &fields, field::WORK_MS)?,
+        estimated_memory_mb: estimate(frontend, &fields, field::MEMORY_MB)?,
+        data_set: sql::dataset(&statement).unwrap_or(0),
+        member: Bytes::copy_from_slice(tenant),
+        frontend: retry_policy::FrontendKind::Platform,
+        statement_kind: statement_kind(&statement),
+        idempotency_key,
+        order_key,
+        statement,
+        client,
+    })
+}
+
+fn present<'a>(fields: &'a Fields, name: &'static str) -> Result<&'a Bytes, CallError> {
+    fields.get(name).ok_or(CallError::MissingField(name))
+}
+
+fn required<'a>(
+    fields: &'a Fields,
+    name: &'static str,
+    is_valid: impl FnOnce(&Bytes) -> bool,
+) -> Result<&'a Bytes, CallError> {
+    let value = present(fields, name)?;
+    if is_valid(value) {
+        Ok(value)
+    } else {
+        Err(invalid(name, value))
+    }
+}
+
+fn invalid(name: &'static str, value: &Bytes) -> CallError {
+    let value = value.clone();
+    CallError::InvalidField { name, value }
+}
+
+fn allowed_ms(fields: &Fields) -> Result<Millis, CallError> {
+    let text = present(fields, field::ALLOWED_MS)?;
+    parse_non_negative(text).ok_or_else(|| invalid(field::ALLOWED_MS, text))
+}
+
+/// The idempotency key. Classes that use none may have any text in its field.
+fn idempotency_key(
+    frontend: &Frontend,
+    class: &NamedClass,
+    fields: &Fields,
+) -> Result<Option<Bytes>, CallError> {
+    let uses_key = matches!(class.class.idempotency, Idempotency::WithKey(_));
+    match fields.get(field::IDEMPOTENCY_KEY) {
+        Some(key) if uses_key && !is_token(key, frontend.limits.key_bytes) => {
+            Err(invalid(field::IDEMPOTENCY_KEY, key))
+        }
+        Some(key) if uses_key => Ok(Some(key.clone())),
+        _ => Ok(None),
+    }
+}
+
+/// The order key, which every request of a class that keeps order must have: without one it could run beside any other
+/// of them.
+fn order_key(
+    frontend: &Frontend,
+    class: &NamedClass,
+    fields: &Fields,
+) -> Result<Option<OrderKey>, CallError> {
+    if !class.class.ordered_by_key {
+        return Ok(None);
+    }
+    let is_valid = |text: &Bytes| is_token(text, frontend.limits.key_bytes);
+    let text = required(fields, field::ORDER_KEY, is_valid)?;
+    Ok(Some(OrderKey::new(text)))
+}
+
+/// Counts a request that its client marks as a retry.
+fn count_retry(frontend: &Frontend, fields: &Fields) -> Result<(), CallError> {
+    match fields.get(field::RETRY) {
+        None => Ok(()),
+        Some(mark) if mark.as_ref() == RETRY_MARK => {
+            frontend.metrics.client_retries.increment();
+            Ok(())
+        }
+        Some(mark) => Err(invalid(field::RETRY, mark)),
+    }
+}
+
+fn estimate(
+    frontend: &Frontend,
+    fields: &Fields,
+    name: &'static str,
+) -> Result<Option<f64>, CallError> {
+    fields
+        .get(name)
+        .map(|text| {
+            frontend
+                .parse_estimate(text)
+                .ok_or_else(|| invalid(name, text))
+        })
+        .transpose()
+}
+
+fn statement_kind(statement: &[u8]) -> StatementKind {
+    if sql::reads(statement) {
+        StatementKind::Query
+    } else {
+        StatementKind::Update
+    }
+}
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -1,19 +1,18 @@
 //! One connection of a client: its actor reads calls, passes requests to the core and writes the answers.
 
+use super::answers::{AnswerChannel, AnswerQueue, ErrorName};
+use super::call::parse_request;
+use super::errors::{ConnectionError, ProtocolError};
+use super::input::Input;
+use super::silence_limits::SilenceLimits;
 use crate::clients::connection_slots::ConnectionSlot;
-use crate::clients::msgpack::{self, Message};
-use crate::clients::{Frontend, is_client_reference, is_token, parse_non_negative};
-use crate::core::{
-    AcceptedRequest, Answer, ClientPort, CoreMessage, FailureReason, OrderKey, ResultBody,
-    StatementKind,
-};
-use crate::decision::{Idempotency, RequestId};
-use crate::limits::MemoryReservation;
+use crate::clients::msgpack::{Call, Message};
+use crate::clients::pending::PendingGuard;
+use crate::clients::{Frontend, outcome_counter};
+use crate::core::{AcceptedRequest, Answer, CoreMessage};
+use crate::decision::{Millis, RequestId};
 use crate::metrics::ClassOutcomes;
-use crate::net::{self, Outbox};
-use crate::settings_json::NamedClass;
-use crate::{rows, sql};
-use bytes::{Bytes, BytesMut};
+use crate::net;
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
@@ -21,509 +20,373 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-struct Mailbox(mpsc::Sender<(RequestId, Answer)>);
+/// Method of the health check; every other method is a class.
+const HEALTH_METHOD: &[u8] = b"health";
 
-impl ClientPort for Mailbox {
-    fn answer(&self, id: RequestId, answer: Answer) {
-        // The mailbox holds one answer for each request that may be open, so it is full never; it is closed
-        // where the client left.
-        let _ = self.0.try_send((id, answer));
-    }
-}
+/// Answers that the channel from the core holds for each request that may be open.
+const ANSWERS_PER_REQUEST: usize = 2;
 
+/// A client's connection and all of its state.
 pub(super) struct Connection {
     stream: TcpStream,
     frontend: Frontend,
-    port: Arc<Mailbox>,
+    answer_channel: Arc<AnswerChannel>,
     answers: mpsc::Receiver<(RequestId, Answer)>,
-    input: BytesMut,
-    out: Outbox,
-    /// Message ids of open requests, and where their ends are counted, by the core's id.
-    open: HashMap<RequestId, (u64, Arc<ClassOutcomes>)>,
-    last: u64,
+    input: Input,
+    answer_queue: AnswerQueue,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    /// Message id of the latest call; 0 before the first.
+    last_message_id: u64,
+    /// When the latest call came or the latest request ended.
     idle_since: Instant,
-    /// Since when what is read is no whole message; from the start, as it is to begin with one.
-    half_since: Option<Instant>,
-    /// When its client last took anything of its answers, or none waited.
-    taken_at: Instant,
     slot: ConnectionSlot,
-    /// Bytes held in `input` and `out`.
-    held: (MemoryReservation, MemoryReservation),
-    /// Calls that are no use, and calls over the limit.
-    faults: usize,
-    /// Whether it is counted as owing an answer or a close in order; the exit waits for those.
-    owing: bool,
-    /// What came cannot be read, and nothing more is taken: how many bytes were passed over since.
-    deaf: Option<usize>,
-    /// It makes room for another connection, at once or once what it has half sent is whole or has fallen silent.
+    /// Calls that were answered with an error on arrival, and unknown notifications.
+    bad_calls: usize,
+    /// Present while shutdown has to wait for this connection.
+    pending: Option<PendingGuard>,
+    /// It makes room for another connection: closed at once, or once a message that has begun is complete and answered
+    /// or does not continue.
     evicted: bool,
 }
 
-/// Why a connection is read no further.
-enum End {
-    /// Its client has gone.
-    Closed,
-    Malformed,
-}
-
-impl From<std::io::Error> for End {
-    fn from(_: std::io::Error) -> End {
-        End::Closed
-    }
+/// A request that the core has not answered yet.
+struct OpenRequest {
+    message_id: u64,
+    outcomes: Arc<ClassOutcomes>,
 }
 
 impl Connection {
     pub(super) fn new(stream: TcpStream, slot: ConnectionSlot, frontend: Frontend) -> Connection {
-        // One answer for each open request, and as many again for refusals on the spot.
-        let (port, answers) = mpsc::channel(frontend.limits.open_requests_per_client * 2);
+        let max_answers = frontend.limits.open_requests_per_client * ANSWERS_PER_REQUEST;
+        let (answer_channel, answers) = AnswerChannel::new(max_answers);
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
-            port: Arc::new(Mailbox(port)),
+            answer_channel,
             answers,
-            input: BytesMut::with_capacity(4096),
-            out: Outbox::default(),
-            open: HashMap::new(),
-            last: 0,
+            input: Input::new(&frontend),
+            answer_queue: AnswerQueue::new(&frontend),
+            open_requests: HashMap::new(),
+            last_message_id: 0,
             idle_since: Instant::now(),
-            half_since: Some(Instant::now()),
-            taken_at: Instant::now(),
             slot,
-            held: (
-                MemoryReservation::new(&frontend.buffer_pools.input),
-                MemoryReservation::new(&frontend.buffer_pools.output),
-            ),
-            faults: 0,
-            owing: false,
-            deaf: None,
+            bad_calls: 0,
+            pending: None,
             evicted: false,
             frontend,
         }
     }
 
+    /// Serves the connection until it is closed, then withdraws the requests still open on it.
     pub(super) async fn run(mut self) {
         if self.serve().await.is_ok() {
-            // The exit waits for the close to be whole as well.
-            self.owes(true);
-            // What crosses this close goes again; an answer under way must not be lost to its being refused.
-            let _ = self.stream.shutdown().await;
-            let limits = &self.frontend.limits;
-            net::linger(
-                &self.stream,
-                if self.evicted {
-                    limits.evicted_linger
-                } else {
-                    limits.linger
-                },
-            )
-            .await;
+            self.close().await;
         }
         self.answers.close();
-        self.owes(false);
-        for id in std::mem::take(&mut self.open).into_keys() {
-            self.frontend
-                .core
-                .send(CoreMessage::ClientDisconnected(id))
-                .await;
+        self.set_pending(false);
+        for id in std::mem::take(&mut self.open_requests).into_keys() {
+            let message = CoreMessage::ClientDisconnected(id);
+            self.frontend.core.send(message).await;
         }
     }
 
-    /// Serves until the connection is to be closed, with nothing owed on it; an error where its client has gone.
-    async fn serve(&mut self) -> Result<(), End> {
+    /// Closes the connection in order, so that answers on their way reach the client.
+    async fn close(&mut self) {
+        // Shutdown of the process waits for the close as well.
+        self.set_pending(true);
+        let _ = self.stream.shutdown().await;
+        // A client sends a call that crosses the close again. Without lingering, such a call would reset the
+        // connection and with it an answer on its way.
+        net::linger(&self.stream, self.silence_limits().linger).await;
+    }
+
+    /// Serves until the connection is to be closed with nothing pending.
+    ///
+    /// # Errors
+    ///
+    /// If the client has gone or is given up.
+    async fn serve(&mut self) -> Result<(), ConnectionError> {
         loop {
-            let before = self.out.written();
-            self.out.flush(&self.stream)?;
-            if self.out.is_empty() || self.out.written() > before {
-                self.taken_at = Instant::now();
-            }
-            self.owe();
-            let done = self.done();
-            if done && (self.deaf.is_some() || self.evicted && self.input.is_empty()) {
+            self.answer_queue.flush(&self.stream)?;
+            self.update_accounting();
+            let idle = self.is_idle();
+            let draining = self.is_draining();
+            if idle && (self.input.is_discarding() || self.evicted && self.input.is_empty()) {
                 return Ok(());
             }
-            // A slow reader holds at most a few answers here: then nothing more is read from it.
-            let held = self.out.waiting() > 2 * self.frontend.limits.result_bytes as u64;
-            let patience = self.patience();
-            let leaving = self.frontend.lifecycle.current().is_draining();
-            let untaken = self.taken_at + self.frontend.limits.client_idle_timeout;
+            let close_at = self.idle_deadline();
+            let write_deadline = self.answer_queue.write_deadline();
             tokio::select! {
                 biased;
-                Some((id, answer)) = self.answers.recv() => self.answer(id, answer),
-                ready = self.stream.writable(), if !self.out.is_empty() => ready?,
-                ready = self.stream.readable(), if !held => {
+                Some((id, answer)) = self.answers.recv() => self.handle_answer(id, &answer),
+                ready = self.stream.writable(), if !self.answer_queue.is_empty() => ready?,
+                ready = self.stream.readable(), if !self.answer_queue.is_full() => {
                     ready?;
-                    self.hear().await?;
+                    self.receive().await?;
                 }
-                // Guard: a client that says nothing, or stops halfway through a message, is owed a close in time
-                // and holds bytes and a place until then. One that was answered may idle for longer.
-                () = sleep_until(patience), if done => {
-                    // Not where a request has come in meanwhile, or the rest of one.
-                    self.hear_last().await?;
-                    if self.done() && self.patience() <= Instant::now() {
-                        if self.half_since.is_some() {
-                            self.frontend.metrics.client_read_timeouts.increment();
-                        }
+                () = sleep_until(close_at), if idle => {
+                    if self.is_still_silent().await? {
                         return Ok(());
                     }
                 }
-                // Guard: clients that never take their answers could hold every place for good.
-                () = sleep_until(untaken), if !self.out.is_empty() => {
+                () = sleep_until(write_deadline), if !self.answer_queue.is_empty() => {
                     self.frontend.metrics.client_read_timeouts.increment();
-                    return Err(End::Closed);
+                    return Err(ConnectionError::WriteTimeout);
                 }
-                // Guard: half a request is one on its way; it comes whole first, or falls silent.
-                () = self.slot.asked_to_leave(), if done && (self.input.is_empty() || !leaving) => {
-                    self.hear_last().await?;
-                    self.evicted = !leaving && self.done();
-                    if self.done() && self.input.is_empty() {
+                // While draining, a message that has begun is waited for, within its own time limit.
+                () = self.slot.asked_to_leave(), if idle && (self.input.is_empty() || !draining) => {
+                    if self.may_leave(draining).await? {
                         return Ok(());
                     }
-                    if !self.evicted {
-                        self.slot.stay();
-                    }
                 }
             }
         }
     }
 
-    /// Whether nothing is owed on it.
-    fn done(&self) -> bool {
-        self.open.is_empty() && self.out.is_empty()
+    /// Checks, at the idle deadline, whether the client has still sent nothing.
+    async fn is_still_silent(&mut self) -> Result<bool, ConnectionError> {
+        self.receive_before_close().await?;
+        let silent = self.is_idle() && self.idle_deadline() <= Instant::now();
+        if silent && self.input.incomplete_since().is_some() {
+            self.frontend.metrics.client_read_timeouts.increment();
+        }
+        Ok(silent)
     }
 
-    /// When it is closed, where nothing is owed and nothing comes.
-    fn patience(&self) -> Instant {
+    /// Handles the request to leave; returns whether the connection can be closed at once. An evicted connection with
+    /// part of a message stays open until the rest arrives or its time is over.
+    async fn may_leave(&mut self, draining: bool) -> Result<bool, ConnectionError> {
+        self.receive_before_close().await?;
+        let idle = self.is_idle();
+        self.evicted = !draining && idle;
+        if idle && self.input.is_empty() {
+            return Ok(true);
+        }
+        if !self.evicted {
+            self.slot.stay();
+        }
+        Ok(false)
+    }
+
+    /// Whether no request is open and no answer is unread.
+    fn is_idle(&self) -> bool {
+        self.open_requests.is_empty() && self.answer_queue.is_empty()
+    }
+
+    fn is_draining(&self) -> bool {
+        self.frontend.lifecycle.current().is_draining()
+    }
+
+    /// When the connection is closed if it stays idle. A client that sends nothing, or only part of a message, holds a
+    /// slot and bytes, so its time is shorter than that of one that was answered.
+    fn idle_deadline(&self) -> Instant {
         let idle = self.idle_since + self.frontend.limits.client_idle_timeout;
-        let limits = &self.frontend.limits;
-        let evicted = self.evicted && !self.frontend.lifecycle.current().is_draining();
-        let silence = if evicted {
-            limits.evicted_client_read_timeout
+        match self.input.incomplete_since() {
+            Some(since) => idle.min(since + self.silence_limits().read),
+            None => idle,
+        }
+    }
+
+    fn silence_limits(&self) -> SilenceLimits {
+        if self.evicted {
+            SilenceLimits::evicted(&self.frontend.limits, self.is_draining())
         } else {
-            limits.client_read_timeout
-        };
-        self.half_since
-            .map_or(idle, |since| idle.min(since + silence))
+            SilenceLimits::usual(&self.frontend.limits)
+        }
+    }
+
+    /// Brings slot, memory and the gauge of pending connections up to date.
+    fn update_accounting(&mut self) {
+        let queued_bytes = self.answer_queue.update_reservation();
+        let open_requests = self.open_requests.len() + usize::from(queued_bytes > 0);
+        self.slot.set_open_requests(open_requests);
+        // Part of a message may be completed, and a draining client gets an orderly close: shutdown waits for both.
+        let leaving = self.last_message_id > 0 && self.is_draining();
+        self.set_pending(!self.is_idle() || !self.input.is_empty() || leaving);
+    }
+
+    fn set_pending(&mut self, pending: bool) {
+        if pending {
+            self.pending
+                .get_or_insert_with(|| PendingGuard::new(&self.frontend.metrics));
+        } else {
+            self.pending = None;
+        }
     }
 
-    /// Reads what is there before a close. Guard: what the runtime has not asked the socket for yet counts as not there,
-    /// so the runtime has its turn first.
-    async fn hear_last(&mut self) -> Result<(), End> {
+    /// Reads what has arrived before a close. The runtime gets a turn first: what it has not polled from the socket yet
+    /// would count as not arrived.
+    async fn receive_before_close(&mut self) -> Result<(), ConnectionError> {
         tokio::task::yield_now().await;
-        self.hear().await
+        self.receive().await
     }
 
-    /// Reads what is there. Guard: a client that ends its side has left, whatever it sent just before; its requests are
-    /// dropped, as nobody can tell a close from the end of its sending alone, and the answer may have no reader.
-    async fn hear(&mut self) -> Result<(), End> {
-        let most = self.frontend.limits.message_bytes;
-        if !net::read(&self.stream, &mut self.input, most)? {
-            return Err(End::Closed);
+    /// Reads what has arrived and handles the complete messages in it.
+    ///
+    /// # Errors
+    ///
+    /// If the client has closed its side, whatever it sent before: a full close cannot be told from a half close, and
+    /// an answer might have no reader.
+    async fn receive(&mut self) -> Result<(), ConnectionError> {
+        if !self.input.receive(&self.stream)? {
+            return Err(ConnectionError::ClosedByClient);
         }
-        if let Some(passed) = &mut self.deaf {
-            // Guard: it is read on to see it leave, and not for what it sends; that has its bound too.
-            *passed += self.input.len();
-            self.input.clear();
-            return if *passed > most {
-                Err(End::Closed)
-            } else {
+        if self.input.is_discarding() {
+            return if self.input.discard() {
                 Ok(())
+            } else {
+                Err(ConnectionError::DiscardLimit)
             };
         }
-        let heard = self.read().await;
-        // Guard: half messages of many clients could fill the memory together.
-        let limits = &self.frontend.limits;
-        let fits = self
-            .held
-            .0
-            .set(self.input.len(), limits.share(limits.input_bytes));
-        match heard {
-            Err(End::Closed) => Err(End::Closed),
-            Ok(()) if fits => Ok(()),
-            // Guard: what came before is answered, then the connection is closed in order. Dropped at once, with bytes
-            // unread, it would be reset, and the answers under way with it.
-            _ => {
-                self.frontend.metrics.client_malformed.increment();
-                self.input.clear();
-                (self.deaf, self.half_since) = (Some(0), None);
-                self.held.0.set(0, usize::MAX);
-                Ok(())
-            }
+        let handled = self.handle_messages().await;
+        let within_memory = self.input.update_reservation();
+        if handled.is_err() || !within_memory {
+            // Earlier calls are answered before the close. Closing at once, with bytes unread, would reset the
+            // connection and lose answers on their way.
+            self.frontend.metrics.client_malformed.increment();
+            self.input.start_discarding();
         }
+        Ok(())
     }
 
-    fn owe(&mut self) {
-        let waiting = self.out.waiting() as usize;
-        self.held.1.set(
-            waiting,
-            self.frontend
-                .limits
-                .share(self.frontend.limits.output_bytes),
-        );
-        self.slot
-            .set_open_requests(self.open.len() + usize::from(waiting > 0));
-        // Half a request is owed its rest, and a client that is to go a close in order: each has its own bound.
-        let goes = self.last > 0 && self.frontend.lifecycle.current().is_draining();
-        self.owes(!self.done() || !self.input.is_empty() || goes);
+    async fn handle_messages(&mut self) -> Result<(), ProtocolError> {
+        let now_ms = self.frontend.core.now();
+        while let Some(message) = self.input.next_message()? {
+            match message {
+                Message::Call(call) => self.handle_call(now_ms, call).await?,
+                Message::Cancel { id } => self.cancel(id).await,
+                Message::UnknownNotification => {
+                    self.frontend.metrics.client_bad_calls.increment();
+                    self.count_bad_call()?;
+                }
+            }
+        }
+        self.input.messages_exhausted(self.last_message_id > 0);
+        Ok(())
     }
 
-    fn owes(&mut self, owes: bool) {
-        let gauge = &self.frontend.metrics.client_connections_pending;
-        match (std::mem::replace(&mut self.owing, owes), owes) {
-            (false, true) => gauge.increment(),
-            (true, false) => gauge.decrement(),
-            _ => {}
+    async fn handle_call(&mut self, now_ms: Millis, call: Call) -> Result<(), ProtocolError> {
+        let message_id = call.id;
+        self.record_call(message_id)?;
+        if call.method.as_ref() == HEALTH_METHOD {
+            self.slot.mark_proven();
+            let accepts_requests = !self.is_draining();
+            self.answer_queue.push_health(message_id, accepts_requests);
+            return Ok(());
+        }
+        let outcomes = self.frontend.class_outcomes(&call.method);
+        let client = self.answer_channel.clone();
+        match parse_request(&self.frontend, now_ms, call, client) {
+            Ok(request) if self.has_request_capacity() => {
+                let outcomes = outcomes.unwrap_or_default();
+                self.submit(request, message_id, outcomes).await;
+                Ok(())
+            }
+            Ok(_) => {
+                self.frontend.metrics.client_over_limit.increment();
+                outcomes.iter().for_each(|class| class.rejected.increment());
+                self.answer_queue
+                    .push_error(message_id, ErrorName::Overloaded);
+                self.count_bad_call()
+            }
+            Err(error) => {
+                self.frontend.metrics.client_bad_calls.increment();
+                outcomes.iter().for_each(|class| class.failed.increment());
+                self.answer_queue.push_error(message_id, (&error).into());
+                self.count_bad_call()
+            }
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet")]
-    async fn read(&mut self) -> Result<(), End> {
-        let now = self.frontend.core.now();
-        while let Some(message) =
-            msgpack::take(&mut self.input, &self.frontend.limits).map_err(|_| End::Malformed)?
-        {
-            match message {
-                Message::Call {
-                    id,
-                    method,
-                    fields,
-                    body,
-                } => {
-                    // Guard: ids rise, so one that comes again would get two answers. Nothing on this connection
-                    // can be told apart any more.
-                    if id <= self.last {
-                        return Err(End::Malformed);
-                    }
-                    self.last = id;
-                    self.slot.record_call();
-                    self.idle_since = Instant::now();
-                    self.half_since = None;
-                    if std::mem::take(&mut self.evicted) {
-                        self.slot.stay();
-                    }
-                    if method.as_ref() == b"health" {
-                        let fit = !self.frontend.lifecycle.current().is_draining();
-                        self.slot.mark_proven();
-                        self.out.push(msgpack::health(id, fit));
-                        continue;
-                    }
-                    let ends = self.frontend.class_outcomes(&method);
-                    match self.taken(now, &method, fields, body) {
-                        Ok(taken)
-                            if self.open.len() < self.frontend.limits.open_requests_per_client =>
-                        {
-                            self.open.insert(taken.id, (id, ends.unwrap_or_default()));
-                            self.owe();
-                            self.frontend.core.send(CoreMessage::Request(taken)).await;
-                        }
-                        Ok(_) => {
-                            self.frontend.metrics.client_over_limit.increment();
-                            ends.iter().for_each(|e| e.rejected.increment());
-                            self.out.push(msgpack::error(id, "Overloaded", None));
-                            self.fault()?;
-                        }
-                        Err(error) => {
-                            self.frontend.metrics.client_bad_calls.increment();
-                            ends.iter().for_each(|e| e.failed.increment());
-                            self.out.push(msgpack::error(id, error, None));
-                            self.fault()?;
-                        }
-                    }
-                }
-                Message::Cancel { id } => {
-                    let found = self
-                        .open
-                        .iter()
-                        .find(|(_, (m, _))| *m == id)
-                        .map(|(r, _)| *r);
-                    if let Some(request) = found {
-                        self.open.remove(&request);
-                        self.frontend
-                            .core
-                            .send(CoreMessage::ClientDisconnected(request))
-                            .await;
-                    }
-                }
-                Message::Notice => {
-                    self.frontend.metrics.client_bad_calls.increment();
-                    self.fault()?;
-                }
-            }
+    fn record_call(&mut self, message_id: u64) -> Result<(), ProtocolError> {
+        // A repeated id would get two answers, and the client could not tell which call each one is for.
+        if message_id <= self.last_message_id {
+            return Err(ProtocolError::MessageIdNotRising {
+                id: message_id,
+                last: self.last_message_id,
+            });
         }
-        // What stays in the buffer is half a message. Before the first call all counts as that, notices too.
-        if !self.input.is_empty() {
-            self.half_since.get_or_insert_with(Instant::now);
-        } else if self.last > 0 {
-            self.half_since = None;
+        self.last_message_id = message_id;
+        self.slot.record_call();
+        self.idle_since = Instant::now();
+        self.input.call_completed();
+        if std::mem::take(&mut self.evicted) {
+            self.slot.stay();
         }
         Ok(())
     }
 
-    /// Guard: a client that sends what is no use as fast as it is turned away would take the whole core.
-    fn fault(&mut self) -> Result<(), End> {
-        self.faults += 1;
-        if self.faults > self.frontend.limits.client_bad_calls {
-            Err(End::Malformed)
-        } else {
-            Ok(())
-        }
+    fn has_request_capacity(&self) -> bool {
+        self.open_requests.len() < self.frontend.limits.open_requests_per_client
     }
 
-    /// What a call asks for, or the error that answers it.
-    fn taken(
-        &self,
-        now: f64,
-        method: &[u8],
-        fields: Option<msgpack::Fields>,
-        body: Option<Bytes>,
-    ) -> Result<AcceptedRequest, &'static str> {
-        let class = self.frontend.class(method).ok_or("NoMethodError")?;
-        let (Some(fields), Some(statement)) = (fields, body) else {
-            return Err("ArgumentError");
-        };
-        let name = fields
-            .get("ref")
-            .filter(|r| is_client_reference(r))
-            .ok_or("ArgumentError")?;
-        let allow = fields
-            .get("allow")
-            .and_then(|a| parse_non_negative(a))
-            .ok_or("ArgumentError")?;
-        let due_ms = self.frontend.deadline_ms(now, &class, allow);
-        let member = fields
-            .get("project")
-            .filter(|p| self.frontend.is_known_tenant(p))
-            .ok_or("ArgumentError")?;
-        let keyed = matches!(class.class.idempotency, Idempotency::WithKey(_));
-        let idempotency_key = match fields.get("replay").filter(|_| keyed) {
-            Some(key) if !is_token(key, self.frontend.limits.key_bytes) => {
-                return Err("ArgumentError");
-            }
-            key => key.cloned(),
-        };
-        let order_key = self.order_key(&class, &fields)?;
-        self.count_retry(&fields)?;
-        let estimate = |field: &str| match fields.get(field) {
-            None => Ok(None),
-            Some(text) => self
-                .frontend
-                .parse_estimate(text)
-                .map(Some)
-                .ok_or("ArgumentError"),
+    async fn submit(
+        &mut self,
+        request: AcceptedRequest,
+        message_id: u64,
+        outcomes: Arc<ClassOutcomes>,
+    ) {
+        let open_request = OpenRequest {
+            message_id,
+            outcomes,
         };
-        Ok(AcceptedRequest {
-            id: self.frontend.core.next_id(),
-            client_reference: name.clone(),
-            class,
-            deadline_ms: due_ms,
-            estimated_work_ms: estimate("effort")?,
-            estimated_memory_mb: estimate("need_mb")?,
-            data_set: sql::dataset(&statement).unwrap_or(0),
-            member: Bytes::copy_from_slice(member),
-            frontend: crate::retry_policy::FrontendKind::Platform,
-            statement_kind: if sql::reads(&statement) {
-                StatementKind::Query
-            } else {
-                StatementKind::Update
-            },
-            idempotency_key,
-            order_key,
-            statement,
-            client: self.port.clone(),
-        })
+        self.open_requests.insert(request.id, open_request);
+        self.update_accounting();
+        let message = CoreMessage::Request(request);
+        self.frontend.core.send(message).await;
     }
 
-    /// The key by which a request takes its turn. Guard: one of a class that keeps order and names none could run
-    /// beside any other.
-    fn order_key(
-        &self,
-        class: &NamedClass,
-        fields: &msgpack::Fields,
-    ) -> Result<Option<OrderKey>, &'static str> {
-        if !class.class.ordered_by_key {
-            return Ok(None);
+    /// Withdraws the request of a call, if it is still open.
+    async fn cancel(&mut self, message_id: u64) {
+        let id = self
+            .open_requests
+            .iter()
+            .find(|(_, request)| request.message_id == message_id)
+            .map(|(id, _)| *id);
+        if let Some(id) = id {
+            self.open_requests.remove(&id);
+            let message = CoreMessage::ClientDisconnected(id);
+            self.frontend.core.send(message).await;
         }
-        let text = fields.get("lookup").ok_or("ArgumentError")?;
-        let usable = is_token(text, self.frontend.limits.key_bytes);
-        usable
-            .then(|| Some(OrderKey::new(text)))
-            .ok_or("ArgumentError")
     }
 
-    /// Counts a request that its client marks as a retry.
-    fn count_retry(&self, fields: &msgpack::Fields) -> Result<(), &'static str> {
-        match fields.get("dup").map(|mark| mark.as_ref()) {
-            None => {}
-            Some(b"1") => self.frontend.metrics.client_retries.increment(),
-            Some(_) => return Err("ArgumentError"),
+    /// Limits bad calls: a client that sends them as fast as they are answered would keep the process busy.
+    fn count_bad_call(&mut self) -> Result<(), ProtocolError> {
+        self.bad_calls += 1;
+        let limit = self.frontend.limits.client_bad_calls;
+        if self.bad_calls > limit {
+            return Err(ProtocolError::TooManyBadCalls { limit });
         }
         Ok(())
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer) {
-        // Gone where the client has cancelled: then no answer is owed.
-        let Some((message, ends)) = self.open.remove(&id) else {
+    /// Queues the core's answer to a request, unless the client has cancelled it.
+    fn handle_answer(&mut self, id: RequestId, answer: &Answer) {
+        let Some(request) = self.open_requests.remove(&id) else {
             return;
         };
         self.idle_since = Instant::now();
+        let outcomes = &request.outcomes;
+        let counter = if self.queue_answer(request.message_id, answer) {
+            outcome_counter(outcomes, answer)
+        } else {
+            &outcomes.failed
+        };
+        counter.increment();
+    }
+
+    /// Returns false if the client gets an error in place of its result.
+    fn queue_answer(&mut self, message_id: u64, answer: &Answer) -> bool {
         match answer {
             Answer::Served(body) => {
                 self.slot.mark_proven();
-                // Counted as the client is told, which may be that its result cannot be passed on.
-                if self.result(message, &body) {
-                    &ends.served
-                } else {
-                    &ends.failed
-                }
-                .increment();
-            }
-            Answer::Rejected {
-                retry_after_ms: hold_off_ms,
-            } => {
-                ends.rejected.increment();
-                let wait = format!("{hold_off_ms:.0}");
-                let field = (hold_off_ms >= 1.0).then_some(("cooldown", wait.as_str()));
-                self.out.push(msgpack::error(message, "Overloaded", field));
+                return self.answer_queue.push_result(message_id, body).is_ok();
             }
-            Answer::Failed(why) => {
-                ends.failed.increment();
-                let name = if why == FailureReason::DeadlineExceeded {
-                    "DeadlineExceeded"
-                } else {
-                    "Internal"
-                };
-                self.out.push(msgpack::error(message, name, None));
-            }
-        }
-    }
-
-    /// Writes a result out in the pieces in which it came; one that this protocol cannot carry has failed, and
-    /// that is false.
-    fn result(&mut self, message: u64, body: &ResultBody) -> bool {
-        let pieces = rows::text(body)
-            .ok()
-            .filter(|_| body.remaining_chunks.is_none());
-        let size = |pieces: &Vec<Bytes>| pieces.iter().map(Bytes::len).sum::<usize>();
-        let Some(pieces) = pieces.filter(|p| size(p) <= self.frontend.limits.result_bytes) else {
-            self.out.push(msgpack::error(message, "Internal", None));
-            return false;
-        };
-        // Guard: answers that nobody takes could fill the memory; this one fails and says so.
-        let waiting = self.out.waiting() as usize + size(&pieces);
-        if !self.held.1.set(
-            waiting,
-            self.frontend
-                .limits
-                .share(self.frontend.limits.output_bytes),
-        ) {
-            self.frontend.metrics.client_over_limit.increment();
-            self.out.push(msgpack::error(message, "Internal", None));
-            return false;
-        }
-        self.out.push(msgpack::result_head(message, size(&pieces)));
-        for piece in pieces {
-            self.out.push(piece);
+            Answer::Rejected { retry_after_ms } => self
+                .answer_queue
+                .push_rejection(message_id, *retry_after_ms),
+            Answer::Failed(reason) => self.answer_queue.push_error(message_id, (*reason).into()),
         }
-        self.out.push(msgpack::END);
         true
     }
 }
