--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -54,7 +54,7 @@
 }
 
 impl Mailbox {
-    /// The next ordinary input, for whoever drives a core without [`start`]; none once every [`Handle`] is dropped.
+    /// The next ordinary input, for whoever drives a core without [`run`]; none once every [`Handle`] is dropped.
     pub async fn next_message(&mut self) -> Option<CoreMessage> {
         self.messages.recv().await
     }
@@ -70,7 +70,7 @@
 }
 
 impl Handle {
-    /// A mailbox of this size, and a small one that overtakes it; their receivers go to [`start`].
+    /// A mailbox of this size, and a small one that overtakes it; their receivers go to [`run`].
     pub fn new(size: usize, clock: Clock) -> (Handle, Mailbox) {
         let (mailbox, inputs) = mpsc::channel(size);
         let (urgent, orders) = mpsc::channel(URGENT);
--- a/src/core/leases.rs
+++ b/src/core/leases.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A request of this key has come: whether it may go on now, or waits until [`Leases::review`] names it.
+    /// A request of this key has come: whether it may go on now, or waits until [`OrderLeases::review`] names it.
     pub(super) fn admit(
         &mut self,
         now: Millis,
@@ -162,7 +162,7 @@
         admitted
     }
 
-    /// Whether [`Leases::review`] has something to look at later.
+    /// Whether [`OrderLeases::review`] has something to look at later.
     pub(super) fn needs_review(&self) -> bool {
         !self.waiting.is_empty() || !self.pausing.is_empty()
     }
