--- a/tests/order.rs
+++ b/tests/order_keys.rs
@@ -11,7 +11,7 @@
 use workload_manager::node_config::EngineProtocol;
 
 #[rstest]
-#[case::two_requests_of_one_key_take_turns(
+#[case::requests_of_one_key_run_one_at_a_time(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
@@ -79,7 +79,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::a_key_that_is_absent_or_unusable_is_answered(
+#[case::an_absent_or_unusable_key_is_rejected(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check
@@ -99,7 +99,7 @@
     f1 expect 1 InvalidArgument
 "
 )]
-#[case::the_request_that_has_the_turn_is_tried_again_within_it(
+#[case::a_retry_keeps_the_turn_of_its_key(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
@@ -148,7 +148,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::a_key_rests_after_a_time_out(
+#[case::a_key_rests_after_a_timeout(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655 allow=400
@@ -164,7 +164,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::a_connection_that_closes_gives_its_turns_up(
+#[case::a_disconnect_releases_its_keys(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
@@ -183,7 +183,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::turns_outlast_new_settings(
+#[case::turns_survive_new_settings(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
@@ -206,6 +206,6 @@
     c3 expect 1 served c\\n
 "
 )]
-fn order(#[case] script: &str) {
+fn requests_with_order_keys(#[case] script: &str) {
     play(3, EngineProtocol::Lines, script);
 }
--- a/tests/order_upgrade.rs
+++ b/tests/order_keys_hot_restart.rs
@@ -9,10 +9,10 @@
 mod scene;
 
 use rstest::rstest;
-use scene::engines::Fleet;
-use scene::platform::Client;
-use scene::process::inheriting;
-use scene::{changed, configuration, soon};
+use scene::child_process::start_with_listener;
+use scene::engine_fleet::Fleet;
+use scene::msgpack_client::Client;
+use scene::{changed, configuration, within_timeout};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
 /// `orderPauseMs` of the configuration.
 const REST: Duration = Duration::from_millis(300);
 
-/// How long a client waits unless a test says otherwise.
+/// How long a client waits unless a test await_line otherwise.
 const ALLOW: &str = "allow=9000";
 
 /// It may run once only, so that no attempt is called off for another one while the test holds it.
@@ -52,7 +52,7 @@
     async fn start(config: &Path, folder: &Path) -> Process {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let at = listener.local_addr().expect("address");
-        let mut child = inheriting(&listener, config, folder);
+        let mut child = start_with_listener(&listener, config, folder);
         let stderr = BufReader::new(child.stderr.take().expect("stderr"));
         let (tell, lines) = unbounded_channel();
         std::thread::spawn(move || {
@@ -62,12 +62,12 @@
                 .all(|line| tell.send(line).is_ok());
         });
         let mut process = Process { child, at, lines };
-        process.says(" serves on ").await;
+        process.await_line(" serves on ").await;
         process
     }
 
-    /// The next line that says this.
-    async fn says(&mut self, what: &str) -> String {
+    /// The next line that await_line this.
+    async fn await_line(&mut self, what: &str) -> String {
         let next = async {
             loop {
                 let line = self
@@ -80,7 +80,7 @@
                 }
             }
         };
-        soon(what, next).await
+        within_timeout(what, next).await
     }
 
     fn signal(&self, name: &str) {
@@ -91,17 +91,17 @@
     }
 
     /// Asks for the counters until they hold this one, and returns all as they were at that moment.
-    async fn counts(&mut self, wanted: &str) -> String {
+    async fn await_counter(&mut self, wanted: &str) -> String {
         let reached = async {
             loop {
                 self.signal("USR1");
-                let counters = self.says("counters ").await;
+                let counters = self.await_line("counters ").await;
                 if has(&counters, wanted) {
                     return counters;
                 }
             }
         };
-        soon(wanted, reached).await
+        within_timeout(wanted, reached).await
     }
 }
 
@@ -110,16 +110,16 @@
 }
 
 /// Both processes, with engines that hold their answers.
-struct Upgrade {
+struct HotRestart {
     fleet: Fleet,
     old: Process,
     new: Process,
     folder: PathBuf,
 }
 
-impl Upgrade {
+impl HotRestart {
     /// The old process has a request of the key out, `c1.1`; then the successor comes up.
-    async fn begin(name: &str, allow: &str) -> (Upgrade, Client) {
+    async fn begin(name: &str, allow: &str) -> (HotRestart, Client) {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("order-{name}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("folder");
@@ -130,11 +130,11 @@
         let mut old = Process::start(&config, &folder).await;
         let mut first = Client::new("c1", old.at).await;
         first.step("send", &["1", CLASS, KEY, allow]).await;
-        soon("ASK c1.1", fleet.step("e", "expect", &["ASK", "c1.1"])).await;
+        within_timeout("ASK c1.1", fleet.step("e", "expect", &["ASK", "c1.1"])).await;
         let new = Process::start(&config, &folder).await;
-        old.says("peer process started").await;
+        old.await_line("peer process started").await;
         (
-            Upgrade {
+            HotRestart {
                 fleet,
                 old,
                 new,
@@ -145,15 +145,15 @@
     }
 
     async fn engines(&mut self, verb: &str, rest: &[&str]) {
-        soon(&rest.join(" "), self.fleet.step("e", verb, rest)).await;
+        within_timeout(&rest.join(" "), self.fleet.step("e", verb, rest)).await;
     }
 
     /// The successor takes a request of the key, `c2.1`, and sends nothing; what has another key goes at once.
-    async fn second_is_held(&mut self) -> Client {
+    async fn expect_second_waits(&mut self) -> Client {
         let mut second = Client::new("c2", self.new.at).await;
         second.step("send", &["1", CLASS, KEY]).await;
         // The core sends in the turn in which it takes.
-        let counters = self.new.counts("requests_accepted=1").await;
+        let counters = self.new.await_counter("requests_accepted=1").await;
         assert!(
             has(&counters, "attempts_started=0") && has(&counters, "requests_held_for_order_key=1"),
             "two requests of one key are out at once: {counters}"
@@ -163,8 +163,8 @@
         self.engines("expect", &["ASK", "c3.1"]).await;
         self.engines("send", &["c3.1", "served", "batches=1", "other\\n"])
             .await;
-        soon("c3.1", third.step("expect", &["1", "served", "other\\n"])).await;
-        let counters = self.new.counts("requests_accepted=2").await;
+        within_timeout("c3.1", third.step("expect", &["1", "served", "other\\n"])).await;
+        let counters = self.new.await_counter("requests_accepted=2").await;
         assert!(
             has(&counters, "attempts_started=1"),
             "two requests of one key are out at once: {counters}"
@@ -172,14 +172,14 @@
         second
     }
 
-    async fn second_is_sent(&mut self) {
+    async fn expect_second_sent(&mut self) {
         self.engines("expect", &["ASK", "c2.1"]).await;
     }
 
-    async fn second_is_served(&mut self, second: &mut Client) {
+    async fn serve_second(&mut self, second: &mut Client) {
         self.engines("send", &["c2.1", "served", "batches=1", "second\\n"])
             .await;
-        soon("c2.1", second.step("expect", &["1", "served", "second\\n"])).await;
+        within_timeout("c2.1", second.step("expect", &["1", "served", "second\\n"])).await;
     }
 
     fn end(mut self) {
@@ -197,15 +197,15 @@
 
 /// The first one is served: the second goes then.
 #[test]
-fn a_successor_waits_for_its_predecessors_request_of_the_key() {
+fn a_successor_process_waits_for_the_request_of_the_old_process() {
     run(async {
-        let (mut both, mut first) = Upgrade::begin("served", ALLOW).await;
-        let mut second = both.second_is_held().await;
+        let (mut both, mut first) = HotRestart::begin("served", ALLOW).await;
+        let mut second = both.expect_second_waits().await;
         both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
             .await;
-        soon("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
-        both.second_is_sent().await;
-        both.second_is_served(&mut second).await;
+        within_timeout("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
+        both.expect_second_sent().await;
+        both.serve_second(&mut second).await;
         both.end();
     });
 }
@@ -227,7 +227,10 @@
 #[case::cancel("cancelled", End::Cancelled)]
 #[case::reset("reset", End::Reset)]
 #[case::kill("killed", End::Killed)]
-fn a_key_rests_for_the_successor_too(#[case] name: &str, #[case] end: End) {
+fn a_key_rests_in_the_successor_process_after_an_unconfirmed_end(
+    #[case] name: &str,
+    #[case] end: End,
+) {
     run(async {
         let begun = Instant::now();
         let allow = if matches!(end, End::TimedOut) {
@@ -235,12 +238,12 @@
         } else {
             ALLOW
         };
-        let (mut both, mut first) = Upgrade::begin(name, allow).await;
-        let mut second = both.second_is_held().await;
+        let (mut both, mut first) = HotRestart::begin(name, allow).await;
+        let mut second = both.expect_second_waits().await;
         let mut since = Instant::now();
         match end {
             End::TimedOut => {
-                soon("c1.1", first.step("expect", &["1", "DeadlineExceeded"])).await;
+                within_timeout("c1.1", first.step("expect", &["1", "DeadlineExceeded"])).await;
                 both.engines("expect", &["QUIT", "c1.1"]).await;
                 since = begun + Duration::from_millis(5900);
             }
@@ -250,20 +253,20 @@
             }
             End::Reset => {
                 both.engines("close", &["c1.1"]).await;
-                soon("c1.1", first.step("expect", &["1", "Internal"])).await;
+                within_timeout("c1.1", first.step("expect", &["1", "Internal"])).await;
             }
             End::Killed => {
                 both.old.child.kill().expect("kill");
                 both.old.child.wait().expect("end");
             }
         }
-        both.second_is_sent().await;
+        both.expect_second_sent().await;
         assert!(
             since.elapsed() >= REST,
             "the key did not rest: {:?}",
             since.elapsed()
         );
-        both.second_is_served(&mut second).await;
+        both.serve_second(&mut second).await;
         both.end();
     });
 }
@@ -271,39 +274,39 @@
 /// The other way round: the old process holds its request of the key back while the successor has one out, and answers
 /// it at its deadline without an attempt.
 #[test]
-fn a_predecessor_waits_for_its_successor_too() {
+fn the_old_process_waits_for_the_request_of_its_successor() {
     run(async {
-        let (mut both, mut first) = Upgrade::begin("turned", ALLOW).await;
-        let mut second = both.second_is_held().await;
+        let (mut both, mut first) = HotRestart::begin("turned", ALLOW).await;
+        let mut second = both.expect_second_waits().await;
         both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
             .await;
-        soon("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
-        both.second_is_sent().await;
+        within_timeout("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
+        both.expect_second_sent().await;
         let mut late = Client::new("c4", both.old.at).await;
         late.step("send", &["1", CLASS, KEY, "allow=400"]).await;
-        soon("c4.1", late.step("expect", &["1", "DeadlineExceeded"])).await;
-        let counters = both.old.counts("requests_failed=1").await;
+        within_timeout("c4.1", late.step("expect", &["1", "DeadlineExceeded"])).await;
+        let counters = both.old.await_counter("requests_failed=1").await;
         assert!(
             has(&counters, "attempts_started=1"),
             "two requests of one key are out at once: {counters}"
         );
-        both.second_is_served(&mut second).await;
+        both.serve_second(&mut second).await;
         both.end();
     });
 }
 
 /// The old process, told to end, serves what it accepted; what it holds of the key goes first.
 #[test]
-fn a_planned_end_hands_the_key_over() {
+fn graceful_shutdown_hands_the_key_over() {
     run(async {
-        let (mut both, mut first) = Upgrade::begin("planned", ALLOW).await;
+        let (mut both, mut first) = HotRestart::begin("planned", ALLOW).await;
         both.old.signal("TERM");
-        let mut second = both.second_is_held().await;
+        let mut second = both.expect_second_waits().await;
         both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
             .await;
-        soon("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
-        both.second_is_sent().await;
-        both.second_is_served(&mut second).await;
+        within_timeout("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
+        both.expect_second_sent().await;
+        both.serve_second(&mut second).await;
         assert!(both.old.child.wait().expect("end").success());
         both.end();
     });
--- a/tests/scenarios/operations.rs
+++ b/tests/scenarios/admin_address.rs
@@ -1,12 +1,11 @@
-//! The operations address.
+//! Commands at the admin address.
 
 use crate::scene::play;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
-/// The operations address.
 #[rstest]
-#[case::ready_and_figures(
+#[case::ready_and_stats_answer_the_counters(
     "
     o1 send READY
     o1 expect 200
@@ -39,7 +38,7 @@
     s expect $.100.1.2.1=seat-check $.100.1.3.1=1 $.100.1.5.3=1
 "
 )]
-#[case::bad_lines(
+#[case::malformed_lines_are_rejected(
     "
     o1 send ready
     o1 expect 400
@@ -52,7 +51,7 @@
     wait admin_bad_calls=4
 "
 )]
-#[case::an_engine_taken_out_gets_nothing_new(
+#[case::a_manually_ejected_engine_gets_nothing_new(
     "
     feed expect 1
     c1 send 1 seat-check
@@ -94,7 +93,7 @@
     o1 expect lines node.skipped_engines=0
 "
 )]
-#[case::a_drain_sends_clients_away_and_loses_nothing(
+#[case::a_drain_closes_clients_and_loses_no_request(
     "
     c1 send 1 seat-check
     c2 send 1 seat-check
@@ -144,7 +143,7 @@
     wait client_connections_open=1
 "
 )]
-#[case::engines_that_nobody_knows(
+#[case::unknown_engines_are_rejected_or_remembered(
     "
     o1 send DISABLE s-000000ff
     o1 expect 400
@@ -159,7 +158,7 @@
     wait engines_ejected=0
 "
 )]
-#[case::silent_callers_keep_none_out(
+#[case::silent_callers_do_not_block_others(
     "
     o1 send part RE
     o2 send part S
@@ -174,6 +173,6 @@
     o5 expect lines node.in_progress=0
 "
 )]
-fn operations(#[case] script: &str) {
+fn admin_address(#[case] script: &str) {
     play(2, EngineProtocol::Lines, script);
 }
--- a/tests/scenarios/attempts.rs
+++ b/tests/scenarios/attempts.rs
@@ -5,7 +5,7 @@
 use workload_manager::node_config::EngineProtocol;
 
 #[rstest]
-#[case::whole_path(
+#[case::a_result_in_pages_is_answered_in_order(
     "
     c1 send health 1
     c1 expect 1 true
@@ -19,7 +19,7 @@
     c1 expect 2 served a\\tb\\tc\\nd\\te\\tf\\ng\\th\\ti\\n
 "
 )]
-#[case::answers_in_any_order(
+#[case::answers_may_come_in_any_order(
     "
     c1 send 1 seat-check
     c1 send 2 seat-check
@@ -32,7 +32,7 @@
     c1 expect 1 served one\\n
 "
 )]
-#[case::a_load_that_may_have_run_is_not_sent_again(
+#[case::a_bulk_load_that_may_have_run_is_not_retried(
     "
     c1 send 1 log-load
     e expect ASK c1.1
@@ -41,7 +41,7 @@
     e expect none ASK c1.1
 "
 )]
-#[case::a_key_of_repeats_passes_on_unchanged(
+#[case::an_idempotency_key_is_forwarded_unchanged(
     "
     n send settings effect=\"by_key\"
     c1 send 1 seat-check replay=f5c0900b9ea8fefc
@@ -59,7 +59,7 @@
     c1 expect 3 served a\\n
 "
 )]
-#[case::by_key_it_is_sent_again_while_that_is_remembered(
+#[case::a_request_with_an_idempotency_key_is_retried_within_the_dedup_window(
     "
     n send settings effect=\"by_key\"
     c1 send 1 seat-check replay=f5c0900b9ea8fefc
@@ -81,7 +81,7 @@
     e expect none ASK c1.3 op=f5c0900b9ea8fefd
 "
 )]
-#[case::a_load_that_failed_is_not_sent_again(
+#[case::a_bulk_load_that_failed_is_not_retried(
     "
     c1 send 1 log-load
     e expect ASK c1.1
@@ -90,7 +90,7 @@
     e expect none ASK c1.1
 "
 )]
-#[case::a_load_that_never_ran_is_sent_again(
+#[case::a_bulk_load_that_never_ran_is_retried(
     "
     c1 send 1 log-load
     e expect ASK c1.1
@@ -100,7 +100,7 @@
     c1 expect 1 served done\\n
 "
 )]
-#[case::a_load_whose_pages_are_lost_has_run(
+#[case::a_bulk_load_whose_pages_are_lost_is_not_retried(
     "
     c1 send 1 log-load
     e expect ASK c1.1
@@ -111,7 +111,7 @@
     e expect none ASK c1.1
 "
 )]
-#[case::a_reset_query_is_sent_again(
+#[case::a_reset_idempotent_query_is_retried(
     "
     c1 send 1 usage-report
     e expect ASK c1.1
@@ -121,7 +121,7 @@
     c1 expect 1 served a\\n
 "
 )]
-#[case::a_refused_connection_never_ran(
+#[case::refused_connections_reject_the_request_without_an_attempt(
     "
     e1 close
     e2 close
@@ -130,7 +130,7 @@
     wait attempts_reset=0
 "
 )]
-#[case::the_deadline_gives_the_attempt_up(
+#[case::the_deadline_cancels_the_attempt(
     "
     c1 send 1 log-load allow=300
     e expect ASK c1.1
@@ -139,7 +139,7 @@
     e expect none ASK c1.1
 "
 )]
-#[case::a_cancelled_query_is_given_up(
+#[case::a_cancelled_query_cancels_its_attempt(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -152,7 +152,7 @@
     e expect QUIT c1.2
 "
 )]
-#[case::pages_that_nobody_wants_are_freed(
+#[case::pages_of_a_cancelled_query_are_freed(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -162,7 +162,7 @@
     e expect FREE c1.1
 "
 )]
-#[case::nothing_new_to_what_drains(
+#[case::a_draining_engine_gets_nothing_new(
     "
     feed expect 1
     feed send draining e1
@@ -182,7 +182,7 @@
     e expect none ASK c1.3
 "
 )]
-#[case::a_draining_engine_ends_what_it_has(
+#[case::a_draining_engine_completes_its_attempts(
     "
     feed expect 1
     c1 send 1 log-load
@@ -196,7 +196,7 @@
     c1 expect 1 served a\\nb\\n
 "
 )]
-#[case::what_was_over_already_never_ran(
+#[case::an_attempt_unknown_to_its_engine_never_ran(
     "
     c1 send 1 log-load
     e expect ASK c1.1
--- a/tests/scenarios/configuration.rs
+++ b/tests/scenarios/configuration.rs
@@ -5,7 +5,7 @@
 use workload_manager::node_config::EngineProtocol;
 
 #[rstest]
-#[case::the_feed_is_resumed_by_the_last_number(
+#[case::the_feed_is_resumed_after_the_last_event(
     "
     feed expect 1
     feed send draining e1
@@ -34,7 +34,7 @@
     wait reloads=1
 "
 )]
-#[case::new_settings_are_taken_whole_and_requests_keep_their_class(
+#[case::new_settings_apply_in_one_step_and_requests_keep_their_class(
     "
     c1 send 1 log-load
     c1 send 2 usage-report
@@ -84,7 +84,7 @@
     e expect none ASK c1.1
 "
 )]
-#[case::settings_that_are_not_whole_change_nothing(
+#[case::incomplete_settings_change_nothing(
     "
     n send settings attemptsCap=0
     n send settings attemptsCap=\"6\"
@@ -134,7 +134,7 @@
     wait feed_timeouts=1
 "
 )]
-#[case::a_whole_list_drops_what_it_leaves_out(
+#[case::a_full_list_removes_engines_that_it_leaves_out(
     "
     feed expect 1
     wait engines=2
@@ -146,7 +146,7 @@
     c1 expect 1 served a\\n
 "
 )]
-#[case::silence_of_the_feed_is_a_fault(
+#[case::a_silent_feed_is_reconnected(
     "
     feed expect 1
     feed expect 1
@@ -155,7 +155,7 @@
     wait feed_events=1
 "
 )]
-#[case::a_bad_frame_is_a_fault(
+#[case::a_malformed_frame_reconnects_the_feed(
     "
     feed expect 1
     feed send raw 00000003010203
@@ -166,7 +166,7 @@
     wait feed_malformed=2
 "
 )]
-#[case::a_record_that_nobody_knows_is_passed_over_alone(
+#[case::a_record_of_unknown_values_is_skipped_alone(
     "
     feed expect 1
     feed send raw 0000003f000000000000000202000000017f00000100070700000000000003e80000000000000000000000027f00000100070100000000000003e80000000000000000
--- a/tests/scenarios/connections.rs
+++ b/tests/scenarios/connections.rs
@@ -5,7 +5,7 @@
 
 /// Clients that ask once and keep their connection for good take no place from others, nor do silent ones.
 #[test]
-fn idle_connections_make_room() {
+fn idle_connections_are_closed_for_newcomers() {
     let (mut script, mut served) = (String::new(), 0);
     let mut ask = |who: String, n: u32| {
         served += 1;
@@ -29,7 +29,7 @@
 
 /// A client that goes on with what is no use as fast as it is turned away is closed, once it was answered often.
 #[test]
-fn endless_bad_calls_end_the_connection() {
+fn repeated_malformed_calls_close_the_connection() {
     let calls: String = (1..=65)
         .map(|n| format!("c1 send {n} no-such-class\n"))
         .collect();
@@ -43,7 +43,7 @@
 /// A connection that idles may be reset by what comes next, so a load takes a new one unless this one has just
 /// answered; a query that may be sent again does not. (What takes the time here is the close of a silent client.)
 #[test]
-fn a_load_takes_a_new_connection_where_the_old_one_idled() {
+fn a_bulk_load_takes_a_new_connection_if_the_old_one_was_idle() {
     let served = |n: u32| {
         format!(
             "e expect ASK c1.{n}\ne send c1.{n} served batches=1 a\\n\nc1 expect {n} served a\\n\n"
@@ -67,7 +67,7 @@
 /// A machine that vanished leaves its connections open and silent: what is new tries another one. (What takes the
 /// time here is the close of a silent client.)
 #[test]
-fn a_silent_connection_carries_nothing_new() {
+fn a_silent_connection_gets_no_new_attempts() {
     // Of an effort that lets it wait on for longer than this.
     let script = "c1 send 1 usage-report effort=9000.0\ne expect ASK c1.1\nc2 expect closed\nc1 send 2 seat-check\n\
                   e expect ASK c1.2\ne send c1.2 served batches=1 a\\n\nc1 expect 2 served a\\n\n\
@@ -77,7 +77,7 @@
 
 /// Over 32 open on one connection: refused on the spot, while those open go on.
 #[test]
-fn the_thirty_third_open_request_is_refused() {
+fn the_thirty_third_open_request_is_rejected() {
     let open: String = (1..=32)
         .map(|n| format!("c1 send {n} seat-check\n"))
         .collect();
--- a/tests/scenarios/peers.rs
+++ b/tests/scenarios/faulty_peers.rs
@@ -5,7 +5,7 @@
 use workload_manager::node_config::EngineProtocol;
 
 #[rstest]
-#[case::an_unreadable_line_breaks_its_connection_only(
+#[case::an_unreadable_line_closes_only_its_connection(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -16,7 +16,7 @@
     c1 expect 1 served a\\n
 "
 )]
-#[case::more_than_was_asked_for_harms_nothing(
+#[case::unrequested_answers_are_ignored(
     "
     c1 send 1 log-load
     c1 send 2 log-load
@@ -37,7 +37,7 @@
     wait engine_malformed=0
 "
 )]
-#[case::a_spoilt_answer_ends_what_shares_its_connection_and_no_load(
+#[case::a_malformed_answer_ends_its_connection_and_no_bulk_load(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -53,7 +53,7 @@
     c1 expect 2 served c\\n
 "
 )]
-#[case::an_answer_that_stops_short(
+#[case::a_truncated_answer_is_retried(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -66,7 +66,7 @@
     c1 expect 1 served a\\n
 "
 )]
-#[case::lengths_that_no_page_has(
+#[case::impossible_page_lengths_are_retried(
     "
     c1 send 1 usage-report
     e expect ASK c1.1
@@ -81,7 +81,7 @@
     wait engine_malformed=3
 "
 )]
-#[case::a_silent_client_and_one_that_stops_halfway_are_closed(
+#[case::silent_and_stalled_clients_are_closed(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -99,7 +99,7 @@
     c1 expect 2 served b\\n
 "
 )]
-#[case::what_every_engine_fails_is_at_fault_itself(
+#[case::a_request_that_every_engine_fails_is_failed(
     "
     c1 send 1 usage-report
     e expect ASK c1.1
@@ -113,7 +113,7 @@
     wait attempts_started=3
 "
 )]
-#[case::bad_calls_are_answered(
+#[case::malformed_calls_are_answered_with_errors(
     "
     c1 send 1 no-such-class
     c1 expect 1 NoMethodError
@@ -141,7 +141,7 @@
     c1 expect 6 served a\\n
 "
 )]
-#[case::what_cannot_be_read_closes_its_connection_only(
+#[case::unreadable_input_closes_only_its_connection(
     "
     c2 send 1 seat-check
     e expect ASK c2.1
@@ -164,14 +164,14 @@
     c2 expect 1 served a\\n
 "
 )]
-#[case::a_message_in_parts(
+#[case::a_message_in_parts_is_answered(
     "
     c1 send raw 940001a6686561
     c1 send raw 6c74689180
     c1 expect 1 true
 "
 )]
-#[case::a_client_that_has_gone_takes_its_waiting_request_along(
+#[case::a_disconnect_cancels_the_queued_request(
     "
     feed expect 1
     feed send draining e1
@@ -195,7 +195,7 @@
     c3 expect 1 served a\\n
 "
 )]
-#[case::a_client_that_goes_ends_its_running_query(
+#[case::a_disconnect_cancels_the_running_query(
     "
     c1 send 1 usage-report
     e expect ASK c1.1
@@ -204,7 +204,7 @@
     wait client_disconnects=1
 "
 )]
-#[case::a_planned_end_answers_all_before_it_is_killed(
+#[case::graceful_shutdown_answers_all_before_the_kill(
     "
     c1 send 1 log-load allow=15000
     e expect ASK c1.1
@@ -215,7 +215,7 @@
     n expect closed
 "
 )]
-#[case::a_planned_end_waits_for_half_a_request(
+#[case::graceful_shutdown_waits_for_half_a_request(
     "
     c1 send health 1
     c1 expect 1 true
@@ -226,7 +226,7 @@
     n expect closed
 "
 )]
-#[case::a_planned_end_loses_nothing(
+#[case::graceful_shutdown_loses_no_request(
     "
     c1 send 1 usage-report
     e expect ASK c1.1
@@ -246,7 +246,7 @@
     n expect closed
 "
 )]
-#[case::a_silent_engine_is_left_where_a_repeat_is_allowed(
+#[case::a_silent_engine_is_left_if_the_request_is_idempotent(
     "
     c1 send 1 log-load
     c1 send 2 usage-report
@@ -261,7 +261,7 @@
     c1 expect 1 served b\\n
 "
 )]
-#[case::what_hangs_is_called_off_and_sent_again(
+#[case::a_hanging_attempt_is_cancelled_and_retried(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -273,7 +273,7 @@
     wait attempts_started=2
 "
 )]
-#[case::what_is_gone_ends_though_nothing_is_reset(
+#[case::removal_of_the_engine_ends_its_attempts(
     "
     feed expect 1
     c1 send 1 log-load
@@ -289,7 +289,7 @@
     c1 expect 2 served a\\n
 "
 )]
-#[case::a_name_that_is_open_already(
+#[case::a_duplicate_reference_is_rejected(
     "
     c1 send 1 seat-check ref=00000000000000ab
     e expect ASK c1.1
@@ -300,7 +300,7 @@
     c1 expect 1 served a\\n
 "
 )]
-#[case::a_page_that_does_not_come(
+#[case::a_missing_page_is_retried(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -312,6 +312,6 @@
     c1 expect 1 served b\\n
 "
 )]
-fn peers(#[case] script: &str) {
+fn faulty_peers(#[case] script: &str) {
     play(2, EngineProtocol::Lines, script);
 }
--- a/tests/scenarios/flight.rs
+++ b/tests/scenarios/flight_sql.rs
@@ -6,7 +6,7 @@
 
 /// Flight SQL clients and engines.
 #[rstest]
-#[case::whole_path(
+#[case::a_result_and_an_update_count_are_answered(
     "
     f1 send 1 seat-check
     e expect ASK f1.1
@@ -19,7 +19,7 @@
     f1 expect 2 served 42
 "
 )]
-#[case::a_report_cut_while_it_is_held_is_asked_for_again(
+#[case::a_result_cut_while_it_is_buffered_is_retried(
     "
     f1 send 1 usage-report
     e expect ASK f1.1
@@ -30,7 +30,7 @@
     f1 expect 1 served d\\te\\tf\\n
 "
 )]
-#[case::a_report_cut_while_it_streams_ends_in_an_error(
+#[case::a_result_cut_while_it_streams_ends_in_an_error(
     "
     f1 send 1 usage-report
     e expect ASK f1.1
@@ -42,7 +42,7 @@
     wait requests_open=0
 "
 )]
-#[case::a_long_report_streams_whole(
+#[case::a_long_result_streams_completely(
     "
     f1 send 1 usage-report
     e expect ASK f1.1
@@ -53,7 +53,7 @@
     wait requests_open=0
 "
 )]
-#[case::no_second_run_of_a_load(
+#[case::a_bulk_load_that_may_have_run_is_not_retried(
     "
     f1 send 1 log-load
     e expect ASK f1.1
@@ -73,7 +73,7 @@
     f1 expect 3 served 1
 "
 )]
-#[case::a_ticket_of_a_load_runs_once(
+#[case::a_ticket_of_a_bulk_load_runs_once(
     "
     f1 send ticket 1 log-load
     f1 send get 2 1
@@ -85,7 +85,7 @@
     e expect none ASK f1.1
 "
 )]
-#[case::deadline(
+#[case::the_deadline_cancels_the_attempt_and_a_bad_timeout_is_rejected(
     "
     f1 send 1 usage-report grpc-timeout=300m
     e expect ASK f1.1
@@ -95,7 +95,7 @@
     f1 expect 2 InvalidArgument
 "
 )]
-#[case::what_hangs_is_called_off_and_sent_again(
+#[case::a_hanging_attempt_is_cancelled_and_retried(
     "
     f1 send 1 seat-check
     e expect ASK f1.1
@@ -107,7 +107,7 @@
     wait attempts_started=2
 "
 )]
-#[case::a_dropped_call_is_given_up(
+#[case::a_dropped_call_cancels_its_attempt(
     "
     f1 send 1 usage-report
     e expect ASK f1.1
@@ -116,7 +116,7 @@
     wait client_disconnects=1
 "
 )]
-#[case::what_is_gone_ends_though_nothing_is_reset(
+#[case::removal_of_the_engine_ends_its_attempts(
     "
     feed expect 1
     f1 send 1 log-load
@@ -127,7 +127,7 @@
     e expect none ASK f1.1
 "
 )]
-#[case::drain_and_refusal(
+#[case::a_draining_engine_gets_nothing_new_and_requests_without_one_are_rejected(
     "
     feed expect 1
     feed send draining e1
@@ -147,7 +147,7 @@
     f1 expect 2 served d\\te\\tf\\n
 "
 )]
-#[case::refused_connections(
+#[case::refused_connections_reject_the_request_without_an_attempt(
     "
     e1 close
     e2 close
@@ -156,7 +156,7 @@
     wait attempts_reset=0
 "
 )]
-#[case::who_brings_no_call_is_closed(
+#[case::connections_without_a_call_are_closed(
     "
     f1 send 1 seat-check
     e expect ASK f1.1
@@ -173,7 +173,7 @@
     f1 expect 2 served a\\tb\\tc\\n
 "
 )]
-#[case::silent_connections_make_room(
+#[case::silent_connections_make_room_for_a_call(
     "
     x1 send raw 50
     x2 send raw 50
@@ -190,7 +190,7 @@
     wait client_read_timeouts=0
 "
 )]
-#[case::bad_calls(
+#[case::malformed_calls_are_rejected(
     "
     f1 send 1 no-such-class
     f1 expect 1 InvalidArgument
@@ -204,6 +204,6 @@
     wait requests_accepted=0
 "
 )]
-fn flight(#[case] script: &str) {
+fn flight_sql(#[case] script: &str) {
     play(2, EngineProtocol::Flight, script);
 }
--- a/tests/scenarios/fronts.rs
+++ b/tests/scenarios/front_end_combinations.rs
@@ -6,7 +6,7 @@
 
 /// Each front serves from engines of the other protocol.
 #[rstest]
-#[case::flight_client_line_engines(
+#[case::flight_client_with_line_engines_is_served(
     EngineProtocol::Lines,
     "
     f1 send 1 seat-check
@@ -21,7 +21,7 @@
     f1 expect 2 served 12
 "
 )]
-#[case::platform_client_flight_engines(
+#[case::platform_client_with_flight_engines_is_served(
     EngineProtocol::Flight,
     "
     c1 send 1 seat-check
@@ -35,20 +35,23 @@
     e expect none ASK c1.2
 "
 )]
-fn across(#[case] speech: EngineProtocol, #[case] script: &str) {
-    play(2, speech, script);
+fn clients_and_engines_of_different_protocols(
+    #[case] protocol: EngineProtocol,
+    #[case] script: &str,
+) {
+    play(2, protocol, script);
 }
 
 /// A Monday rush: one client on both protocols at once, round after round, with every kind of end among them.
 #[rstest]
 #[case(EngineProtocol::Lines)]
 #[case(EngineProtocol::Flight)]
-fn one_client_on_both_protocols(#[case] speech: EngineProtocol) {
-    let body = |n: u32| match speech {
+fn the_same_client_is_served_on_both_protocols(#[case] protocol: EngineProtocol) {
+    let body = |n: u32| match protocol {
         EngineProtocol::Lines => format!("batches=1 r{n}\\tb\\tc\\n"),
         EngineProtocol::Flight => format!("r{n}\\tb\\tc\\n"),
     };
-    let load = if speech == EngineProtocol::Lines {
+    let load = if protocol == EngineProtocol::Lines {
         "batches=1 7\\t\\t\\n"
     } else {
         "7"
@@ -93,7 +96,7 @@
     }
     play(
         8,
-        speech,
+        protocol,
         &format!(
             "{script}wait requests_open=0\nwait requests_accepted=192\nwait requests_served=144\nwait requests_failed=48\n"
         ),
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -4,12 +4,12 @@
 #[allow(dead_code, reason = "each test target uses a part of the scene")]
 mod scene;
 
-mod agent;
+mod admin_address;
 mod attempts;
 mod configuration;
 mod connections;
-mod flight;
-mod fronts;
-mod operations;
-mod peers;
-mod process;
+mod faulty_peers;
+mod flight_sql;
+mod front_end_combinations;
+mod process_lifecycle;
+mod snmp_agent;
--- a/tests/scenarios/process.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -1,9 +1,10 @@
-//! The program as a process: its start, its signals, its successor and its end.
+//! The program as a process: start, signals, hot restart and shutdown.
 
-use crate::scene::configuration;
-use crate::scene::process::{
-    Reaped, addresses, call, inheriting, line_with, program, said_by, signal,
+use crate::scene::child_process::{
+    KillOnDrop, addresses, admin_call, signal, start_program, start_with_listener, stderr_of,
+    wait_for_line,
 };
+use crate::scene::configuration;
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,13 +13,13 @@
 use workload_manager::node_config::OptionalFronts;
 
 /// The program on a listening socket that the platform holds, once it says where it is operated.
-fn upgraded(
+fn start_and_await_admin_address(
     listener: &TcpListener,
     config: &Path,
     folder: &Path,
 ) -> (Child, BufReader<ChildStderr>, SocketAddr) {
-    let mut child = inheriting(listener, config, folder);
-    let mut said = said_by(&mut child);
+    let mut child = start_with_listener(listener, config, folder);
+    let mut said = stderr_of(&mut child);
     let (_, ops) = addresses(&mut said);
     (child, said, ops)
 }
@@ -27,7 +28,7 @@
 /// the socket to its successor, serves what it accepted and ends.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet")]
-fn an_upgrade() {
+fn hot_restart_shares_manual_ejections_and_hands_the_socket_over() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("upgrade");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("folder");
@@ -49,12 +50,12 @@
         configuration("127.0.0.1:1".parse().expect("address"), &known),
     )
     .expect("file");
-    let start = || upgraded(&listener, &config, &folder);
+    let start = || start_and_await_admin_address(&listener, &config, &folder);
     let skipped = |ops, n| {
         let wanted = format!("node.skipped_engines={n}\n");
         (0..400).any(|_| {
             std::thread::sleep(std::time::Duration::from_millis(10));
-            call(ops, "STATS").contains(&wanted)
+            admin_call(ops, "STATS").contains(&wanted)
         })
     };
     let health = b"\x94\x00\x01\xa6health\x91\x80";
@@ -69,21 +70,21 @@
         assert!(child.wait().expect("end").success());
     };
     let (old, mut old_said, old_ops) = start();
-    assert!(call(old_ops, "READY").starts_with("200"));
-    assert!(call(old_ops, "DISABLE s-00000001").starts_with("200"));
+    assert!(admin_call(old_ops, "READY").starts_with("200"));
+    assert!(admin_call(old_ops, "DISABLE s-00000001").starts_with("200"));
     // Accepted by the old one, for certain: nobody else is there.
     let mut kept = TcpStream::connect(at).expect("connect");
     assert!(fit(&mut kept));
     let (new, mut new_said, new_ops) = start();
-    line_with(&mut old_said, "peer process started");
-    assert!(call(new_ops, "READY").starts_with("200"));
+    wait_for_line(&mut old_said, "peer process started");
+    assert!(admin_call(new_ops, "READY").starts_with("200"));
     assert!(
         skipped(new_ops, 1),
         "the successor knows what was taken out before it came"
     );
-    assert!(call(old_ops, "DISABLE s-00000002").starts_with("200"));
+    assert!(admin_call(old_ops, "DISABLE s-00000002").starts_with("200"));
     assert!(skipped(new_ops, 2), "and what is taken out at the old one");
-    assert!(call(new_ops, "ENABLE s-00000001").starts_with("200"));
+    assert!(admin_call(new_ops, "ENABLE s-00000001").starts_with("200"));
     assert!(skipped(old_ops, 1), "and the other way round");
     end(old);
     assert_eq!(
@@ -91,7 +92,7 @@
         0,
         "a kept connection is closed"
     );
-    line_with(&mut new_said, "peer process ended");
+    wait_for_line(&mut new_said, "peer process ended");
     assert!(fit(&mut TcpStream::connect(at).expect("connect")));
     end(new);
     // What is lying about in the folder stops no start.
@@ -103,7 +104,7 @@
     );
     std::fs::write(&state, "{\"version\":1,").expect("file");
     let (last, _said, ops) = start();
-    assert!(call(ops, "READY").starts_with("200") && skipped(ops, 0));
+    assert!(admin_call(ops, "READY").starts_with("200") && skipped(ops, 0));
     end(last);
 }
 
@@ -126,14 +127,14 @@
 #[case::bad_listen("bad_listen", &good().replace("127.0.0.1:0", "here"), "", "configuration: invalid socket")]
 #[case::not_loopback("not_loopback", &good(), "[flight]\nlisten = \"192.0.2.1:1\"", "not a loopback address")]
 #[case::unknown_key("unknown_key", &good(), "[flght]\nlisten = \"127.0.0.1:0\"", "unknown field")]
-#[case::bad_speech("bad_speech", &good(), "[flight]\nlisten = \"127.0.0.1:0\"\nengines = \"x\"", "unknown variant")]
-fn bad_configuration(
+#[case::bad_protocol("bad_protocol", &good(), "[flight]\nlisten = \"127.0.0.1:0\"\nengines = \"x\"", "unknown variant")]
+fn an_unusable_configuration_ends_the_program_with_a_message(
     #[case] name: &str,
     #[case] config: &str,
     #[case] fronts: &str,
     #[case] says: &str,
 ) {
-    let done = program(name, config, fronts)
+    let done = start_program(name, config, fronts)
         .wait_with_output()
         .expect("end");
     let said = String::from_utf8_lossy(&done.stderr);
@@ -144,10 +145,10 @@
     );
 }
 
-/// A planned end of the program prints the counters and exits 0; so does SIGUSR1 in between.
+/// A graceful shutdown prints the counters and exits 0; so does SIGUSR1 in between.
 #[test]
-fn signals() {
-    let mut child = Reaped(program("signals", &good(), ""));
+fn signals_print_counters_reload_and_end_the_program() {
+    let mut child = KillOnDrop(start_program("signals", &good(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut line = String::new();
     let signal = |name: &str| signal(&child, name);
@@ -183,7 +184,7 @@
 
 /// A client's connection to a program that says where it serves, with a buffer of about so many bytes for answers.
 fn client_of(said: &mut impl BufRead, buffer: u32) -> TcpStream {
-    let serves = line_with(said, "serves on");
+    let serves = wait_for_line(said, "serves on");
     let at = serves
         .split("serves on ")
         .nth(1)
@@ -208,10 +209,10 @@
     stream
 }
 
-/// Guard: a client that takes none of its answers does not keep the program from its planned end.
+/// A client that takes none of its answers does not block the shutdown.
 #[test]
-fn a_client_that_reads_nothing_and_the_end() {
-    let mut child = Reaped(program("reads_nothing", &good(), ""));
+fn a_client_that_reads_nothing_does_not_block_the_shutdown() {
+    let mut child = KillOnDrop(start_program("reads_nothing", &good(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut client = client_of(&mut said, 2048);
     client
@@ -251,11 +252,11 @@
     assert!(ended.success());
 }
 
-/// Guard: a planned end hears a new configuration, as what is open goes by the list until it is over. A client keeps half a
+/// A graceful shutdown reads a new configuration, as what is open goes by the list until it is over. A client keeps half a
 /// request open, so that the program has not ended when the file is read.
 #[test]
-fn the_feed_moves_while_the_program_ends() {
-    let mut child = Reaped(program("feed_moves", &good(), ""));
+fn a_reload_during_shutdown_moves_the_feed() {
+    let mut child = KillOnDrop(start_program("feed_moves", &good(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut client = client_of(&mut said, 65_536);
     client
@@ -270,7 +271,7 @@
     ["TERM", "HUP"]
         .into_iter()
         .for_each(|name| signal(&child, name));
-    line_with(&mut said, &format!("reload complete feed={address}"));
+    wait_for_line(&mut said, &format!("reload complete feed={address}"));
     let mut last = [0; 8];
     feed.accept()
         .expect("accept")
@@ -283,7 +284,7 @@
 
 /// The file that shows how to turn the further fronts on can be used as it is.
 #[test]
-fn the_example_of_further_fronts() {
+fn the_example_file_of_optional_fronts_loads() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/fronts.example.toml");
     let fronts = OptionalFronts::load(&path).expect("file");
     assert!(fronts.flight.is_some() && fronts.snmp.is_some());
--- a/tests/scenarios/agent.rs
+++ b/tests/scenarios/snmp_agent.rs
@@ -6,7 +6,7 @@
 
 /// The SNMP agent.
 #[rstest]
-#[case::get(
+#[case::get_returns_the_counter(
     "
     c1 send 1 no-such-class
     c1 expect 1 NoMethodError
@@ -16,7 +16,7 @@
     s expect $.1.1=NoSuchInstance $.999.0=NoSuchObject
 "
 )]
-#[case::next_and_the_end_of_the_view(
+#[case::get_next_walks_to_the_end_of_the_view(
     "
     s send next 1.3.6.1.2.1.1.5.0
     s expect $.1.0=0
@@ -34,7 +34,7 @@
     s expect $.100.1.5.3=EndOfMibView
 "
 )]
-#[case::bulk(
+#[case::get_bulk_returns_repetitions(
     "
     s send bulk 1 2 $ $.3
     s expect $.1.0=0 $.3.0=0 $.4.0=0
@@ -44,13 +44,13 @@
     s expect $.100.1.5.3=0 $.100.1.5.3=EndOfMibView $.100.1.5.3=EndOfMibView $.100.1.5.3=EndOfMibView
 "
 )]
-#[case::read_only(
+#[case::set_requests_are_rejected(
     "
     s send set $.1.0
     s expect error 17
 "
 )]
-#[case::what_is_dropped(
+#[case::malformed_and_foreign_requests_get_no_answer(
     "
     s send get@other $.1.0
     wait snmp_dropped=1
@@ -64,6 +64,6 @@
     s expect $.35.0=4
 "
 )]
-fn agent(#[case] script: &str) {
+fn snmp_agent(#[case] script: &str) {
     play(1, EngineProtocol::Lines, script);
 }
--- a/tests/scene/operations.rs
+++ b/tests/scene/admin_client.rs
@@ -1,12 +1,13 @@
-//! A stand-in caller at the operations address: one connection a call.
+//! A fake caller at the admin address: one connection a call.
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+/// One call.
 pub(super) struct Caller {
     stream: TcpStream,
-    /// An engine that this call took out, or gave back.
+    /// An engine that this call ejects (true) or admits again.
     pub engine: Option<(usize, bool)>,
 }
 
@@ -25,10 +26,11 @@
             }
             ("send", words) => {
                 if let [call @ ("DISABLE" | "ENABLE"), id] = words {
-                    let n = id
+                    let number = id
                         .strip_prefix("s-")
                         .and_then(|hex| usize::from_str_radix(hex, 16).ok());
-                    self.engine = n.filter(|n| *n <= 2).map(|n| (n - 1, *call == "DISABLE"));
+                    let number = number.filter(|number| *number <= 2);
+                    self.engine = number.map(|number| (number - 1, *call == "DISABLE"));
                 }
                 self.stream
                     .write_all(format!("{}\r\n", words.join(" ")).as_bytes())
@@ -37,20 +39,22 @@
             }
             // The start of the answer, or all these lines among its own and the mark of its end.
             ("expect", [what, wanted @ ..]) => {
-                let mut said = String::new();
+                let mut answer = String::new();
                 self.stream
-                    .read_to_string(&mut said)
+                    .read_to_string(&mut answer)
                     .await
                     .expect("an answer");
-                let whole = *what != "lines" || said.ends_with("\nEOF\n");
+                let complete = *what != "lines" || answer.ends_with("\nEOF\n");
                 let found = match *what {
-                    "lines" => wanted.iter().all(|w| said.lines().any(|l| l == *w)),
-                    _ => said.starts_with(what) && said.lines().count() == 1,
+                    "lines" => wanted
+                        .iter()
+                        .all(|wanted| answer.lines().any(|line| line == *wanted)),
+                    _ => answer.starts_with(what) && answer.lines().count() == 1,
                 };
-                assert!(whole && found, "{rest:?}: {said}");
+                assert!(complete && found, "{rest:?}: {answer}");
             }
             ("close", _) => {}
-            other => panic!("operations: {other:?}"),
+            other => panic!("admin: {other:?}"),
         }
     }
 }
--- a/tests/scene/process.rs
+++ b/tests/scene/child_process.rs
@@ -7,22 +7,22 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 
 /// A child that is ended with its test, also where the test fails: it would hold the test's output open.
-pub(crate) struct Reaped(pub Child);
+pub(crate) struct KillOnDrop(pub Child);
 
-impl std::ops::Deref for Reaped {
+impl std::ops::Deref for KillOnDrop {
     type Target = Child;
     fn deref(&self) -> &Child {
         &self.0
     }
 }
 
-impl std::ops::DerefMut for Reaped {
+impl std::ops::DerefMut for KillOnDrop {
     fn deref_mut(&mut self) -> &mut Child {
         &mut self.0
     }
 }
 
-impl Drop for Reaped {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -30,7 +30,7 @@
 }
 
 /// The program with these files, which are written under this name.
-pub(crate) fn program(name: &str, config: &str, fronts: &str) -> Child {
+pub(crate) fn start_program(name: &str, config: &str, fronts: &str) -> Child {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = |kind: &str, text: &str| {
         let path = folder.join(format!("{name}.{kind}"));
@@ -50,7 +50,7 @@
 }
 
 /// The program on a listening socket that the platform holds, in a folder that it gives to every start.
-pub(crate) fn inheriting(listener: &TcpListener, config: &Path, folder: &Path) -> Child {
+pub(crate) fn start_with_listener(listener: &TcpListener, config: &Path, folder: &Path) -> Child {
     let socket: OwnedFd = listener.try_clone().expect("socket").into();
     Command::new("sh")
         .args([
@@ -72,12 +72,12 @@
 }
 
 /// What a program says, by lines.
-pub(crate) fn said_by(child: &mut Child) -> BufReader<ChildStderr> {
+pub(crate) fn stderr_of(child: &mut Child) -> BufReader<ChildStderr> {
     BufReader::new(child.stderr.take().expect("stderr"))
 }
 
 /// The next line that says this.
-pub(crate) fn line_with(said: &mut impl BufRead, what: &str) -> String {
+pub(crate) fn wait_for_line(said: &mut impl BufRead, what: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(
@@ -92,7 +92,7 @@
 
 /// Where a program serves its clients, and where staff ask it, from the line that says so.
 pub(crate) fn addresses(said: &mut impl BufRead) -> (SocketAddr, SocketAddr) {
-    let line = line_with(said, "serves on");
+    let line = wait_for_line(said, "serves on");
     let after = |what: &str| {
         line.split(what)
             .nth(1)
@@ -107,7 +107,7 @@
 }
 
 /// One call at the operations address.
-pub(crate) fn call(at: SocketAddr, line: &str) -> String {
+pub(crate) fn admin_call(at: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(at).expect("connect");
     stream
         .write_all(format!("{line}\n").as_bytes())
--- /dev/null
+++ b/tests/scene/engine_fleet.rs
@@ -0,0 +1,363 @@
+//! The fake engines of a scene, and the rules that every attempt has to keep.
+
+use super::engine_listener::{BACKLOG, GatedListener, listen};
+use super::list_feed::{Feed, ListedEngine};
+use super::{flight_engine, hex, line_engine, unescape};
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::{mpsc, watch};
+use tokio::task::AbortHandle;
+use workload_manager::node_config::EngineProtocol;
+
+/// The operators' guarantee: no attempt begins later than this after its client has left.
+const MAX_START_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
+
+/// The operators' guarantee: an engine gets nothing new later than this after it began to drain.
+const MAX_START_AFTER_DRAIN: Duration = Duration::from_millis(250);
+
+/// What reached an engine: `ASK c1.7`, `QUIT c1.7`, ...
+pub(crate) struct ReceivedCall {
+    pub line: String,
+    pub engine: usize,
+    /// Where the answer goes.
+    pub reply: ReplyChannel,
+    /// Breaks the connection that the call came over.
+    pub cut: Arc<dyn Fn() + Send + Sync>,
+    /// The engine's own name for the request: the client's id.
+    pub id: String,
+    /// Whether the request is non-idempotent.
+    pub once: bool,
+    /// When its last byte was read.
+    pub at: Instant,
+}
+
+/// How the scene answers a call.
+#[derive(Clone)]
+pub(crate) enum ReplyChannel {
+    Line(Arc<tokio::sync::Mutex<Option<OwnedWriteHalf>>>),
+    Flight(mpsc::UnboundedSender<(String, String)>),
+}
+
+struct Engine {
+    address: SocketAddr,
+    task: AbortHandle,
+    /// Whether it accepts connections.
+    accepts: watch::Sender<bool>,
+    /// Connections that fill its backlog while it accepts none, so that a further one does not come up.
+    fillers: Vec<TcpStream>,
+    /// Since when nothing new may go there.
+    drained: Arc<Mutex<Option<Instant>>>,
+    /// Keeps the port once nobody listens there, or another test's engine could be the next to get it.
+    _port: TcpSocket,
+}
+
+/// All engines of a scene, with the list feed that names them.
+pub(crate) struct Fleet {
+    engines: Vec<Engine>,
+    calls: mpsc::UnboundedReceiver<ReceivedCall>,
+    /// Calls that no step of the script has matched yet.
+    unmatched: Vec<ReceivedCall>,
+    /// Attempts by the label of their request.
+    attempts: HashMap<String, ReceivedCall>,
+    in_flight: HashSet<String>,
+    /// Requests retried before the end of the connection that carried them was received.
+    unconfirmed_retries: HashSet<String>,
+    /// Requests that may have run; those that are non-idempotent must not be sent again.
+    may_have_run: HashSet<String>,
+    /// When a client left, or cancelled a request: by its name, or by the request's label.
+    departures: HashMap<String, Instant>,
+    pub feed: Feed,
+}
+
+impl Fleet {
+    /// Starts this many engines, and the feed.
+    pub(crate) async fn new(count: usize, protocol: EngineProtocol) -> Fleet {
+        let (sender, calls) = mpsc::unbounded_channel();
+        let engines = (0..count).map(|number| Engine::start(number, protocol, sender.clone()));
+        Fleet {
+            engines: engines.collect(),
+            calls,
+            unmatched: Vec::new(),
+            attempts: HashMap::new(),
+            in_flight: HashSet::new(),
+            unconfirmed_retries: HashSet::new(),
+            may_have_run: HashSet::new(),
+            departures: HashMap::new(),
+            feed: Feed::new().await,
+        }
+    }
+
+    /// The first event of the list, as the configuration has it.
+    pub(crate) fn known(&self) -> String {
+        let member = |(number, engine): (usize, &Engine)| {
+            format!(
+                r#"{{"instanceId":"s-{:08x}","hostPort":"{}","zone":"hall-a","machineType":"std-8c","cell":0,
+                "lifecycle":"active","weight":1,"startedAtMs":0}}"#,
+                number + 1,
+                engine.address
+            )
+        };
+        let members: Vec<String> = self.engines.iter().enumerate().map(member).collect();
+        format!(
+            r#"{{"n":1,"members":{{"generation":1,"reset":true,"instances":[{}]}}}}"#,
+            members.join(",")
+        )
+    }
+
+    /// Moves the feed to another address.
+    pub(crate) async fn move_feed(&mut self) -> SocketAddr {
+        self.feed.move_to_new_address().await
+    }
+
+    /// From now on nothing new may go to this engine, or it may again.
+    pub(crate) fn set_draining(&mut self, number: usize, draining: bool) {
+        let mut drained = self.engines[number].drained.lock().expect("lock");
+        *drained = draining.then(Instant::now);
+    }
+
+    /// A client has left, or cancelled the request with this label.
+    pub(crate) fn client_left(&mut self, who: String) {
+        self.departures.insert(who, Instant::now());
+    }
+
+    /// A client of this name is there again.
+    pub(crate) fn client_returned(&mut self, who: &str) {
+        self.departures.remove(who);
+    }
+
+    /// Plays one step of a script.
+    pub(crate) async fn step(&mut self, who: &str, verb: &str, rest: &[&str]) {
+        match (who, verb, rest) {
+            ("feed", ..) => self.feed_step(verb, rest).await,
+            ("e", "expect", ["none", wanted @ ..]) => self.expect_none(&wanted.join(" ")),
+            ("e", "expect", wanted) => self.expect_call(&wanted.join(" ")).await,
+            ("e", "send", [label, word, rest @ ..]) => self.answer(label, word, rest).await,
+            ("e", "close", [label]) => self.cut_connection_of(label),
+            (engine, "hold", []) => self.engines[number(engine)].stop_accepting().await,
+            (engine, "release", []) => self.engines[number(engine)].resume_accepting(),
+            (engine, "close", []) => self.engines[number(engine)].refuse_connections().await,
+            other => panic!("engines: {other:?}"),
+        }
+    }
+
+    /// Fails if this call has come.
+    fn expect_none(&mut self, wanted: &str) {
+        while let Ok(call) = self.calls.try_recv() {
+            self.record(call);
+        }
+        let came = self.unmatched.iter().any(|call| call.line == wanted);
+        assert!(!came, "{wanted}");
+    }
+
+    /// Waits for this call.
+    async fn expect_call(&mut self, wanted: &str) {
+        let call = loop {
+            if let Some(place) = self.unmatched.iter().position(|call| call.line == wanted) {
+                break self.unmatched.remove(place);
+            }
+            let call = self.calls.recv().await.expect("engines");
+            self.record(call);
+        };
+        if let Some(label) = wanted.strip_prefix("ASK ") {
+            self.attempts.insert(label_of(label), call);
+        }
+    }
+
+    /// Answers the attempt of this request.
+    async fn answer(&mut self, label: &str, word: &str, rest: &[&str]) {
+        let call = &self.attempts[label];
+        if !matches!(word, "update" | "rows" | "raw") {
+            self.in_flight.remove(label);
+            if word == "crashed" {
+                self.may_have_run.insert(label.to_owned());
+            }
+        }
+        match &call.reply {
+            ReplyChannel::Flight(reply) => {
+                let _ = reply.send((word.to_owned(), unescape(&rest.join(" "))));
+            }
+            ReplyChannel::Line(writer) => {
+                let text = line_answer(&call.id, word, rest);
+                let mut writer = writer.lock().await;
+                let writer = writer.as_mut().expect("connection");
+                writer.write_all(&text).await.expect("write");
+            }
+        }
+    }
+
+    fn cut_connection_of(&mut self, label: &str) {
+        self.in_flight.remove(label);
+        self.may_have_run.insert(label.to_owned());
+        (self.attempts[label].cut)();
+    }
+
+    /// Keeps a call for the script, and checks the rules that it has to keep.
+    fn record(&mut self, call: ReceivedCall) {
+        if let Some(label) = call.line.strip_prefix("ASK ").map(label_of) {
+            self.check_attempt(&call, &label);
+        } else if let Some(label) = call.line.strip_prefix("CLOSED ") {
+            if !self.unconfirmed_retries.remove(label) && self.in_flight.remove(label) {
+                self.may_have_run.insert(label.to_owned());
+            }
+            return;
+        } else if let Some(label) = call.line.strip_prefix("QUIT ") {
+            self.in_flight.remove(label);
+            self.may_have_run.insert(label.to_owned());
+        }
+        self.unmatched.push(call);
+    }
+
+    fn check_attempt(&mut self, call: &ReceivedCall, label: &str) {
+        if !self.in_flight.insert(label.to_owned()) {
+            self.unconfirmed_retries.insert(label.to_owned());
+        }
+        assert!(
+            !self.may_have_run.contains(label) || !call.once,
+            "{label} may have run already"
+        );
+        let drained = *self.engines[call.engine].drained.lock().expect("lock");
+        let late = drained.is_some_and(|at| at.elapsed() > MAX_START_AFTER_DRAIN);
+        assert!(!late, "{label} went to an engine that drains");
+        let client = label.split('.').next().unwrap_or_default();
+        let departed = [client, label]
+            .iter()
+            .filter_map(|who| self.departures.get(*who))
+            .min();
+        let late =
+            departed.is_some_and(|at| call.at.duration_since(*at) > MAX_START_AFTER_DISCONNECT);
+        assert!(!late, "{label} began after its client had left");
+    }
+
+    /// What has to hold once the scene is over.
+    pub(crate) fn finish(&mut self) {
+        while let Ok(call) = self.calls.try_recv() {
+            self.record(call);
+        }
+        assert!(
+            self.unconfirmed_retries.is_empty(),
+            "concurrent attempts of one request: {:?}",
+            self.unconfirmed_retries
+        );
+    }
+
+    async fn feed_step(&mut self, verb: &str, rest: &[&str]) {
+        match (verb, rest) {
+            ("expect", [last]) => self.feed.expect_watch(last).await,
+            ("close", _) => self.feed.close(),
+            ("send", ["raw", bytes]) => self.feed.send_raw(bytes).await,
+            ("send", ["only", engine]) => {
+                let engine = self.listed(engine);
+                self.feed.send_full_list_of(engine).await;
+            }
+            ("send", ["again", engine]) => {
+                let engine = self.listed(engine);
+                self.feed.send_repeated_event(engine).await;
+            }
+            ("send", ["half", engine]) => {
+                let engine = self.listed(engine);
+                self.feed.send_half_event(engine).await;
+            }
+            ("send", [state, engine]) => {
+                // A record that is `listed` as before does not change what may go to the engine.
+                if *state != "listed" {
+                    self.set_draining(number(engine), *state != "active");
+                }
+                let engine = self.listed(engine);
+                self.feed.send_state(state, engine).await;
+            }
+            other => panic!("feed: {other:?}"),
+        }
+    }
+
+    fn listed(&self, engine: &str) -> ListedEngine {
+        let number = number(engine);
+        ListedEngine {
+            number,
+            address: self.engines[number].address,
+        }
+    }
+}
+
+impl Engine {
+    fn start(
+        number: usize,
+        protocol: EngineProtocol,
+        calls: mpsc::UnboundedSender<ReceivedCall>,
+    ) -> Engine {
+        let (listener, port) = listen();
+        let address = listener.local_addr().expect("address");
+        let (accepts, accepting) = watch::channel(true);
+        let listener = GatedListener {
+            listener,
+            accepting,
+        };
+        let task = match protocol {
+            EngineProtocol::Lines => tokio::spawn(line_engine::serve(number, listener, calls)),
+            EngineProtocol::Flight => tokio::spawn(flight_engine::serve(number, listener, calls)),
+        };
+        Engine {
+            address,
+            task: task.abort_handle(),
+            accepts,
+            fillers: Vec::new(),
+            drained: Arc::default(),
+            _port: port,
+        }
+    }
+
+    /// Fills the backlog, so that a further connection does not come up.
+    async fn stop_accepting(&mut self) {
+        self.accepts.send_replace(false);
+        for _ in 0..=BACKLOG {
+            let filler = TcpStream::connect(self.address).await.expect("connect");
+            self.fillers.push(filler);
+        }
+    }
+
+    fn resume_accepting(&mut self) {
+        self.fillers.clear();
+        self.accepts.send_replace(true);
+    }
+
+    async fn refuse_connections(&self) {
+        // Until its listener is gone a connection could still be accepted, and then be reset.
+        self.task.abort();
+        while !self.task.is_finished() {
+            tokio::task::yield_now().await;
+        }
+    }
+}
+
+/// An answer of the line protocol as a script gives it.
+fn line_answer(id: &str, word: &str, rest: &[&str]) -> Vec<u8> {
+    if word == "raw" {
+        return hex(rest[0]);
+    }
+    let fields = rest.first().copied().unwrap_or("-");
+    let body = unescape(&rest.get(1..).unwrap_or_default().join(" "));
+    format!("{id} {word} {fields} {}\r\n{body}\r\n", body.len()).into_bytes()
+}
+
+fn number(engine: &str) -> usize {
+    engine[1..].parse::<usize>().expect("engine") - 1
+}
+
+/// The label of an attempt, without the key that may stand behind it.
+fn label_of(asked: &str) -> String {
+    asked.split(' ').next().unwrap_or_default().to_owned()
+}
+
+/// The label that a statement's comment carries; one that may run once only is marked.
+pub(crate) fn label(statement: &str) -> (String, bool) {
+    let label = statement
+        .rsplit("-- ")
+        .next()
+        .unwrap_or_default()
+        .to_owned();
+    (label, statement.starts_with("INSERT"))
+}
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,10 +1,10 @@
 //! The scenario language of the tests: one line a step, `WHO VERB ...` with the verbs send, expect, close and
-//! wait, played against a whole workload manager with stand-in clients, engines and control feed on loopback.
+//! wait, played against a complete workload manager with fake clients, engines and list feed on loopback.
 //!
 //! - `c1`, `c2` are clients of the platform, `f1`, `f2` Flight SQL clients: `c1 send 7 log-load allow=900`,
 //!   `c1 send cancel 7`, `c1 send health 8`, `c1 send raw HEX`, `c1 expect 7 served TEXT`, `c1 expect 7 ERROR`,
 //!   `c1 expect closed`, `c1 close`, `c1 send end` (it ends its side and reads on).
-//! - `x1` is one that finds the Flight SQL front in the platform's place: `x1 expect closed`.
+//! - `x1` is a platform client that connects to the Flight SQL front: `x1 expect closed`.
 //! - `e` are the engines together; a request is named by its client and number, `c1.7`, and the step goes to the
 //!   engine that has it: `e expect ASK c1.7`, `e send c1.7 served batches=2 TEXT`, `e expect QUIT c1.7`,
 //!   `e expect none ASK c1.7`, `e close c1.7` (its connection breaks), `e1 close` (it refuses connections), `e1 hold`
@@ -12,26 +12,32 @@
 //! - `feed expect 1` (a connection that has event 1), `feed send draining e1`, `feed send raw HEX`, `feed close`.
 //! - `s` asks the SNMP agent; `$` stands for the project's objects: `s send get $.1.0`, `s send next $`,
 //!   `s send bulk 0 3 $`, `s send get@other $.1.0` (another community), `s expect $.1.0=2`.
-//! - `o1`, `o2` are callers at the operations address, one call each: `o1 send READY`, `o1 send part REA`,
+//! - `o1`, `o2` are callers at the admin address, one call each: `o1 send READY`, `o1 send part REA`,
 //!   `o1 expect 200`, `o1 expect lines node.loads=0`, `o1 close` (the next `o1` is a new one).
 //! - `n close` asks the workload manager to stop, `n expect closed` waits until it has.
 //! - `n send settings CHANGE ...` gives it a configuration with other settings; see `changed`.
 //! - `n send moved` gives it a configuration with the feed at another address, `n send {` one that says `{`.
 //! - `wait requests_accepted=3` waits until a counter has that value.
 //!
-//! Nothing waits for a time: every step waits for its event, and fails once none has come for long. Whatever the
-//! script, the scene itself keeps watch on the rules: one answer a request, one attempt out at a time, nothing
-//! that may run once sent again after it may have run, nothing new to what drains, nothing begun for who has left.
+//! No step sleeps: each waits for its event, and fails if that does not come within a timeout. In every script the
+//! scene checks the rules: one answer a request, one attempt in flight at a time, no retry of a non-idempotent request
+//! that may have run, nothing new to a draining engine, no attempt for a client that has left.
 
-pub(crate) mod engines;
-mod flight;
-mod operations;
-pub(crate) mod platform;
-pub(crate) mod process;
-mod snmp;
+mod admin_client;
+pub(crate) mod child_process;
+pub(crate) mod engine_fleet;
+pub(crate) mod engine_listener;
+mod flight_client;
+mod flight_engine;
+mod line_engine;
+pub(crate) mod list_feed;
+pub(crate) mod msgpack_client;
+mod node_settings;
+mod snmp_manager;
 
-use engines::Fleet;
-use serde_json::Value;
+pub(crate) use node_settings::{changed, configuration};
+
+use engine_fleet::Fleet;
 use std::collections::HashMap;
 use std::future::Future;
 use std::sync::Arc;
@@ -42,135 +48,54 @@
 };
 use workload_manager::operator_config::{self, OperatorConfig, PlatformConstraints};
 
-/// A planned end is over by then: the platform kills the process 3.7 s after SIGTERM, and a busy machine may be late.
-const KILLED: Duration = Duration::from_secs(7);
+/// A graceful shutdown is complete by then: the platform kills the process 3.7 s after SIGTERM, and a busy machine may be late.
+const KILL_DEADLINE: Duration = Duration::from_secs(7);
 
-/// No step takes this long unless it fails.
-const LONG: Duration = Duration::from_secs(20);
+/// Every step completes within this time unless it fails.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub(crate) async fn soon<T>(what: &str, event: impl Future<Output = T>) -> T {
-    tokio::time::timeout(LONG, event)
+/// Waits for an event of this description; panics if it does not happen in time.
+pub(crate) async fn within_timeout<T>(what: &str, event: impl Future<Output = T>) -> T {
+    tokio::time::timeout(STEP_TIMEOUT, event)
         .await
         .unwrap_or_else(|_| panic!("no {what}"))
 }
 
-/// Settings with the classes of the exchange, as a first message has them.
-fn settings() -> String {
-    let class = |name: &str, effect: &str, promise: u32| {
-        format!(
-            r#"{{"name":"{name}","effect":"{effect}","promiseMs":{promise},"aimStretch":3.0,"giveUpMs":15000,
-                "points":1,"lateWorth":0.5,"memorySpanMs":5000,"dedupScope":"all",
-                "fifoByKey":false}}"#
-        )
-    };
-    let classes = [
-        class("seat-check", "repeatable", 5000),
-        class("usage-report", "repeatable", 9000),
-    ];
-    let classes = format!(
-        "{},{},{}",
-        classes[0],
-        classes[1],
-        class("log-load", "once", 9000)
-    );
-    format!(
-        r#"{{"nInstances":1,"ordinal":0,"classes":[{classes}],"discovery":"push","zones":["hall-a"],"shapes":["std-8c"],
-        "tenants":[{{"name":"member-north","quotaPerS":28}}],"report":{{"how":"inline","names":["rif"]}},
-        "guarantees":{{"coldMs":15000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3,
-        "orderPauseMs":300}},"limits":{{"attemptsCap":6,"cancel":true,"retryAfter":true,"maxRetryAfterMs":1000,"connectTimeoutMs":250,
-        "connIdleMs":15000,"streamsPerConn":100,"maxOpen":200}},
-        "specifics":{{"classThreads":[1,3,2],"sizeCores":[8],"bills":true,"progressMs":500,"takesGrants":true}}}}"#
-    )
-}
-
-/// The text of a configuration.
-pub(crate) fn configuration(feed: std::net::SocketAddr, known: &str) -> String {
-    format!(
-        r#"{{"name":"n1","listen":"127.0.0.1:0","ops":"127.0.0.1:0","seed":"8c1f30d27a5be964",
-        "limits":{{"sockets":64,"memory_mb":32}},
-        "feed":"{feed}","known":{{"n":1,"events":[{known}]}},"settings":{}}}"#,
-        settings()
-    )
-}
-
-/// A configuration with changes: `-NAME` without a class, `+NAME` with one more that may run once only, `NAME=VALUE`
-/// with this value wherever the name stands, `!NAME` without that key, `cut` short or `empty`.
-pub(crate) fn changed(text: &str, changes: &[&str]) -> String {
-    fn each(value: &mut Value, key: &str, change: &dyn Fn(&mut serde_json::Map<String, Value>)) {
-        match value {
-            Value::Object(map) => {
-                map.values_mut().for_each(|value| each(value, key, change));
-                if map.contains_key(key) {
-                    change(map);
-                }
-            }
-            Value::Array(all) => all.iter_mut().for_each(|value| each(value, key, change)),
-            _ => {}
-        }
-    }
-    let mut value: Value = serde_json::from_str(text).expect("configuration");
-    for change in changes {
-        let classes = value["settings"]["classes"]
-            .as_array_mut()
-            .expect("classes");
-        if let Some(name) = change.strip_prefix('-') {
-            classes.retain(|class| class["name"] != name);
-        } else if let Some(name) = change.strip_prefix('+') {
-            let mut class = classes[0].clone();
-            (class["name"], class["effect"]) = (name.into(), "once".into());
-            classes.insert(0, class);
-        } else if let Some(key) = change.strip_prefix('!') {
-            each(&mut value, key, &|map| drop(map.remove(key)));
-        } else if let Some((key, new)) = change.split_once('=') {
-            let new: Value = serde_json::from_str(new).expect("value");
-            each(&mut value, key, &|map| {
-                drop(map.insert(key.to_owned(), new.clone()))
-            });
-        }
-    }
-    let text = value.to_string();
-    match changes {
-        ["cut"] => text[..text.len() / 2].to_owned(),
-        ["empty"] => String::new(),
-        _ => text,
-    }
-}
-
-/// The whole scene.
+/// A manager with its clients, engines and feed.
 pub(crate) struct Scene {
     node: Arc<Node>,
     ended: bool,
-    /// Its end, once it was asked to stop, and when that was.
+    /// The shutdown task, and when it began.
     ending: Option<(tokio::task::JoinHandle<()>, Instant)>,
     metrics: Arc<workload_manager::metrics::Metrics>,
     listen: (std::net::SocketAddr, Option<std::net::SocketAddr>),
     fleet: Fleet,
-    clients: HashMap<String, platform::Client>,
-    flights: HashMap<String, flight::Client>,
-    manager: snmp::Manager,
+    clients: HashMap<String, msgpack_client::Client>,
+    flights: HashMap<String, flight_client::Client>,
+    manager: snmp_manager::Manager,
     ops: std::net::SocketAddr,
-    callers: HashMap<String, operations::Caller>,
+    callers: HashMap<String, admin_client::Caller>,
 }
 
 /// An operators' file that sets nothing.
 pub(crate) const OPERATORS: &str = "version = 1\n";
 
-/// What a scene begins with.
-pub(crate) struct Stage<'a> {
+/// How a scene is set up.
+pub(crate) struct SceneSetup<'a> {
     pub engines: usize,
-    pub speech: EngineProtocol,
+    pub protocol: EngineProtocol,
     /// Changes to the settings; see `changed`.
     pub changes: &'a [&'a str],
     /// The operators' file.
     pub operators: &'a str,
 }
 
-/// Plays a script with so many engines that speak lines, or Flight SQL.
-pub(crate) fn play(engines: usize, speech: EngineProtocol, script: &str) {
+/// Plays a script with this many engines of one protocol.
+pub(crate) fn play(engines: usize, protocol: EngineProtocol, script: &str) {
     play_on(
-        &Stage {
+        &SceneSetup {
             engines,
-            speech,
+            protocol,
             changes: &[],
             operators: OPERATORS,
         },
@@ -178,15 +103,19 @@
     );
 }
 
-/// Plays a script on this stage.
-pub(crate) fn play_on(stage: &Stage<'_>, script: &str) {
+/// Plays a script with this setup.
+pub(crate) fn play_on(setup: &SceneSetup<'_>, script: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("runtime");
     runtime.block_on(async {
-        let mut scene = Scene::new(stage).await;
-        for step in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
+        let mut scene = Scene::new(setup).await;
+        for step in script
+            .lines()
+            .map(str::trim)
+            .filter(|line| !line.is_empty())
+        {
             scene.step(step).await;
         }
         scene.step("n close").await;
@@ -196,17 +125,17 @@
 }
 
 impl Scene {
-    async fn new(stage: &Stage<'_>) -> Scene {
-        let speech = stage.speech;
-        let fleet = Fleet::new(stage.engines, speech).await;
+    async fn new(setup: &SceneSetup<'_>) -> Scene {
+        let protocol = setup.protocol;
+        let fleet = Fleet::new(setup.engines, protocol).await;
         let text = changed(
             &configuration(fleet.feed.address, &fleet.known()),
-            stage.changes,
+            setup.changes,
         );
         let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
         let front = FlightFrontConfig {
             listen: "127.0.0.1:0".to_owned(),
-            engines: speech,
+            engines: protocol,
         };
         let agent = SnmpAgentConfig {
             listen: "127.0.0.1:0".to_owned(),
@@ -217,7 +146,7 @@
             snmp: Some(agent),
         };
         let judged = operator_config::parse_and_check(
-            stage.operators,
+            setup.operators,
             Some(&PlatformConstraints::from_settings(&config.settings)),
         );
         let policy = Arc::new(judged.expect("operators' file").1.unwrap_or_default());
@@ -227,7 +156,7 @@
             ..OperatorConfig::default()
         };
         let node = Node::start(config, operators).await.expect("node");
-        let manager = snmp::Manager::new(node.snmp.expect("agent")).await;
+        let manager = snmp_manager::Manager::new(node.snmp.expect("agent")).await;
         let (metrics, listen) = (node.metrics.clone(), (node.listen, node.flight));
         let (clients, flights, callers) = Default::default();
         let (ops, node, ending) = (node.admin.expect("operations"), Arc::new(node), None);
@@ -246,120 +175,122 @@
         }
     }
 
-    #[expect(
-        clippy::cognitive_complexity,
-        clippy::too_many_lines,
-        reason = "not split yet"
-    )]
+    /// Plays one step of a script.
     async fn step(&mut self, step: &str) {
         let words: Vec<&str> = step.split_whitespace().collect();
         let (who, verb, rest) = (words[0], words[1], &words[2..]);
         match (&who[..1], verb) {
-            ("w", _) => {
-                let (name, value) = verb.split_once('=').expect("wait NAME=VALUE");
-                let reached = async {
-                    while !self
-                        .metrics
-                        .all()
-                        .iter()
-                        .any(|metric| metric.name == name && metric.value.to_string() == value)
-                    {
-                        tokio::time::sleep(Duration::from_millis(1)).await;
-                    }
-                };
-                soon(step, reached).await;
-            }
-            ("n", "send") => {
-                let node = &self.node;
-                if rest[0] == "settings" {
-                    let text = configuration(self.fleet.feed.address, &self.fleet.known());
-                    node.reload(NodeConfig::parse(changed(&text, &rest[1..]).as_bytes()))
-                        .await;
-                } else if rest == ["moved"] {
-                    let at = self.fleet.move_feed().await;
-                    node.reload(NodeConfig::parse(
-                        configuration(at, &self.fleet.known()).as_bytes(),
-                    ))
-                    .await;
-                } else {
-                    node.reload(NodeConfig::parse(rest[0].as_bytes())).await;
-                }
-            }
-            ("n", "close") => {
-                if !self.ended {
-                    self.ended = true;
-                    self.node.begin_shutdown();
-                    let node = self.node.clone();
-                    self.ending = Some((
-                        tokio::spawn(async move { node.shut_down().await }),
-                        Instant::now(),
-                    ));
-                }
+            ("w", _) => self.wait_for_counter(step, verb).await,
+            ("n", "send") => self.reload(rest).await,
+            ("n", "close") => self.begin_shutdown(),
+            ("n", _) => self.expect_shutdown(step).await,
+            ("o", _) => self.admin_step(step, who, verb, rest).await,
+            ("s", _) => within_timeout(step, self.manager.step(verb, rest)).await,
+            ("c" | "x", _) => self.client_step(step, who, verb, rest).await,
+            ("f", _) if who != "feed" => self.flight_client_step(step, who, verb, rest).await,
+            _ => within_timeout(step, self.fleet.step(who, verb, rest)).await,
+        }
+    }
+
+    async fn wait_for_counter(&self, step: &str, wanted: &str) {
+        let (name, value) = wanted.split_once('=').expect("wait NAME=VALUE");
+        let has_value = || {
+            let counters = self.metrics.all();
+            let mut counters = counters.iter();
+            counters.any(|metric| metric.name == name && metric.value.to_string() == value)
+        };
+        let reached = async {
+            while !has_value() {
+                tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            ("n", _) => {
-                if let Some((ending, since)) = self.ending.take() {
-                    soon(step, ending).await.expect("the end");
-                    assert!(
-                        since.elapsed() < KILLED,
-                        "killed first: {:?}",
-                        since.elapsed()
-                    );
-                }
+        };
+        within_timeout(step, reached).await;
+    }
+
+    /// Gives the manager another configuration.
+    async fn reload(&mut self, words: &[&str]) {
+        let text = match words {
+            ["settings", changes @ ..] => {
+                let text = configuration(self.fleet.feed.address, &self.fleet.known());
+                changed(&text, changes)
             }
-            ("o", _) => {
-                if !self.callers.contains_key(who) {
-                    self.callers
-                        .insert(who.to_owned(), operations::Caller::new(self.ops).await);
-                }
-                soon(
-                    step,
-                    self.callers.get_mut(who).expect("caller").step(verb, rest),
-                )
-                .await;
-                if verb != "send" {
-                    let engine = self.callers.remove(who).and_then(|caller| caller.engine);
-                    if let Some((n, out)) = engine.filter(|_| rest == ["200"]) {
-                        self.fleet.shut(n, out);
-                    }
-                }
+            ["moved"] => {
+                let address = self.fleet.move_feed().await;
+                configuration(address, &self.fleet.known())
             }
-            ("s", _) => soon(step, self.manager.step(verb, rest)).await,
-            ("c" | "x", _) => {
-                if !self.clients.contains_key(who) {
-                    let at = if who.starts_with('x') {
-                        self.listen.1.expect("flight front")
-                    } else {
-                        self.listen.0
-                    };
-                    let client = platform::Client::new(who, at).await;
-                    self.clients.insert(who.to_owned(), client);
-                    self.fleet.returns(who);
-                }
-                let client = self.clients.get_mut(who).expect("client");
-                soon(step, client.step(verb, rest)).await;
-                match (verb, rest) {
-                    ("close", _) => {
-                        self.clients.remove(who);
-                        self.fleet.leaves(who.to_owned());
-                    }
-                    ("send", ["end"]) => self.fleet.leaves(who.to_owned()),
-                    ("send", ["cancel", id]) => self.fleet.leaves(format!("{who}.{id}")),
-                    _ => {}
-                }
+            words => words[0].to_owned(),
+        };
+        self.node.reload(NodeConfig::parse(text.as_bytes())).await;
+    }
+
+    fn begin_shutdown(&mut self) {
+        if self.ended {
+            return;
+        }
+        self.ended = true;
+        self.node.begin_shutdown();
+        let node = self.node.clone();
+        let ending = tokio::spawn(async move { node.shut_down().await });
+        self.ending = Some((ending, Instant::now()));
+    }
+
+    async fn expect_shutdown(&mut self, step: &str) {
+        if let Some((ending, since)) = self.ending.take() {
+            within_timeout(step, ending).await.expect("the end");
+            let elapsed = since.elapsed();
+            assert!(elapsed < KILL_DEADLINE, "killed first: {elapsed:?}");
+        }
+    }
+
+    async fn admin_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
+        if !self.callers.contains_key(who) {
+            let caller = admin_client::Caller::new(self.ops).await;
+            self.callers.insert(who.to_owned(), caller);
+        }
+        let caller = self.callers.get_mut(who).expect("caller");
+        within_timeout(step, caller.step(verb, rest)).await;
+        if verb != "send" {
+            let engine = self.callers.remove(who).and_then(|caller| caller.engine);
+            if let Some((number, ejected)) = engine.filter(|_| rest == ["200"]) {
+                self.fleet.set_draining(number, ejected);
             }
-            ("f", _) if who != "feed" => {
-                if !self.flights.contains_key(who) {
-                    let client =
-                        flight::Client::new(who, self.listen.1.expect("flight front")).await;
-                    self.flights.insert(who.to_owned(), client);
-                }
-                let client = self.flights.get_mut(who).expect("client");
-                soon(step, client.step(verb, rest)).await;
-                if let ("close", [id]) = (verb, rest) {
-                    self.fleet.leaves(format!("{who}.{id}"));
-                }
+        }
+    }
+
+    async fn client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
+        if !self.clients.contains_key(who) {
+            let address = if who.starts_with('x') {
+                self.listen.1.expect("flight front")
+            } else {
+                self.listen.0
+            };
+            let client = msgpack_client::Client::new(who, address).await;
+            self.clients.insert(who.to_owned(), client);
+            self.fleet.client_returned(who);
+        }
+        let client = self.clients.get_mut(who).expect("client");
+        within_timeout(step, client.step(verb, rest)).await;
+        match (verb, rest) {
+            ("close", _) => {
+                self.clients.remove(who);
+                self.fleet.client_left(who.to_owned());
             }
-            _ => soon(step, self.fleet.step(who, verb, rest)).await,
+            ("send", ["end"]) => self.fleet.client_left(who.to_owned()),
+            ("send", ["cancel", id]) => self.fleet.client_left(format!("{who}.{id}")),
+            _ => {}
+        }
+    }
+
+    async fn flight_client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
+        if !self.flights.contains_key(who) {
+            let address = self.listen.1.expect("flight front");
+            let client = flight_client::Client::new(who, address).await;
+            self.flights.insert(who.to_owned(), client);
+        }
+        let client = self.flights.get_mut(who).expect("client");
+        within_timeout(step, client.step(verb, rest)).await;
+        if let ("close", [id]) = (verb, rest) {
+            self.fleet.client_left(format!("{who}.{id}"));
         }
     }
 }
--- a/tests/scene/platform.rs
+++ b/tests/scene/msgpack_client.rs
@@ -1,4 +1,4 @@
-//! A stand-in client of the platform.
+//! A fake client of the platform: MessagePack-RPC on one connection.
 
 use super::{hex, statement, unescape};
 use rmp::decode::{self, RmpRead};
@@ -9,16 +9,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+/// One connection with its answers.
 pub(crate) struct Client {
     name: String,
     stream: TcpStream,
     input: Vec<u8>,
     answers: HashMap<u64, String>,
+    /// Requests that have their answer.
     seen: Vec<u64>,
     closed: bool,
 }
 
 impl Client {
+    /// Connects.
     pub(crate) async fn new(name: &str, at: SocketAddr) -> Client {
         let stream = TcpStream::connect(at).await.expect("connect");
         let (input, answers) = (Vec::new(), HashMap::new());
@@ -32,72 +35,78 @@
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet")]
+    /// Plays one step of a script.
     pub(crate) async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
-            ("send", ["raw", bytes]) => self.stream.write_all(&hex(bytes)).await.expect("write"),
+            ("send", ["raw", bytes]) => self.write(&hex(bytes)).await,
             // It sends no more, and reads on.
             ("send", ["end"]) => self.stream.shutdown().await.expect("shutdown"),
-            ("send", ["cancel", id]) => {
-                let mut text = vec![0x93, 2];
-                encode::write_str(&mut text, "cancel").expect("text");
-                text.push(0x91);
-                encode::write_uint(&mut text, id.parse().expect("id")).expect("id");
-                self.stream.write_all(&text).await.expect("write");
-            }
-            ("send", [word, id]) if *word == "health" => {
-                let text = self.call(id.parse().expect("id"), "health", &[("deep", "0")], None);
-                self.stream.write_all(&text).await.expect("write");
-            }
-            ("send", [id, class, fields @ ..]) => {
-                let id: u64 = id.parse().expect("id");
-                let name = format!(
-                    "{:08x}{id:08x}",
-                    self.name.bytes().fold(0u32, |n, b| n * 31 + u32::from(b))
-                );
-                let mut all: Vec<(&str, &str)> = vec![
-                    ("ref", &name),
-                    ("allow", "9000"),
-                    ("project", "member-north"),
-                    ("effort", "50.0"),
-                ];
-                for (field, value) in fields.iter().filter_map(|f| f.split_once('=')) {
-                    all.retain(|(f, _)| *f != field);
-                    if !value.is_empty() {
-                        all.push((field, value));
-                    }
-                }
-                let body = statement(class, &format!("{}.{id}", self.name));
-                let text = self.call(id, class, &all, Some(body.as_bytes()));
-                self.stream.write_all(&text).await.expect("write");
-            }
-            ("expect", ["closed"]) => {
-                while !self.closed {
-                    self.read().await;
-                }
-            }
-            ("expect", [id, wanted @ ..]) => {
-                let id: u64 = id.parse().expect("id");
-                while !self.answers.contains_key(&id) {
-                    assert!(
-                        !self.closed,
-                        "{}: closed before the answer to {id}",
-                        self.name
-                    );
-                    self.read().await;
-                }
-                assert_eq!(
-                    self.answers[&id],
-                    unescape(&wanted.join(" ")),
-                    "{}.{id}",
-                    self.name
-                );
-            }
+            ("send", ["cancel", id]) => self.send_cancel(id).await,
+            ("send", ["health", id]) => self.send_health(id).await,
+            ("send", [id, class, fields @ ..]) => self.send_statement(id, class, fields).await,
+            ("expect", ["closed"]) => self.expect_closed().await,
+            ("expect", [id, wanted @ ..]) => self.expect_answer(id, &wanted.join(" ")).await,
             ("close", _) => {}
             other => panic!("client: {other:?}"),
         }
     }
 
+    async fn write(&mut self, bytes: &[u8]) {
+        self.stream.write_all(bytes).await.expect("write");
+    }
+
+    async fn send_cancel(&mut self, id: &str) {
+        let mut text = vec![0x93, 2];
+        encode::write_str(&mut text, "cancel").expect("text");
+        text.push(0x91);
+        encode::write_uint(&mut text, id.parse().expect("id")).expect("id");
+        self.write(&text).await;
+    }
+
+    async fn send_health(&mut self, id: &str) {
+        let text = self.call(id.parse().expect("id"), "health", &[("deep", "0")], None);
+        self.write(&text).await;
+    }
+
+    /// Sends a statement of a class. `NAME=VALUE` replaces a field, `NAME=` leaves it out.
+    async fn send_statement(&mut self, id: &str, class: &str, changes: &[&str]) {
+        let id: u64 = id.parse().expect("id");
+        let client = self.name.bytes();
+        let client = client.fold(0u32, |hash, byte| hash * 31 + u32::from(byte));
+        let reference = format!("{client:08x}{id:08x}");
+        let mut fields: Vec<(&str, &str)> = vec![
+            ("ref", &reference),
+            ("allow", "9000"),
+            ("project", "member-north"),
+            ("effort", "50.0"),
+        ];
+        for (name, value) in changes.iter().filter_map(|change| change.split_once('=')) {
+            fields.retain(|(field, _)| *field != name);
+            if !value.is_empty() {
+                fields.push((name, value));
+            }
+        }
+        let body = statement(class, &format!("{}.{id}", self.name));
+        let text = self.call(id, class, &fields, Some(body.as_bytes()));
+        self.write(&text).await;
+    }
+
+    async fn expect_closed(&mut self) {
+        while !self.closed {
+            self.read().await;
+        }
+    }
+
+    async fn expect_answer(&mut self, id: &str, wanted: &str) {
+        let id: u64 = id.parse().expect("id");
+        let name = self.name.clone();
+        while !self.answers.contains_key(&id) {
+            assert!(!self.closed, "{name}: closed before the answer to {id}");
+            self.read().await;
+        }
+        assert_eq!(self.answers[&id], unescape(wanted), "{name}.{id}");
+    }
+
     /// The next answer that came, with the number of its request.
     pub(crate) async fn next_answer(&mut self) -> (u64, String) {
         loop {
@@ -143,7 +152,7 @@
     }
 }
 
-/// One answer as a script writes it, and its length; none while it is not whole.
+/// One answer as a script writes it, and its length; none while it is incomplete.
 fn read_answer(bytes: &[u8]) -> Option<(u64, String, usize)> {
     let mut at = Cursor::new(bytes);
     let text = |at: &mut Cursor<&[u8]>| {
@@ -177,7 +186,7 @@
     let mut answer = answer;
     for _ in 0..decode::read_map_len(&mut at).ok()? {
         let (name, value) = (text(&mut at)?, text(&mut at)?);
-        // When to come back depends on the backlog; that it is told does not.
+        // The delay depends on the backlog; that it is given does not.
         assert!(
             value.parse::<u32>().is_ok_and(|ms| ms <= 1000),
             "{name}={value}"
--- a/tests/scene/snmp.rs
+++ b/tests/scene/snmp_manager.rs
@@ -1,4 +1,4 @@
-//! A stand-in SNMP manager.
+//! A fake SNMP manager.
 
 use super::hex;
 use rasn::types::ObjectIdentifier;
@@ -13,6 +13,7 @@
 
 const ROOT: &str = "1.3.6.1.4.1.8072.9999.9999.62";
 
+/// A manager with one socket.
 pub(super) struct Manager {
     socket: UdpSocket,
 }
@@ -62,20 +63,20 @@
             ("expect", wanted) => {
                 let mut buffer = [0; 2000];
                 let len = self.socket.recv(&mut buffer).await.expect("an answer");
-                let answer: Message<Response> =
+                let message: Message<Response> =
                     rasn::ber::decode(&buffer[..len]).expect("an answer");
-                let pdu = answer.data.0;
+                let pdu = message.data.0;
                 assert_eq!(pdu.request_id, 7);
-                let said = match pdu.error_status {
+                let answer = match pdu.error_status {
                     0 => pdu
                         .variable_bindings
                         .iter()
-                        .map(say)
+                        .map(binding_text)
                         .collect::<Vec<_>>()
                         .join(" "),
                     status => format!("error {status}"),
                 };
-                assert_eq!(said, wanted.join(" "));
+                assert_eq!(answer, wanted.join(" "));
             }
             other => panic!("manager: {other:?}"),
         }
@@ -98,7 +99,7 @@
         let arcs: Vec<u32> = text
             .replace('$', ROOT)
             .split('.')
-            .map(|a| a.parse().expect("arc"))
+            .map(|arc| arc.parse().expect("arc"))
             .collect();
         VarBind {
             name: ObjectIdentifier::new_unchecked(arcs.into()),
@@ -108,7 +109,7 @@
     names.iter().map(name).collect()
 }
 
-fn say(binding: &VarBind) -> String {
+fn binding_text(binding: &VarBind) -> String {
     let name = binding
         .name
         .iter()
--- a/tests/standing/leaving.rs
+++ b/tests/service_guarantees/client_disconnect.rs
@@ -3,7 +3,7 @@
 //! meanwhile. A request of another client that passes the same place afterwards shows that the first one would have
 //! begun by then.
 
-use crate::scene::{OPERATORS, Stage, play_on};
+use crate::scene::{OPERATORS, SceneSetup, play_on};
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -11,7 +11,7 @@
 const SLOW_DIAL: &[&str] = &["connectTimeoutMs=19000"];
 
 /// Attempts wait out a back-off of this length, after which a later one shows that an earlier one is due.
-const BACK_OFF: &str =
+const BACKOFF: &str =
     "version = 1\n[attempts.default]\nbackoff = { base_ms = 300, max_ms = 300, jitter = 0.0 }\n";
 
 /// The ways in which a platform client leaves.
@@ -20,21 +20,21 @@
 const ENDS_ITS_SIDE: &str = "c1 send end";
 
 /// Plays a script in which `LEAVES` stands for the client's leaving, up to the moment at which the core has heard of it.
-fn play_leaving(stage: &Stage<'_>, leaves: &str, script: &str) {
+fn play_with_disconnect(setup: &SceneSetup<'_>, leaves: &str, script: &str) {
     play_on(
-        stage,
+        setup,
         &script.replace("LEAVES", &format!("{leaves}\nwait client_disconnects=1")),
     );
 }
 
 /// The first attempt waits in the core, as no engine takes any.
 #[rstest]
-fn a_first_attempt_that_waits_for_an_engine(
+fn disconnect_cancels_a_first_attempt_that_waits_for_an_engine(
     #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
 ) {
-    let stage = Stage {
+    let setup = SceneSetup {
         engines: 2,
-        speech: EngineProtocol::Lines,
+        protocol: EngineProtocol::Lines,
         changes: &[],
         operators: OPERATORS,
     };
@@ -55,17 +55,17 @@
         c2 expect 1 served a\\n
         e expect none ASK c1.1
     ";
-    play_leaving(&stage, leaves, script);
+    play_with_disconnect(&setup, leaves, script);
 }
 
 /// A further attempt waits in the core: the first never ran, and no engine takes another.
 #[rstest]
-fn a_further_attempt_that_waits_for_an_engine(
+fn disconnect_cancels_a_retry_that_waits_for_an_engine(
     #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
 ) {
-    let stage = Stage {
+    let setup = SceneSetup {
         engines: 2,
-        speech: EngineProtocol::Lines,
+        protocol: EngineProtocol::Lines,
         changes: &[],
         operators: OPERATORS,
     };
@@ -89,19 +89,19 @@
         c2 expect 1 served a\\n
         e expect none ASK c1.1
     ";
-    play_leaving(&stage, leaves, script);
+    play_with_disconnect(&setup, leaves, script);
 }
 
 /// A further attempt waits out its back-off, which is over before that of the other client's attempt.
 #[rstest]
-fn a_further_attempt_that_waits_out_its_back_off(
+fn disconnect_cancels_a_retry_that_waits_for_its_backoff(
     #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
 ) {
-    let stage = Stage {
+    let setup = SceneSetup {
         engines: 2,
-        speech: EngineProtocol::Lines,
+        protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: BACK_OFF,
+        operators: BACKOFF,
     };
     let script = "
         c1 send 1 seat-check
@@ -119,18 +119,18 @@
         c2 expect 1 served a\\n
         e expect none ASK c1.1
     ";
-    play_leaving(&stage, leaves, script);
+    play_with_disconnect(&setup, leaves, script);
 }
 
 /// The first attempt is with its engine's actor, whose connection does not come up. The other client's attempt waits for
 /// the same connection, behind it.
 #[rstest]
-fn a_first_attempt_that_waits_for_its_connection(
+fn disconnect_cancels_a_first_attempt_that_waits_for_its_connection(
     #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
 ) {
-    let stage = Stage {
+    let setup = SceneSetup {
         engines: 1,
-        speech: EngineProtocol::Lines,
+        protocol: EngineProtocol::Lines,
         changes: SLOW_DIAL,
         operators: OPERATORS,
     };
@@ -149,7 +149,7 @@
         wait engine_connections=1
         e expect none ASK c1.1
     ";
-    play_leaving(&stage, leaves, script);
+    play_with_disconnect(&setup, leaves, script);
 }
 
 /// The same for a further attempt, whose engine broke the connection of the first one.
@@ -157,9 +157,9 @@
 fn a_further_attempt_that_waits_for_its_connection(
     #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
 ) {
-    let stage = Stage {
+    let setup = SceneSetup {
         engines: 1,
-        speech: EngineProtocol::Lines,
+        protocol: EngineProtocol::Lines,
         changes: SLOW_DIAL,
         operators: OPERATORS,
     };
@@ -180,7 +180,7 @@
         wait engine_connections=2
         e expect none ASK c1.1
     ";
-    play_leaving(&stage, leaves, script);
+    play_with_disconnect(&setup, leaves, script);
 }
 
 /// The first attempt waits for a connection to a Flight SQL engine.
@@ -189,10 +189,13 @@
 #[case("c1", CLOSES)]
 #[case("c1", CANCELS)]
 #[case("c1", ENDS_ITS_SIDE)]
-fn an_attempt_that_waits_for_a_flight_connection(#[case] who: &str, #[case] leaves: &str) {
-    let stage = Stage {
+fn disconnect_cancels_an_attempt_that_waits_for_a_flight_connection(
+    #[case] who: &str,
+    #[case] leaves: &str,
+) {
+    let setup = SceneSetup {
         engines: 1,
-        speech: EngineProtocol::Flight,
+        protocol: EngineProtocol::Flight,
         changes: SLOW_DIAL,
         operators: OPERATORS,
     };
@@ -210,5 +213,5 @@
         f2 expect 1 served a\\tb\\tc\\n
         e expect none ASK WHO.1
     ";
-    play_leaving(&stage, leaves, &script.replace("WHO", who));
+    play_with_disconnect(&setup, leaves, &script.replace("WHO", who));
 }
--- a/tests/standing/descriptors.rs
+++ b/tests/service_guarantees/descriptor_limit.rs
@@ -2,11 +2,12 @@
 //! connects to the feed once that is back, hears a drain, connects to an engine that is new, and serves. The manager is
 //! the program itself, so that the system tells its descriptors.
 
-use crate::engine;
-use crate::scene::engines::{feed_frame, listen, listen_at};
-use crate::scene::platform::Client;
-use crate::scene::process::{Reaped, addresses, program, said_by};
-use crate::scene::{configuration, soon};
+use crate::fake_engine;
+use crate::scene::child_process::{KillOnDrop, addresses, start_program, stderr_of};
+use crate::scene::engine_listener::{listen, listen_at};
+use crate::scene::list_feed::feed_frame;
+use crate::scene::msgpack_client::Client;
+use crate::scene::{configuration, within_timeout};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -28,15 +29,15 @@
 const REQUESTS: usize = 20;
 
 /// Looks at the descriptors of a process again and again, from a thread of its own, and keeps the most that it held.
-struct Watch {
+struct DescriptorMonitor {
     most: Arc<AtomicUsize>,
     over: Arc<AtomicBool>,
 }
 
-impl Watch {
-    fn of(process: u32) -> Watch {
+impl DescriptorMonitor {
+    fn of(process: u32) -> DescriptorMonitor {
         let (most, over) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
-        let watch = Watch {
+        let watch = DescriptorMonitor {
             most: most.clone(),
             over: over.clone(),
         };
@@ -56,7 +57,7 @@
     }
 }
 
-impl Drop for Watch {
+impl Drop for DescriptorMonitor {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
     }
@@ -70,7 +71,7 @@
         Arc::<AtomicUsize>::default(),
     );
     let count = asked.clone();
-    let serves = engine::serve(
+    let serves = fake_engine::serve(
         listener,
         Arc::new(move |_| {
             count.fetch_add(1, Ordering::Relaxed);
@@ -83,7 +84,7 @@
 
 /// The manager's connection to the feed, with this as the last event that it has.
 async fn follower(feed: &TcpListener, last: u64) -> TcpStream {
-    let (mut stream, _) = soon("connection to the feed", feed.accept())
+    let (mut stream, _) = within_timeout("connection to the feed", feed.accept())
         .await
         .expect("accept");
     assert_eq!(stream.read_u64().await.expect("the last event"), last);
@@ -92,14 +93,14 @@
 
 /// A new client that is served once.
 async fn served(at: SocketAddr, n: usize) -> Client {
-    let mut client = soon("connection", Client::new(&format!("c{n}"), at)).await;
+    let mut client = within_timeout("connection", Client::new(&format!("c{n}"), at)).await;
     client.step("send", &["1", "seat-check"]).await;
-    soon("answer", client.step("expect", &["1", "served", "a\\n"])).await;
+    within_timeout("answer", client.step("expect", &["1", "served", "a\\n"])).await;
     client
 }
 
-/// Waits until staff are told this.
-async fn told(operations: SocketAddr, figure: &str) {
+/// Waits until staff are await_figure this.
+async fn await_figure(operations: SocketAddr, figure: &str) {
     let asked = async {
         loop {
             let mut stream = TcpStream::connect(operations).await.expect("connect");
@@ -111,11 +112,11 @@
             }
         }
     };
-    soon(figure, asked).await;
+    within_timeout(figure, asked).await;
 }
 
 #[test]
-fn idle_clients_fill_the_descriptors_while_the_feed_is_down() {
+fn the_feed_and_engines_reconnect_after_idle_clients_filled_the_descriptors() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -128,10 +129,10 @@
             r#"{{"instanceId":"s-00000001","hostPort":"{old}","zone":"hall-a","machineType":"std-8c","weight":1}}"#
         );
         let known = format!(r#"{{"n":1,"members":{{"reset":true,"instances":[{member}]}}}}"#);
-        let mut child = Reaped(program("descriptors", &configuration(address, &known), ""));
-        let mut said = said_by(&mut child);
+        let mut child = KillOnDrop(start_program("descriptors", &configuration(address, &known), ""));
+        let mut said = stderr_of(&mut child);
         let (at, operations) = addresses(&mut said);
-        let watch = Watch::of(child.id());
+        let watch = DescriptorMonitor::of(child.id());
         let stream = follower(&feed, 1).await;
         let _first = served(at, 0).await;
         // Nobody listens where the feed was.
@@ -139,10 +140,10 @@
         // All that idle come at once, and none of them reads, or closes, what the manager closes.
         let (mut idle, mut silent, mut half) = (Vec::new(), Vec::new(), Vec::new());
         for n in 1..=IDLE {
-            silent.push(soon("connection", TcpStream::connect(at)).await.expect("connect"));
-            half.push(soon("connection", TcpStream::connect(at)).await.expect("connect"));
+            silent.push(within_timeout("connection", TcpStream::connect(at)).await.expect("connect"));
+            half.push(within_timeout("connection", TcpStream::connect(at)).await.expect("connect"));
             half[n - 1].write_all(&HALF_A_CALL).await.expect("write");
-            let mut client = soon("connection", Client::new(&format!("c{n}"), at)).await;
+            let mut client = within_timeout("connection", Client::new(&format!("c{n}"), at)).await;
             client.step("send", &["health", "1"]).await;
             idle.push(client);
         }
@@ -152,7 +153,7 @@
             }
         };
         // Together: those that stop halfway delay the others by little.
-        soon("answers to all that came", answers).await;
+        within_timeout("answers to all that came", answers).await;
         idle.push(served(at, IDLE + 1).await);
         watch.assert_within(SOCKETS);
         let feed = listen_at(address);
@@ -160,7 +161,7 @@
         for (event, engine, at, state) in [(2, 0, old, 1), (3, 1, new, 0)] {
             stream.write_all(&feed_frame(event, 2, engine, at, state, 0)).await.expect("write");
         }
-        told(operations, "node.known_engines=2").await;
+        await_figure(operations, "node.known_engines=2").await;
         let before = old_asked.load(Ordering::Relaxed);
         for n in 2..REQUESTS + 2 {
             idle.push(served(at, IDLE + n).await);
--- a/tests/standing/engine.rs
+++ b/tests/service_guarantees/fake_engine.rs
@@ -1,6 +1,6 @@
 //! A stand-in engine that serves whatever it is asked.
 
-use crate::scene::engines::label;
+use crate::scene::engine_fleet::label;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -9,16 +9,16 @@
 
 /// Hears the label of each request as it has come whole, and says how long that takes and how much work it is, in ms on
 /// one core.
-pub(crate) type Asked = Arc<dyn Fn(&str) -> (Duration, f64) + Send + Sync>;
+pub(crate) type RequestHandler = Arc<dyn Fn(&str) -> (Duration, f64) + Send + Sync>;
 
 /// Serves on this listener.
-pub(crate) async fn serve(listener: TcpListener, asked: Asked) {
+pub(crate) async fn serve(listener: TcpListener, asked: RequestHandler) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(connection(stream, asked.clone()));
     }
 }
 
-async fn connection(stream: TcpStream, asked: Asked) {
+async fn connection(stream: TcpStream, asked: RequestHandler) {
     let (read, write) = stream.into_split();
     let (mut read, write) = (
         BufReader::new(read),
--- a/tests/standing/readiness.rs
+++ b/tests/service_guarantees/restart_readiness.rs
@@ -1,7 +1,9 @@
 //! Nine in ten restarted managers are ready within 10 s: whatever the control feed does, with clients at the door, and with
 //! a list of the start that is out of date. The managers are the program itself, on a socket that the platform holds.
 
-use crate::scene::process::{Reaped, addresses, call, inheriting, said_by};
+use crate::scene::child_process::{
+    KillOnDrop, addresses, admin_call, start_with_listener, stderr_of,
+};
 use crate::scene::{changed, configuration};
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -17,10 +19,10 @@
 const WITHIN: Duration = Duration::from_secs(10);
 
 /// Clients that have asked before the manager is there.
-const AT_THE_DOOR: usize = 20;
+const WAITING_CLIENTS: usize = 20;
 
 /// Engines of a list that is out of date: nobody listens at their addresses.
-const STALE: u32 = 1024;
+const STALE_ENGINES: u32 = 1024;
 
 /// What the control feed does.
 #[derive(Clone, Copy, Debug)]
@@ -71,13 +73,13 @@
 }
 
 /// The configuration of a start whose list names engines that are gone.
-fn stale(feed: SocketAddr) -> String {
+fn stale_configuration(feed: SocketAddr) -> String {
     let member = |n: u32| {
         format!(
             r#"{{"instanceId":"s-{n:08x}","hostPort":"127.0.0.1:1","zone":"hall-a","machineType":"std-8c","weight":1}}"#
         )
     };
-    let members: Vec<String> = (1..=STALE).map(member).collect();
+    let members: Vec<String> = (1..=STALE_ENGINES).map(member).collect();
     let known = format!(
         r#"{{"n":1,"members":{{"reset":true,"instances":[{}]}}}}"#,
         members.join(",")
@@ -87,8 +89,8 @@
 
 /// Where a program is operated; none where it does not say so in time. Its words are read to the end, so that it is not
 /// held up by them.
-fn says_so(child: &mut Child, within: Duration) -> Option<SocketAddr> {
-    let mut said = said_by(child);
+fn await_admin_address(child: &mut Child, within: Duration) -> Option<SocketAddr> {
+    let mut said = stderr_of(child);
     let (tell, told) = mpsc::channel();
     std::thread::spawn(move || {
         let _ = tell.send(addresses(&mut said).1);
@@ -103,37 +105,37 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("folder");
     let config = folder.join("config.json");
-    std::fs::write(&config, stale(feed)).expect("file");
+    std::fs::write(&config, stale_configuration(feed)).expect("file");
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-    let start = |folder: &Path| Reaped(inheriting(&listener, &config, folder));
+    let start = |folder: &Path| KillOnDrop(start_with_listener(&listener, &config, folder));
     let others = match before {
         Before::Nothing => 0,
         Before::Killed | Before::Serving => 1,
         Before::TwoServing => 2,
     };
-    let mut others: Vec<Reaped> = (0..others).map(|_| start(&folder)).collect();
+    let mut others: Vec<KillOnDrop> = (0..others).map(|_| start(&folder)).collect();
     for other in &mut others {
-        says_so(other, WITHIN).expect("an earlier process");
+        await_admin_address(other, WITHIN).expect("an earlier process");
     }
     if matches!(before, Before::Killed) {
         others.clear();
     }
     let at = listener.local_addr().expect("address");
-    let mut clients: Vec<TcpStream> = (0..AT_THE_DOOR).map(|_| asks(at)).collect();
+    let mut clients: Vec<TcpStream> = (0..WAITING_CLIENTS).map(|_| send_health_call(at)).collect();
     let since = Instant::now();
     let mut manager = start(&folder);
-    let operations = says_so(&mut manager, WITHIN)?;
-    let ready = call(operations, "READY")
+    let operations = await_admin_address(&mut manager, WITHIN)?;
+    let ready = admin_call(operations, "READY")
         .starts_with("200")
         .then(|| since.elapsed());
     for client in &mut clients {
-        assert!(is_fit(client), "a client at the door");
+        assert!(is_healthy(client), "a client at the door");
     }
     ready.filter(|took| *took <= WITHIN)
 }
 
 /// A client that has asked whether the manager is fit.
-fn asks(at: SocketAddr) -> TcpStream {
+fn send_health_call(at: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(at).expect("connect");
     stream.set_read_timeout(Some(WITHIN)).expect("option");
     stream
@@ -142,13 +144,13 @@
     stream
 }
 
-fn is_fit(stream: &mut TcpStream) -> bool {
+fn is_healthy(stream: &mut TcpStream) -> bool {
     let mut answer = [0; 7];
     stream.read_exact(&mut answer).is_ok() && answer[5] == 0xc3
 }
 
 #[rstest]
-fn nine_in_ten_are_ready_in_time(
+fn nine_in_ten_restarted_managers_are_ready_within_the_limit(
     #[values(Feed::Refuses, Feed::Silent, Feed::StopsHalfway)] feed: Feed,
     #[values(Before::Nothing, Before::Killed, Before::Serving, Before::TwoServing)] before: Before,
 ) {
--- a/tests/standing/cold.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -3,9 +3,9 @@
 //! managers are whole ones on loopback sockets, in one runtime with paused time; the stand-in engine counts what reaches
 //! it. Clients ask for far more than it may get.
 
-use crate::engine::{Asked, serve};
-use crate::scene::engines::feed_frame;
-use crate::scene::platform::Client;
+use crate::fake_engine::{RequestHandler, serve};
+use crate::scene::list_feed::feed_frame;
+use crate::scene::msgpack_client::Client;
 use crate::scene::{changed, configuration};
 use rstest::rstest;
 use std::collections::VecDeque;
@@ -20,14 +20,14 @@
 use workload_manager::node_config::{NodeConfig, OptionalFronts};
 
 /// The settings of the scene: how long an engine is cold, what it can do at first, and when it falls.
-const COLD_MS: f64 = 15_000.0;
-const COLD_SHARE: f64 = 0.3;
+const SLOW_START_MS: f64 = 15_000.0;
+const SLOW_START_INITIAL_SHARE: f64 = 0.3;
 const CORES: f64 = 8.0;
-const TIP_MULTIPLE: f64 = 3.0;
+const OVERLOAD_MULTIPLE: f64 = 3.0;
 const WINDOW_MS: f64 = 1500.0;
 
 /// Of what falls the rule blames the managers that had been told, where they sent more than this share.
-const TOLD_SHARE: f64 = 2.0 / 3.0;
+const NOTIFIED_SHARE: f64 = 2.0 / 3.0;
 
 /// Requests that each client keeps open, and how long the engine takes for one.
 const OPEN: u64 = 8;
@@ -70,20 +70,21 @@
     started: f64,
     mix: Mix,
     /// When each manager was told of the start, in Unix ms.
-    told_at: Vec<f64>,
+    notified_at_ms: Vec<f64>,
     window: VecDeque<Arrival>,
     /// The most that it got, as a share of N.
     most: f64,
-    fallen: Option<String>,
+    overloaded: Option<String>,
 }
 
 impl Meter {
     /// Requests of mean work that the settings allow in a window from this time on. The engine can do least at its
     /// beginning.
     fn allowed(&self, from: f64) -> f64 {
-        let age = ((from - self.started) / COLD_MS).clamp(0.0, 1.0);
-        let cores = CORES * (COLD_SHARE + (1.0 - COLD_SHARE) * age * age);
-        TIP_MULTIPLE * cores * WINDOW_MS / self.mix.mean()
+        let age = ((from - self.started) / SLOW_START_MS).clamp(0.0, 1.0);
+        let cores =
+            CORES * (SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * age * age);
+        OVERLOAD_MULTIPLE * cores * WINDOW_MS / self.mix.mean()
     }
 
     fn arrives(&mut self, manager: usize, id: u64) {
@@ -91,7 +92,7 @@
         if at < self.started {
             return;
         }
-        let told = self.told_at[manager] <= at;
+        let told = self.notified_at_ms[manager] <= at;
         self.window.push_back(Arrival {
             at,
             work: self.mix.work(id),
@@ -111,18 +112,18 @@
         let falls = allowed + 2.0 * allowed.sqrt() + 2.0;
         self.most = self.most.max(told / allowed);
         // Managers that were told may not push it over alone, nor be to blame where others helped.
-        if told > falls || all > falls && told > TOLD_SHARE * all {
+        if told > falls || all > falls && told > NOTIFIED_SHARE * all {
             let after = at - self.started;
             let text = format!(
                 "{all:.0} requests, {told:.0} of managers that knew, {falls:.0} fell it after {after:.0} ms"
             );
-            self.fallen.get_or_insert(text);
+            self.overloaded.get_or_insert(text);
         }
     }
 }
 
 /// Has each request counted as it comes whole.
-fn counted(meter: Arc<Mutex<Meter>>) -> Asked {
+fn counted(meter: Arc<Mutex<Meter>>) -> RequestHandler {
     Arc::new(move |label| {
         let (client, id) = label.split_once('.').expect("a label");
         let (manager, id) = (
@@ -188,7 +189,7 @@
     /// So many instances does each manager's configuration name.
     instances: Vec<u32>,
     /// After so long is each told that the engine started.
-    told_after: Vec<Duration>,
+    notified_after: Vec<Duration>,
     /// They know the engine as one that has long been up.
     known_before: bool,
 }
@@ -198,7 +199,7 @@
         let all = count as usize;
         Managers {
             instances: vec![count; all],
-            told_after: vec![Duration::ZERO; all],
+            notified_after: vec![Duration::ZERO; all],
             known_before: false,
         }
     }
@@ -214,13 +215,13 @@
         let (clock, listener) = (Clock::new(), TcpListener::bind("127.0.0.1:0").await.expect("bind"));
         let address = listener.local_addr().expect("address");
         let started = clock.now().ceil();
-        let told_at = managers.told_after.iter().map(|after| started + after.as_secs_f64() * 1000.0).collect();
+        let notified_at_ms = managers.notified_after.iter().map(|after| started + after.as_secs_f64() * 1000.0).collect();
         let window = VecDeque::new();
-        let meter = Meter { clock, started, mix, told_at, window, most: 0.0, fallen: None };
+        let meter = Meter { clock, started, mix, notified_at_ms, window, most: 0.0, overloaded: None };
         let meter = Arc::new(Mutex::new(meter));
         tokio::spawn(serve(listener, counted(meter.clone())));
         let mut nodes = Vec::new();
-        for (ordinal, (instances, after)) in managers.instances.iter().zip(&managers.told_after).enumerate() {
+        for (ordinal, (instances, after)) in managers.instances.iter().zip(&managers.notified_after).enumerate() {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
             let at = listener.local_addr().expect("address");
             tokio::spawn(feed(listener, *after, feed_frame(2, 2, 0, address, 0, started as u64)));
@@ -239,7 +240,7 @@
         }
         sleep(WATCHED).await;
         let meter = meter.lock().expect("meter");
-        assert_eq!(meter.fallen, None);
+        assert_eq!(meter.overloaded, None);
         meter.most
     })
 }
@@ -259,7 +260,10 @@
 
 /// All managers hear of the start at once. They use the budget, too: an engine that gets nothing cannot fall.
 #[rstest]
-fn the_sum_of_all_managers(#[values(20, 30)] count: u32, #[values(LIGHT, HEAVY, MIXED)] mix: Mix) {
+fn all_managers_together_respect_the_slow_start_budget(
+    #[values(20, 30)] count: u32,
+    #[values(LIGHT, HEAVY, MIXED)] mix: Mix,
+) {
     let most = play(&Managers::alike(count), mix);
     assert!(most > 0.3, "{most:.2} of what it may get");
 }
@@ -267,10 +271,12 @@
 /// An engine that all know to be up comes back cold, and managers hear of it one after another, up to 4 s later. Those that
 /// were told are not to blame for its fall.
 #[rstest]
-fn managers_that_hear_of_the_start_at_different_times(#[values(LIGHT, HEAVY, MIXED)] mix: Mix) {
-    let told_after = (0..25).map(|k| Duration::from_millis(k * 160)).collect();
+fn managers_notified_at_different_times_respect_the_slow_start_budget(
+    #[values(LIGHT, HEAVY, MIXED)] mix: Mix,
+) {
+    let notified_after = (0..25).map(|k| Duration::from_millis(k * 160)).collect();
     let managers = Managers {
-        told_after,
+        notified_after,
         known_before: true,
         ..Managers::alike(25)
     };
@@ -281,7 +287,9 @@
 /// The fleet grows from twenty to thirty managers, and the older ones have not been told: their configuration still names
 /// twenty.
 #[rstest]
-fn managers_that_count_each_other_differently(#[values(LIGHT, HEAVY, MIXED)] mix: Mix) {
+fn managers_with_different_fleet_sizes_respect_the_slow_start_budget(
+    #[values(LIGHT, HEAVY, MIXED)] mix: Mix,
+) {
     let instances = [vec![20; 20], vec![30; 10]].concat();
     let most = play(
         &Managers {
