--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Accepts connections as far as there are slots for them.
+/// Accepts connections while slots are available.
 struct Acceptor {
     listener: TcpListener,
     slots: Arc<ConnectionSlots>,
--- a/src/clients/flight/mod.rs
+++ b/src/clients/flight/mod.rs
@@ -3,7 +3,7 @@
 //! GetFlightInfo for a query only plans: it checks the call and hands out a ticket. A request is accepted when DoGet
 //! brings the ticket, or when DoPut brings an update.
 //!
-//! - [`listener`] accepts connections as far as there are slots for them; [`tracked_connection`] is one of them.
+//! - [`listener`] accepts connections while slots are available; [`tracked_connection`] is one of them.
 //! - [`service`] is the gRPC service: planning, fetching and updating.
 //! - [`statement_call`] checks a call's metadata, [`command`] decodes its command, [`grpc_timeout`] its deadline.
 //! - [`tickets`] holds planned queries until they are fetched.
--- a/src/clients/flight/pending_response.rs
+++ b/src/clients/flight/pending_response.rs
@@ -46,7 +46,9 @@
 
 impl PendingResponse {
     fn new(frontend: &Frontend, id: RequestId, slot: Option<Arc<ConnectionSlot>>) -> Self {
-        slot.iter().for_each(|slot| slot.request_opened());
+        if let Some(slot) = &slot {
+            slot.request_opened();
+        }
         PendingResponse {
             frontend: frontend.clone(),
             id,
@@ -69,7 +71,9 @@
 impl Drop for PendingResponse {
     fn drop(&mut self) {
         self.pending = None;
-        self.slot.iter().for_each(|slot| slot.request_closed());
+        if let Some(slot) = &self.slot {
+            slot.request_closed();
+        }
         if self.completed {
             return;
         }
@@ -122,7 +126,9 @@
     match answer {
         Answer::Served(body) => {
             response.set_completed(body.remaining_chunks.is_none());
-            response.slot.iter().for_each(|slot| slot.mark_proven());
+            if let Some(slot) = &response.slot {
+                slot.mark_proven();
+            }
             Ok((body, response))
         }
         Answer::Rejected { retry_after_ms } => Err(status::rejected(retry_after_ms)),
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -225,18 +225,14 @@
     ///
     /// # Errors
     ///
-    /// If the client has closed its side, whatever it sent before: a full close cannot be told from a half close, and
-    /// an answer might have no reader.
+    /// If the client has closed its side, whatever it sent before: a full close cannot be distinguished from a half
+    /// close, and an answer might have no reader.
     async fn receive(&mut self) -> Result<(), ConnectionError> {
         if !self.input.receive(&self.stream)? {
             return Err(ConnectionError::ClosedByClient);
         }
         if self.input.is_discarding() {
-            return if self.input.discard() {
-                Ok(())
-            } else {
-                Err(ConnectionError::DiscardLimit)
-            };
+            return self.input.discard();
         }
         let handled = self.handle_messages().await;
         let within_memory = self.input.update_reservation();
@@ -284,14 +280,18 @@
             }
             Ok(_) => {
                 self.frontend.metrics.client_over_limit.increment();
-                outcomes.iter().for_each(|class| class.rejected.increment());
+                if let Some(class) = outcomes {
+                    class.rejected.increment();
+                }
                 self.answer_queue
                     .push_error(message_id, ErrorName::Overloaded);
                 self.count_bad_call()
             }
             Err(error) => {
                 self.frontend.metrics.client_bad_calls.increment();
-                outcomes.iter().for_each(|class| class.failed.increment());
+                if let Some(class) = outcomes {
+                    class.failed.increment();
+                }
                 self.answer_queue.push_error(message_id, (&error).into());
                 self.count_bad_call()
             }
--- a/src/clients/msgpack_rpc/input.rs
+++ b/src/clients/msgpack_rpc/input.rs
@@ -1,5 +1,6 @@
 //! Buffers what a client sent and reads messages out of it.
 
+use super::errors::ConnectionError;
 use crate::clients::Frontend;
 use crate::clients::msgpack::{self, Message, MessageError};
 use crate::limits::{Limits, MemoryReservation};
@@ -118,16 +119,20 @@
         self.state = InputState::Discarding { bytes: 0 };
     }
 
-    /// Drops the buffered bytes. Returns whether all that was discarded is within the size of one message.
-    pub(super) fn discard(&mut self) -> bool {
+    /// Drops the buffered bytes.
+    ///
+    /// # Errors
+    ///
+    /// If more was discarded by now than one message may have.
+    pub(super) fn discard(&mut self) -> Result<(), ConnectionError> {
         let received = self.buffer.len();
         self.buffer.clear();
-        match &mut self.state {
-            InputState::Reading { .. } => true,
-            InputState::Discarding { bytes } => {
-                *bytes += received;
-                *bytes <= self.limits.message_bytes
+        if let InputState::Discarding { bytes } = &mut self.state {
+            *bytes += received;
+            if *bytes > self.limits.message_bytes {
+                return Err(ConnectionError::DiscardLimit);
             }
         }
+        Ok(())
     }
 }
--- a/src/clients/msgpack_rpc/mod.rs
+++ b/src/clients/msgpack_rpc/mod.rs
@@ -1,6 +1,6 @@
 //! The platform's front end: MessagePack-RPC over TCP.
 //!
-//! - [`listener`] accepts connections as far as there are slots for them.
+//! - [`listener`] accepts connections while slots are available.
 //! - [`connection`] is one connection's actor. It alone owns the connection's state.
 //! - [`input`] buffers what a client sent and reads messages out of it.
 //! - [`call`] turns a call into a request for the core.
