--- /dev/null
+++ b/src/decision/admission.rs
@@ -0,0 +1,213 @@
+//! Admission and load shedding: which requests enter the queue, and which are rejected before their time.
+
+use super::requests::QueuedRequest;
+use super::{Action, DedupScope, Dispatcher, Idempotency, Request, RequestId};
+use super::{health_checks::AwaitedHealthChecks, outlier_ejection::MAX_FAILING_ENGINES};
+
+/// Time in ms before its client's deadline at which a waiting request is ended.
+pub(super) const END_MARGIN_MS: f64 = 60.0;
+/// Part of the most urgent class's slack that the backlog may take: the rest is for running.
+const BACKLOG_SHARE: f64 = 0.5;
+/// Shortest `Retry-After` in ms.
+const MIN_RETRY_AFTER_MS: f64 = 100.0;
+/// `Retry-After` in times that the backlog takes to be served.
+const RETRY_AFTER_BACKLOGS: f64 = 2.0;
+/// Estimates of work from here on, in ms, are taken for nonsense.
+const MAX_ESTIMATED_WORK_MS: f64 = 1e9;
+/// A giant's work counts for so many usual queries where its deadline is judged.
+const MAX_DEADLINE_WORK_MULTIPLE: f64 = 4.0;
+
+/// The queue's work, and the request that is worth least for its work.
+struct Backlog {
+    work_ms: f64,
+    /// Least time that a class's latency objective leaves for waiting, in ms.
+    slack_ms: f64,
+    cheapest: Option<SheddingCandidate>,
+}
+
+/// A request that may be rejected.
+#[derive(Clone, Copy)]
+struct SheddingCandidate {
+    /// Priority weight for each ms of work.
+    weight_density: f64,
+    id: RequestId,
+}
+
+impl Dispatcher {
+    /// Takes a client's request.
+    pub(super) fn on_request(&mut self, request: &Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        if self.requests.contains_key(&id) {
+            return;
+        }
+        let budget = self.settings.retry_budget;
+        self.retry_window.record_request(self.now_ms, budget);
+        self.traffic.record_request();
+        let Some(queued) = self.admit(request) else {
+            return actions.push(Action::Fail { id });
+        };
+        self.queue.insert(queued.arrival_number, id);
+        self.requests.insert(id, queued);
+        self.health_check_budget.earn();
+        self.shed_load(actions);
+        self.send_health_checks(id, actions);
+        self.dispatch_queue(actions);
+        // A client with little patience may be gone before the next tick (18f1f014: no answer in its time).
+        if self.cannot_meet_deadline(id) {
+            self.reject_or_fail(id, actions);
+        }
+    }
+
+    /// The request as it enters the queue; none if its class is unknown.
+    fn admit(&mut self, request: &Request) -> Option<QueuedRequest> {
+        let class = self.settings.classes.get(request.class)?;
+        let deadline_ms = if request.deadline_ms.is_finite() {
+            request.deadline_ms
+        } else {
+            self.now_ms + class.client_timeout_ms
+        };
+        self.last_arrival_number += 1;
+        let arrival_number = self.last_arrival_number;
+        if class.ordered_by_key && request.order_key != 0 {
+            self.order_keys
+                .insert(request.order_key, arrival_number, request.id);
+        }
+        // What lacks of its client's patience has passed: on an earlier attempt, or in a pause of this manager's
+        // (id20f69). Its objective runs from there. Harms where a class's clients differ in patience.
+        let patience_ms = (deadline_ms - self.now_ms).min(class.client_timeout_ms);
+        let statistics = &mut self.class_statistics[request.class];
+        let longest_patience_ms = statistics.record_patience(patience_ms);
+        Some(QueuedRequest {
+            arrival_number,
+            class: request.class,
+            order_key: request.order_key,
+            objective_from_ms: self.now_ms.min(deadline_ms - longest_patience_ms),
+            deadline_ms,
+            estimated_work_ms: request
+                .estimated_work_ms
+                .filter(|work| *work > 0.0 && *work < MAX_ESTIMATED_WORK_MS),
+            data_set: request.data_set,
+            estimated_memory_mb: request
+                .estimated_memory_mb
+                .filter(|memory| memory.is_finite() && *memory > 0.0),
+            attempts: 0,
+            max_attempts: request.max_attempts.unwrap_or(self.settings.max_attempts),
+            next_attempt_number: 0,
+            in_flight: None,
+            is_finished: false,
+            first_execution: None,
+            is_blocked: false,
+            failed_on: Vec::new(),
+            awaited_checks: AwaitedHealthChecks::default(),
+        })
+    }
+
+    /// Whether a waiting request earns no place any more: one in line once it would miss its latency objective, a
+    /// blocked one once it would miss its client's deadline.
+    pub(super) fn cannot_meet_deadline(&self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else {
+            return false;
+        };
+        if request.in_flight.is_some() {
+            return false;
+        }
+        let class = &self.settings.classes[request.class];
+        let run_ms = self.expected_work_ms(request) / f64::from(class.threads);
+        let left_ms = request.deadline_ms - END_MARGIN_MS - self.now_ms;
+        let mean_work_ms = self.class_statistics[request.class].mean_work_ms();
+        if left_ms <= run_ms.min(mean_work_ms * MAX_DEADLINE_WORK_MULTIPLE) {
+            return true;
+        }
+        if request.attempts > 0 && !self.may_resend(id) {
+            return true;
+        }
+        let objective_ms = class.latency_objective_ms + class.objective_work_factor * run_ms;
+        let expected_end_ms = self.now_ms + run_ms * self.slowdown.usual();
+        !request.is_blocked && expected_end_ms > request.objective_from_ms + objective_ms
+    }
+
+    /// Rejects requests of the least weight for their work, while the backlog is larger than the most urgent class
+    /// bears.
+    pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
+        loop {
+            let backlog = self.backlog();
+            let wait_ms = backlog.work_ms / self.service_rate();
+            let is_too_long = wait_ms > backlog.slack_ms * BACKLOG_SHARE && self.queue.len() > 1;
+            let Some(candidate) = backlog.cheapest.filter(|_| is_too_long) else {
+                return;
+            };
+            self.reject_or_fail(candidate.id, actions);
+        }
+    }
+
+    /// The requests that wait in line; blocked ones do not count.
+    fn backlog(&self) -> Backlog {
+        let mut backlog = Backlog {
+            work_ms: 0.0,
+            slack_ms: f64::INFINITY,
+            cheapest: None,
+        };
+        let usual_slowdown = self.slowdown.usual();
+        for id in self.queue.values().copied() {
+            let request = &self.requests[&id];
+            if request.is_blocked {
+                continue;
+            }
+            let class = &self.settings.classes[request.class];
+            let work_ms = self.expected_work_ms(request);
+            backlog.work_ms += work_ms;
+            let mean_work_ms = self.class_statistics[request.class].mean_work_ms();
+            let run_ms = mean_work_ms / self.threads(request.class);
+            let spare_factor = class.objective_work_factor - usual_slowdown;
+            let slack_ms = class.latency_objective_ms + spare_factor * run_ms;
+            backlog.slack_ms = backlog.slack_ms.min(slack_ms);
+            let weight_density = class.priority_weight / work_ms;
+            let is_cheapest = backlog
+                .cheapest
+                .is_none_or(|cheapest| weight_density <= cheapest.weight_density);
+            if is_cheapest && self.may_reject(request) {
+                backlog.cheapest = Some(SheddingCandidate { weight_density, id });
+            }
+        }
+        backlog
+    }
+
+    /// Whether the client may be told to try again: it never ran, or a repeat does no harm on any engine.
+    fn may_reject(&self, request: &QueuedRequest) -> bool {
+        let class = &self.settings.classes[request.class];
+        let is_repeatable_anywhere = matches!(
+            class.idempotency,
+            Idempotency::Idempotent | Idempotency::WithKey(DedupScope::All)
+        );
+        request.first_execution.is_none() || is_repeatable_anywhere
+    }
+
+    /// Gives the final answer at once: rejected with a `Retry-After` where the rules allow, else failed.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let client_waits = self.now_ms < request.deadline_ms;
+        // What several engines failed would only come back as it is.
+        let fails_everywhere = request.failed_on.len() >= MAX_FAILING_ENGINES;
+        if self.may_reject(request) && client_waits && !fails_everywhere {
+            let retry_after_ms = self.retry_after_ms();
+            actions.push(Action::Reject { id, retry_after_ms });
+        } else {
+            actions.push(Action::Fail { id });
+        }
+        self.finish(id);
+    }
+
+    /// `Retry-After` in ms: twice the time that the queue takes.
+    fn retry_after_ms(&self) -> f64 {
+        let queued_work_ms: f64 = self
+            .queue
+            .values()
+            .map(|id| self.expected_work_ms(&self.requests[id]))
+            .sum();
+        (RETRY_AFTER_BACKLOGS * queued_work_ms / self.service_rate())
+            .max(MIN_RETRY_AFTER_MS)
+            .min(self.settings.max_retry_after_ms)
+    }
+}
--- /dev/null
+++ b/src/decision/attempt_end.rs
@@ -0,0 +1,255 @@
+//! The end of an attempt: what it teaches of its engine and class, and what becomes of its request.
+
+use super::concurrency_limit::{
+    ENGINE_MIN_INTERVALS, FitRule, FitSample, POOLED_MIN_INTERVALS, START_THREADS_PER_CORE,
+};
+use super::requests::{FirstExecution, InFlightAttempt};
+use super::{Action, AttemptEnded, Dispatcher, Engine, EngineId, Millis, Outcome, RequestId};
+use super::{TICK_MS, class_statistics::MIN_WORK_MS};
+
+/// Least latency of an attempt that is learned from, in ms.
+const MIN_ELAPSED_MS: Millis = 0.1;
+/// Bounds of a log ratio of latency over work.
+const MIN_LOG_SLOWDOWN: f64 = -3.0;
+const MAX_LOG_SLOWDOWN: f64 = 5.0;
+/// A giant's time counts for so many times its usual time in the fit.
+const MAX_FIT_TIME_MULTIPLE: f64 = 4.0;
+
+/// A served attempt, and what is needed to learn from it.
+struct ServedAttempt {
+    attempt: InFlightAttempt,
+    class: usize,
+    /// Whether the client estimated its work.
+    has_estimate: bool,
+    elapsed_ms: Millis,
+    /// The work it needed, where answers tell that.
+    measured_work_ms: Option<f64>,
+    /// Threads a core on its engine, 1 at least.
+    crowding: f64,
+}
+
+/// Whether the engine may have run the attempt.
+fn may_have_run(outcome: Outcome) -> bool {
+    matches!(
+        outcome,
+        Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+    )
+}
+
+/// A measured figure, if it makes sense.
+fn sane(figure: Option<f64>) -> Option<f64> {
+    figure.filter(|figure| figure.is_finite() && *figure > 0.0)
+}
+
+impl Dispatcher {
+    /// Takes the end of an attempt: its request is finished, waits for a retry, or gets its final answer.
+    pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
+        let id = ended.id;
+        let crowding = self.crowding(ended.engine);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = request.in_flight.take() else {
+            return;
+        };
+        let served = ServedAttempt {
+            class: request.class,
+            has_estimate: request.estimated_work_ms.is_some(),
+            elapsed_ms: ended.elapsed_ms,
+            measured_work_ms: ended.measured_work_ms,
+            crowding,
+            attempt,
+        };
+        let is_finished = request.is_finished || ended.answered;
+        let arrival_number = request.arrival_number;
+        self.learn_memory(id, ended.measured_memory_mb);
+        self.release_engine(id, &served.attempt, ended.outcome);
+        self.pause_order_key(id, ended.outcome);
+        self.apply_outcome(id, &served, ended.outcome, actions);
+        if is_finished || ended.outcome == Outcome::Ok {
+            return self.finish(id);
+        }
+        // It keeps its place in the order of arrival.
+        self.queue.insert(arrival_number, id);
+        let cannot_go_on = ended.outcome == Outcome::NotSent || !self.may_resend(id);
+        if cannot_go_on || self.cannot_meet_deadline(id) {
+            return self.reject_or_fail(id, actions);
+        }
+        self.send_health_checks(id, actions);
+    }
+
+    /// Threads a core on an engine, 1 at least.
+    fn crowding(&self, engine_id: EngineId) -> f64 {
+        self.engines.get(&engine_id).map_or(1.0, |engine| {
+            (self.load(engine) / self.cores(engine)).max(1.0)
+        })
+    }
+
+    fn learn_memory(&mut self, id: RequestId, measured_memory_mb: Option<f64>) {
+        let request = &self.requests[&id];
+        let estimated_mb = request.estimated_memory_mb;
+        if let (Some(measured_mb), Some(estimated_mb)) = (sane(measured_memory_mb), estimated_mb) {
+            let statistics = &mut self.class_statistics[request.class];
+            statistics
+                .memory_error
+                .record((measured_mb / estimated_mb).ln());
+        }
+    }
+
+    /// Takes an ended attempt off its engine, and notes where the request may have run first.
+    fn release_engine(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else {
+            return;
+        };
+        let threads = self.settings.classes[request.class].threads;
+        engine.own_threads = engine.own_threads.saturating_sub(threads);
+        self.running_threads -= f64::from(threads);
+        engine.running.remove(&id);
+        if may_have_run(outcome) && request.first_execution.is_none() {
+            request.first_execution = Some(FirstExecution {
+                zone: engine.entry.zone,
+                cell: engine.entry.cell,
+                sent_at_ms: attempt.sent_at_ms,
+            });
+        }
+    }
+
+    /// Lets the request's order key rest, where the attempt may still run.
+    fn pause_order_key(&mut self, id: RequestId, outcome: Outcome) {
+        if may_have_run(outcome) && outcome != Outcome::Error {
+            let order_key = self.requests[&id].order_key;
+            let until_ms = self.now_ms + self.settings.order_key_pause_ms;
+            self.order_keys.pause(order_key, until_ms);
+        }
+    }
+
+    /// What the outcome tells of the engine.
+    fn apply_outcome(
+        &mut self,
+        id: RequestId,
+        served: &ServedAttempt,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let engine_id = served.attempt.engine;
+        match outcome {
+            Outcome::Ok => {
+                self.learn(served);
+                self.record_success(engine_id, actions);
+                if let Some(engine) = self.engines.get_mut(&engine_id) {
+                    engine.outlier.record_served();
+                }
+                self.attribute_errors(id, actions);
+            }
+            Outcome::Error => {
+                if let Some(engine) = self.engines.get_mut(&engine_id) {
+                    engine.outlier.record_error(self.now_ms);
+                }
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.failed_on.push(engine_id);
+                }
+            }
+            Outcome::Rejected => {
+                if let Some(engine) = self.engines.get_mut(&engine_id) {
+                    engine.outlier.eject(self.now_ms);
+                }
+                self.mark_saturated(engine_id);
+            }
+            Outcome::NoConnection => self.record_failure(engine_id, "no_connection", actions),
+            Outcome::NoConnectionSlot => self.on_no_connection_slot(id, engine_id),
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    /// The attempt was none. An engine with a query has a connection; for a tick no other engine is reached.
+    fn on_no_connection_slot(&mut self, id: RequestId, engine_id: EngineId) {
+        let until_ms = self.now_ms + TICK_MS;
+        for engine in self.engines.values_mut() {
+            if engine.running.is_empty() || engine.entry.engine == engine_id {
+                engine.failures.pause_until(until_ms);
+            }
+        }
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts -= 1;
+        }
+    }
+
+    /// Learns from a served attempt: the class's work, the engine's latency, the output of the fits' intervals.
+    fn learn(&mut self, served: &ServedAttempt) {
+        if !served.elapsed_ms.is_finite() {
+            return;
+        }
+        let attempt = &served.attempt;
+        let thread_time_ms = served.elapsed_ms.max(MIN_ELAPSED_MS) * self.threads(served.class);
+        let measured_work_ms = sane(served.measured_work_ms);
+        self.work_is_measured |= measured_work_ms.is_some();
+        let work_ms = measured_work_ms.unwrap_or(attempt.work_ms);
+        let log_slowdown = (thread_time_ms / work_ms.max(MIN_WORK_MS))
+            .ln()
+            .clamp(MIN_LOG_SLOWDOWN, MAX_LOG_SLOWDOWN);
+        // A served query's estimate counts: anyone may send one, but engines serve no nonsense.
+        let statistics = &mut self.class_statistics[served.class];
+        if served.has_estimate {
+            statistics.record_work(attempt.estimated_work_ms);
+            // Measured work tells the estimate's error, else latency against all others'.
+            let unexplained = log_slowdown - self.slowdown.log_ratio();
+            let error = measured_work_ms.map_or(unexplained, |measured| {
+                (measured / attempt.estimated_work_ms).ln()
+            });
+            statistics.work_error.record(error);
+        } else {
+            let uncrowded_ms = thread_time_ms / served.crowding;
+            statistics.record_work(measured_work_ms.unwrap_or(uncrowded_ms));
+        }
+        self.served_work.record(work_ms);
+        self.slowdown.record(log_slowdown);
+        if let Some(engine) = self.engines.get_mut(&attempt.engine) {
+            let log_crowding = served.crowding.ln();
+            engine.slowdown.record(log_slowdown, log_crowding);
+            self.learn_limit(served, thread_time_ms, work_ms);
+        }
+    }
+
+    /// Adds a served attempt to its engine's fit, and to one pooled over all engines for those with few of their own.
+    ///
+    /// It adds the threads while it ran and their output; an attempt without an answer leaves no trace.
+    fn learn_limit(&mut self, served: &ServedAttempt, thread_time_ms: f64, work_ms: f64) {
+        let threads = self.threads(served.class);
+        let start = served.attempt.threads_at_start;
+        let engine = &self.engines[&served.attempt.engine];
+        let own_threads = (start.own + f64::from(engine.own_threads) + threads) / 2.0;
+        let all_per_core_now = (self.load(engine) + threads) / self.cores(engine);
+        let all_per_core = (start.all_per_core + all_per_core_now) / 2.0;
+        let warm_cores = engine.warm_cores;
+        let usual_ms = MAX_FIT_TIME_MULTIPLE * work_ms * self.slowdown.usual();
+        let thread_time_ms = thread_time_ms.min(usual_ms);
+        let pooled_sample = FitSample {
+            threads_ratio: all_per_core / START_THREADS_PER_CORE,
+            thread_time_ms,
+            work_ms,
+        };
+        let pooled_rule = FitRule {
+            min_intervals: POOLED_MIN_INTERVALS,
+            step: threads / START_THREADS_PER_CORE / warm_cores,
+        };
+        self.pooled_limit
+            .add_sample(&pooled_sample, &pooled_rule, self.now_ms);
+        let is_warm = |engine: &&mut Engine| engine.is_warm(self.now_ms);
+        let engine = self.engines.get_mut(&served.attempt.engine);
+        if let Some(engine) = engine.filter(is_warm) {
+            let sample = FitSample {
+                threads_ratio: own_threads / engine.limit.start(),
+                thread_time_ms,
+                work_ms,
+            };
+            let rule = FitRule {
+                min_intervals: ENGINE_MIN_INTERVALS,
+                step: threads / engine.limit.start(),
+            };
+            engine.limit.add_sample(&sample, &rule, self.now_ms);
+        }
+    }
+}
--- /dev/null
+++ b/src/decision/concurrency_limit.rs
@@ -0,0 +1,211 @@
+//! The concurrency limit of an engine: a bound on threads at the peak of a fading parabola fit.
+//!
+//! After Heiss and Wagner, "Adaptive Load Control in Transaction Processing Systems". The served work is fitted against
+//! the running threads; `docs/design.md` describes the method.
+
+use super::{Dispatcher, Engine, Millis};
+
+/// Outcomes that close an interval. Not a hundred: an engine gives one workload manager some ten a second.
+const INTERVAL_OUTCOMES: u32 = 25;
+/// Shortest interval in ms, as in the design.
+const INTERVAL_MIN_MS: f64 = 1000.0;
+/// Share of its weight that an old interval keeps with each new one: about twenty are remembered.
+const INTERVAL_FADE: f64 = 0.95;
+/// Faded intervals before an engine's own fit is used: fewer fit any noise.
+pub(super) const ENGINE_MIN_INTERVALS: f64 = 8.0;
+/// The same for the fit over all engines, whose intervals span many engines.
+pub(super) const POOLED_MIN_INTERVALS: f64 = 3.5;
+/// Determinant over the product of its diagonal below which a fit counts as singular.
+const SINGULAR_DETERMINANT: f64 = 1e-5;
+/// Least time of an interval in ms, against division by zero.
+const MIN_INTERVAL_TIME_MS: f64 = 1e-9;
+/// Threads a core at the start, as in the design.
+pub(super) const START_THREADS_PER_CORE: f64 = 2.0;
+/// The limit's lower bound, in shares of its start value.
+const MIN_LIMIT_SHARE: f64 = 0.5;
+/// The limit's upper bound, in multiples of its start value.
+const MAX_LIMIT_MULTIPLE: f64 = 4.0;
+
+/// One served attempt, as the fit takes it.
+pub(super) struct FitSample {
+    /// Mean threads while it ran, against the start value.
+    pub(super) threads_ratio: f64,
+    /// Time of its threads, in ms.
+    pub(super) thread_time_ms: f64,
+    /// Its work, in ms.
+    pub(super) work_ms: f64,
+}
+
+/// How a fit sets the limit anew.
+pub(super) struct FitRule {
+    /// Faded intervals before the fit is used.
+    pub(super) min_intervals: f64,
+    /// Change of the limit where the parabola has no peak, in shares of the start value.
+    pub(super) step: f64,
+}
+
+/// Sums of the interval that is still open.
+#[derive(Default)]
+struct OpenInterval {
+    thread_time_ms: f64,
+    /// Thread time, each part multiplied by the threads' ratio.
+    weighted_thread_time: f64,
+    /// Work, each part multiplied by the threads' ratio.
+    weighted_work: f64,
+    outcomes: u32,
+    started_at_ms: Millis,
+}
+
+impl OpenInterval {
+    fn starting_at(started_at_ms: Millis) -> Self {
+        OpenInterval {
+            started_at_ms,
+            ..OpenInterval::default()
+        }
+    }
+
+    fn add(&mut self, sample: &FitSample) {
+        self.thread_time_ms += sample.thread_time_ms;
+        self.weighted_thread_time += sample.thread_time_ms * sample.threads_ratio;
+        self.weighted_work += sample.work_ms * sample.threads_ratio;
+        self.outcomes += 1;
+    }
+
+    fn is_full(&self, now_ms: Millis) -> bool {
+        self.outcomes >= INTERVAL_OUTCOMES && now_ms - self.started_at_ms >= INTERVAL_MIN_MS
+    }
+}
+
+/// Linear and quadratic coefficients of the least-squares parabola.
+struct Parabola {
+    slope: f64,
+    curvature: f64,
+}
+
+/// Faded moments of pairs of threads and served work, the open interval, and the limit that follows from them.
+#[derive(Default)]
+pub(super) struct ParabolaFit {
+    /// Faded sums of the powers 0 to 4 of the threads' ratio.
+    thread_powers: [f64; 5],
+    /// Faded sums of the powers 0 to 2 of the threads' ratio, each times the served work.
+    work_moments: [f64; 3],
+    interval: OpenInterval,
+    start: f64,
+    limit: f64,
+    stepping_up: bool,
+    last_output: f64,
+}
+
+impl ParabolaFit {
+    /// A fit without samples, whose limit is `start` threads.
+    pub(super) fn new(start: f64, now_ms: Millis) -> Self {
+        ParabolaFit {
+            interval: OpenInterval::starting_at(now_ms),
+            start,
+            limit: start,
+            stepping_up: true,
+            ..ParabolaFit::default()
+        }
+    }
+
+    /// The start value, in threads.
+    pub(super) fn start(&self) -> f64 {
+        self.start
+    }
+
+    /// The concurrency limit, in the unit of the start value.
+    pub(super) fn limit(&self) -> f64 {
+        self.limit
+    }
+
+    /// Adds a served attempt. A full interval fades the earlier ones and sets the limit anew.
+    pub(super) fn add_sample(&mut self, sample: &FitSample, rule: &FitRule, now_ms: Millis) {
+        self.interval.add(sample);
+        if !self.interval.is_full(now_ms) {
+            return;
+        }
+        let time = self.interval.thread_time_ms.max(MIN_INTERVAL_TIME_MS);
+        let threads = self.interval.weighted_thread_time / time;
+        let output = self.interval.weighted_work / time;
+        self.add_interval(threads, output);
+        let rose = output > self.last_output;
+        self.last_output = output;
+        self.interval = OpenInterval::starting_at(now_ms);
+        let intervals = self.thread_powers[0];
+        if intervals >= rule.min_intervals {
+            self.update_limit(rose, rule.step);
+        }
+    }
+
+    fn add_interval(&mut self, threads: f64, output: f64) {
+        let powers = [
+            1.0,
+            threads,
+            threads * threads,
+            threads.powi(3),
+            threads.powi(4),
+        ];
+        for (sum, power) in self.thread_powers.iter_mut().zip(powers) {
+            *sum = *sum * INTERVAL_FADE + power;
+        }
+        for (sum, power) in self.work_moments.iter_mut().zip(powers) {
+            *sum = *sum * INTERVAL_FADE + power * output;
+        }
+    }
+
+    fn update_limit(&mut self, rose: bool, step: f64) {
+        let Some(Parabola { slope, curvature }) = self.solve() else {
+            return;
+        };
+        let highest = self.start * MAX_LIMIT_MULTIPLE;
+        if curvature < 0.0 {
+            let peak = -slope / (2.0 * curvature) * self.start;
+            self.limit = peak.clamp(self.start * MIN_LIMIT_SHARE, highest);
+            return;
+        }
+        // Without a peak: step on in the direction that last raised the output, never below the start.
+        self.stepping_up = self.stepping_up == rose;
+        let signed_step = if self.stepping_up { step } else { -step };
+        self.limit = (self.limit + signed_step * self.start).clamp(self.start, highest);
+    }
+
+    /// The least-squares parabola by Cramer's rule; none where the samples lie too close together.
+    fn solve(&self) -> Option<Parabola> {
+        let [s0, s1, s2, s3, s4] = self.thread_powers;
+        let [t0, t1, t2] = self.work_moments;
+        // Cofactors of the symmetric matrix of the moments, named by row and column.
+        let c00 = s2 * s4 - s3 * s3;
+        let c01 = s1 * s4 - s2 * s3;
+        let c02 = s1 * s3 - s2 * s2;
+        let c11 = s0 * s4 - s2 * s2;
+        let c12 = s0 * s3 - s1 * s2;
+        let c22 = s0 * s2 - s1 * s1;
+        let determinant = s0 * c00 - s1 * c01 + s2 * c02;
+        let is_regular = determinant.abs() > SINGULAR_DETERMINANT * s0 * s2 * s4;
+        is_regular.then(|| Parabola {
+            slope: (-c01 * t0 + c11 * t1 - c12 * t2) / determinant,
+            curvature: (c02 * t0 - c12 * t1 + c22 * t2) / determinant,
+        })
+    }
+}
+
+impl Dispatcher {
+    /// Whether a class's threads fit under the engine's limit.
+    ///
+    /// Where this manager's share of an engine is less than the widest query, its threads on all engines have to fit
+    /// under all their limits, or the engine's reported threads under all managers' limits: a manager that holds back
+    /// everything gets no more news (ecd87ede).
+    pub(super) fn within_concurrency_limit(&self, class: usize, engine: &Engine) -> bool {
+        let threads = self.threads(class);
+        // Busy cores say nothing of queries that wait there for memory or a load: only counts will do.
+        let engine_limit = START_THREADS_PER_CORE * self.pooled_limit.limit() * self.cores(engine);
+        let fits_reported =
+            self.reports_count_queries && self.load(engine) + threads <= engine_limit;
+        let own_limit =
+            self.fleet_share_threads * self.traffic_weight() * self.pooled_limit.limit();
+        let fits_own = self.running_threads + threads <= own_limit.max(self.max_class_threads);
+        let fits_engine = f64::from(engine.own_threads) + threads <= engine.limit.limit();
+        let share_holds_widest = engine.share_threads >= self.max_class_threads;
+        fits_engine && (share_holds_widest || fits_reported || fits_own)
+    }
+}
--- /dev/null
+++ b/src/decision/dispatch.rs
@@ -0,0 +1,146 @@
+//! The queue and its dispatch: waiting requests leave oldest first, each to the engine that costs least.
+
+use super::requests::{InFlightAttempt, QueuedRequest, ThreadsAtStart};
+use super::{Action, Dispatcher, Engine, EngineId, RequestId};
+
+/// Half-spreads over the usual memory that are granted: four in five queries do not spill.
+const MEMORY_GRANT_SPREADS: f64 = 1.3;
+/// The usual priority of an attempt.
+const USUAL_PRIORITY: u8 = 1;
+
+impl Dispatcher {
+    /// Sends waiting requests while the oldest one fits. Those held back by their order key, their placement or a guard
+    /// are passed by.
+    pub(super) fn dispatch_queue(&mut self, actions: &mut Vec<Action>) {
+        let waiting: Vec<RequestId> = self.queue.values().copied().collect();
+        for id in waiting {
+            let request = &self.requests[&id];
+            if self.awaits_health_checks(&request.awaited_checks) {
+                break;
+            }
+            let candidates = self.candidates(id, request);
+            if let Some(engine) = self.cheapest_engine(request, &candidates) {
+                self.send(id, engine, actions);
+                continue;
+            }
+            let waits_for_capacity = !candidates.is_empty();
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.is_blocked = !waits_for_capacity;
+            }
+            if waits_for_capacity {
+                break;
+            }
+        }
+    }
+
+    /// The engines that the rules let a request go to now, whether they have capacity or not.
+    fn candidates(&self, id: RequestId, request: &QueuedRequest) -> Vec<&Engine> {
+        let may_start = request.attempts == 0 || self.within_retry_budget() && self.may_resend(id);
+        if !may_start || !self.is_next_for_order_key(id, request) {
+            return Vec::new();
+        }
+        self.engines
+            .values()
+            .filter(|engine| self.is_eligible(request, engine))
+            .filter(|engine| self.slow_start_allows(request, engine))
+            .collect()
+    }
+
+    /// The engine with capacity where the request costs least. The concurrency limit binds only under pressure.
+    fn cheapest_engine(&self, request: &QueuedRequest, candidates: &[&Engine]) -> Option<EngineId> {
+        let affinity = self.affinity_engines(request);
+        candidates
+            .iter()
+            .filter(|engine| {
+                let has_capacity = self.within_concurrency_limit(request.class, engine);
+                has_capacity || !self.is_under_pressure(engine)
+            })
+            .map(|engine| {
+                let cost = self.placement_cost(request, engine, &affinity);
+                (cost, engine.entry.engine)
+            })
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .map(|(_, engine)| engine)
+    }
+
+    fn send(&mut self, id: RequestId, engine_id: EngineId, actions: &mut Vec<Action>) {
+        let request = &self.requests[&id];
+        let (class, is_retry) = (request.class, request.attempts > 0);
+        let work_ms = self.expected_work_ms(request);
+        let threads = self.threads(class);
+        let usual_run_ms = self.class_statistics[class].mean_work_ms() / threads;
+        self.threads_per_query.record(threads, usual_run_ms);
+        if is_retry {
+            self.retry_window.record_retry(self.now_ms);
+        }
+        let Some(threads_at_start) = self.occupy_engine(id, engine_id, class, work_ms) else {
+            return;
+        };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.in_flight = Some(InFlightAttempt {
+            number: request.next_attempt_number,
+            engine: engine_id,
+            sent_at_ms: self.now_ms,
+            work_ms,
+            estimated_work_ms: request.estimated_work_ms.unwrap_or(work_ms),
+            threads_at_start,
+            is_cancelling: false,
+            is_streaming: false,
+        });
+        request.attempts += 1;
+        request.next_attempt_number = request.next_attempt_number.saturating_add(1);
+        request.is_blocked = false;
+        let estimated_memory_mb = request.estimated_memory_mb;
+        self.queue.remove(&request.arrival_number);
+        if let Some(memory_mb) = self.memory_grant_mb(class, estimated_memory_mb) {
+            actions.push(Action::SetAttemptTerms {
+                id,
+                memory_mb,
+                priority: USUAL_PRIORITY,
+            });
+        }
+        actions.push(Action::StartAttempt {
+            id,
+            engine: engine_id,
+            timeout_ms: None,
+        });
+    }
+
+    /// Counts an attempt on its engine.
+    fn occupy_engine(
+        &mut self,
+        id: RequestId,
+        engine_id: EngineId,
+        class: usize,
+        work_ms: f64,
+    ) -> Option<ThreadsAtStart> {
+        let threads = self.settings.classes[class].threads;
+        let slow_start_work_ms = self.slow_start_work_ms(class, work_ms);
+        let engine = self.engines.get(&engine_id)?;
+        let all_per_core = (self.load(engine) + f64::from(threads)) / self.cores(engine);
+        let engine = self.engines.get_mut(&engine_id)?;
+        engine.own_threads += threads;
+        self.running_threads += f64::from(threads);
+        engine.running.insert(id);
+        let window_ms = self.settings.overload_window_ms;
+        engine
+            .slow_start
+            .record_send(self.now_ms, slow_start_work_ms, window_ms);
+        engine.failures.record_send(self.now_ms);
+        Some(ThreadsAtStart {
+            own: f64::from(engine.own_threads),
+            all_per_core,
+        })
+    }
+
+    /// Memory in MB that a request is granted, where engines heed it and the error of the estimates is known.
+    fn memory_grant_mb(&self, class: usize, estimated_memory_mb: Option<f64>) -> Option<f64> {
+        let error = &self.class_statistics[class].memory_error;
+        let estimated_mb = estimated_memory_mb?;
+        let is_used = self.settings.memory_grants_supported && error.is_established();
+        let log_factor = error.median() + MEMORY_GRANT_SPREADS * error.spread();
+        is_used.then(|| estimated_mb * log_factor.exp())
+    }
+}
--- /dev/null
+++ b/src/decision/engine.rs
@@ -0,0 +1,178 @@
+//! The engines: what is known of each, and how the endpoint list and manual ejections change it.
+
+use super::concurrency_limit::{ParabolaFit, START_THREADS_PER_CORE};
+use super::health_checks::FailureDetector;
+use super::load_estimate::EngineLoad;
+use super::outlier_ejection::OutlierState;
+use super::slow_start::SlowStart;
+use super::slowdown::EngineSlowdown;
+use super::{Dispatcher, EngineEntry, EngineId, EngineState, ListUpdateKind, Millis};
+use super::{RequestId, hash::mix};
+use std::collections::BTreeSet;
+
+/// One engine.
+#[derive(Default)]
+pub(super) struct Engine {
+    /// Its latest entry in the endpoint list.
+    pub(super) entry: EngineEntry,
+    /// Cores when warm.
+    pub(super) warm_cores: f64,
+    /// This manager's share of the concurrency limit's start value, in threads.
+    pub(super) share_threads: f64,
+    /// Threads of this manager's queries that run there.
+    pub(super) own_threads: u32,
+    /// The requests whose attempts run there.
+    pub(super) running: BTreeSet<RequestId>,
+    /// Hash of its id.
+    pub(super) hash: u64,
+    /// Whether staff have ejected it.
+    pub(super) is_manually_ejected: bool,
+    pub(super) slow_start: SlowStart,
+    pub(super) limit: ParabolaFit,
+    pub(super) slowdown: EngineSlowdown,
+    pub(super) load: EngineLoad,
+    pub(super) failures: FailureDetector,
+    pub(super) outlier: OutlierState,
+}
+
+impl Engine {
+    fn new(id: EngineId, start_threads: f64, now_ms: Millis, is_manually_ejected: bool) -> Self {
+        let EngineId { addr, port } = id;
+        let address = u64::from(u32::from_be_bytes(addr));
+        Engine {
+            hash: mix(address ^ u64::from(port) << 32),
+            is_manually_ejected,
+            limit: ParabolaFit::new(start_threads, now_ms),
+            failures: FailureDetector::new(now_ms),
+            ..Engine::default()
+        }
+    }
+
+    /// Forgets what was learned of the incarnation before, and starts slowly.
+    fn restart(
+        &mut self,
+        started_at_ms: Millis,
+        slow_start_ms: Millis,
+        start_threads: f64,
+        now_ms: Millis,
+    ) {
+        self.slow_start.begin(started_at_ms, slow_start_ms);
+        self.limit = ParabolaFit::new(start_threads, now_ms);
+        self.slowdown = EngineSlowdown::default();
+        self.load.forget();
+        self.failures.forget_failures();
+        self.outlier.forget_errors();
+    }
+
+    /// Whether it has its whole capacity.
+    pub(super) fn is_warm(&self, now_ms: Millis) -> bool {
+        self.slow_start.is_warm(now_ms)
+    }
+
+    /// Whether it is listed as ready and not ejected by staff.
+    pub(super) fn is_usable(&self) -> bool {
+        self.entry.state == EngineState::Ready && !self.is_manually_ejected
+    }
+
+    /// Whether a failure or an ejection keeps it from new work now.
+    pub(super) fn is_paused(&self, now_ms: Millis) -> bool {
+        let unavailable_until_ms = self.failures.unavailable_until_ms();
+        now_ms < unavailable_until_ms.max(self.outlier.ejected_until_ms())
+    }
+}
+
+impl Dispatcher {
+    /// Takes an update of the endpoint list.
+    pub(super) fn on_endpoint_list(&mut self, kind: ListUpdateKind, entries: Vec<EngineEntry>) {
+        match kind {
+            ListUpdateKind::PollFailed => {
+                self.list_polled = false;
+                return;
+            }
+            ListUpdateKind::Full | ListUpdateKind::Cached => self.remove_unlisted(&entries),
+            ListUpdateKind::Delta => {}
+        }
+        for entry in entries {
+            self.update_engine(entry);
+        }
+    }
+
+    fn remove_unlisted(&mut self, entries: &[EngineEntry]) {
+        let listed: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
+        for (id, engine) in &mut self.engines {
+            if !listed.contains(id) {
+                engine.entry.state = EngineState::Removed;
+            }
+        }
+    }
+
+    fn update_engine(&mut self, entry: EngineEntry) {
+        let now_ms = self.now_ms;
+        let cores = self.listed_cores(&entry);
+        let managers = self.settings.sharing(&entry).mean_managers;
+        let share_threads = cores * START_THREADS_PER_CORE / managers;
+        let start_threads = share_threads.max(self.max_class_threads);
+        let id = entry.engine;
+        let is_new = !self.engines.contains_key(&id);
+        let is_manually_ejected = self.manual_ejections.contains(&id);
+        let engine = self
+            .engines
+            .entry(id)
+            .or_insert_with(|| Engine::new(id, start_threads, now_ms, is_manually_ejected));
+        let started_at_ms = entry.started_at_ms;
+        let has_restarted = is_new || started_at_ms != engine.entry.started_at_ms;
+        if started_at_ms > 0.0 && has_restarted {
+            let slow_start_ms = self.settings.slow_start_ms;
+            engine.restart(started_at_ms, slow_start_ms, start_threads, now_ms);
+        }
+        engine.warm_cores = cores;
+        engine.share_threads = share_threads;
+        engine.entry = entry;
+    }
+
+    /// Cores of an engine: those of its machine type, else its listed size.
+    fn listed_cores(&self, entry: &EngineEntry) -> f64 {
+        let machine_type = usize::from(entry.machine_type);
+        let cores = self.settings.machine_type_cores.get(machine_type).copied();
+        let listed_size = if entry.nominal_capacity.is_finite() {
+            entry.nominal_capacity.max(1.0)
+        } else {
+            1.0
+        };
+        cores.filter(|cores| *cores > 0.0).unwrap_or(listed_size)
+    }
+
+    /// Takes a manual ejection or its end. No list, address or start of the engine undoes an ejection.
+    ///
+    /// An engine that is given back starts slowly: it was restarted meanwhile, and the list names that late or never.
+    pub(super) fn on_manual_ejection(&mut self, id: EngineId, is_ejected: bool, at_ms: Millis) {
+        let has_changed = if is_ejected {
+            self.manual_ejections.insert(id)
+        } else {
+            self.manual_ejections.remove(&id)
+        };
+        if !has_changed {
+            return;
+        }
+        let Some(engine) = self.engines.get_mut(&id) else {
+            return;
+        };
+        engine.is_manually_ejected = is_ejected;
+        if !is_ejected {
+            let start_threads = engine.limit.start();
+            engine.restart(
+                at_ms,
+                self.settings.slow_start_ms,
+                start_threads,
+                self.now_ms,
+            );
+        }
+    }
+
+    /// Forgets the engines that are gone from the list and run nothing any more.
+    pub(super) fn forget_removed_engines(&mut self) {
+        self.engines.retain(|_, engine| {
+            engine.entry.state != EngineState::Removed || !engine.running.is_empty()
+        });
+    }
+}
--- /dev/null
+++ b/src/decision/health_checks.rs
@@ -0,0 +1,272 @@
+//! Failure detection and health checks: which engines are down, and which are checked.
+
+use super::{Action, Dispatcher, EngineId, Millis, Outcome, RequestId, hash::mix};
+
+/// First pause after a failure, in ms.
+pub(super) const FIRST_PAUSE_MS: Millis = 250.0;
+/// Longest pause after a failure, in ms.
+const LONGEST_PAUSE_MS: Millis = 2000.0;
+/// Failures that still double the pause, against overflow.
+const MAX_PAUSE_FAILURES: u32 = 8;
+/// Failures in a row that count as down.
+const DOWN_FAILURES: u32 = 2;
+/// Time in ms without an answer from which an engine is unheard.
+const UNHEARD_MS: Millis = 1500.0;
+/// Least age in ms of an engine's news that is worth a health check.
+pub(super) const HEALTH_CHECK_INTERVAL_MS: Millis = 400.0;
+/// Health checks saved up at most, one earned with each request: a small fleet's round.
+const MAX_SAVED_CHECKS: f64 = 12.0;
+/// Saved health checks, as a share of the most, above which the whole fleet is checked.
+const FLEET_CHECK_SHARE: f64 = 0.5;
+/// Time in ms that a request waits for the health checks sent for it.
+const CHECK_WAIT_MS: Millis = 40.0;
+/// Affinity engines checked for a request.
+const CHECKED_AFFINITY_ENGINES: usize = 2;
+
+/// Whether an engine is down, from failures and answers.
+#[derive(Default)]
+pub(super) struct FailureDetector {
+    consecutive_failures: u32,
+    unavailable_until_ms: Millis,
+    last_heard_ms: Millis,
+    last_check_at_ms: Millis,
+    check_in_flight: bool,
+}
+
+impl FailureDetector {
+    /// The detector of an engine that is new to the list.
+    pub(super) fn new(now_ms: Millis) -> Self {
+        FailureDetector {
+            last_heard_ms: now_ms,
+            last_check_at_ms: f64::NEG_INFINITY,
+            ..FailureDetector::default()
+        }
+    }
+
+    /// When the pause after its latest failure ends; in the past if there is none.
+    pub(super) fn unavailable_until_ms(&self) -> Millis {
+        self.unavailable_until_ms
+    }
+
+    /// Whether it is down.
+    pub(super) fn is_down(&self) -> bool {
+        self.consecutive_failures >= DOWN_FAILURES
+    }
+
+    /// Whether nothing was heard of it for long.
+    pub(super) fn is_unheard(&self, now_ms: Millis) -> bool {
+        now_ms - self.last_heard_ms > UNHEARD_MS
+    }
+
+    /// Whether it failed and its pause is over.
+    pub(super) fn wants_check(&self, now_ms: Millis) -> bool {
+        self.consecutive_failures > 0 && now_ms >= self.unavailable_until_ms
+    }
+
+    /// Makes it unavailable until then at least.
+    pub(super) fn pause_until(&mut self, until_ms: Millis) {
+        self.unavailable_until_ms = self.unavailable_until_ms.max(until_ms);
+    }
+
+    /// A query is sent to it: if it failed before, the query is a trial, and nothing follows for a pause.
+    pub(super) fn record_send(&mut self, now_ms: Millis) {
+        if self.consecutive_failures > 0 {
+            self.unavailable_until_ms = now_ms + self.pause_ms();
+        }
+    }
+
+    /// Forgets all failures.
+    pub(super) fn forget_failures(&mut self) {
+        self.consecutive_failures = 0;
+        self.unavailable_until_ms = 0.0;
+    }
+
+    /// Takes an answer. Returns whether it was down.
+    fn record_success(&mut self, now_ms: Millis) -> bool {
+        self.last_heard_ms = now_ms;
+        let was_down = self.is_down();
+        self.forget_failures();
+        was_down
+    }
+
+    /// Takes a failure. Returns whether it has made the engine down. Where news is rare, one failure is enough.
+    fn record_failure(&mut self, now_ms: Millis) -> bool {
+        let was_down = self.is_down();
+        let failures = if self.is_unheard(now_ms) {
+            DOWN_FAILURES
+        } else {
+            1
+        };
+        self.consecutive_failures = self.consecutive_failures.saturating_add(failures);
+        self.unavailable_until_ms = now_ms + self.pause_ms();
+        !was_down && self.is_down()
+    }
+
+    fn pause_ms(&self) -> Millis {
+        let failures = self.consecutive_failures.clamp(1, MAX_PAUSE_FAILURES);
+        let doubled = FIRST_PAUSE_MS * f64::from(1u32 << failures) / 2.0;
+        doubled.min(LONGEST_PAUSE_MS)
+    }
+}
+
+/// Health checks that the traffic has earned and that are not spent yet.
+pub(super) struct HealthCheckBudget {
+    saved: f64,
+}
+
+impl Default for HealthCheckBudget {
+    fn default() -> Self {
+        HealthCheckBudget {
+            saved: MAX_SAVED_CHECKS,
+        }
+    }
+}
+
+impl HealthCheckBudget {
+    /// Each request earns one.
+    pub(super) fn earn(&mut self) {
+        self.saved = (self.saved + 1.0).min(MAX_SAVED_CHECKS);
+    }
+
+    /// Whether a check of the whole fleet is a small share of the traffic.
+    pub(super) fn covers_fleet(&self) -> bool {
+        self.saved > MAX_SAVED_CHECKS * FLEET_CHECK_SHARE
+    }
+
+    fn has_one(&self) -> bool {
+        self.saved >= 1.0
+    }
+
+    fn spend(&mut self) {
+        self.saved -= 1.0;
+    }
+}
+
+/// Health checks that a waiting request waits for.
+#[derive(Default)]
+pub(super) struct AwaitedHealthChecks {
+    engines: Vec<EngineId>,
+    until_ms: Millis,
+}
+
+impl Dispatcher {
+    /// Takes the end of a health check.
+    pub(super) fn on_health_check_ended(
+        &mut self,
+        engine_id: EngineId,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(engine) = self.engines.get_mut(&engine_id) {
+            engine.failures.check_in_flight = false;
+        }
+        match outcome {
+            Outcome::Ok => self.record_success(engine_id, actions),
+            Outcome::Rejected | Outcome::NotSent => {}
+            _ => self.record_failure(engine_id, "probe", actions),
+        }
+    }
+
+    /// Whether a request still waits for health checks that were sent for it.
+    pub(super) fn awaits_health_checks(&self, awaited: &AwaitedHealthChecks) -> bool {
+        let is_in_flight = |engine_id: &EngineId| {
+            let engine = self.engines.get(engine_id);
+            engine.is_some_and(|engine| engine.failures.check_in_flight)
+        };
+        self.now_ms < awaited.until_ms && awaited.engines.iter().any(is_in_flight)
+    }
+
+    /// Checks the engines that a request may be sent to and that were not heard of lately: two that prefer its data set
+    /// and one by chance. Where own answers bring the news, none is due.
+    pub(super) fn send_health_checks(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let is_waiting = request.in_flight.is_none() && !request.is_finished;
+        if !self.settings.health_checks_allowed || !is_waiting {
+            return;
+        }
+        let eligible: Vec<EngineId> = self
+            .engines
+            .values()
+            .filter(|engine| self.is_eligible(request, engine))
+            .map(|engine| engine.entry.engine)
+            .collect();
+        let random = mix(self.seed ^ self.now_ms.to_bits() ^ request.arrival_number) as usize;
+        let mut checked: Vec<EngineId> = self
+            .affinity_engines(request)
+            .into_iter()
+            .filter(|engine_id| eligible.contains(engine_id))
+            .take(CHECKED_AFFINITY_ENGINES)
+            .collect();
+        checked.extend(eligible.get(random % eligible.len().max(1)));
+        let now_ms = self.now_ms;
+        checked.retain(|engine_id| {
+            let engine = self.engines.get(engine_id);
+            let is_stale =
+                engine.is_some_and(|e| e.load.report_age_ms(now_ms) >= HEALTH_CHECK_INTERVAL_MS);
+            is_stale && self.send_health_check(*engine_id, actions)
+        });
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.awaited_checks = AwaitedHealthChecks {
+                engines: checked,
+                until_ms: now_ms + CHECK_WAIT_MS,
+            };
+        }
+    }
+
+    /// Checks an engine that was not checked lately, if a health check is saved. Returns whether it did.
+    pub(super) fn send_health_check(
+        &mut self,
+        engine_id: EngineId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        if !self.settings.health_checks_allowed || !self.health_check_budget.has_one() {
+            return false;
+        }
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return false;
+        };
+        let since_last_ms = self.now_ms - engine.failures.last_check_at_ms;
+        if !engine.is_usable() || since_last_ms < HEALTH_CHECK_INTERVAL_MS {
+            return false;
+        }
+        self.health_check_budget.spend();
+        engine.failures.last_check_at_ms = self.now_ms;
+        engine.failures.check_in_flight = true;
+        actions.push(Action::SendHealthCheck { engine: engine_id });
+        true
+    }
+
+    /// An engine has answered.
+    pub(super) fn record_success(&mut self, engine_id: EngineId, actions: &mut Vec<Action>) {
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
+        if engine.failures.record_success(self.now_ms) {
+            engine
+                .slow_start
+                .begin_recovery(self.now_ms, self.settings.slow_start_ms);
+            actions.push(Action::Log {
+                line: format!("engine={engine_id} state=back why=answered"),
+            });
+        }
+    }
+
+    /// An engine could not be reached.
+    pub(super) fn record_failure(
+        &mut self,
+        engine_id: EngineId,
+        reason: &str,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
+        if engine.failures.record_failure(self.now_ms) {
+            actions.push(Action::Log {
+                line: format!("engine={engine_id} state=down why={reason}"),
+            });
+        }
+    }
+}
--- /dev/null
+++ b/src/decision/load_estimate.rs
@@ -0,0 +1,179 @@
+//! Load estimates: threads that run on each engine, own and others', from its load reports.
+
+use super::concurrency_limit::START_THREADS_PER_CORE;
+use super::health_checks::HEALTH_CHECK_INTERVAL_MS;
+use super::slowdown::{LATENCY_GAIN, PRESSURE_BUSY_SHARE};
+use super::{Dispatcher, Engine, EngineId, LoadReport, Millis, class_statistics::WORK_GAIN};
+
+/// Gain of one report; reports are noisy, and refreshed a few times a second.
+const REPORT_GAIN: f64 = 0.3;
+/// Time constant in ms with which a report fades into the fleet's mean.
+const REPORT_FADE_MS: Millis = 2000.0;
+
+/// Gain that forgets more the longer the last report is ago.
+fn aged_gain(least: f64, age_ms: Millis, time_constant_ms: Millis) -> f64 {
+    least.max(1.0 - (-age_ms / time_constant_ms).exp())
+}
+
+/// A reported figure, if it makes sense.
+fn sane(figure: Option<f64>) -> Option<f64> {
+    figure.filter(|figure| figure.is_finite() && *figure >= 0.0)
+}
+
+/// What one engine's load reports tell.
+pub(super) struct EngineLoad {
+    /// Threads of other managers' queries, as a moving mean.
+    other_threads: f64,
+    /// Share of its cores busy, as a moving mean.
+    busy_share: f64,
+    last_report_at_ms: Millis,
+}
+
+impl Default for EngineLoad {
+    fn default() -> Self {
+        EngineLoad {
+            other_threads: 0.0,
+            busy_share: 0.0,
+            last_report_at_ms: f64::NEG_INFINITY,
+        }
+    }
+}
+
+impl EngineLoad {
+    /// The share of its cores busy.
+    pub(super) fn busy_share(&self) -> f64 {
+        self.busy_share
+    }
+
+    /// Time in ms since its last report.
+    pub(super) fn report_age_ms(&self, now_ms: Millis) -> Millis {
+        now_ms - self.last_report_at_ms
+    }
+
+    /// How much its last report still tells, from 1 down to 0; the rest is the fleet's mean.
+    pub(super) fn report_weight(&self, now_ms: Millis) -> f64 {
+        (-(now_ms - self.last_report_at_ms) / REPORT_FADE_MS).exp()
+    }
+
+    /// Takes the engine for crowded: others run this many threads there at least.
+    fn mark_saturated(&mut self, threads: f64, now_ms: Millis) {
+        self.other_threads = self.other_threads.max(threads);
+        self.last_report_at_ms = now_ms;
+    }
+
+    /// Forgets the load, but not when it was last reported.
+    pub(super) fn forget(&mut self) {
+        self.other_threads = 0.0;
+        self.busy_share = 0.0;
+    }
+}
+
+/// Mean load of the warm engines by other managers' queries.
+#[derive(Default)]
+pub(super) struct FleetLoad {
+    threads_per_core: f64,
+    last_report_at_ms: Millis,
+}
+
+impl FleetLoad {
+    fn record(&mut self, threads_per_core: f64, now_ms: Millis) {
+        let age_ms = now_ms - self.last_report_at_ms;
+        let gain = aged_gain(LATENCY_GAIN, age_ms, REPORT_FADE_MS);
+        self.threads_per_core += gain * (threads_per_core - self.threads_per_core);
+        self.last_report_at_ms = now_ms;
+    }
+}
+
+/// Threads that a query runs on, as a mean over the time of this manager's queries.
+#[derive(Default)]
+pub(super) struct ThreadsPerQuery {
+    /// Faded sum of threads times time.
+    thread_time_ms: f64,
+    /// Faded sum of time.
+    time_ms: f64,
+}
+
+impl ThreadsPerQuery {
+    /// Takes a query that is sent.
+    pub(super) fn record(&mut self, threads: f64, time_ms: f64) {
+        self.thread_time_ms += time_ms * threads - WORK_GAIN * self.thread_time_ms;
+        self.time_ms += time_ms - WORK_GAIN * self.time_ms;
+    }
+
+    fn mean(&self) -> f64 {
+        if self.time_ms > 0.0 {
+            self.thread_time_ms / self.time_ms
+        } else {
+            1.0
+        }
+    }
+}
+
+impl Dispatcher {
+    /// Threads on an engine: own ones, and others' as reported. With no reports, only latency tells of others'.
+    pub(super) fn load(&self, engine: &Engine) -> f64 {
+        let usual = if engine.is_warm(self.now_ms) {
+            self.fleet_load.threads_per_core * self.cores(engine)
+        } else {
+            0.0
+        };
+        let weight = engine.load.report_weight(self.now_ms);
+        f64::from(engine.own_threads) + usual + (engine.load.other_threads - usual) * weight
+    }
+
+    /// Takes an engine for crowded, as a report of it would.
+    pub(super) fn mark_saturated(&mut self, engine_id: EngineId) {
+        if let Some(engine) = self.engines.get_mut(&engine_id) {
+            let threads = engine.warm_cores * START_THREADS_PER_CORE * self.pooled_limit.limit();
+            engine.load.mark_saturated(threads, self.now_ms);
+        }
+    }
+
+    /// Takes an engine's load report.
+    pub(super) fn on_load_report(&mut self, engine_id: EngineId, report: LoadReport) {
+        // Hung queries hold memory while cores and disks idle: their engine must not look free (29742104).
+        let shares = [report.cpu_busy, report.disk_busy, report.memory_granted];
+        let busiest = shares.into_iter().filter_map(sane).reduce(f64::max);
+        let threads_per_query = self.threads_per_query.mean();
+        let full_threads_per_core = START_THREADS_PER_CORE * self.pooled_limit.limit();
+        let Some(engine) = self.engines.get_mut(&engine_id) else {
+            return;
+        };
+        let waiting = sane(report.memory_queue).unwrap_or(0.0) * threads_per_query;
+        let counted = sane(report.inflight)
+            .map(|queries| (queries - engine.running.len() as f64) * threads_per_query);
+        self.reports_count_queries |= counted.is_some();
+        // Busy cores or disks stand in for threads; at the ceiling, where more do not show, for all that fit.
+        let from_busy = busiest.map(|busy| {
+            let per_core = if busy < PRESSURE_BUSY_SHARE {
+                busy
+            } else {
+                full_threads_per_core
+            };
+            engine.warm_cores * per_core - f64::from(engine.own_threads) + waiting
+        });
+        let Some(other_threads) = counted.or(from_busy) else {
+            return;
+        };
+        let age_ms = engine.load.report_age_ms(self.now_ms);
+        let gain = aged_gain(REPORT_GAIN, age_ms, HEALTH_CHECK_INTERVAL_MS);
+        engine.load.last_report_at_ms = self.now_ms;
+        if self.settings.instances > 1 {
+            let other_threads = other_threads.max(0.0);
+            engine.load.other_threads += gain * (other_threads - engine.load.other_threads);
+            // An engine that has just started answers soonest, and would hide the crowded ones.
+            if engine.is_warm(self.now_ms) {
+                let per_core = other_threads / engine.warm_cores;
+                self.fleet_load.record(per_core, self.now_ms);
+            }
+        }
+        // Where queries are counted, the other shares tell nothing more.
+        let busy = if counted.is_some() {
+            sane(report.cpu_busy)
+        } else {
+            busiest
+        };
+        let change = busy.map_or(0.0, |busy| gain * (busy - engine.load.busy_share));
+        engine.load.busy_share += change;
+    }
+}
--- /dev/null
+++ b/src/decision/order_keys.rs
@@ -0,0 +1,73 @@
+//! Order keys: requests with one key run one at a time, in the order of their arrival.
+
+use super::{Dispatcher, Millis, QueuedRequest, RequestId};
+use std::collections::BTreeMap;
+
+/// The unfinished requests of one key.
+#[derive(Default)]
+struct KeyState {
+    /// By arrival number.
+    requests: BTreeMap<u64, RequestId>,
+    /// An earlier attempt may run until then.
+    paused_until_ms: Millis,
+}
+
+/// The order keys in use. A key outlives its last request by its pause, and no longer.
+#[derive(Default)]
+pub(super) struct OrderKeys {
+    keys: BTreeMap<u64, KeyState>,
+}
+
+impl OrderKeys {
+    /// Number of keys.
+    pub(super) fn len(&self) -> usize {
+        self.keys.len()
+    }
+
+    /// Adds a request behind the others of its key.
+    pub(super) fn insert(&mut self, key: u64, arrival_number: u64, id: RequestId) {
+        let state = self.keys.entry(key).or_default();
+        state.requests.insert(arrival_number, id);
+    }
+
+    /// Removes a finished request, so that the next one of its key may run.
+    pub(super) fn remove(&mut self, key: u64, arrival_number: u64) {
+        if let Some(state) = self.keys.get_mut(&key) {
+            state.requests.remove(&arrival_number);
+        }
+    }
+
+    /// Lets the key rest until then, as an attempt may still run.
+    pub(super) fn pause(&mut self, key: u64, until_ms: Millis) {
+        if let Some(state) = self.keys.get_mut(&key) {
+            state.paused_until_ms = state.paused_until_ms.max(until_ms);
+        }
+    }
+
+    /// Forgets the keys that have neither a request nor a pause.
+    pub(super) fn expire(&mut self, now_ms: Millis) {
+        self.keys
+            .retain(|_, state| !state.requests.is_empty() || state.paused_until_ms > now_ms);
+    }
+
+    /// Whether a request is the first of its key and the key's pause is over; a retry need not wait for the pause.
+    fn is_next(&self, key: u64, id: RequestId, is_retry: bool, now_ms: Millis) -> bool {
+        self.keys.get(&key).is_none_or(|state| {
+            let is_first = state.requests.values().next() == Some(&id);
+            is_first && (is_retry || now_ms >= state.paused_until_ms)
+        })
+    }
+}
+
+impl Dispatcher {
+    /// Whether a request's order key lets it run now.
+    pub(super) fn is_next_for_order_key(&self, id: RequestId, request: &QueuedRequest) -> bool {
+        let is_ordered = self.settings.classes[request.class].ordered_by_key;
+        if !is_ordered || request.order_key == 0 {
+            return true;
+        }
+        let is_retry = request.attempts > 0;
+        self.order_keys
+            .is_next(request.order_key, id, is_retry, self.now_ms)
+    }
+}
--- /dev/null
+++ b/src/decision/requests.rs
@@ -0,0 +1,99 @@
+//! The requests: what is known of each from its arrival until its last attempt has ended.
+
+use super::health_checks::AwaitedHealthChecks;
+use super::{Dispatcher, EngineId, Millis, RequestId};
+
+/// Threads on an attempt's engine as it was sent, the attempt included.
+#[derive(Clone, Copy)]
+pub(super) struct ThreadsAtStart {
+    /// Threads of this manager's queries.
+    pub(super) own: f64,
+    /// Threads of all queries, per core.
+    pub(super) all_per_core: f64,
+}
+
+/// An attempt that is in flight.
+pub(super) struct InFlightAttempt {
+    /// Its number within the request, from 0.
+    pub(super) number: u16,
+    pub(super) engine: EngineId,
+    pub(super) sent_at_ms: Millis,
+    /// Its expected work over all threads, in ms.
+    pub(super) work_ms: f64,
+    /// Its work as estimated, before any correction, in ms.
+    pub(super) estimated_work_ms: f64,
+    pub(super) threads_at_start: ThreadsAtStart,
+    /// Whether its cancellation was asked for.
+    pub(super) is_cancelling: bool,
+    /// Whether its result streams to the client.
+    pub(super) is_streaming: bool,
+}
+
+/// Where and when a request may have run first; engines drop its repeats from then on.
+#[derive(Clone, Copy)]
+pub(super) struct FirstExecution {
+    pub(super) zone: u8,
+    pub(super) cell: u16,
+    pub(super) sent_at_ms: Millis,
+}
+
+/// A request that waits or has an attempt in flight.
+pub(super) struct QueuedRequest {
+    /// Place in the order of arrival.
+    pub(super) arrival_number: u64,
+    /// Its class, by position in the settings.
+    pub(super) class: usize,
+    /// Its order key; 0 for none.
+    pub(super) order_key: u64,
+    /// When the latency objective begins: its arrival, or earlier where its client has waited before.
+    pub(super) objective_from_ms: Millis,
+    /// When its client gives up.
+    pub(super) deadline_ms: Millis,
+    /// Its work over all threads, if estimated.
+    pub(super) estimated_work_ms: Option<f64>,
+    pub(super) data_set: u32,
+    /// Its memory in MB, if estimated.
+    pub(super) estimated_memory_mb: Option<f64>,
+    /// Attempts so far.
+    pub(super) attempts: u32,
+    /// Attempts that it may have.
+    pub(super) max_attempts: u32,
+    /// Number of its next attempt; attempts that were never sent count here.
+    pub(super) next_attempt_number: u16,
+    pub(super) in_flight: Option<InFlightAttempt>,
+    /// Answered, or its client has left; it is kept until its attempt has ended.
+    pub(super) is_finished: bool,
+    pub(super) first_execution: Option<FirstExecution>,
+    /// Held back by its order key, its placement or a guard; others may pass it.
+    pub(super) is_blocked: bool,
+    /// Engines that answered it with an error.
+    pub(super) failed_on: Vec<EngineId>,
+    pub(super) awaited_checks: AwaitedHealthChecks,
+}
+
+impl Dispatcher {
+    /// The attempt in flight that has this number.
+    pub(super) fn attempt_in_flight(
+        &mut self,
+        id: RequestId,
+        number: u16,
+    ) -> Option<&mut InFlightAttempt> {
+        let attempt = self.requests.get_mut(&id)?.in_flight.as_mut();
+        attempt.filter(|attempt| attempt.number == number)
+    }
+
+    /// Ends a request, without an action. Its attempt, if one is in flight, is counted until it has ended.
+    pub(super) fn finish(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.is_finished = true;
+        self.queue.remove(&request.arrival_number);
+        if request.in_flight.is_some() {
+            return;
+        }
+        let (order_key, arrival_number) = (request.order_key, request.arrival_number);
+        self.requests.remove(&id);
+        self.order_keys.remove(order_key, arrival_number);
+    }
+}
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -203,6 +203,7 @@
 #[test]
 fn settings_that_cannot_be_used_are_refused_with_a_type() {
     let new = |s: Settings| Dispatcher::new(s, 1).err();
+    let impossible = |setting, value| Some(SettingsError::ImpossibleFigure { setting, value });
     assert_eq!(new(settings(vec![])), Some(SettingsError::NoClasses));
     let one = settings(vec![class(1, 100.0, 1.0)]);
     assert_eq!(
@@ -216,20 +217,20 @@
         classes: vec![class(0, 100.0, 1.0)],
         ..one.clone()
     };
-    assert_eq!(new(none), Some(SettingsError::BadFigure("classes")));
+    assert_eq!(new(none), impossible("threads", 0.0));
     let quotas = Settings {
         tenant_quotas_per_s: vec![3.0, f64::NAN],
         ..one.clone()
     };
-    assert_eq!(new(quotas), Some(SettingsError::BadFigure("tenants")));
+    let error = new(quotas).expect("a quota that is not a number");
+    assert!(
+        matches!(error, SettingsError::ImpossibleFigure { setting: "tenant_quotas_per_s", value } if value.is_nan())
+    );
     let notes = Settings {
         progress_interval_ms: -1.0,
         ..one.clone()
     };
-    assert_eq!(
-        new(notes),
-        Some(SettingsError::BadFigure("notes or prices"))
-    );
+    assert_eq!(new(notes), impossible("progress_interval_ms", -1.0));
     assert!(
         new(Settings {
             slow_start_ms: f64::NAN,
