--- /dev/null
+++ b/src/admin/answer.rs
@@ -0,0 +1,72 @@
+//! Answers of the admin address as they are written: `200 TEXT` or the figures for a command that was carried out,
+//! `400 TEXT` for one that was not.
+
+use super::command::ParseCommandError;
+use crate::retry_policy::EffectiveValue;
+use std::fmt;
+
+/// Ends an answer of several lines.
+const END_OF_LINES: &str = "EOF";
+
+/// The answer to a command that was carried out. Its `Display` is the text on the wire.
+#[derive(Clone, Debug)]
+pub(super) enum AdminAnswer {
+    /// Clients are to come.
+    Ready,
+    /// The engine is ejected.
+    EngineDisabled,
+    /// The engine is no longer ejected manually.
+    EngineEnabled,
+    /// Clients are sent away from now on.
+    Draining,
+    /// Clients may come again.
+    DrainEnded,
+    /// The figures, as [`admin_figures`](crate::metrics::Metrics::admin_figures) writes them.
+    Figures(String),
+    /// The values of a retry policy with their sources.
+    Policy(Vec<EffectiveValue>),
+}
+
+impl fmt::Display for AdminAnswer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            AdminAnswer::Ready => writeln!(f, "200 ready"),
+            AdminAnswer::EngineDisabled => writeln!(f, "200 taken out"),
+            AdminAnswer::EngineEnabled => writeln!(f, "200 may serve again"),
+            AdminAnswer::Draining => writeln!(f, "200 clients are sent away"),
+            AdminAnswer::DrainEnded => writeln!(f, "200 clients may come"),
+            AdminAnswer::Figures(figures) => writeln!(f, "{figures}{END_OF_LINES}"),
+            AdminAnswer::Policy(values) => {
+                writeln!(f, "200 keys of attempts, their values and tables")?;
+                for EffectiveValue { key, value, from } in values {
+                    writeln!(f, "{key} {value} {from}")?;
+                }
+                writeln!(f, "{END_OF_LINES}")
+            }
+        }
+    }
+}
+
+/// Why a command was not carried out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum AdminError {
+    #[error("no line that can be read")]
+    UnreadableLine,
+    #[error(transparent)]
+    Command(#[from] ParseCommandError),
+    #[error("not ready")]
+    NotReady,
+    #[error("no such engine is known")]
+    UnknownEngine,
+    #[error("no class has such a name")]
+    UnknownClass,
+    #[error("no member has such a name")]
+    UnknownMember,
+}
+
+impl AdminError {
+    /// The text on the wire.
+    pub(super) fn to_line(self) -> String {
+        format!("400 {self}\n")
+    }
+}
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -4,7 +4,7 @@
 use super::Node;
 use super::reload::StartOnlySettings;
 use super::sockets::{AgentSocket, BindError, Bound, Sockets};
-use crate::admin::{self, OperationsServer};
+use crate::admin::{self, AdminServer};
 use crate::clients::{Frontend, flight, msgpack_rpc};
 use crate::core::{self, Clock, Core, CoreMessage, Handle, OrderLocks};
 use crate::decision::{Settings, SettingsError};
@@ -84,7 +84,7 @@
     let admin_server = services.admin_server(&core, state_writer, &policy, &settings);
     let admin = sockets
         .admin
-        .map(|bound| spawn_listener(bound, |listener| admin::listen(listener, admin_server)));
+        .map(|bound| spawn_listener(bound, |listener| admin::serve(listener, admin_server)));
     register_classes(&settings.borrow(), &services.metrics);
     if is_successor {
         wait_for_first_frame(first_frame, &services.limits).await;
@@ -141,15 +141,15 @@
         state_writer: StateWriter,
         policy: &Arc<Mutex<Arc<Policy>>>,
         settings: &watch::Receiver<Arc<PlatformSettings>>,
-    ) -> OperationsServer {
-        OperationsServer {
+    ) -> AdminServer {
+        AdminServer {
             core: core.clone(),
             metrics: self.metrics.clone(),
             limits: self.limits.clone(),
             lifecycle: self.lifecycle.clone(),
             state_writer,
             policy: policy.clone(),
-            parsed: settings.clone(),
+            settings: settings.clone(),
         }
     }
 
