--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -333,6 +333,6 @@
 fn start_agent(socket: AgentSocket, name: String, services: &Services) -> SocketAddr {
     let (metrics, limits) = (services.metrics.clone(), services.limits.clone());
     let agent = snmp::Agent::new(socket.community, name, metrics, limits);
-    tokio::spawn(agent.listen(socket.bound.socket));
+    tokio::spawn(agent.serve(socket.bound.socket));
     socket.bound.address
 }
--- /dev/null
+++ b/src/snmp/mib_view.rs
@@ -0,0 +1,142 @@
+//! Everything that can be read at one moment, ordered by object identifier.
+
+use crate::metrics::{ClassFigures, Metric, MetricKind, Metrics};
+use rasn::types::ObjectIdentifier;
+use rasn_smi::v1::{Gauge, TimeTicks};
+use rasn_smi::v2::{ApplicationSyntax, Counter64, ObjectSyntax, SimpleSyntax};
+use std::collections::BTreeMap;
+use std::ops::Bound;
+use std::time::Duration;
+
+/// The project's objects, in an arc for projects without an enterprise number of their own.
+const ENTERPRISE: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 62];
+
+/// The `system` group of SNMPv2-MIB (RFC 3418) and its objects served here.
+const SYSTEM: [u32; 7] = [1, 3, 6, 1, 2, 1, 1];
+const SYS_DESCR: u32 = 1;
+const SYS_OBJECT_ID: u32 = 2;
+const SYS_UP_TIME: u32 = 3;
+const SYS_NAME: u32 = 5;
+
+/// The table of classes below [`ENTERPRISE`], its entry, and its columns that can be read. The counts follow the name,
+/// in the order of [`ClassFigures::named_counts`].
+pub(super) const CLASS_TABLE: u32 = 100;
+const CLASS_ENTRY: u32 = 1;
+const CLASS_NAME_COLUMN: u32 = 2;
+const FIRST_CLASS_COUNT_COLUMN: u32 = 3;
+
+/// The instance of an object that has only one.
+const SCALAR_INSTANCE: u32 = 0;
+
+/// `sysDescr`.
+const DESCRIPTION: &str = concat!(
+    "magpiechute ",
+    env!("CARGO_PKG_VERSION"),
+    ", a workload manager"
+);
+
+/// A unit of `TimeTicks`, in milliseconds.
+const TICK_MS: u128 = 10;
+
+/// The values of the `system` group that differ between agents.
+pub(super) struct SystemGroup<'a> {
+    /// Since the start of the agent.
+    pub(super) up_time: Duration,
+    /// The workload manager's name.
+    pub(super) name: &'a str,
+}
+
+/// All instances with their values.
+pub(super) struct MibView {
+    instances: BTreeMap<ObjectIdentifier, ObjectSyntax>,
+}
+
+impl MibView {
+    /// The instances now.
+    pub(super) fn new(system: &SystemGroup<'_>, metrics: &Metrics) -> MibView {
+        let mut view = MibView {
+            instances: BTreeMap::new(),
+        };
+        view.insert_system(system);
+        for (object, metric) in (1..).zip(metrics.all()) {
+            view.insert_scalar(&ENTERPRISE, object, metric_value(metric));
+        }
+        for (row, figures) in (1..).zip(metrics.classes()) {
+            view.insert_class(row, &figures);
+        }
+        view
+    }
+
+    fn insert_system(&mut self, system: &SystemGroup<'_>) {
+        let ticks = (system.up_time.as_millis() / TICK_MS) as u32;
+        let up_time = ObjectSyntax::ApplicationWide(ApplicationSyntax::Ticks(TimeTicks(ticks)));
+        let object_id = SimpleSyntax::ObjectId(identifier(&ENTERPRISE, &[]));
+        self.insert_scalar(&SYSTEM, SYS_DESCR, text(DESCRIPTION));
+        self.insert_scalar(&SYSTEM, SYS_OBJECT_ID, ObjectSyntax::Simple(object_id));
+        self.insert_scalar(&SYSTEM, SYS_UP_TIME, up_time);
+        self.insert_scalar(&SYSTEM, SYS_NAME, text(system.name));
+    }
+
+    fn insert_class(&mut self, row: u32, figures: &ClassFigures) {
+        self.insert_class_cell(CLASS_NAME_COLUMN, row, text(&figures.class));
+        for (column, (_, count)) in (FIRST_CLASS_COUNT_COLUMN..).zip(figures.named_counts()) {
+            self.insert_class_cell(column, row, counter(count));
+        }
+    }
+
+    fn insert_scalar(&mut self, group: &[u32], object: u32, value: ObjectSyntax) {
+        let instance = identifier(group, &[object, SCALAR_INSTANCE]);
+        self.instances.insert(instance, value);
+    }
+
+    fn insert_class_cell(&mut self, column: u32, row: u32, value: ObjectSyntax) {
+        let instance = identifier(&ENTERPRISE, &[CLASS_TABLE, CLASS_ENTRY, column, row]);
+        self.instances.insert(instance, value);
+    }
+
+    /// The value of an instance.
+    pub(super) fn get(&self, instance: &ObjectIdentifier) -> Option<&ObjectSyntax> {
+        self.instances.get(instance)
+    }
+
+    /// Whether an instance's object is there, if under other instances.
+    pub(super) fn has_object_of(&self, instance: &ObjectIdentifier) -> bool {
+        self.instances
+            .keys()
+            .any(|known| instance.starts_with(&known[..known.len() - 1]))
+    }
+
+    /// The first instance after an identifier, with its value.
+    pub(super) fn next_after(
+        &self,
+        identifier: &ObjectIdentifier,
+    ) -> Option<(&ObjectIdentifier, &ObjectSyntax)> {
+        let after = (Bound::Excluded(identifier), Bound::Unbounded);
+        self.instances.range::<ObjectIdentifier, _>(after).next()
+    }
+}
+
+fn identifier(group: &[u32], below: &[u32]) -> ObjectIdentifier {
+    ObjectIdentifier::new_unchecked([group, below].concat().into())
+}
+
+fn text(value: &str) -> ObjectSyntax {
+    ObjectSyntax::Simple(SimpleSyntax::String(value.as_bytes().to_vec().into()))
+}
+
+fn counter(value: u64) -> ObjectSyntax {
+    ObjectSyntax::ApplicationWide(ApplicationSyntax::BigCounter(Counter64(value)))
+}
+
+/// Gauges have 32 bits in SNMP; a larger value is their greatest.
+fn gauge(value: u64) -> ObjectSyntax {
+    let value = u32::try_from(value).unwrap_or(u32::MAX);
+    ObjectSyntax::ApplicationWide(ApplicationSyntax::Unsigned(Gauge(value)))
+}
+
+fn metric_value(metric: Metric) -> ObjectSyntax {
+    match metric.kind {
+        MetricKind::Counter => counter(metric.value),
+        MetricKind::Gauge => gauge(metric.value),
+    }
+}
--- a/src/snmp/tests.rs
+++ b/src/snmp/tests.rs
@@ -40,6 +40,6 @@
         assert!(mib.to_lowercase().contains(&object), "{object}");
     }
     assert_eq!(objects.len(), names.len());
-    let table = format!("::= {{ magpiechute {} }}", super::CLASSES);
+    let table = format!("::= {{ magpiechute {} }}", super::mib_view::CLASS_TABLE);
     assert!(mib.contains(&table) && mib.contains("mcClassBadGateway OBJECT-TYPE"));
 }
