--- a/src/hot_restart/peer_sync.rs
+++ b/src/hot_restart/peer_sync.rs
@@ -91,7 +91,7 @@
     /// Reports the start or the end of the peer process.
     async fn report_peer_presence(&self) {
         let running = self.store.peer_is_running();
-        let was_running = self.limits.set_both(running);
+        let was_running = self.limits.set_peer_process(running);
         if was_running == running {
             return;
         }
