--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -90,7 +90,7 @@
     pub(super) fn of(core: &Core<RecordingEngines>, metrics: &Metrics) -> RosterSize {
         RosterSize {
             known: metrics.engines.get() as usize,
-            heard: core.state_sizes().1[3],
+            heard: core.state_sizes().dispatcher[3],
         }
     }
 }
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -212,8 +212,17 @@
     pub sent_to: SentTo,
     /// When its engine last said anything of it.
     pub last_heard_ms: Millis,
-    /// Since when, and as what, it is being given up.
-    pub cancelling: Option<(Millis, Outcome)>,
+    /// Its cancellation, once that has begun.
+    pub cancelling: Option<Cancellation>,
+}
+
+/// The cancellation of an attempt in flight.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Cancellation {
+    /// When it began, in Unix ms.
+    pub since_ms: Millis,
+    /// The outcome of the attempt once its end is confirmed.
+    pub outcome: Outcome,
 }
 
 /// Why no further attempt may go out.
@@ -315,7 +324,10 @@
     /// given up already.
     pub fn begin_cancellation(&mut self, now: Millis, as_what: Outcome) -> Option<InFlight> {
         let out = self.in_flight.as_mut().filter(|o| o.cancelling.is_none())?;
-        out.cancelling = Some((now, as_what));
+        out.cancelling = Some(Cancellation {
+            since_ms: now,
+            outcome: as_what,
+        });
         Some(*out)
     }
 
--- /dev/null
+++ b/src/core/admission.rs
@@ -0,0 +1,142 @@
+//! Admission of requests: the checks before a request enters the table, and the disconnection of its client.
+
+use super::requests::RequestState;
+use super::timers::Timer;
+use super::{
+    AcceptedRequest, Answer, Core, EnginePort, Event, FailureReason, Millis, Outcome, RequestId,
+};
+use crate::metrics::Counter;
+use crate::retry_policy::{AttemptPolicy, RequestAttributes};
+
+/// Why a request is not admitted. Nothing of it has run.
+enum AdmissionError {
+    /// The process ends before it could be answered.
+    ShuttingDown,
+    /// The client's reference is in use by another request.
+    DuplicateReference,
+    /// The limit on open requests or on their statements' bytes is reached.
+    OverLimit,
+    /// Its class was removed from the settings while it was on its way.
+    UnknownClass,
+}
+
+impl<E: EnginePort> Core<E> {
+    /// Admits a request, or answers it at once.
+    pub(super) fn accept_request(&mut self, now: Millis, accepted: AcceptedRequest) {
+        self.metrics.requests_accepted.increment();
+        match self.check_admission(now, &accepted) {
+            Ok(policy) => self.open_request(now, accepted, policy),
+            Err(error) => self.refuse_request(&accepted, &error),
+        }
+    }
+
+    /// The attempt policy of a request that may enter the table.
+    fn check_admission(
+        &self,
+        now: Millis,
+        accepted: &AcceptedRequest,
+    ) -> Result<AttemptPolicy, AdmissionError> {
+        if self.shutdown_at.is_some_and(|at| at <= now) {
+            return Err(AdmissionError::ShuttingDown);
+        }
+        // Engines tell attempts apart by the client's reference, so two open requests may not share one.
+        if self
+            .requests
+            .has_client_reference(&accepted.client_reference)
+        {
+            return Err(AdmissionError::DuplicateReference);
+        }
+        let statement_bytes = self.requests.statement_bytes() + accepted.statement.len();
+        if self.requests.len() >= self.limits.open_requests
+            || statement_bytes > self.limits.share(self.limits.open_statement_bytes)
+        {
+            return Err(AdmissionError::OverLimit);
+        }
+        let class = self
+            .dispatcher
+            .settings()
+            .class_position(&accepted.class.name, &accepted.class.class)
+            .ok_or(AdmissionError::UnknownClass)?;
+        Ok(self.policy.resolve(&RequestAttributes {
+            class,
+            member: self.policy.member_position(&accepted.member),
+            frontend: accepted.frontend,
+            data_set: accepted.data_set,
+        }))
+    }
+
+    fn refuse_request(&self, accepted: &AcceptedRequest, error: &AdmissionError) {
+        let cause: Option<&Counter> = match error {
+            AdmissionError::DuplicateReference => Some(&self.metrics.client_bad_calls),
+            AdmissionError::OverLimit => Some(&self.metrics.client_over_limit),
+            AdmissionError::ShuttingDown | AdmissionError::UnknownClass => None,
+        };
+        cause.into_iter().for_each(Counter::increment);
+        let answer = if matches!(error, AdmissionError::DuplicateReference) {
+            self.metrics.requests_failed.increment();
+            Answer::Failed(FailureReason::AttemptFailed)
+        } else {
+            self.metrics.requests_rejected.increment();
+            Answer::Rejected {
+                retry_after_ms: 0.0,
+            }
+        };
+        accepted.client.answer(accepted.id, answer);
+    }
+
+    fn open_request(&mut self, now: Millis, mut accepted: AcceptedRequest, policy: AttemptPolicy) {
+        let id = accepted.id;
+        accepted.deadline_ms = self.effective_deadline(now, accepted.deadline_ms, &policy);
+        self.set_timer(
+            accepted.deadline_ms - self.limits.answer_margin_ms,
+            Timer::RequestDeadline(id),
+        );
+        log_admission(&accepted);
+        self.metrics.requests_open.increment();
+        self.requests.insert(RequestState::new(accepted, policy));
+        self.submit_when_leased(now, id);
+    }
+
+    /// The client's deadline, or an earlier one that its policy or the end of the process sets.
+    fn effective_deadline(
+        &self,
+        now: Millis,
+        client_deadline_ms: Millis,
+        policy: &AttemptPolicy,
+    ) -> Millis {
+        let mut deadline_ms = client_deadline_ms;
+        // A connection that always has an open request would bring new ones up to the end of the process, and what is
+        // open then is lost.
+        if let Some(shutdown_at) = self.shutdown_at {
+            deadline_ms = deadline_ms.min(shutdown_at);
+        }
+        if let Some(timeout_ms) = policy.timeout_ms {
+            deadline_ms = deadline_ms.min(now + timeout_ms);
+        }
+        deadline_ms
+    }
+
+    /// The client disconnected: it is owed nothing, and its attempt is cancelled at once to free the engine.
+    pub(super) fn client_disconnected(&mut self, now: Millis, id: RequestId) {
+        if self.close_request(now, id, Outcome::Cancelled).is_some() {
+            self.metrics.client_disconnects.increment();
+            self.notify_dispatcher(now, Event::ClientDisconnected { id });
+        }
+    }
+}
+
+fn log_admission(accepted: &AcceptedRequest) {
+    // The texts are built only where the level is enabled.
+    let reference = || crate::log::lossy_text(&accepted.client_reference);
+    let member = || crate::log::lossy_text(&accepted.member);
+    tracing::debug!(
+        id = accepted.id,
+        r#ref = %reference(),
+        class = %accepted.class.name,
+        member = %member(),
+        deadline_ms = accepted.deadline_ms,
+        estimated_work_ms = accepted.estimated_work_ms,
+        data_set = accepted.data_set,
+        "request admitted"
+    );
+}
--- /dev/null
+++ b/src/core/attempt_end.rs
@@ -0,0 +1,340 @@
+//! The end of attempts and requests: results, failures, deadlines, silence and cancellation.
+//!
+//! An attempt stays in flight until its engine's actor has reported its end, also after its cancellation; a further
+//! attempt before that would run beside it.
+
+use super::requests::LastEnd;
+use super::timers::Timer;
+use super::{
+    Answer, Arc, ClientPort, Core, EnginePort, Event, FailureReason, Millis, Outcome, RequestId,
+    ResultBody, ResultFormat,
+};
+use crate::attempt::InFlight;
+use crate::decision::{AttemptEnded, LoadReport};
+use crate::metrics::Counter;
+
+/// What an engine measured of an attempt, where it reports that.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(super) struct ResourceUse {
+    /// Work over all threads, in ms.
+    pub(super) work_ms: Option<f64>,
+    /// Memory in MB.
+    pub(super) memory_mb: Option<f64>,
+}
+
+/// The confirmed end of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct AttemptCompletion {
+    pub(super) outcome: Outcome,
+    pub(super) may_have_run: bool,
+    pub(super) load_report: LoadReport,
+    pub(super) measured: ResourceUse,
+}
+
+impl<E: EnginePort> Core<E> {
+    /// A result begins to stream to the client.
+    pub(super) fn result_streaming(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        body: ResultBody,
+    ) {
+        let Some(request) = self
+            .requests
+            .get_mut(id)
+            .filter(|request| !request.streaming)
+        else {
+            return;
+        };
+        request.streaming = true;
+        request.history.record_streaming();
+        self.metrics.requests_served.increment();
+        request.accepted.client.answer(id, Answer::Served(body));
+        self.notify_dispatcher(now, Event::ResultStreaming { id, attempt });
+    }
+
+    /// An attempt ended well: the client gets its result, where it is still owed one.
+    pub(super) fn attempt_succeeded(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        completion: AttemptCompletion,
+        body: Option<ResultBody>,
+    ) {
+        let streaming = self
+            .requests
+            .get(id)
+            .is_some_and(|request| request.streaming);
+        let empty = || ResultBody::complete(ResultFormat::Text, Vec::new());
+        let Some(body) = body.or_else(|| streaming.then(empty)) else {
+            // The attempt has run, but without a result there is nothing to answer with.
+            let failed = AttemptCompletion {
+                outcome: Outcome::Error,
+                may_have_run: true,
+                ..completion
+            };
+            return self.attempt_ended(now, id, attempt, failed);
+        };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let Some(ended) = request.history.record_end(attempt, true) else {
+            return;
+        };
+        if !request.answered && !request.streaming {
+            self.metrics.requests_served.increment();
+            request.accepted.client.answer(id, Answer::Served(body));
+        }
+        self.remove_request(now, id);
+        self.report_attempt_end(now, id, &ended, completion, true);
+    }
+
+    /// An attempt ended without a result; the dispatcher decides what follows.
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        completion: AttemptCompletion,
+    ) {
+        self.pause_order_key(now, id, completion.outcome);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let Some(ended) = request.history.record_end(attempt, completion.may_have_run) else {
+            return;
+        };
+        if completion.outcome == Outcome::NoConnectionSlot {
+            request.history.discount_last();
+        } else {
+            request.last_end = Some(LastEnd {
+                outcome: completion.outcome,
+                engine: ended.engine,
+            });
+        }
+        // A client that was receiving a stream sees its end.
+        let answered = request.streaming || request.answered;
+        if answered {
+            self.remove_request(now, id);
+        }
+        self.report_attempt_end(now, id, &ended, completion, answered);
+    }
+
+    /// Notifies the dispatcher of the end of an attempt.
+    fn report_attempt_end(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        ended: &InFlight,
+        completion: AttemptCompletion,
+        answered: bool,
+    ) {
+        let AttemptCompletion {
+            outcome,
+            load_report,
+            measured,
+            ..
+        } = completion;
+        self.outcome_counter(outcome).increment();
+        let (attempt, engine) = (ended.number, ended.engine);
+        let elapsed_ms = now - ended.sent_to.at_ms;
+        tracing::debug!(
+            id,
+            %engine,
+            attempt,
+            ?outcome,
+            elapsed_ms,
+            answered,
+            measured_work_ms = measured.work_ms,
+            inflight = load_report.inflight,
+            "attempt ended"
+        );
+        let event = AttemptEnded {
+            id,
+            attempt,
+            engine,
+            outcome,
+            elapsed_ms,
+            answered,
+            measured_work_ms: measured.work_ms,
+            measured_memory_mb: measured.memory_mb,
+            load_report,
+        };
+        self.notify_dispatcher(now, Event::AttemptEnded(event));
+    }
+
+    /// The counter of attempts with this outcome.
+    pub(super) fn outcome_counter(&self, outcome: Outcome) -> &Counter {
+        match outcome {
+            Outcome::Ok => &self.metrics.attempts_succeeded,
+            Outcome::Error => &self.metrics.attempts_failed,
+            Outcome::Rejected => &self.metrics.attempts_rejected,
+            Outcome::TimedOut => &self.metrics.attempts_timed_out,
+            Outcome::NoConnection => &self.metrics.attempts_no_connection,
+            Outcome::Reset => &self.metrics.attempts_reset,
+            Outcome::Cancelled => &self.metrics.attempts_cancelled,
+            Outcome::NotSent => &self.metrics.attempts_not_sent,
+            Outcome::NoConnectionSlot => &self.metrics.attempts_no_connection_slot,
+        }
+    }
+
+    /// The client's deadline: an open request fails, its attempt is cancelled, and the dispatcher drops it.
+    pub(super) fn deadline_reached(&mut self, now: Millis, id: RequestId) {
+        if self
+            .requests
+            .get(id)
+            .is_some_and(|request| !request.streaming)
+        {
+            self.fail_and_drop(now, id, FailureReason::DeadlineExceeded);
+        }
+    }
+
+    /// Answers a request as failed and has the dispatcher drop it, which might send it again otherwise.
+    fn fail_and_drop(&mut self, now: Millis, id: RequestId, reason: FailureReason) {
+        self.answer_client(now, id, Answer::Failed(reason), Outcome::TimedOut);
+        self.notify_dispatcher(now, Event::ClientDisconnected { id });
+    }
+
+    /// Cancels an attempt of an idempotent request that was not heard of for too long, as when its engine's machine
+    /// vanished without a reset. Other requests wait on, as no further attempt may follow.
+    pub(super) fn check_attempt_silence(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        timer_due: Millis,
+    ) {
+        let Some(request) = self
+            .requests
+            .get_mut(id)
+            .filter(|request| !request.streaming)
+        else {
+            return;
+        };
+        let Some(in_flight) = request.history.in_flight_as(attempt, None) else {
+            return;
+        };
+        let due = in_flight.last_heard_ms + self.limits.attempt_silence_ms;
+        if due > timer_due {
+            self.set_timer(due, Timer::SilenceCheck { id, attempt });
+        } else if request.is_idempotent() {
+            self.cancel_in_flight(now, id, Outcome::TimedOut);
+        }
+    }
+
+    /// Cancels the attempt in flight, which ends with this outcome once its engine's actor has confirmed that.
+    pub(super) fn cancel_in_flight(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let Some(in_flight) = request.history.begin_cancellation(now, outcome) else {
+            return;
+        };
+        let (engine, attempt) = (in_flight.engine, in_flight.number);
+        request.cancellation.cancel();
+        let retry_may_follow = !request.answered;
+        self.engines
+            .cancel_attempt(engine, id, attempt, retry_may_follow);
+        self.set_timer(
+            now + self.limits.cancellation_resend_ms,
+            Timer::CancellationCheck { id, attempt },
+        );
+    }
+
+    /// Repeats an unconfirmed cancellation, whose order may have found a full mailbox. After the cancellation timeout
+    /// the request fails, as no further attempt may follow.
+    pub(super) fn check_cancellation(&mut self, now: Millis, id: RequestId, attempt: u16) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let (answered, streaming) = (request.answered, request.streaming);
+        let Some(in_flight) = request.history.in_flight_as(attempt, None) else {
+            return;
+        };
+        let (engine, Some(cancellation)) = (in_flight.engine, in_flight.cancelling) else {
+            return;
+        };
+        if now - cancellation.since_ms < self.limits.cancellation_timeout_ms {
+            self.engines.cancel_attempt(engine, id, attempt, !answered);
+            return self.set_timer(
+                now + self.limits.cancellation_resend_ms,
+                Timer::CancellationCheck { id, attempt },
+            );
+        }
+        self.metrics.cancellations_timed_out.increment();
+        if !answered && !streaming {
+            self.fail_and_drop(now, id, FailureReason::AttemptFailed);
+        }
+        let unconfirmed = AttemptCompletion {
+            outcome: Outcome::TimedOut,
+            may_have_run: true,
+            load_report: LoadReport::default(),
+            measured: ResourceUse::default(),
+        };
+        self.attempt_ended(now, id, attempt, unconfirmed);
+    }
+
+    /// Gives the one final answer, unless the request has one. An attempt in flight is cancelled with this outcome.
+    pub(super) fn answer_client(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        answer: Answer,
+        outcome: Outcome,
+    ) {
+        let Some(client) = self.close_request(now, id, outcome) else {
+            return;
+        };
+        let rejected = matches!(answer, Answer::Rejected { .. });
+        if rejected {
+            self.metrics.requests_rejected.increment();
+        } else {
+            self.metrics.requests_failed.increment();
+        }
+        tracing::debug!(id, ?outcome, rejected, "request answered");
+        client.answer(id, answer);
+    }
+
+    /// Marks a request as answered and returns its client, which the caller answers; none where it was answered. Its
+    /// attempt is cancelled, and the entry stays until that is confirmed, as its reference may not be used before.
+    pub(super) fn close_request(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        outcome: Outcome,
+    ) -> Option<Arc<dyn ClientPort>> {
+        let request = self
+            .requests
+            .get_mut(id)
+            .filter(|request| !request.answered)?;
+        request.answered = true;
+        let client = request.accepted.client.clone();
+        let has_attempt = request.history.in_flight().is_some();
+        let delayed = request.backoff.take();
+        self.metrics.requests_open.decrement();
+        if has_attempt {
+            self.cancel_in_flight(now, id, outcome);
+        } else {
+            self.remove_request(now, id);
+        }
+        // The dispatcher keeps a request until it is notified of the end of its attempt, and this one was never sent.
+        if let Some(delayed) = delayed {
+            self.report_not_sent(now, id, delayed.number, delayed.engine, Outcome::NotSent);
+        }
+        Some(client)
+    }
+
+    fn remove_request(&mut self, now: Millis, id: RequestId) {
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        if let Some(key) = request.accepted.order_key {
+            self.leave_order_lease(now, key, id);
+        }
+        if !request.answered {
+            self.metrics.requests_open.decrement();
+        }
+    }
+}
--- /dev/null
+++ b/src/core/attempt_events.rs
@@ -0,0 +1,126 @@
+//! What engines' actors report of attempts: progress, results, ends and confirmed cancellations.
+
+use super::attempt_end::{AttemptCompletion, ResourceUse};
+use super::{AttemptEvent, Core, EnginePort, Event, Millis, Outcome, RequestId, ResultBody};
+use crate::attempt::{AttemptEnd, Cancellation, never_ran};
+use crate::decision::{EngineId, LoadReport, Progress};
+
+/// The attempt that an event belongs to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct AttemptRef {
+    pub(super) id: RequestId,
+    pub(super) attempt: u16,
+    pub(super) engine: EngineId,
+}
+
+impl<E: EnginePort> Core<E> {
+    /// Takes an event of an attempt. Events of attempts whose end is known already are dropped.
+    pub(super) fn attempt_event(
+        &mut self,
+        now: Millis,
+        source: AttemptRef,
+        load_report: LoadReport,
+        event: AttemptEvent,
+    ) {
+        let AttemptRef {
+            id,
+            attempt,
+            engine,
+        } = source;
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let answered = request.answered;
+        let Some(in_flight) = request.history.in_flight_as(attempt, Some(engine)) else {
+            return;
+        };
+        in_flight.last_heard_ms = now;
+        let cancelling = in_flight.cancelling;
+        match event {
+            AttemptEvent::Progress(progress) if cancelling.is_none() => {
+                self.attempt_progress(now, id, attempt, progress);
+            }
+            AttemptEvent::Progress(_) => {}
+            AttemptEvent::ResultStreaming(_) if answered || cancelling.is_some() => {}
+            AttemptEvent::ResultStreaming(body) => self.result_streaming(now, id, attempt, body),
+            AttemptEvent::Ended {
+                outcome,
+                measured_work_ms,
+                measured_memory_mb,
+                body,
+            } => {
+                let completion = AttemptCompletion {
+                    outcome,
+                    may_have_run: !never_ran(outcome),
+                    load_report,
+                    measured: ResourceUse {
+                        work_ms: measured_work_ms,
+                        memory_mb: measured_memory_mb,
+                    },
+                };
+                self.attempt_completed(now, id, attempt, completion, body);
+            }
+            AttemptEvent::Cancelled(end) => {
+                let cancellation = cancelling.unwrap_or(Cancellation {
+                    since_ms: now,
+                    outcome: Outcome::Cancelled,
+                });
+                self.cancellation_ended(now, source, cancellation, end, load_report);
+            }
+        }
+    }
+
+    fn attempt_progress(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        progress: Option<Progress>,
+    ) {
+        if let Some(progress) = progress {
+            let event = Event::Progress {
+                id,
+                attempt,
+                progress,
+            };
+            self.notify_dispatcher(now, event);
+        }
+    }
+
+    /// A successful end counts as one even if the attempt was being cancelled, as long as an answer is owed.
+    fn attempt_completed(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u16,
+        completion: AttemptCompletion,
+        body: Option<ResultBody>,
+    ) {
+        if completion.outcome == Outcome::Ok {
+            self.attempt_succeeded(now, id, attempt, completion, body);
+        } else {
+            self.attempt_ended(now, id, attempt, completion);
+        }
+    }
+
+    fn cancellation_ended(
+        &mut self,
+        now: Millis,
+        source: AttemptRef,
+        cancellation: Cancellation,
+        end: AttemptEnd,
+        load_report: LoadReport,
+    ) {
+        self.metrics.cancellations_confirmed.increment();
+        self.metrics
+            .cancellation_latency
+            .record(now - cancellation.since_ms);
+        let completion = AttemptCompletion {
+            outcome: cancellation.outcome,
+            may_have_run: end.may_have_run(),
+            load_report,
+            measured: ResourceUse::default(),
+        };
+        self.attempt_ended(now, source.id, source.attempt, completion);
+    }
+}
--- /dev/null
+++ b/src/core/dispatch.rs
@@ -0,0 +1,84 @@
+//! The link to the dispatcher: events go in, and the actions that it decides on are carried out.
+
+use super::timers::Timer;
+use super::{Answer, Core, EnginePort, Event, FailureReason, Millis, Outcome, RequestId};
+use crate::decision::{Action, EngineId};
+
+/// An attempt that could not be started, of which the dispatcher is notified after its other actions.
+struct FailedStart {
+    id: RequestId,
+    engine: EngineId,
+    outcome: Outcome,
+}
+
+impl<E: EnginePort> Core<E> {
+    /// Hands one event to the dispatcher, carries out its actions, and then what follows from those at once.
+    pub(super) fn notify_dispatcher(&mut self, now: Millis, event: Event) {
+        let mut actions = std::mem::take(&mut self.actions);
+        self.dispatcher.handle(now, event, &mut actions);
+        // Without a failed start this allocates nothing.
+        let mut failed_starts = Vec::new();
+        for action in actions.drain(..) {
+            failed_starts.extend(self.apply_action(now, action));
+        }
+        self.actions = actions;
+        for failed in failed_starts {
+            let attempt = self.requests.get(failed.id).map_or(0, |request| {
+                request.history.attempts_made().saturating_sub(1)
+            });
+            self.report_not_sent(now, failed.id, attempt, failed.engine, failed.outcome);
+        }
+    }
+
+    fn apply_action(&mut self, now: Millis, action: Action) -> Option<FailedStart> {
+        match action {
+            Action::StartAttempt {
+                id,
+                engine,
+                timeout_ms,
+            } => {
+                let started = self.start_attempt(now, id, engine, timeout_ms);
+                return started.err().map(|outcome| FailedStart {
+                    id,
+                    engine,
+                    outcome,
+                });
+            }
+            Action::SetAttemptTerms {
+                id,
+                memory_mb,
+                priority,
+            } => self.set_attempt_terms(id, memory_mb, priority),
+            Action::Reject { id, retry_after_ms } => self.reject_request(now, id, retry_after_ms),
+            Action::Fail { id } => self.answer_client(
+                now,
+                id,
+                Answer::Failed(FailureReason::AttemptFailed),
+                Outcome::Cancelled,
+            ),
+            Action::CancelAttempt { id, attempt } => self.cancel_attempt(now, id, attempt),
+            Action::SetTimer { after_ms, token } => {
+                self.set_timer(now + after_ms.max(1.0), Timer::Dispatcher(token));
+            }
+            Action::Log { line } => tracing::info!("{line}"),
+            // The settings allow no health checks to engines, and the discovery feed pushes its updates.
+            Action::SendHealthCheck { .. } | Action::SubscribeEndpointList => {}
+        }
+        None
+    }
+
+    /// Answers a request that the dispatcher sheds. A rejection tells the client that a retry is harmless, so a
+    /// request that may have run and is not idempotent fails instead.
+    fn reject_request(&mut self, now: Millis, id: RequestId, retry_after_ms: Millis) {
+        let retry_is_harmless = self
+            .requests
+            .get(id)
+            .is_some_and(|request| !request.history.may_have_run() || request.is_idempotent());
+        let answer = if retry_is_harmless {
+            Answer::Rejected { retry_after_ms }
+        } else {
+            Answer::Failed(FailureReason::AttemptFailed)
+        };
+        self.answer_client(now, id, answer, Outcome::Cancelled);
+    }
+}
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -17,7 +17,7 @@
             // Engine actors stop sending to a draining or removed engine, whatever the dispatcher still assumes.
             self.engines.engine_listed(record);
             if self
-                .gateway
+                .dispatcher
                 .manual_ejections()
                 .contains(&record.entry.engine)
             {
@@ -40,15 +40,20 @@
             .list_large_removals
             .add(usize::from(update.large_removal));
         if let [first, rest @ ..] = &update.without_slot[..] {
-            let (first, more, all) = (format_engine_id(*first), rest.len(), self.limits.engines);
-            eprintln!(
-                "workload-manager: engine={first} state=passed_over more={more} why=all {all} places are taken"
+            tracing::info!(
+                engine = format_engine_id(*first),
+                state = "without_slot",
+                more = rest.len(),
+                slots = self.limits.engines,
+                "engines of the list have no slot: all are taken"
             );
         }
         if let [first, rest @ ..] = &event.unusable_engines[..] {
-            let (first, more) = (format_engine_id(*first), rest.len());
-            eprintln!(
-                "workload-manager: engine={first} state=unusable more={more} why=unknown state, zone or kind"
+            tracing::info!(
+                engine = format_engine_id(*first),
+                state = "unusable",
+                more = rest.len(),
+                "records of the list have an unknown state, zone or machine type"
             );
         }
         self.apply_subset_change(now, update.subset_change);
@@ -71,8 +76,11 @@
         self.metrics.ordinal.set(ordinal as usize);
         if membership.out_of_range() {
             self.metrics.subset_ordinal_out_of_range.increment();
-            eprintln!(
-                "workload-manager: ordinal={ordinal} state=out_of_range why=nInstances is {instances}"
+            tracing::info!(
+                ordinal,
+                state = "out_of_range",
+                instances,
+                "the ordinal is not below nInstances"
             );
         }
     }
@@ -81,7 +89,7 @@
     fn apply_subset_change(&mut self, now: Millis, change: SubsetChange) {
         let metrics = &self.metrics;
         let (size, zones) = self.roster.subset_sizes();
-        let all = f64::from(self.gateway.settings().instances);
+        let all = f64::from(self.dispatcher.settings().instances);
         metrics.subset_size.set(size);
         metrics.subset_zones.set(zones);
         metrics
--- /dev/null
+++ b/src/core/manual_ejection.rs
@@ -0,0 +1,59 @@
+//! Manual ejections: on-call staff, or the peer process of a hot restart, take an engine out of service or return it.
+
+use super::{Core, EnginePort, Event, Millis};
+use crate::decision::EngineId;
+
+/// An order to eject an engine or to return it.
+pub(super) struct EjectionOrder {
+    pub(super) engine: EngineId,
+    pub(super) ejected: bool,
+    /// When it was given, in Unix ms.
+    pub(super) at_ms: Millis,
+    /// A peer process passes it on, so the engine need not be known here.
+    pub(super) from_peer: bool,
+}
+
+impl<E: EnginePort> Core<E> {
+    /// Applies an order. Returns whether the engine is known and the ejection could be recorded.
+    pub(super) fn apply_manual_ejection(&mut self, now: Millis, order: &EjectionOrder) -> bool {
+        let &EjectionOrder {
+            engine,
+            ejected,
+            from_peer,
+            ..
+        } = order;
+        let ejections = self.dispatcher.manual_ejections();
+        let already_ejected = ejections.contains(&engine);
+        let known = already_ejected || self.roster.is_listed(engine) || from_peer && ejected;
+        // Ejections of engines that are not listed are bounded too.
+        let within_limit = !ejected || already_ejected || ejections.len() < self.limits.engines;
+        let accepted = known && within_limit;
+        if accepted || from_peer && !ejected {
+            self.set_manual_ejection(now, order);
+        }
+        accepted
+    }
+
+    fn set_manual_ejection(&mut self, now: Millis, order: &EjectionOrder) {
+        let &EjectionOrder {
+            engine,
+            ejected,
+            at_ms,
+            ..
+        } = order;
+        self.notify_dispatcher(
+            now,
+            Event::ManualEjection {
+                engine,
+                ejected,
+                at_ms,
+            },
+        );
+        if !ejected {
+            self.roster.reset_slow_start(engine, at_ms);
+        }
+        self.engines.set_manually_ejected(engine, ejected);
+        let ejected_engines = self.dispatcher.ejected_engines();
+        self.metrics.engines_ejected.set(ejected_engines);
+    }
+}
--- a/src/core/order.rs
+++ b/src/core/order_lease_admission.rs
@@ -1,68 +1,68 @@
-//! Where leases on order keys meet requests and timers: a request of a key goes on to the decision module once this
-//! process has the lease.
+//! Leases on order keys in the core: a request with an order key goes to the dispatcher once this process has the lease
+//! on that key.
 
-use super::leases::{OrderLeases, OrderLocks};
-use super::{
-    Answer, Core, EnginePort, Event, Millis, OrderKey, Outcome, Request, RequestId, Timer,
-};
+use super::order_leases::{OrderLeases, OrderLocks};
+use super::timers::Timer;
+use super::{Answer, Core, EnginePort, Event, Millis, OrderKey, Outcome, RequestId};
+use crate::decision::Request;
 
 impl<E: EnginePort> Core<E> {
-    /// The same beside other processes of this workload manager, which share these locks.
+    /// Shares order keys with the other processes of this workload manager by these locks.
     #[must_use]
     pub fn with_order_locks(mut self, locks: Option<Box<dyn OrderLocks>>) -> Self {
         self.order_leases = locks.map(OrderLeases::new).unwrap_or_default();
         self
     }
 
-    /// Makes keys rest after a process that died before this one started.
+    /// Pauses all keys if a process that ended before this one started may have held some.
     pub(super) fn start_order_leases(&mut self, now: Millis) {
-        let pause = self.gateway.settings().order_key_pause_ms;
+        let pause = self.dispatcher.settings().order_key_pause_ms;
         self.order_leases.start(now, pause);
     }
 
-    /// Tells the module of a request, or holds it back until this process has the lease on its key.
+    /// Submits a request to the dispatcher, or holds it until this process has the lease on its key.
     pub(super) fn submit_when_leased(&mut self, now: Millis, id: RequestId) {
         let Some(key) = self.order_key(id) else {
             return self.submit_request(now, id);
         };
-        let pause = self.gateway.settings().order_key_pause_ms;
+        let pause = self.dispatcher.settings().order_key_pause_ms;
         if self.order_leases.admit(now, pause, key, id) {
             return self.submit_request(now, id);
         }
-        tracing::debug!(id, "waits for the lease on its order key");
+        tracing::debug!(id, "request waits for the lease on its order key");
         self.metrics.requests_held_for_order_key.increment();
         self.schedule_lease_review(now);
     }
 
-    /// Sends on what waited for a lease that this process has now.
+    /// Submits the requests whose lease this process has acquired.
     pub(super) fn review_order_leases(&mut self, now: Millis) {
         self.lease_review_set = false;
-        let pause = self.gateway.settings().order_key_pause_ms;
+        let pause = self.dispatcher.settings().order_key_pause_ms;
         for id in self.order_leases.review(now, pause) {
             self.submit_request(now, id);
         }
         self.schedule_lease_review(now);
     }
 
-    /// Another process came or went.
+    /// A peer process started or ended.
     pub(super) fn check_peer_processes(&mut self, now: Millis) {
-        let pause = self.gateway.settings().order_key_pause_ms;
+        let pause = self.dispatcher.settings().order_key_pause_ms;
         self.order_leases.check_peers(now, pause);
     }
 
-    /// An attempt of this request ended. As in the module, its key rests where it may still run.
+    /// An attempt of this request ended. As in the dispatcher, its key is paused where the attempt may still run.
     pub(super) fn pause_order_key(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
-        let may_run = matches!(
+        let may_still_run = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
-        if let Some(key) = self.order_key(id).filter(|_| may_run) {
+        if let Some(key) = self.order_key(id).filter(|_| may_still_run) {
             self.order_leases
-                .pause_until(key, now + self.gateway.settings().order_key_pause_ms);
+                .pause_until(key, now + self.dispatcher.settings().order_key_pause_ms);
         }
     }
 
-    /// The request is over, and so is its part in the lease.
+    /// A request with this key is over.
     pub(super) fn leave_order_lease(&mut self, now: Millis, key: OrderKey, id: RequestId) {
         self.order_leases.request_closed(now, key, id);
         self.schedule_lease_review(now);
@@ -70,11 +70,11 @@
 
     fn order_key(&self, id: RequestId) -> Option<OrderKey> {
         self.requests
-            .get(&id)
-            .and_then(|open| open.request.order_key)
+            .get(id)
+            .and_then(|request| request.accepted.order_key)
     }
 
-    /// Guard: one alarm at a time, and none while nothing waits or rests.
+    /// Sets one timer at a time, and none while no request waits and no key is paused.
     fn schedule_lease_review(&mut self, now: Millis) {
         if !self.lease_review_set && self.order_leases.needs_review() {
             self.lease_review_set = true;
@@ -85,14 +85,16 @@
         }
     }
 
-    /// Tells the module of a request.
+    /// Submits a request to the dispatcher.
     fn submit_request(&mut self, now: Millis, id: RequestId) {
-        let Some(open) = self.requests.get(&id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (taken, settings) = (&open.request, self.gateway.settings());
-        // Guard: a class that went while its request waited; nothing of it has run.
-        let Some(class) = settings.class_position(&taken.class.name, &taken.class.class) else {
+        let accepted = &request.accepted;
+        let settings = self.dispatcher.settings();
+        // Its class may have been removed while the request waited; nothing of it has run.
+        let Some(class) = settings.class_position(&accepted.class.name, &accepted.class.class)
+        else {
             return self.answer_client(
                 now,
                 id,
@@ -102,20 +104,20 @@
                 Outcome::NotSent,
             );
         };
-        let request = Request {
+        let event = Request {
             id,
             class,
-            order_key: taken.order_key.map_or(0, OrderKey::get),
-            deadline_ms: taken.deadline_ms,
-            estimated_work_ms: taken.estimated_work_ms,
-            data_set: taken.data_set,
-            estimated_memory_mb: taken.estimated_memory_mb,
-            max_attempts: open
+            order_key: accepted.order_key.map_or(0, OrderKey::get),
+            deadline_ms: accepted.deadline_ms,
+            estimated_work_ms: accepted.estimated_work_ms,
+            data_set: accepted.data_set,
+            estimated_memory_mb: accepted.estimated_memory_mb,
+            max_attempts: request
                 .policy
                 .max_attempts
-                .map(|most| most.min(settings.max_attempts)),
+                .map(|limit| limit.min(settings.max_attempts)),
         };
-        self.notify_dispatcher(now, Event::Request(request));
+        self.notify_dispatcher(now, Event::Request(event));
     }
 }
 
--- a/src/core/order/tests.rs
+++ b/src/core/order_lease_admission/tests.rs
@@ -143,7 +143,7 @@
 
     /// The requests that the module knows.
     fn known(&self) -> usize {
-        self.core.state_sizes().1[0]
+        self.core.state_sizes().dispatcher[0]
     }
 }
 
@@ -201,14 +201,14 @@
     rig.core.handle(410.0, CoreMessage::ClientDisconnected(2));
     rig.free();
     rig.core.run_due_timers(1000.0);
-    let (core, module) = rig.core.state_sizes();
+    let sizes = rig.core.state_sizes();
     assert_eq!(
         (
             rig.core.open_requests(),
-            core[..2].to_vec(),
-            module[..3].to_vec()
+            [sizes.requests, sizes.client_references],
+            &sizes.dispatcher[..3]
         ),
-        (0, vec![0; 2], vec![0; 3])
+        (0, [0; 2], &[0; 3][..])
     );
     assert!(rig.core.engines.0.is_empty() && !rig.core.order_leases.needs_review());
 }
--- a/src/core/narrow/tests.rs
+++ b/src/core/retry/tests.rs
@@ -3,11 +3,14 @@
 use super::super::*;
 use crate::attempt::AttemptEnd;
 use crate::decision::EngineEntry;
+use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
+use crate::decision::LoadReport;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::operator_config::{self, PlatformConstraints};
 use crate::settings_json::{self, NamedClass};
+use bytes::Bytes;
 use std::sync::Mutex;
 
 /// Engines that take every attempt and say nothing of themselves.
@@ -270,7 +273,10 @@
     rig.core.run_due_timers(30_000.0);
     assert_eq!(rig.asked(), 1, "the waiting attempt died with its request");
     assert_eq!(
-        (rig.core.state_sizes().0[0], rig.core.state_sizes().1[0]),
+        (
+            rig.core.state_sizes().requests,
+            rig.core.state_sizes().dispatcher[0]
+        ),
         (0, 0),
         "neither the core nor the module holds it"
     );
@@ -398,14 +404,19 @@
             .count()
     };
     assert_eq!(
-        (said("taken"), said("sent"), said("ended"), said("answered")),
+        (
+            said("request admitted"),
+            said("attempt sent"),
+            said("attempt ended"),
+            said("request answered")
+        ),
         (1, 2, 2, 1),
         "{text}"
     );
     let taken = events
         .iter()
-        .find(|e| e["fields"]["message"] == "taken")
-        .expect("taken");
+        .find(|e| e["fields"]["message"] == "request admitted")
+        .expect("admitted");
     assert_eq!(
         (
             taken["fields"]["class"].as_str(),
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -3,13 +3,19 @@
 mod attempt_interleavings;
 mod engine_subsets;
 
+use super::requests::DelayedAttempt;
 use super::*;
 use crate::attempt::AttemptEnd;
+use crate::attempt::AttemptHistory;
+use crate::attempt::SentTo;
 use crate::decision::EngineEntry;
+use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
+use crate::decision::LoadReport;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass};
+use bytes::Bytes;
 
 /// Engines that take attempts and say nothing; what they are told to give up, and what the list says of them, is kept.
 #[derive(Default)]
@@ -81,6 +87,22 @@
     }
 }
 
+fn all_sizes(sizes: &StateSizes) -> [usize; 8] {
+    let core = [
+        sizes.requests,
+        sizes.client_references,
+        sizes.roster,
+        sizes.timers,
+    ];
+    let all = [core, sizes.dispatcher].concat();
+    all.try_into().expect("four figures of each")
+}
+
+fn requests_and_references<E: EnginePort>(core: &Core<E>) -> [usize; 2] {
+    let sizes = core.state_sizes();
+    [sizes.requests, sizes.client_references]
+}
+
 /// Guard: nothing grows with what was ever seen. A long day in which engines are replaced, some left out of a
 /// whole list and never told gone, and clients leave, time out or are served.
 #[test]
@@ -102,7 +124,7 @@
     )
     .expect("core");
     core.start(0.0);
-    let (mut now, mut most) = (0.0, ([0; 4], [0; 4]));
+    let (mut now, mut most) = (0.0, StateSizes::default());
     for round in 0..3000 {
         now += 20.0;
         core.run_due_timers(now);
@@ -184,14 +206,17 @@
         }
     }
     let end = core.state_sizes();
-    for (end, most) in end.0.iter().chain(&end.1).zip(most.0.iter().chain(&most.1)) {
+    for (end, most) in all_sizes(&end).iter().zip(all_sizes(&most)) {
         assert!(
             *end <= most + most / 2 + 8,
             "{:?} grew from {most:?}",
             core.state_sizes()
         );
     }
-    assert!(end.0[3] < 2500 && end.0[2] < 10 && end.1[3] < 10, "{end:?}");
+    assert!(
+        end.timers < 2500 && end.roster < 10 && end.dispatcher[3] < 10,
+        "{end:?}"
+    );
 }
 
 /// Guard: what may have run is repeated by key alone, at engines of the group that drop it, and while they do. The core
@@ -244,7 +269,7 @@
         let mut one = taken(1, &class, 20_000.0, 50.0, Arc::new(Nobody));
         one.idempotency_key = key.then(|| Bytes::from_static(b"k"));
         core.handle(0.0, CoreMessage::Request(one));
-        let open = core.requests.get_mut(&1).expect("open");
+        let open = core.requests.get_mut(1).expect("open");
         open.history = AttemptHistory::default();
         open.history.record_sent(
             0,
@@ -260,13 +285,18 @@
             let until = core.resend_deadline(700.0, 1, engine_id(n));
             assert_eq!(until, (reached > 0).then_some(799.0), "{scope} {key} {n}");
         }
+        let delayed = DelayedAttempt {
+            number: 1,
+            engine: engine_id(1),
+            timeout_ms: None,
+        };
         assert_eq!(
             core.start_attempt(800.0, 1, engine_id(1), None),
-            Some(Outcome::NotSent)
+            Err(Outcome::NotSent)
         );
         assert_eq!(
-            core.send_attempt(800.0, 1, 1, engine_id(1), None),
-            Some(Outcome::NotSent),
+            core.send_attempt(800.0, 1, delayed),
+            Err(Outcome::NotSent),
             "after a back-off"
         );
     }
@@ -394,7 +424,7 @@
         (
             metrics.requests_failed.get(),
             metrics.cancellations_timed_out.get(),
-            core.state_sizes().0[0]
+            core.state_sizes().requests
         ),
         (2, 1, 0)
     );
@@ -402,7 +432,10 @@
     core.handle(6000.0, ask(3));
     core.handle(6001.0, CoreMessage::ClientDisconnected(3));
     assert_eq!(
-        (core.open_requests(), core.state_sizes().0[..2] == [1, 1]),
+        (
+            core.open_requests(),
+            requests_and_references(&core) == [1, 1]
+        ),
         (0, true)
     );
     let (engine, id, attempt) = *core.engines.1.last().expect("quit");
@@ -420,7 +453,7 @@
             event: news,
         },
     );
-    assert_eq!(core.state_sizes().0[..2], [0, 0]);
+    assert_eq!(requests_and_references(&core), [0, 0]);
 }
 
 /// Staff may take out as many engines as the list has places: of a thousand listed ones all, and each comes back.
@@ -531,7 +564,7 @@
     }
     core.run_due_timers(1000.0);
     assert_eq!(
-        (core.state_sizes().0[2], core.state_sizes().1[3]),
+        (core.state_sizes().roster, core.state_sizes().dispatcher[3]),
         (0, 0),
         "in the roster and in the module"
     );
--- a/src/core/tests/attempt_interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -3,9 +3,12 @@
 //! runs once. Connections are modelled round the real [`Life`]; the core and the module are the real ones.
 
 use super::*;
+use crate::attempt::never_ran;
 use crate::attempt::{AttemptEnd, AttemptState};
+use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
+use crate::decision::LoadReport;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json;
 use proptest::prelude::*;
@@ -403,7 +406,7 @@
     }
     let answered = told.0.lock().unwrap_or_else(PoisonError::into_inner).len();
     assert!(
-        answered + left >= next as usize - 1 && core.state_sizes().0[0] == 0,
+        answered + left >= next as usize - 1 && core.state_sizes().requests == 0,
         "{answered} and {left} of {next}"
     );
 }
--- a/src/core/tests/engine_subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -2,8 +2,10 @@
 //! engines over a whole fleet of decision modules whose lists differ.
 
 use super::*;
+use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
+use crate::decision::LoadReport;
 use crate::metrics::Gauge;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass, PlatformSettings};
@@ -148,7 +150,7 @@
     for _ in 0..60 {
         out.extend(manager.request(10.0, 50.0));
     }
-    let held = manager.core.state_sizes().1[3];
+    let held = manager.core.state_sizes().dispatcher[3];
     assert!(
         out.len() > 30 && (24..=36).contains(&held),
         "{} sent to {held}",
@@ -169,7 +171,7 @@
             && manager.metrics.subset_membership_changes.get() == 1
     );
     assert!(
-        manager.core.state_sizes().1[3] > held,
+        manager.core.state_sizes().dispatcher[3] > held,
         "those that still run something, and the new ones"
     );
     let before: Vec<EngineId> = out.iter().map(|(engine, ..)| *engine).collect();
@@ -183,9 +185,9 @@
     manager.core.run_due_timers(300.0);
     assert_eq!(manager.metrics.requests_served.get(), all);
     assert!(
-        (24..=36).contains(&manager.core.state_sizes().1[3]),
+        (24..=36).contains(&manager.core.state_sizes().dispatcher[3]),
         "{}",
-        manager.core.state_sizes().1[3]
+        manager.core.state_sizes().dispatcher[3]
     );
 }
 
--- /dev/null
+++ b/src/core/timers.rs
@@ -0,0 +1,142 @@
+//! The core's timers: one heap for the dispatcher's timers, the requests' deadlines and the checks of attempts.
+
+use super::requests::RequestTable;
+use super::{Core, EnginePort, Event, Millis, RequestId};
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// What is to be done when a timer is due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Timer {
+    /// The dispatcher's timer with this token.
+    Dispatcher(u64),
+    /// Answers a request whose client would give up.
+    RequestDeadline(RequestId),
+    /// Checks whether the cancellation of an attempt was confirmed.
+    CancellationCheck { id: RequestId, attempt: u16 },
+    /// Checks when an attempt was last heard of.
+    SilenceCheck { id: RequestId, attempt: u16 },
+    /// The backoff of an attempt is over.
+    BackoffElapsed { id: RequestId, attempt: u16 },
+    /// An attempt has run for the time that its policy allows.
+    AttemptTimeout { id: RequestId, attempt: u16 },
+    /// Checks whether leases on order keys can be released or acquired.
+    LeaseReview,
+}
+
+impl Timer {
+    /// Whether it still has an effect. Timers of ended attempts and requests have none.
+    fn is_live(self, requests: &RequestTable) -> bool {
+        match self {
+            Timer::Dispatcher(_) | Timer::LeaseReview => true,
+            Timer::RequestDeadline(id) => requests.contains(id),
+            Timer::CancellationCheck { id, attempt }
+            | Timer::SilenceCheck { id, attempt }
+            | Timer::AttemptTimeout { id, attempt } => requests
+                .get(id)
+                .and_then(|request| request.history.in_flight())
+                .is_some_and(|in_flight| in_flight.number == attempt),
+            Timer::BackoffElapsed { id, attempt } => requests
+                .get(id)
+                .and_then(|request| request.backoff)
+                .is_some_and(|delayed| delayed.number == attempt),
+        }
+    }
+}
+
+/// Timers kept for each request before those without effect are removed: its deadline, and those of its attempts.
+const TIMERS_PER_REQUEST: usize = 8;
+
+/// Timers kept besides these.
+const SPARE_TIMERS: usize = 1024;
+
+/// A point in Unix time, in ms, with a total order.
+#[derive(Clone, Copy, PartialEq)]
+struct DueTime(Millis);
+
+impl Eq for DueTime {}
+
+impl PartialOrd for DueTime {
+    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Ord for DueTime {
+    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+        self.0.total_cmp(&other.0)
+    }
+}
+
+/// Pending timers, the earliest first; of those due at one time, the one set first.
+#[derive(Default)]
+pub(super) struct TimerQueue {
+    heap: BinaryHeap<Reverse<(DueTime, u64, Timer)>>,
+    /// Timers set so far: orders those due at one time.
+    sequence: u64,
+}
+
+impl TimerQueue {
+    pub(super) fn len(&self) -> usize {
+        self.heap.len()
+    }
+
+    fn next_due(&self) -> Option<Millis> {
+        self.heap.peek().map(|Reverse((due, ..))| due.0)
+    }
+
+    /// Removes the first timer that is due, and returns it with the time that it was set for.
+    fn pop_due(&mut self, now: Millis) -> Option<(Millis, Timer)> {
+        self.next_due().filter(|due| *due <= now)?;
+        let Reverse((due, _, timer)) = self.heap.pop()?;
+        Some((due.0, timer))
+    }
+
+    fn push(&mut self, due: Millis, timer: Timer) {
+        self.sequence += 1;
+        self.heap
+            .push(Reverse((DueTime(due), self.sequence, timer)));
+    }
+}
+
+impl<E: EnginePort> Core<E> {
+    /// When the next timer is due, in Unix ms.
+    pub fn next_timer(&self) -> Option<Millis> {
+        self.timers.next_due()
+    }
+
+    /// Runs the timers that are due.
+    pub fn run_due_timers(&mut self, now: Millis) {
+        while let Some((due, timer)) = self.timers.pop_due(now) {
+            match timer {
+                Timer::Dispatcher(token) => self.notify_dispatcher(now, Event::Timer { token }),
+                Timer::RequestDeadline(id) => self.deadline_reached(now, id),
+                Timer::CancellationCheck { id, attempt } => {
+                    self.check_cancellation(now, id, attempt);
+                }
+                Timer::SilenceCheck { id, attempt } => {
+                    self.check_attempt_silence(now, id, attempt, due);
+                }
+                Timer::BackoffElapsed { id, attempt } => self.backoff_elapsed(now, id, attempt),
+                Timer::AttemptTimeout { id, attempt } => self.attempt_timed_out(now, id, attempt),
+                Timer::LeaseReview => self.review_order_leases(now),
+            }
+            // The dispatcher's timer runs often enough to keep this figure current.
+            let ejected = self.dispatcher.ejected_engines();
+            self.metrics.engines_ejected.set(ejected);
+        }
+    }
+
+    /// Sets a timer for this Unix time in ms.
+    pub(super) fn set_timer(&mut self, due: Millis, timer: Timer) {
+        self.timers.push(due, timer);
+        // Timers of requests that are over stay until they are due; many short requests would pile them up.
+        let limit = SPARE_TIMERS + TIMERS_PER_REQUEST * self.requests.len();
+        if self.timers.len() > limit {
+            let requests = &self.requests;
+            self.timers
+                .heap
+                .retain(|Reverse((.., timer))| timer.is_live(requests));
+        }
+    }
+}
