--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -1,147 +1,214 @@
-//! Frames of the wire: header, records of fixed size, tail. Little-endian, no padding.
+//! Frames of the simulator's wire: header, records of fixed size, tail. Little-endian, without padding.
 
-use std::fmt;
-use std::io::{ErrorKind, Read};
+use std::io::{self, ErrorKind, Read};
+use workload_manager::EngineId;
 
-pub(crate) const HEADER: usize = 20;
-pub(crate) const EVENT: usize = 48;
-pub(crate) const ACTION: usize = 24;
+/// Bytes of a batch's header.
+const HEADER_BYTES: usize = 20;
+/// Bytes of an event record.
+const EVENT_BYTES: usize = 48;
+/// Bytes of an action record.
+const ACTION_BYTES: usize = 24;
+/// Bytes of a reply's header.
+const REPLY_HEADER_BYTES: usize = 12;
 
 /// What is wrong with the input, and where.
-#[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Problem(pub String);
-
-impl fmt::Display for Problem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum FrameError {
+    /// The input ended within a header.
+    #[error("input ends {read} bytes into a batch header of {HEADER_BYTES}")]
+    PartialHeader { read: usize },
+    /// The input could not be read at all.
+    #[error("cannot read: {0}")]
+    Unreadable(#[source] io::Error),
+    /// The header's count of records is larger than its frame.
+    #[error("batch {batch}: {records} records do not fit a frame of {frame_bytes} bytes")]
+    TooManyRecords {
+        batch: u32,
+        records: usize,
+        frame_bytes: usize,
+    },
+    /// The clock is not finite.
+    #[error("batch {batch}: the clock is not a number")]
+    BadClock { batch: u32 },
+    /// The input ended within a body.
+    #[error("batch {batch}: input ends {read} bytes into a body of {body_bytes}")]
+    PartialBody {
+        batch: u32,
+        read: usize,
+        body_bytes: usize,
+    },
+    /// A body could not be read.
+    #[error("batch {batch}: cannot read: {source}")]
+    UnreadableBody { batch: u32, source: io::Error },
+    /// A record refers to bytes outside the tail.
+    #[error(
+        "batch {batch}: {what} at {offset}, length {length}, lies outside the tail of {tail_bytes} bytes"
+    )]
+    OutsideTail {
+        batch: u32,
+        what: &'static str,
+        offset: usize,
+        length: usize,
+        tail_bytes: usize,
+    },
+    /// A record holds a value that the protocol does not have.
+    #[error("batch {batch}, record {record}: {what} {value}")]
+    UnknownValue {
+        batch: u32,
+        record: usize,
+        what: &'static str,
+        value: u64,
+    },
 }
 
 /// One batch of events, as read.
 pub(crate) struct Batch {
-    pub clock: f64,
-    pub number: u32,
-    pub count: usize,
+    /// The simulator's clock in ms.
+    pub(crate) clock_ms: f64,
+    pub(crate) number: u32,
+    pub(crate) record_count: usize,
     body: Vec<u8>,
 }
 
 impl Batch {
-    /// Record `i`; its fields are read at fixed offsets, all of which lie inside.
-    pub(crate) fn record(&self, i: usize) -> Bytes<'_> {
-        Bytes(&self.body[i * EVENT..(i + 1) * EVENT])
-    }
-
-    /// A stretch of the tail.
-    pub(crate) fn tail(&self, offset: u32, length: usize, what: &str) -> Result<&[u8], Problem> {
-        let tail = &self.body[self.count * EVENT..];
-        let from = offset as usize;
-        from.checked_add(length).and_then(|to| tail.get(from..to)).ok_or_else(|| {
-            Problem(format!(
-                "batch {}: {what} at {from}, length {length}, lies outside the tail of {} bytes",
-                self.number,
-                tail.len()
-            ))
+    /// Reads one batch; `None` at the end of input.
+    pub(crate) fn read(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
+        let mut header = [0u8; HEADER_BYTES];
+        let read = fill(input, &mut header).map_err(FrameError::Unreadable)?;
+        if read == 0 {
+            return Ok(None);
+        }
+        if read < HEADER_BYTES {
+            return Err(FrameError::PartialHeader { read });
+        }
+        let header = Fields(&header);
+        let frame_bytes = header.u32(0) as usize;
+        let clock_ms = header.f64(4);
+        let record_count = header.u32(12) as usize;
+        let number = header.u32(16);
+        let least_bytes = record_count
+            .checked_mul(EVENT_BYTES)
+            .and_then(|bytes| bytes.checked_add(HEADER_BYTES));
+        if least_bytes.is_none_or(|bytes| bytes > frame_bytes) {
+            return Err(FrameError::TooManyRecords {
+                batch: number,
+                records: record_count,
+                frame_bytes,
+            });
+        }
+        if !clock_ms.is_finite() {
+            return Err(FrameError::BadClock { batch: number });
+        }
+        let body = read_body(input, number, frame_bytes - HEADER_BYTES)?;
+        Ok(Some(Batch {
+            clock_ms,
+            number,
+            record_count,
+            body,
+        }))
+    }
+
+    /// A record; its fields are read at fixed offsets, all of which lie inside.
+    pub(crate) fn record(&self, index: usize) -> Fields<'_> {
+        Fields(&self.body[index * EVENT_BYTES..(index + 1) * EVENT_BYTES])
+    }
+
+    /// A stretch of the tail; `what` names it in the error.
+    pub(crate) fn tail(
+        &self,
+        offset: u32,
+        length: usize,
+        what: &'static str,
+    ) -> Result<&[u8], FrameError> {
+        let tail = &self.body[self.record_count * EVENT_BYTES..];
+        let offset = offset as usize;
+        let stretch = offset
+            .checked_add(length)
+            .and_then(|end| tail.get(offset..end));
+        stretch.ok_or(FrameError::OutsideTail {
+            batch: self.number,
+            what,
+            offset,
+            length,
+            tail_bytes: tail.len(),
         })
     }
 }
 
+/// Reads a body. Memory grows with what has come in, not with what the header claims.
+fn read_body(input: &mut impl Read, batch: u32, body_bytes: usize) -> Result<Vec<u8>, FrameError> {
+    let mut body = Vec::new();
+    let read = input
+        .take(body_bytes as u64)
+        .read_to_end(&mut body)
+        .map_err(|source| FrameError::UnreadableBody { batch, source })?;
+    if read == body_bytes {
+        Ok(body)
+    } else {
+        Err(FrameError::PartialBody {
+            batch,
+            read,
+            body_bytes,
+        })
+    }
+}
+
+/// Reads until the buffer is full or the input ends; returns the bytes read.
+fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut read = 0;
+    while read < buffer.len() {
+        match input.read(&mut buffer[read..]) {
+            Ok(0) => break,
+            Ok(bytes) => read += bytes,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(read)
+}
+
 /// Fields at fixed offsets.
 #[derive(Clone, Copy)]
-pub(crate) struct Bytes<'a>(pub &'a [u8]);
+pub(crate) struct Fields<'a>(pub(crate) &'a [u8]);
 
-impl Bytes<'_> {
-    fn take<const N: usize>(self, at: usize) -> [u8; N] {
+impl Fields<'_> {
+    fn array<const N: usize>(self, offset: usize) -> [u8; N] {
         let mut field = [0; N];
-        field.copy_from_slice(&self.0[at..at + N]);
+        field.copy_from_slice(&self.0[offset..offset + N]);
         field
     }
 
-    pub(crate) fn u8(self, at: usize) -> u8 {
-        self.0[at]
-    }
-
-    pub(crate) fn u16(self, at: usize) -> u16 {
-        u16::from_le_bytes(self.take(at))
-    }
-
-    pub(crate) fn u32(self, at: usize) -> u32 {
-        u32::from_le_bytes(self.take(at))
+    pub(crate) fn u8(self, offset: usize) -> u8 {
+        self.0[offset]
     }
 
-    pub(crate) fn u64(self, at: usize) -> u64 {
-        u64::from_le_bytes(self.take(at))
+    pub(crate) fn u16(self, offset: usize) -> u16 {
+        u16::from_le_bytes(self.array(offset))
     }
 
-    pub(crate) fn f32(self, at: usize) -> f64 {
-        f64::from(f32::from_le_bytes(self.take(at)))
+    pub(crate) fn u32(self, offset: usize) -> u32 {
+        u32::from_le_bytes(self.array(offset))
     }
 
-    pub(crate) fn f64(self, at: usize) -> f64 {
-        f64::from_le_bytes(self.take(at))
+    pub(crate) fn u64(self, offset: usize) -> u64 {
+        u64::from_le_bytes(self.array(offset))
     }
 
-    pub(crate) fn engine(self, at: usize) -> workload_manager::EngineId {
-        workload_manager::EngineId {
-            addr: self.take(at),
-            port: self.u16(at + 4),
-        }
+    pub(crate) fn f32(self, offset: usize) -> f64 {
+        f64::from(f32::from_le_bytes(self.array(offset)))
     }
-}
 
-/// Reads one batch; `None` at the end of input.
-pub(crate) fn read(input: &mut impl Read) -> Result<Option<Batch>, Problem> {
-    let mut header = [0u8; HEADER];
-    let got = fill(input, &mut header)?;
-    if got == 0 {
-        return Ok(None);
-    }
-    if got < HEADER {
-        return Err(Problem(format!(
-            "input ends {got} bytes into a batch header of {HEADER}"
-        )));
-    }
-    let h = Bytes(&header);
-    let (length, clock, count, number) =
-        (h.u32(0) as usize, h.f64(4), h.u32(12) as usize, h.u32(16));
-    let needed = count.checked_mul(EVENT).and_then(|n| n.checked_add(HEADER));
-    if needed.is_none_or(|n| n > length) {
-        return Err(Problem(format!(
-            "batch {number}: {count} records do not fit a frame of {length} bytes"
-        )));
-    }
-    if !clock.is_finite() {
-        return Err(Problem(format!(
-            "batch {number}: the clock is not a number"
-        )));
-    }
-    // Memory grows with what has come in, not with what the header claims.
-    let mut body = Vec::new();
-    let wanted = length - HEADER;
-    match input.take(wanted as u64).read_to_end(&mut body) {
-        Ok(n) if n == wanted => Ok(Some(Batch {
-            clock,
-            number,
-            count,
-            body,
-        })),
-        Ok(n) => Err(Problem(format!(
-            "batch {number}: input ends {n} bytes into a body of {wanted}"
-        ))),
-        Err(e) => Err(Problem(format!("batch {number}: cannot read: {e}"))),
+    pub(crate) fn f64(self, offset: usize) -> f64 {
+        f64::from_le_bytes(self.array(offset))
     }
-}
 
-fn fill(input: &mut impl Read, into: &mut [u8]) -> Result<usize, Problem> {
-    let mut got = 0;
-    while got < into.len() {
-        match input.read(&mut into[got..]) {
-            Ok(0) => break,
-            Ok(n) => got += n,
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(Problem(format!("cannot read: {e}"))),
+    pub(crate) fn engine(self, offset: usize) -> EngineId {
+        EngineId {
+            addr: self.array(offset),
+            port: self.u16(offset + 4),
         }
     }
-    Ok(got)
 }
 
 /// A reply under construction.
@@ -149,24 +216,24 @@
 pub(crate) struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
-    count: u32,
+    record_count: u32,
 }
 
 impl Reply {
-    /// Adds a record: its code, its instance and its fields, each at its offset.
-    pub(crate) fn record(&mut self, code: u8, instance: u16, fields: &[(usize, &[u8])]) {
-        let mut record = [0u8; ACTION];
+    /// Adds a record: its code, its instance and its fields, each with its offset.
+    pub(crate) fn add_record(&mut self, code: u8, instance: u16, fields: &[(usize, &[u8])]) {
+        let mut record = [0u8; ACTION_BYTES];
         record[0] = code;
         record[1..3].copy_from_slice(&instance.to_le_bytes());
-        for (at, bytes) in fields {
-            record[*at..at + bytes.len()].copy_from_slice(bytes);
+        for (offset, bytes) in fields {
+            record[*offset..offset + bytes.len()].copy_from_slice(bytes);
         }
         self.records.extend_from_slice(&record);
-        self.count += 1;
+        self.record_count += 1;
     }
 
     /// Adds text to the tail and returns the field that refers to it.
-    pub(crate) fn text(&mut self, text: &str) -> [u8; 8] {
+    pub(crate) fn add_text(&mut self, text: &str) -> [u8; 8] {
         let mut field = [0; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
         field[4..].copy_from_slice(&(text.len() as u32).to_le_bytes());
@@ -174,14 +241,15 @@
         field
     }
 
-    pub(crate) fn finish(self, number: u32) -> Vec<u8> {
-        let size = 12 + self.records.len() + self.tail.len();
-        let mut out = Vec::with_capacity(size);
-        out.extend_from_slice(&self.count.to_le_bytes());
-        out.extend_from_slice(&(size as u32).to_le_bytes());
-        out.extend_from_slice(&number.to_le_bytes());
-        out.extend_from_slice(&self.records);
-        out.extend_from_slice(&self.tail);
-        out
+    /// The reply to a batch of this number.
+    pub(crate) fn into_bytes(self, batch: u32) -> Vec<u8> {
+        let size = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
+        let mut bytes = Vec::with_capacity(size);
+        bytes.extend_from_slice(&self.record_count.to_le_bytes());
+        bytes.extend_from_slice(&(size as u32).to_le_bytes());
+        bytes.extend_from_slice(&batch.to_le_bytes());
+        bytes.extend_from_slice(&self.records);
+        bytes.extend_from_slice(&self.tail);
+        bytes
     }
 }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,38 +1,43 @@
-//! Hosts gateways on the simulator's wire: standard input to standard output. It only translates.
+//! Hosts dispatchers on the simulator's wire: standard input to standard output. It only translates.
 #![forbid(unsafe_code)]
 
+mod decode;
+mod encode;
 mod frame;
 mod host;
 
+use frame::{Batch, FrameError};
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
+/// Bytes of the buffers of standard input and output.
+const BUFFER_BYTES: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     let mut host = host::Host::default();
     loop {
-        let batch = match frame::read(&mut input) {
-            Ok(Some(batch)) => batch,
+        let reply = match next_reply(&mut host, &mut input) {
+            Ok(Some(reply)) => reply,
             Ok(None) => return ExitCode::SUCCESS,
-            Err(problem) => {
-                eprintln!("simulator-adapter: {problem}");
-                return ExitCode::FAILURE;
-            }
-        };
-        let reply = match host.answer(&batch) {
-            Ok(reply) => reply,
-            Err(problem) => {
-                eprintln!("simulator-adapter: {problem}");
+            Err(error) => {
+                eprintln!("simulator-adapter: {error}");
                 return ExitCode::FAILURE;
             }
         };
-        if output
-            .write_all(&reply)
-            .and_then(|()| output.flush())
-            .is_err()
-        {
+        let written = output.write_all(&reply).and_then(|()| output.flush());
+        if written.is_err() {
             return ExitCode::FAILURE;
         }
     }
 }
+
+/// Reads one batch and returns its reply; `None` at the end of input.
+fn next_reply(
+    host: &mut host::Host,
+    input: &mut impl io::Read,
+) -> Result<Option<Vec<u8>>, FrameError> {
+    let batch = Batch::read(input)?;
+    batch.map(|batch| host.answer(&batch)).transpose()
+}
