--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -66,8 +66,7 @@
         } else {
             self.now_ms + class.client_timeout_ms
         };
-        self.last_arrival_number += 1;
-        let arrival_number = self.last_arrival_number;
+        let arrival_number = self.last_arrival_number.take_next();
         if class.ordered_by_key && request.order_key != 0 {
             self.order_keys
                 .insert(request.order_key, arrival_number, request.id);
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -146,7 +146,7 @@
     }
 
     fn tie_cost(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
-        let hash = mix(engine.hash ^ self.seed ^ request.arrival_number);
+        let hash = mix(engine.hash ^ self.seed ^ request.arrival_number.bits());
         1.0 + TIE_COST * (hash >> TIE_HASH_SHIFT) as f64 / 2f64.powi(TIE_HASH_BITS)
     }
 
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -192,7 +192,8 @@
             .filter(|engine| self.is_eligible(request, engine))
             .map(|engine| engine.entry.engine)
             .collect();
-        let random = mix(self.seed ^ self.now_ms.to_bits() ^ request.arrival_number) as usize;
+        let random =
+            mix(self.seed ^ self.now_ms.to_bits() ^ request.arrival_number.bits()) as usize;
         let mut checked: Vec<EngineId> = self
             .affinity_engines(request)
             .into_iter()
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -54,7 +54,7 @@
 use health_checks::HealthCheckBudget;
 use load_estimate::{FleetLoad, ThreadsPerQuery};
 use order_keys::OrderKeys;
-use requests::QueuedRequest;
+use requests::{ArrivalNumber, QueuedRequest};
 use retries::RetryWindow;
 use slowdown::FleetSlowdown;
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,10 +74,10 @@
     /// Breaks ties differently at each manager.
     seed: u64,
     now_ms: Millis,
-    last_arrival_number: u64,
+    last_arrival_number: ArrivalNumber,
     requests: BTreeMap<RequestId, QueuedRequest>,
     /// Requests without an attempt in flight, by arrival number.
-    queue: BTreeMap<u64, RequestId>,
+    queue: BTreeMap<ArrivalNumber, RequestId>,
     order_keys: OrderKeys,
     engines: BTreeMap<EngineId, Engine>,
     /// The engines that staff have ejected, listed or not.
--- a/src/decision/order_keys.rs
+++ b/src/decision/order_keys.rs
@@ -1,13 +1,13 @@
 //! Order keys: requests with one key run one at a time, in the order of their arrival.
 
-use super::{Dispatcher, Millis, QueuedRequest, RequestId};
+use super::requests::{ArrivalNumber, QueuedRequest};
+use super::{Dispatcher, Millis, RequestId};
 use std::collections::BTreeMap;
 
 /// The unfinished requests of one key.
 #[derive(Default)]
 struct KeyState {
-    /// By arrival number.
-    requests: BTreeMap<u64, RequestId>,
+    requests: BTreeMap<ArrivalNumber, RequestId>,
     /// An earlier attempt may run until then.
     paused_until_ms: Millis,
 }
@@ -25,13 +25,13 @@
     }
 
     /// Adds a request behind the others of its key.
-    pub(super) fn insert(&mut self, key: u64, arrival_number: u64, id: RequestId) {
+    pub(super) fn insert(&mut self, key: u64, arrival_number: ArrivalNumber, id: RequestId) {
         let state = self.keys.entry(key).or_default();
         state.requests.insert(arrival_number, id);
     }
 
     /// Removes a finished request, so that the next one of its key may run.
-    pub(super) fn remove(&mut self, key: u64, arrival_number: u64) {
+    pub(super) fn remove(&mut self, key: u64, arrival_number: ArrivalNumber) {
         if let Some(state) = self.keys.get_mut(&key) {
             state.requests.remove(&arrival_number);
         }
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -3,6 +3,24 @@
 use super::health_checks::AwaitedHealthChecks;
 use super::{Dispatcher, EngineId, Millis, RequestId};
 
+/// Place of a request in the order of arrival, from 1.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ArrivalNumber(u64);
+
+impl ArrivalNumber {
+    /// The next number, which is taken with that.
+    #[must_use]
+    pub(super) fn take_next(&mut self) -> Self {
+        self.0 += 1;
+        *self
+    }
+
+    /// Its bits, for hashes that break ties.
+    pub(super) fn bits(self) -> u64 {
+        self.0
+    }
+}
+
 /// Threads on an attempt's engine as it was sent, the attempt included.
 #[derive(Clone, Copy)]
 pub(super) struct ThreadsAtStart {
@@ -39,8 +57,7 @@
 
 /// A request that waits or has an attempt in flight.
 pub(super) struct QueuedRequest {
-    /// Place in the order of arrival.
-    pub(super) arrival_number: u64,
+    pub(super) arrival_number: ArrivalNumber,
     /// Its class, by position in the settings.
     pub(super) class: usize,
     /// Its order key; 0 for none.
