--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -1,6 +1,7 @@
 //! Failure detection and health checks: which engines are down, and which are checked.
 
 use super::{Action, Dispatcher, EngineId, Millis, Outcome, RequestId, hash::mix};
+use std::fmt;
 
 /// First pause after a failure, in ms.
 pub(super) const FIRST_PAUSE_MS: Millis = 250.0;
@@ -23,6 +24,24 @@
 /// Affinity engines checked for a request.
 const CHECKED_AFFINITY_ENGINES: usize = 2;
 
+/// What has shown that an engine cannot be reached.
+#[derive(Clone, Copy)]
+pub(super) enum FailureCause {
+    /// A health check failed.
+    HealthCheck,
+    /// An attempt got no connection.
+    NoConnection,
+}
+
+impl fmt::Display for FailureCause {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::HealthCheck => "health_check",
+            Self::NoConnection => "no_connection",
+        })
+    }
+}
+
 /// Whether an engine is down, from failures and answers.
 #[derive(Default)]
 pub(super) struct FailureDetector {
@@ -163,7 +182,7 @@
         match outcome {
             Outcome::Ok => self.record_success(engine_id, actions),
             Outcome::Rejected | Outcome::NotSent => {}
-            _ => self.record_failure(engine_id, "probe", actions),
+            _ => self.record_failure(engine_id, FailureCause::HealthCheck, actions),
         }
     }
 
@@ -249,7 +268,7 @@
                 .slow_start
                 .begin_recovery(self.now_ms, self.settings.slow_start_ms);
             actions.push(Action::Log {
-                line: format!("engine={engine_id} state=back why=answered"),
+                line: format!("engine recovered engine={engine_id} reason=answered"),
             });
         }
     }
@@ -258,7 +277,7 @@
     pub(super) fn record_failure(
         &mut self,
         engine_id: EngineId,
-        reason: &str,
+        cause: FailureCause,
         actions: &mut Vec<Action>,
     ) {
         let Some(engine) = self.engines.get_mut(&engine_id) else {
@@ -266,7 +285,7 @@
         };
         if engine.failures.record_failure(self.now_ms) {
             actions.push(Action::Log {
-                line: format!("engine={engine_id} state=down why={reason}"),
+                line: format!("engine down engine={engine_id} reason={cause}"),
             });
         }
     }
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -102,7 +102,7 @@
             };
             if engine.outlier.attribute_error(self.now_ms) {
                 actions.push(Action::Log {
-                    line: format!("engine={engine_id} state=doubted why=errors"),
+                    line: format!("engine ejected engine={engine_id} reason=errors"),
                 });
             }
         }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -42,7 +42,7 @@
     for id in back {
         actions.extend(rig.ended(id, 1, engine(0), Outcome::NoConnection));
     }
-    let down = |a: &&Action| matches!(a, Action::Log { line } if line.contains("state=down"));
+    let down = |a: &&Action| matches!(a, Action::Log { line } if line.starts_with("engine down "));
     assert!(actions.iter().filter(down).count() <= 1);
     for id in 10..20 {
         assert_ne!(sent(&rig.request(id, 0, 0), id), Some(engine(0)));
@@ -118,7 +118,7 @@
     let down = rig.ended(1, 0, engine(0), Outcome::NoConnection);
     assert!(
         down.iter()
-            .any(|a| matches!(a, Action::Log { line } if line.contains("state=down")))
+            .any(|a| matches!(a, Action::Log { line } if line.starts_with("engine down ")))
     );
 }
 
@@ -274,8 +274,8 @@
         }
     }
     let expected = [
-        "engine=10.0.0.0:8000 state=down why=probe",
-        "engine=10.0.0.0:8000 state=back why=answered",
+        "engine down engine=10.0.0.0:8000 reason=health_check",
+        "engine recovered engine=10.0.0.0:8000 reason=answered",
     ];
     assert_eq!(lines, expected);
 }
