--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -3,7 +3,7 @@
 
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::{Rig, class, entry, sent, served, settings};
+use common::{TestBench, class, entry, measured, sent, served, settings};
 use std::time::Instant;
 use workload_manager::{
     EngineEntry, EngineId, EngineState, Event, ListUpdateKind, LoadReport, Settings,
@@ -15,7 +15,7 @@
     println!("engines  us a request  us a tick");
     for engines in [6u16, 80, 300, 1024] {
         let classes = vec![class(1, 1000.0, 1.0), class(3, 3000.0, 20.0)];
-        let mut rig = Rig::new(
+        let mut bench = TestBench::new(
             Settings {
                 instances: 100,
                 ..settings(classes)
@@ -30,26 +30,26 @@
             engine: at(n),
             ..entry(n as u8, EngineState::Ready, 0.0)
         };
-        rig.event(Event::EndpointList {
+        bench.event(Event::EndpointList {
             kind: ListUpdateKind::Full,
             entries: (0..engines).map(line).collect(),
         });
         let (mut ticks, mut in_ticks) = (0u32, 0.0);
         let begun = Instant::now();
         for id in 0..REQUESTS {
-            rig.now += 2.5;
+            bench.now += 2.5;
             if id % 20 == 0 {
                 let from = Instant::now();
-                rig.tick(0.0);
+                bench.tick(0.0);
                 (ticks, in_ticks) = (ticks + 1, in_ticks + from.elapsed().as_secs_f64());
             }
-            let actions = rig.request_with(id, 0, 0, 9000.0, Some(50.0));
+            let actions = bench.request_with(id, 0, 0, 9000.0, Some(50.0));
             let report = LoadReport {
                 inflight: Some(4.0),
                 ..LoadReport::default()
             };
             let to = sent(&actions, id).expect("an engine");
-            rig.event(served(id, to, 60.0, Some((50.0, 8.0)), report));
+            bench.event(served(id, to, 60.0, measured(50.0, 8.0), report));
         }
         let each = begun.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
         println!(
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn an_empty_batch_gets_the_documented_reply() {
+fn empty_batch_gets_the_documented_reply() {
     let out = run(&batch(53_104.0, 1, &[], &[]));
     assert!(out.status.success());
     assert_eq!(out.stdout, [0, 0, 0, 0, 12, 0, 0, 0, 1, 0, 0, 0]);
 }
 
 #[test]
-fn a_request_is_sent_to_the_listed_engine() {
+fn request_is_sent_to_the_listed_engine() {
     let (tail, at, engine) = (tail_of(SETUP), SETUP.len(), ENGINE);
     let due = 4000f64.to_le_bytes();
     let records = [
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn bills_of_memory_come_back_as_a_grant() {
+fn measured_memory_comes_back_as_a_grant() {
     let specifics = r#"{"specifics":{"bills":true,"takesGrants":true},"tenants":[{"quotaPerS":5}],"az":1,"nInst"#;
     let setup = SETUP.replacen("{\"nInst", specifics, 1);
     let (tail, at, engine) = (tail_of(&setup), setup.len(), ENGINE);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers shared by the tests: settings, engines and events in few words.
+//! Helpers that the tests share: settings, engines and events with usual values, and a dispatcher with a clock.
 #![allow(dead_code)]
 
 use workload_manager::{
@@ -6,13 +6,14 @@
     Idempotency, ListUpdateKind, LoadReport, LoadReportMode, Outcome, Request, Settings,
 };
 
-pub(crate) fn class(threads: u32, promise_ms: f64, worth: f64) -> Class {
+/// An idempotent class without bounds; its clients wait five times its latency objective.
+pub(crate) fn class(threads: u32, latency_objective_ms: f64, priority_weight: f64) -> Class {
     Class {
-        priority_weight: worth,
+        priority_weight,
         late_weight_factor: 0.2,
-        latency_objective_ms: promise_ms,
+        latency_objective_ms,
         objective_work_factor: 2.0,
-        client_timeout_ms: promise_ms * 5.0,
+        client_timeout_ms: latency_objective_ms * 5.0,
         threads,
         idempotency: Idempotency::Idempotent,
         dedup_window_ms: 20_000.0,
@@ -24,6 +25,7 @@
     }
 }
 
+/// Settings of a single workload manager with these classes.
 pub(crate) fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         instances: 1,
@@ -43,6 +45,7 @@
     }
 }
 
+/// The address of the engine with this number.
 pub(crate) fn engine(n: u8) -> EngineId {
     EngineId {
         addr: [10, 0, 0, n],
@@ -50,54 +53,59 @@
     }
 }
 
-pub(crate) fn entry(n: u8, state: EngineState, started_ms: f64) -> EngineEntry {
-    let (zone, kind, cell) = (n % 2, u16::from(n / 2 % 2), u16::from(n % 3));
+/// The list's entry of an engine: two zones, two machine types and three cells in turn.
+pub(crate) fn entry(n: u8, state: EngineState, started_at_ms: f64) -> EngineEntry {
     EngineEntry {
         engine: engine(n),
-        zone,
-        machine_type: kind,
-        cell,
+        zone: n % 2,
+        machine_type: u16::from(n / 2 % 2),
+        cell: u16::from(n % 3),
         state,
         nominal_capacity: 8.0,
-        started_at_ms: started_ms,
+        started_at_ms,
         sharing: None,
     }
 }
 
-/// A gateway under test, with its clock.
-pub(crate) struct Rig {
-    pub gateway: Dispatcher,
-    pub now: f64,
+/// A dispatcher under test, with its clock.
+pub(crate) struct TestBench {
+    pub(crate) dispatcher: Dispatcher,
+    /// The time in ms.
+    pub(crate) now: f64,
 }
 
-impl Rig {
-    pub(crate) fn new(settings: Settings, engines: u8) -> Rig {
-        let mut rig = Rig {
-            gateway: Dispatcher::new(settings, 7).expect("settings"),
+impl TestBench {
+    /// A dispatcher that has started and has so many ready engines.
+    pub(crate) fn new(settings: Settings, engines: u8) -> TestBench {
+        let mut bench = TestBench {
+            dispatcher: Dispatcher::new(settings, 7).expect("settings"),
             now: 1000.0,
         };
-        rig.event(Event::Started);
+        bench.event(Event::Started);
         let entries = (0..engines)
             .map(|n| entry(n, EngineState::Ready, 0.0))
             .collect();
-        rig.event(Event::EndpointList {
+        bench.event(Event::EndpointList {
             kind: ListUpdateKind::Cached,
             entries,
         });
-        rig
+        bench
     }
 
+    /// Hands an event to the dispatcher and returns its actions.
     pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.dispatcher.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub(crate) fn tick(&mut self, after: f64) -> Vec<Action> {
-        self.now += after;
+    /// Lets time pass and the housekeeping's timer come due.
+    pub(crate) fn tick(&mut self, elapsed_ms: f64) -> Vec<Action> {
+        self.now += elapsed_ms;
         self.event(Event::Timer { token: 1 })
     }
 
+    /// Changes entries of the endpoint list.
     pub(crate) fn list(&mut self, entries: Vec<EngineEntry>) -> Vec<Action> {
         self.event(Event::EndpointList {
             kind: ListUpdateKind::Delta,
@@ -105,32 +113,33 @@
         })
     }
 
-    pub(crate) fn request(&mut self, id: u32, class: usize, key: u64) -> Vec<Action> {
-        self.request_with(id, class, key, 20_000.0, None)
+    /// A request without estimates, whose client waits 20 s.
+    pub(crate) fn request(&mut self, id: u32, class: usize, order_key: u64) -> Vec<Action> {
+        self.request_with(id, class, order_key, 20_000.0, None)
     }
 
+    /// A request of one of three data sets, whose client waits so long.
     pub(crate) fn request_with(
         &mut self,
         id: u32,
         class: usize,
-        key: u64,
-        left: f64,
-        cost: Option<f64>,
+        order_key: u64,
+        patience_ms: f64,
+        estimated_work_ms: Option<f64>,
     ) -> Vec<Action> {
-        let due_ms = self.now + left;
-        let (dataset, memory_mb) = (id % 3, None);
         self.event(Event::Request(Request {
             id,
             class,
-            order_key: key,
-            deadline_ms: due_ms,
-            estimated_work_ms: cost,
-            data_set: dataset,
-            estimated_memory_mb: memory_mb,
+            order_key,
+            deadline_ms: self.now + patience_ms,
+            estimated_work_ms,
+            data_set: id % 3,
+            estimated_memory_mb: None,
             max_attempts: None,
         }))
     }
 
+    /// An attempt ends after 100 ms.
     pub(crate) fn ended(
         &mut self,
         id: u32,
@@ -141,26 +150,25 @@
         self.ended_after(id, attempt, engine, outcome, 100.0)
     }
 
+    /// An attempt ends after so long.
     pub(crate) fn ended_after(
         &mut self,
         id: u32,
         attempt: u16,
         engine: EngineId,
         outcome: Outcome,
-        took_ms: f64,
+        elapsed_ms: f64,
     ) -> Vec<Action> {
-        let finished = outcome == Outcome::Ok;
-        let report = LoadReport::default();
         self.event(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
             engine,
             outcome,
-            elapsed_ms: took_ms,
-            answered: finished,
+            elapsed_ms,
+            answered: outcome == Outcome::Ok,
             measured_work_ms: None,
             measured_memory_mb: None,
-            load_report: report,
+            load_report: LoadReport::default(),
         }))
     }
 }
@@ -169,64 +177,74 @@
 pub(crate) fn query(
     id: u32,
     class: usize,
-    due_ms: f64,
-    cost_ms: Option<f64>,
-    memory_mb: Option<f64>,
+    deadline_ms: f64,
+    estimated_work_ms: Option<f64>,
+    estimated_memory_mb: Option<f64>,
 ) -> Event {
     Event::Request(Request {
         id,
         class,
         order_key: 0,
-        deadline_ms: due_ms,
-        estimated_work_ms: cost_ms,
+        deadline_ms,
+        estimated_work_ms,
         data_set: 7,
-        estimated_memory_mb: memory_mb,
+        estimated_memory_mb,
         max_attempts: None,
     })
 }
 
-/// A served attempt with its bill and report.
-#[expect(clippy::similar_names, reason = "not split yet")]
+/// What a served attempt needed, where answers tell that.
+#[derive(Clone, Copy)]
+pub(crate) struct Measured {
+    pub(crate) work_ms: f64,
+    pub(crate) memory_mb: f64,
+}
+
+/// So much measured work and memory.
+pub(crate) fn measured(work_ms: f64, memory_mb: f64) -> Option<Measured> {
+    Some(Measured { work_ms, memory_mb })
+}
+
+/// The end of a request's first attempt, which was served.
 pub(crate) fn served(
     id: u32,
     engine: EngineId,
-    took_ms: f64,
-    bill: Option<(f64, f64)>,
-    report: LoadReport,
+    elapsed_ms: f64,
+    measured: Option<Measured>,
+    load_report: LoadReport,
 ) -> Event {
-    let (billed_ms, billed_mb) = (bill.map(|b| b.0), bill.map(|b| b.1));
-    let (outcome, finished, attempt) = (Outcome::Ok, true, 0);
     Event::AttemptEnded(AttemptEnded {
         id,
-        attempt,
+        attempt: 0,
         engine,
-        outcome,
-        elapsed_ms: took_ms,
-        answered: finished,
-        measured_work_ms: billed_ms,
-        measured_memory_mb: billed_mb,
-        load_report: report,
+        outcome: Outcome::Ok,
+        elapsed_ms,
+        answered: true,
+        measured_work_ms: measured.map(|needed| needed.work_ms),
+        measured_memory_mb: measured.map(|needed| needed.memory_mb),
+        load_report,
     })
 }
 
 /// Where a request was sent by these actions, if it was.
 pub(crate) fn sent(actions: &[Action], id: u32) -> Option<EngineId> {
-    actions.iter().find_map(|a| match a {
-        Action::StartAttempt { id: i, engine, .. } if *i == id => Some(*engine),
+    actions.iter().find_map(|action| match action {
+        Action::StartAttempt {
+            id: sent_id,
+            engine,
+            ..
+        } if *sent_id == id => Some(*engine),
         _ => None,
     })
 }
 
-/// Ids sent by these actions, in order.
+/// Ids of the requests sent by these actions, in order.
 pub(crate) fn all_sent(actions: &[Action]) -> Vec<u32> {
-    let of = |a: &Action| {
-        if let Action::StartAttempt { id, .. } = a {
-            Some(*id)
-        } else {
-            None
-        }
+    let sent_id = |action: &Action| match action {
+        Action::StartAttempt { id, .. } => Some(*id),
+        _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(sent_id).collect()
 }
 
 /// Whether these actions give the request its final answer.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -4,53 +4,53 @@
 use common::*;
 use workload_manager::*;
 
-/// if7d304: a share of attempts is reset on every engine. Resets between answers must shut no engine.
+/// if7d304: some attempts are reset on every engine. Resets between answers must not mark an engine down.
 #[test]
-fn resets_between_answers_shut_no_engine() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
+fn resets_between_answers_keep_the_engine_available() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     for next in 0..20 {
-        rig.now += 20.0;
+        bench.now += 20.0;
         let outcome = if next % 3 == 0 {
             Outcome::Ok
         } else {
             Outcome::Reset
         };
-        let at = sent(&rig.request(next, 0, 0), next);
+        let at = sent(&bench.request(next, 0, 0), next);
         assert_eq!(at, Some(engine(0)), "round {next}");
-        let again = all_sent(&rig.ended(next, 0, engine(0), outcome));
+        let again = all_sent(&bench.ended(next, 0, engine(0), outcome));
         for id in again {
-            rig.ended(id, 1, engine(0), Outcome::Ok);
+            bench.ended(id, 1, engine(0), Outcome::Ok);
         }
     }
 }
 
-/// A dead process breaks all it runs and then takes no connection: it is shut, and said so once.
+/// A process that ended resets all its attempts and then takes no connection: it is marked down, and logged once.
 #[test]
-fn an_engine_that_breaks_all_it_runs_and_refuses_connections_is_shut() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
+fn engine_that_resets_attempts_and_refuses_connections_is_down() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     for id in 0..4 {
-        rig.request(id, 0, 0);
+        bench.request(id, 0, 0);
     }
-    rig.list(vec![entry(1, EngineState::Ready, 0.0)]);
+    bench.list(vec![entry(1, EngineState::Ready, 0.0)]);
     let mut actions = Vec::new();
     for id in 0..4 {
-        actions.extend(rig.ended(id, 0, engine(0), Outcome::Reset));
+        actions.extend(bench.ended(id, 0, engine(0), Outcome::Reset));
     }
     let back: Vec<u32> = (0..4)
         .filter(|id| sent(&actions, *id) == Some(engine(0)))
         .collect();
     for id in back {
-        actions.extend(rig.ended(id, 1, engine(0), Outcome::NoConnection));
+        actions.extend(bench.ended(id, 1, engine(0), Outcome::NoConnection));
     }
     let down = |a: &&Action| matches!(a, Action::Log { line } if line.starts_with("engine down "));
     assert!(actions.iter().filter(down).count() <= 1);
     for id in 10..20 {
-        assert_ne!(sent(&rig.request(id, 0, 0), id), Some(engine(0)));
+        assert_ne!(sent(&bench.request(id, 0, 0), id), Some(engine(0)));
     }
 }
 
-fn rig_with_history(may_cancel: bool) -> Rig {
-    let mut rig = Rig::new(
+fn bench_with_history(may_cancel: bool) -> TestBench {
+    let mut bench = TestBench::new(
         Settings {
             cancellation_allowed: may_cancel,
             ..settings(vec![class(1, 1000.0, 1.0)])
@@ -58,24 +58,24 @@
         2,
     );
     for id in 0..100 {
-        rig.now += 10.0;
-        let at = sent(&rig.request(id, 0, 0), id).unwrap();
-        rig.ended_after(id, 0, at, Outcome::Ok, 80.0 + f64::from(id % 5) * 20.0);
+        bench.now += 10.0;
+        let at = sent(&bench.request(id, 0, 0), id).unwrap();
+        bench.ended_after(id, 0, at, Outcome::Ok, 80.0 + f64::from(id % 5) * 20.0);
     }
-    rig
+    bench
 }
 
-/// i89ce4e, i40a09d: answers lost on the way. An attempt out far longer than is usual is called off and sent again;
-/// one that is only late is left alone.
+/// i89ce4e, i40a09d: answers get lost. An attempt in flight far longer than usual is cancelled and retried; one that is
+/// only late is kept.
 #[test]
-fn an_attempt_far_past_its_time_is_called_off() {
-    let mut rig = rig_with_history(true);
-    assert!(sent(&rig.request_with(500, 0, 0, 20_000.0, Some(120.0)), 500).is_some());
-    let calls = |rig: &mut Rig, ms: f64| {
-        let until = rig.now + ms;
+fn attempt_far_past_its_usual_time_is_cancelled_once() {
+    let mut bench = bench_with_history(true);
+    assert!(sent(&bench.request_with(500, 0, 0, 20_000.0, Some(120.0)), 500).is_some());
+    let calls = |bench: &mut TestBench, ms: f64| {
+        let until = bench.now + ms;
         let mut calls = 0;
-        while rig.now < until {
-            calls += rig
+        while bench.now < until {
+            calls += bench
                 .tick(50.0)
                 .iter()
                 .filter(|a| matches!(a, Action::CancelAttempt { id: 500, .. }))
@@ -83,99 +83,100 @@
         }
         calls
     };
-    assert_eq!(calls(&mut rig, 450.0), 0, "late");
-    assert_eq!(calls(&mut rig, 4000.0), 1, "lost, and called off once");
+    assert_eq!(calls(&mut bench, 450.0), 0, "late");
+    assert_eq!(calls(&mut bench, 4000.0), 1, "lost, and cancelled once");
 }
 
-/// The same where a call-off is not allowed: nothing is done, as a second attempt would double the work (3f9329df).
+/// Without cancellation a retry would double the work (3f9329df).
 #[test]
-fn nothing_is_called_off_where_that_is_not_allowed() {
-    let mut rig = rig_with_history(false);
-    rig.request_with(500, 0, 0, 20_000.0, Some(120.0));
+fn hung_attempt_is_kept_where_cancellation_is_not_allowed() {
+    let mut bench = bench_with_history(false);
+    bench.request_with(500, 0, 0, 20_000.0, Some(120.0));
     for _ in 0..100 {
         assert!(
-            !rig.tick(50.0)
+            !bench
+                .tick(50.0)
                 .iter()
                 .any(|a| matches!(a, Action::CancelAttempt { .. }))
         );
     }
 }
 
-/// 18f1f014: with an empty line, a client with hardly any patience left was answered too late. Where nothing can
-/// be sent it is answered at once.
+/// 18f1f014: with an empty queue, a client that was about to give up was answered too late.
 #[test]
-fn a_client_with_no_patience_left_is_answered_at_once() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
-    assert!(answered(&rig.request_with(1, 0, 0, 20.0, None), 1));
+fn request_with_no_time_left_is_answered_at_once() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
+    assert!(answered(&bench.request_with(1, 0, 0, 20.0, None), 1));
 }
 
-/// ib21b41: where an engine is heard of every ten seconds, one failed connection is all the evidence there will be.
+/// ib21b41: an engine that is heard of every ten seconds gives no second failure in time.
 #[test]
-fn one_failed_connection_shuts_an_engine_that_is_rarely_heard_of() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
-    rig.now += 5000.0;
-    assert!(sent(&rig.request(1, 0, 0), 1).is_some());
-    let down = rig.ended(1, 0, engine(0), Outcome::NoConnection);
+fn one_failed_connection_marks_a_rarely_heard_engine_down() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
+    bench.now += 5000.0;
+    assert!(sent(&bench.request(1, 0, 0), 1).is_some());
+    let down = bench.ended(1, 0, engine(0), Outcome::NoConnection);
     assert!(
         down.iter()
             .any(|a| matches!(a, Action::Log { line } if line.starts_with("engine down ")))
     );
 }
 
-fn probes(actions: &[Action]) -> usize {
+fn health_checks(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::SendHealthCheck { .. }))
         .count()
 }
 
-/// Probes follow a gateway's own traffic, however large the fleet; a request waits for those sent for it.
+/// The number of health checks depends on a manager's traffic and not on the size of the fleet; a request waits for those
+/// sent for it.
 #[test]
-fn probes_are_earned_by_requests() {
+fn health_checks_are_limited_by_the_number_of_requests() {
     let large = Settings {
         health_checks_allowed: true,
         load_reports: LoadReportMode::OnHealthCheck,
         instances: 250,
         ..settings(vec![class(1, 1000.0, 1.0)])
     };
-    let mut rig = Rig::new(large, 60);
+    let mut bench = TestBench::new(large, 60);
     let (mut count, mut sends) = (0, 0);
     for id in 0..100 {
-        rig.now += 200.0;
-        let asked = rig.request(id, 0, 0);
-        count += probes(&asked);
+        bench.now += 200.0;
+        let asked = bench.request(id, 0, 0);
+        count += health_checks(&asked);
         assert!(
-            probes(&asked) == 0 || all_sent(&asked).is_empty(),
-            "waits for its probes"
+            health_checks(&asked) == 0 || all_sent(&asked).is_empty(),
+            "waits for its health checks"
         );
-        let tick = rig.tick(50.0);
-        count += probes(&tick);
+        let tick = bench.tick(50.0);
+        count += health_checks(&tick);
         sends += all_sent(&tick).len();
         for at in all_sent(&tick) {
             let at_engine = sent(&tick, at).unwrap();
-            rig.ended(at, 0, at_engine, Outcome::Ok);
+            bench.ended(at, 0, at_engine, Outcome::Ok);
         }
     }
-    assert!(sends >= 95, "none waits for a lost probe: {sends}");
+    assert!(sends >= 95, "none waits for a lost health check: {sends}");
     assert!(
         (50..=220).contains(&count),
-        "{count} probes for 100 requests"
+        "{count} health checks for 100 requests"
     );
 }
 
-/// A bad plan shows in its progress: it is called off and sent again; one at the usual pace is left alone.
+/// An attempt whose progress is far too slow is cancelled; one at the usual pace is kept.
 #[test]
-fn a_bad_plan_is_called_off() {
-    let mut rig = rig_with_history(true);
-    rig.request_with(500, 0, 0, 20_000.0, Some(400.0));
-    rig.request_with(501, 0, 0, 20_000.0, Some(400.0));
-    rig.now += 500.0;
-    let usual = rig.event(Event::Progress {
+fn attempt_with_a_bad_plan_is_cancelled() {
+    let mut bench = bench_with_history(true);
+    bench.request_with(500, 0, 0, 20_000.0, Some(400.0));
+    bench.request_with(501, 0, 0, 20_000.0, Some(400.0));
+    bench.now += 500.0;
+    let usual = bench.event(Event::Progress {
         id: 500,
         attempt: 0,
         progress: Progress::ShareDone(0.9),
     });
-    let bad = rig.event(Event::Progress {
+    let bad = bench.event(Event::Progress {
         id: 501,
         attempt: 0,
         progress: Progress::ShareDone(0.02),
@@ -190,70 +191,70 @@
     );
 }
 
-/// An engine that answers again may have restarted before the list says so: it is taken as cold for a while.
+/// An engine that answers again may have restarted before the endpoint list says so.
 #[test]
-fn an_engine_back_from_the_dead_is_taken_as_cold() {
-    let mut rig = Rig::new(settings(vec![class(1, 400.0, 1.0)]), 1);
+fn engine_that_answers_again_starts_slowly() {
+    let mut bench = TestBench::new(settings(vec![class(1, 400.0, 1.0)]), 1);
     let at = engine(0);
     for _ in 0..3 {
         let report = LoadReport::default();
-        rig.event(Event::HealthCheckEnded {
+        bench.event(Event::HealthCheckEnded {
             engine: at,
             outcome: Outcome::NoConnection,
             elapsed_ms: 250.0,
             load_report: report,
         });
     }
-    assert_eq!(sent(&rig.request(1, 0, 0), 1), None, "shut");
+    assert_eq!(sent(&bench.request(1, 0, 0), 1), None, "shut");
     let report = LoadReport::default();
-    rig.event(Event::HealthCheckEnded {
+    bench.event(Event::HealthCheckEnded {
         engine: at,
         outcome: Outcome::Ok,
         elapsed_ms: 1.0,
         load_report: report,
     });
     let sent: usize = (10..60)
-        .map(|id| all_sent(&rig.request_with(id, 0, 0, 3000.0, Some(200.0))).len())
+        .map(|id| all_sent(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))).len())
         .sum();
     assert!((1..16).contains(&sent), "{sent} sent at once");
 }
 
-/// id20f69: a request that its client has tried before, or that waited out a pause of the gateway, is late in
-/// line at once; where there is room it is still sent.
+/// id20f69: a request that its client has sent before, or that waited during a pause of the manager, has used up part of
+/// its objective; where there is capacity it is still sent.
 #[test]
-fn age_counts_from_the_clients_first_try() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
+fn latency_objective_counts_from_the_clients_first_attempt() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     for id in 0..3 {
-        assert!(sent(&rig.request_with(id, 0, 0, 5000.0, Some(300.0)), id).is_some());
+        assert!(sent(&bench.request_with(id, 0, 0, 5000.0, Some(300.0)), id).is_some());
     }
     assert!(
-        sent(&rig.request_with(3, 0, 0, 900.0, Some(300.0)), 3).is_some(),
+        sent(&bench.request_with(3, 0, 0, 900.0, Some(300.0)), 3).is_some(),
         "room: late is better than never"
     );
     for id in 4..40 {
-        rig.request_with(id, 0, 0, 5000.0, Some(5.0));
+        bench.request_with(id, 0, 0, 5000.0, Some(5.0));
     }
     let report = LoadReport {
         cpu_busy: Some(1.0),
         ..LoadReport::default()
     };
     for _ in 0..20 {
-        rig.event(Event::HealthCheckEnded {
+        bench.event(Event::HealthCheckEnded {
             engine: engine(0),
             outcome: Outcome::Ok,
             elapsed_ms: 1.0,
             load_report: report,
         });
     }
-    rig.request_with(50, 0, 0, 5000.0, Some(5.0));
-    let late = rig.request_with(51, 0, 0, 900.0, Some(5.0));
+    bench.request_with(50, 0, 0, 5000.0, Some(5.0));
+    let late = bench.request_with(51, 0, 0, 900.0, Some(5.0));
     assert!(matches!(late[0], Action::Reject { id: 51, .. }), "{late:?}");
 }
 
-/// The one form of log lines.
+/// Each line names the event, then the engine and the reason.
 #[test]
-fn log_lines_have_one_form() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
+fn log_lines_name_event_engine_and_reason() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     let mut lines = Vec::new();
     for outcome in [
         Outcome::NoConnection,
@@ -262,7 +263,7 @@
         Outcome::Ok,
     ] {
         let report = LoadReport::default();
-        for a in rig.event(Event::HealthCheckEnded {
+        for a in bench.event(Event::HealthCheckEnded {
             engine: engine(0),
             outcome,
             elapsed_ms: 1.0,
@@ -281,7 +282,7 @@
 }
 
 fn two_engines(report_0: LoadReport, report_1: LoadReport) -> Vec<EngineId> {
-    let mut rig = Rig::new(
+    let mut bench = TestBench::new(
         Settings {
             instances: 50,
             ..settings(vec![class(1, 2000.0, 1.0)])
@@ -291,7 +292,7 @@
     for (n, report) in [(0, report_0), (1, report_1)] {
         for _ in 0..5 {
             let (outcome, took_ms) = (Outcome::Ok, 1.0);
-            rig.event(Event::HealthCheckEnded {
+            bench.event(Event::HealthCheckEnded {
                 engine: engine(n),
                 outcome,
                 elapsed_ms: took_ms,
@@ -300,13 +301,13 @@
         }
     }
     (0..3)
-        .filter_map(|id| sent(&rig.request(id, 0, 0), id))
+        .filter_map(|id| sent(&bench.request(id, 0, 0), id))
         .collect()
 }
 
 /// cd0a4abb: reports that hold busy cores only were read as an empty fleet.
 #[test]
-fn busy_cores_stand_in_for_a_count_of_queries() {
+fn busy_cores_replace_a_missing_query_count() {
     let busy = |b| LoadReport {
         cpu_busy: Some(b),
         ..LoadReport::default()
@@ -318,9 +319,9 @@
     );
 }
 
-/// 29742104: hung engines looked idle by their cores and drew six times the mean; their memory told.
+/// 29742104: hung engines looked idle by their cores and got six times the mean; only their memory was full.
 #[test]
-fn an_engine_whose_memory_is_granted_is_not_free() {
+fn engine_with_granted_memory_is_not_taken_for_idle() {
     let report = |busy, granted| LoadReport {
         cpu_busy: Some(busy),
         memory_granted: Some(granted),
@@ -333,52 +334,52 @@
     );
 }
 
-/// 1b174d5d: cores idle over what waits for memory, and its engine drew on.
+/// 1b174d5d: an engine whose queries wait for memory has idle cores, and got still more queries.
 #[test]
-fn a_wait_for_memory_marks_its_engine_as_crowded() {
+fn wait_for_memory_marks_its_engine_saturated() {
     let large = Settings {
         instances: 50,
         load_reports: LoadReportMode::Off,
         ..settings(vec![class(1, 2000.0, 1.0)])
     };
-    let mut rig = Rig::new(large, 2);
-    let at = sent(&rig.request(1, 0, 0), 1).unwrap();
-    rig.event(Event::Progress {
+    let mut bench = TestBench::new(large, 2);
+    let at = sent(&bench.request(1, 0, 0), 1).unwrap();
+    bench.event(Event::Progress {
         id: 1,
         attempt: 0,
         progress: Progress::WaitingForMemory,
     });
     for id in 2..5 {
-        assert_ne!(sent(&rig.request(id, 0, 0), id), Some(at));
+        assert_ne!(sent(&bench.request(id, 0, 0), id), Some(at));
     }
 }
 
-/// 04dbf6b8: with no reports a hot data set sank the four engines that its hash prefers.
+/// 04dbf6b8: without load reports a popular data set overloaded the four engines that its hash prefers.
 #[test]
-fn with_no_reports_a_data_set_has_no_home() {
+fn without_load_reports_a_data_set_has_no_affinity_engines() {
     let large = Settings {
         instances: 50,
         load_reports: LoadReportMode::Off,
         ..settings(vec![class(1, 2000.0, 1.0)])
     };
-    let mut rig = Rig::new(large, 20);
+    let mut bench = TestBench::new(large, 20);
     let mut seen = std::collections::BTreeSet::new();
     for id in 0..40 {
         let at = sent(
-            &rig.event(query(id, 0, rig.now + 9000.0, Some(50.0), None)),
+            &bench.event(query(id, 0, bench.now + 9000.0, Some(50.0), None)),
             id,
         )
         .unwrap();
         seen.insert(at);
-        rig.now += 50.0;
-        rig.event(served(id, at, 50.0, None, LoadReport::default()));
+        bench.now += 50.0;
+        bench.event(served(id, at, 50.0, None, LoadReport::default()));
     }
     assert!(seen.len() > 8, "{} engines", seen.len());
 }
 
-/// 31d1870b: half of the loads were called off as projected too late; what runs once only never is.
+/// 31d1870b: half of the bulk loads were cancelled, as they were expected to end too late; they may not run again.
 #[test]
-fn what_may_run_once_is_never_called_off() {
+fn non_idempotent_attempt_is_never_cancelled() {
     for (effect, cancels) in [
         (Idempotency::NonIdempotent, false),
         (Idempotency::Idempotent, true),
@@ -388,16 +389,16 @@
             is_bulk_load: true,
             ..class(2, 1000.0, 7.0)
         };
-        let mut rig = Rig::new(
+        let mut bench = TestBench::new(
             Settings {
                 progress_interval_ms: 500.0,
                 ..settings(vec![load])
             },
             2,
         );
-        rig.event(query(1, 0, rig.now + 5000.0, Some(1000.0), None));
-        rig.now += 2000.0;
-        let acts = rig.event(Event::Progress {
+        bench.event(query(1, 0, bench.now + 5000.0, Some(1000.0), None));
+        bench.now += 2000.0;
+        let acts = bench.event(Event::Progress {
             id: 1,
             attempt: 0,
             progress: Progress::ShareDone(0.02),
@@ -408,8 +409,8 @@
             cancels,
             "{effect:?}"
         );
-        rig.now += 2000.0;
-        let acts = rig.tick(0.0);
+        bench.now += 2000.0;
+        let acts = bench.tick(0.0);
         assert!(
             cancels
                 || !acts
@@ -419,9 +420,9 @@
     }
 }
 
-/// dc0943b2: readers of a data set stood still behind loads of it.
+/// dc0943b2: readers of a data set waited for its bulk loads.
 #[test]
-fn a_load_and_the_readers_of_its_data_set_go_apart() {
+fn bulk_load_and_readers_of_its_data_set_use_different_engines() {
     let reader = Class {
         waits_for_bulk_loads: true,
         ..class(1, 2000.0, 1.0)
@@ -431,7 +432,7 @@
         is_bulk_load: true,
         ..class(1, 2000.0, 7.0)
     };
-    let mut rig = Rig::new(settings(vec![reader, load]), 12);
+    let mut bench = TestBench::new(settings(vec![reader, load]), 12);
     let mut at = [
         std::collections::BTreeSet::new(),
         std::collections::BTreeSet::new(),
@@ -439,7 +440,7 @@
     for id in 0..8 {
         let kind = id as usize % 2;
         let to = sent(
-            &rig.event(query(id, kind, rig.now + 9000.0, Some(100.0), None)),
+            &bench.event(query(id, kind, bench.now + 9000.0, Some(100.0), None)),
             id,
         )
         .unwrap();
@@ -448,19 +449,19 @@
     assert!(at[0].is_disjoint(&at[1]), "{at:?}");
 }
 
-/// 86789ebb: where nothing stands still behind loads, parting them only crowds a quarter of the engines.
+/// 86789ebb: where nothing waits for bulk loads, their separation only crowds a quarter of the engines.
 #[test]
-fn loads_that_none_wait_for_may_go_anywhere() {
+fn bulk_loads_without_waiting_readers_use_all_engines() {
     let load = Class {
         idempotency: Idempotency::NonIdempotent,
         is_bulk_load: true,
         ..class(2, 9000.0, 7.0)
     };
-    let mut rig = Rig::new(settings(vec![load]), 12);
+    let mut bench = TestBench::new(settings(vec![load]), 12);
     let at: std::collections::BTreeSet<_> = (0..10)
         .map(|id| {
             sent(
-                &rig.event(query(id, 0, rig.now + 30_000.0, Some(100.0), None)),
+                &bench.event(query(id, 0, bench.now + 30_000.0, Some(100.0), None)),
                 id,
             )
             .unwrap()
@@ -469,37 +470,38 @@
     assert!(at.len() > 6, "{} engines", at.len());
 }
 
-fn overdue_is_called_off(bill: Option<(f64, f64)>) -> bool {
-    let mut rig = Rig::new(settings(vec![class(1, 2000.0, 1.0)]), 2);
+fn overdue_attempt_is_cancelled(measured: Option<Measured>) -> bool {
+    let mut bench = TestBench::new(settings(vec![class(1, 2000.0, 1.0)]), 2);
     for id in 0..60 {
-        let acts = rig.event(query(id, 0, rig.now + 9000.0, Some(1000.0), None));
+        let acts = bench.event(query(id, 0, bench.now + 9000.0, Some(1000.0), None));
         let at = sent(&acts, id).unwrap();
-        rig.now += 1000.0;
-        rig.event(served(id, at, 1000.0, bill, LoadReport::default()));
+        bench.now += 1000.0;
+        bench.event(served(id, at, 1000.0, measured, LoadReport::default()));
     }
-    rig.event(query(99, 0, rig.now + 9000.0, Some(1000.0), None));
-    let early = rig.tick(1200.0);
+    bench.event(query(99, 0, bench.now + 9000.0, Some(1000.0), None));
+    let early = bench.tick(1200.0);
     assert!(
         !early.contains(&Action::CancelAttempt { id: 99, attempt: 0 }),
         "not before its time"
     );
-    rig.tick(1800.0)
+    bench
+        .tick(1800.0)
         .contains(&Action::CancelAttempt { id: 99, attempt: 0 })
 }
 
-/// 55af276f: bad plans held their threads 14 to 25 times too long where nothing tells progress. 0f513397: where
-/// answers bill the work, elapsed time called off only what was crowded.
+/// 55af276f: without progress reports, bad plans held their threads 14 to 25 times too long. 0f513397: with measured work,
+/// elapsed time cancelled only attempts on crowded engines.
 #[test]
-fn elapsed_time_tells_a_bad_plan_where_nothing_else_does() {
-    assert!(overdue_is_called_off(None));
-    assert!(!overdue_is_called_off(Some((1000.0, 100.0))));
+fn without_measured_work_elapsed_time_shows_a_bad_plan() {
+    assert!(overdue_attempt_is_cancelled(None));
+    assert!(!overdue_attempt_is_cancelled(measured(1000.0, 100.0)));
 }
 
-/// fa9f499c: the engine's own choice of memory follows estimates that are off by class, and queries spill.
+/// fa9f499c: the engine's own choice of memory follows estimates that are wrong by class, and queries spill.
 #[test]
-fn a_grant_follows_what_bills_show_of_the_estimates() {
+fn memory_grant_follows_the_measured_error_of_estimates() {
     for takes_grants in [true, false] {
-        let mut rig = Rig::new(
+        let mut bench = TestBench::new(
             Settings {
                 memory_grants_supported: takes_grants,
                 ..settings(vec![class(1, 2000.0, 1.0)])
@@ -507,18 +509,18 @@
             2,
         );
         for id in 0..60 {
-            let acts = rig.event(query(id, 0, rig.now + 9000.0, Some(100.0), Some(100.0)));
+            let acts = bench.event(query(id, 0, bench.now + 9000.0, Some(100.0), Some(100.0)));
             let at = sent(&acts, id).unwrap();
-            rig.now += 100.0;
-            rig.event(served(
+            bench.now += 100.0;
+            bench.event(served(
                 id,
                 at,
                 100.0,
-                Some((100.0, 300.0)),
+                measured(100.0, 300.0),
                 LoadReport::default(),
             ));
         }
-        let acts = rig.event(query(99, 0, rig.now + 9000.0, Some(100.0), Some(200.0)));
+        let acts = bench.event(query(99, 0, bench.now + 9000.0, Some(100.0), Some(200.0)));
         let grant = acts.iter().find_map(|a| match a {
             Action::SetAttemptTerms { memory_mb, .. } => Some(*memory_mb),
             _ => None,
@@ -531,16 +533,16 @@
     }
 }
 
-/// b1f6eff4: each client process has its own gateway, and equal shares starved the busy ones.
+/// b1f6eff4: each client process has its own manager, and equal shares were too small for the busy ones.
 #[test]
-fn a_busy_gateway_has_a_larger_share_where_quotas_tell() {
+fn busy_manager_has_a_larger_share_where_quotas_are_known() {
     let held = |tenant_quotas| {
         let large = Settings {
             instances: 50,
             tenant_quotas_per_s: tenant_quotas,
             ..settings(vec![class(1, 9000.0, 1.0)])
         };
-        let mut rig = Rig::new(large, 10);
+        let mut bench = TestBench::new(large, 10);
         for n in 0..10 {
             let report = LoadReport {
                 inflight: Some(40.0),
@@ -548,24 +550,24 @@
                 ..LoadReport::default()
             };
             let (outcome, took_ms) = (Outcome::Ok, 1.0);
-            rig.event(Event::HealthCheckEnded {
+            bench.event(Event::HealthCheckEnded {
                 engine: engine(n),
                 outcome,
                 elapsed_ms: took_ms,
                 load_report: report,
             });
         }
-        rig.tick(50.0);
+        bench.tick(50.0);
         (0..12)
-            .filter(|id| sent(&rig.request(*id, 0, 0), *id).is_some())
+            .filter(|id| sent(&bench.request(*id, 0, 0), *id).is_some())
             .count()
     };
     assert!(held(vec![50.0]) > held(Vec::new()) + 2);
 }
 
-/// 886fd89d: where crossing zones has its price, an equal engine at home wins.
+/// 886fd89d: cross-zone attempts cost.
 #[test]
-fn an_equal_engine_in_the_own_zone_wins_where_crossing_costs() {
+fn equal_engine_in_own_zone_wins_where_cross_zone_costs() {
     let base = settings(vec![class(1, 2000.0, 1.0)]);
     let zoned = Settings {
         zone: 1,
@@ -573,48 +575,48 @@
         load_reports: LoadReportMode::Off,
         ..base
     };
-    let mut rig = Rig::new(zoned, 6);
+    let mut bench = TestBench::new(zoned, 6);
     for id in 0..2 {
-        let EngineId { addr, .. } = sent(&rig.request(id, 0, 0), id).unwrap();
+        let EngineId { addr, .. } = sent(&bench.request(id, 0, 0), id).unwrap();
         assert_eq!(addr[3] % 2, 1);
     }
 }
 
-/// The cold budget charges a query's own estimate where that is larger than its class's mean.
+/// A query counts with its own estimate where that is larger than its class's mean.
 #[test]
-fn a_giant_counts_in_full_against_the_cold_budget() {
-    let mut rig = Rig::new(settings(vec![class(1, 2000.0, 1.0)]), 0);
-    rig.list(vec![entry(0, EngineState::Ready, rig.now)]);
+fn large_estimate_counts_in_full_against_the_slow_start_budget() {
+    let mut bench = TestBench::new(settings(vec![class(1, 2000.0, 1.0)]), 0);
+    bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
     for id in 0..20 {
-        rig.event(query(id, 0, rig.now + 9000.0, Some(10.0), None));
+        bench.event(query(id, 0, bench.now + 9000.0, Some(10.0), None));
     }
     assert_eq!(
         sent(
-            &rig.event(query(90, 0, rig.now + 60_000.0, Some(9000.0), None)),
+            &bench.event(query(90, 0, bench.now + 60_000.0, Some(9000.0), None)),
             90
         ),
         None
     );
 }
 
-/// e34509af: an engine answered each query with an error at once, looked free and drew the traffic: a third of all
-/// loads were lost to it. What another engine serves proves who is at fault; one that all fail proves nothing.
+/// e34509af: an engine answered each query with an error at once, looked idle and got most of the traffic: a third of all
+/// bulk loads failed there. A query that another engine serves attributes the error; one that all fail attributes none.
 #[test]
-fn an_engine_that_fails_what_others_serve_is_left() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
+fn engine_that_fails_queries_others_serve_is_ejected() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
     let (mut failed, mut nonsense) = (0, 0);
     for id in 0..200 {
-        rig.now += 20.0;
-        rig.tick(0.0);
-        let mut at = sent(&rig.request(id, 0, 0), id).expect("an engine");
+        bench.now += 20.0;
+        bench.tick(0.0);
+        let mut at = sent(&bench.request(id, 0, 0), id).expect("an engine");
         for attempt in 0.. {
             let bad = id % 10 == 0;
             if at != engine(1) && !bad {
-                rig.ended_after(id, attempt, at, Outcome::Ok, 60.0);
+                bench.ended_after(id, attempt, at, Outcome::Ok, 60.0);
                 break;
             }
             failed += u32::from(!bad);
-            let next = rig.ended_after(id, attempt, at, Outcome::Error, 1.0);
+            let next = bench.ended_after(id, attempt, at, Outcome::Error, 1.0);
             assert!(
                 attempt < 2 || answered(&next, id) && bad,
                 "{id} has had three engines"
@@ -631,25 +633,28 @@
     );
 }
 
-/// Estimates of requests that no engine serves move nothing: a client sent some of 10^8 ms, and the means followed.
+/// A client sent estimates of 10^8 ms, and the means followed them.
 #[test]
-fn estimates_count_once_served() {
-    let mut rig = rig_with_history(true);
+fn estimates_of_unserved_requests_are_not_learned() {
+    let mut bench = bench_with_history(true);
     for id in 1000..1100 {
-        rig.request_with(id, 0, 0, 9000.0, Some(1e8));
-        rig.event(Event::ClientDisconnected { id });
-        rig.ended(id, 0, engine(0), Outcome::Cancelled);
-        rig.ended(id, 0, engine(1), Outcome::Cancelled);
+        bench.request_with(id, 0, 0, 9000.0, Some(1e8));
+        bench.event(Event::ClientDisconnected { id });
+        bench.ended(id, 0, engine(0), Outcome::Cancelled);
+        bench.ended(id, 0, engine(1), Outcome::Cancelled);
     }
     // A usual query that finds no engine is still held, as one that could be served in time.
-    rig.list(vec![
+    bench.list(vec![
         entry(0, EngineState::Draining, 0.0),
         entry(1, EngineState::Draining, 0.0),
     ]);
-    assert!(!answered(&rig.request_with(2000, 0, 0, 900.0, None), 2000));
+    assert!(!answered(
+        &bench.request_with(2000, 0, 0, 900.0, None),
+        2000
+    ));
 }
 
-fn load_class() -> Class {
+fn bulk_load_class() -> Class {
     Class {
         is_bulk_load: true,
         idempotency: Idempotency::NonIdempotent,
@@ -657,39 +662,39 @@
     }
 }
 
-/// 405ee808: one load in eight was late, having stood still on its engine behind another one of its data set.
+/// 405ee808: one bulk load in eight was late, as it waited on its engine for another one of its data set.
 #[test]
-fn a_load_goes_where_none_of_its_data_set_runs() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0), load_class()]), 1);
+fn bulk_load_avoids_engines_with_a_load_of_its_data_set() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0), bulk_load_class()]), 1);
     for id in [1, 2, 4] {
-        assert_eq!(sent(&rig.request(id, 0, 0), id), Some(engine(0)));
+        assert_eq!(sent(&bench.request(id, 0, 0), id), Some(engine(0)));
     }
-    rig.list(vec![entry(1, EngineState::Ready, 0.0)]);
+    bench.list(vec![entry(1, EngineState::Ready, 0.0)]);
     assert_eq!(
-        sent(&rig.request(3, 1, 0), 3),
+        sent(&bench.request(3, 1, 0), 3),
         Some(engine(1)),
         "the emptier one"
     );
     assert_eq!(
-        sent(&rig.request(6, 1, 0), 6),
+        sent(&bench.request(6, 1, 0), 6),
         Some(engine(0)),
         "not behind the load of this data set"
     );
 }
 
-/// The same between gateways, which cannot see each other's loads: a hash that they share keeps them apart.
+/// Managers cannot see each other's bulk loads: a hash that they share keeps these apart.
 #[test]
-fn gateways_keep_their_loads_of_a_data_set_apart() {
+fn managers_place_bulk_loads_of_a_data_set_apart() {
     let choice = |ordinal: u32, id: u32| {
         let kind_cores = vec![8.0, 8.0];
         let set = Settings {
             instances: 3,
             ordinal,
             machine_type_cores: kind_cores,
-            ..settings(vec![load_class()])
+            ..settings(vec![bulk_load_class()])
         };
-        let mut rig = Rig::new(set, 12);
-        sent(&rig.request(id, 0, 0), id).expect("an engine")
+        let mut bench = TestBench::new(set, 12);
+        sent(&bench.request(id, 0, 0), id).expect("an engine")
     };
     let met =
         (0..3).filter(|id| choice(0, *id) == choice(1, *id) || choice(1, *id) == choice(2, *id));
@@ -697,22 +702,22 @@
     assert!(met.count() <= 1, "data sets whose loads met");
 }
 
-/// Guard: no list, address or start of an engine undoes a ban, and what was at rest comes back cold.
+/// No update of the endpoint list ends a manual ejection, and an engine that is given back starts slowly.
 #[test]
-fn an_engine_taken_out_stays_out_whatever_the_list_says() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
-    let ban = |out, at| Event::ManualEjection {
+fn manual_ejection_outlasts_list_updates_and_ends_in_slow_start() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
+    let manual_ejection = |ejected, at_ms| Event::ManualEjection {
         engine: engine(0),
-        ejected: out,
-        at_ms: at,
+        ejected,
+        at_ms,
     };
-    rig.event(ban(true, 1000.0));
+    bench.event(manual_ejection(true, 1000.0));
     let mut next = 0;
-    let mut ask = |rig: &mut Rig| {
+    let mut ask = |bench: &mut TestBench| {
         next += 1;
-        let to = sent(&rig.request(next, 0, 0), next);
+        let to = sent(&bench.request(next, 0, 0), next);
         to.into_iter()
-            .for_each(|at| drop(rig.ended(next, 0, at, Outcome::Ok)));
+            .for_each(|at| drop(bench.ended(next, 0, at, Outcome::Ok)));
         to
     };
     for change in [
@@ -720,27 +725,27 @@
         vec![entry(0, EngineState::Removed, 0.0)],
         vec![entry(0, EngineState::Ready, 900.0)],
     ] {
-        rig.list(change);
-        rig.tick(50.0);
+        bench.list(change);
+        bench.tick(50.0);
         assert_eq!(
-            rig.gateway.ejected_engines(),
-            1.min(rig.gateway.state_sizes()[3] - 1)
+            bench.dispatcher.ejected_engines(),
+            1.min(bench.dispatcher.state_sizes()[3] - 1)
         );
-        assert!((0..20).all(|_| ask(&mut rig) == Some(engine(1))));
+        assert!((0..20).all(|_| ask(&mut bench) == Some(engine(1))));
     }
-    rig.list(vec![entry(1, EngineState::Draining, 0.0)]);
+    bench.list(vec![entry(1, EngineState::Draining, 0.0)]);
     assert_eq!(
-        ask(&mut rig),
+        ask(&mut bench),
         None,
         "better none than one that was taken out"
     );
-    rig.now = 60_000.0;
-    let back = ban(false, rig.now);
-    rig.event(back);
-    assert_eq!(rig.gateway.ejected_engines(), 0);
+    bench.now = 60_000.0;
+    let back = manual_ejection(false, bench.now);
+    bench.event(back);
+    assert_eq!(bench.dispatcher.ejected_engines(), 0);
     // Cold by the guard for fresh engines: a burst of queries is not let through at once, one comes soon.
     let sent_at_once = (5000..5100)
-        .filter(|id| sent(&rig.request(*id, 0, 0), *id).is_some())
+        .filter(|id| sent(&bench.request(*id, 0, 0), *id).is_some())
         .count();
     assert!(
         (1..60).contains(&sent_at_once),
@@ -748,10 +753,10 @@
     );
 }
 
-/// Guard: new settings move classes about; a request under way goes by the class that it came with, and what was
-/// learned of a class stays with its name.
+/// New settings move classes; a request keeps the class that it came with, and what was learned of a class stays with its
+/// name.
 #[test]
-fn new_settings_find_classes_by_name() {
+fn new_settings_match_classes_by_name() {
     let once = Class {
         idempotency: Idempotency::NonIdempotent,
         ..class(1, 1000.0, 1.0)
@@ -761,28 +766,28 @@
         ..settings(classes.into_iter().map(|(_, class)| class).collect())
     };
     let old = named(vec![("a", class(1, 1000.0, 1.0)), ("load", once.clone())]);
-    let mut rig = Rig::new(old.clone(), 2);
-    let at = sent(&rig.request(1, 1, 0), 1).expect("an engine");
+    let mut bench = TestBench::new(old.clone(), 2);
+    let at = sent(&bench.request(1, 1, 0), 1).expect("an engine");
     let new = named(vec![("b", once.clone()), ("a", class(1, 1000.0, 1.0))]);
-    rig.event(Event::Settings(Box::new(new)));
-    let after = rig.ended(1, 0, at, Outcome::Reset);
+    bench.event(Event::Settings(Box::new(new)));
+    let after = bench.ended(1, 0, at, Outcome::Reset);
     assert!(
         answered(&after, 1) && sent(&after, 1).is_none(),
         "a load that may have run, whatever is in its place"
     );
-    let at = sent(&rig.request(2, 1, 0), 2).expect("an engine");
+    let at = sent(&bench.request(2, 1, 0), 2).expect("an engine");
     assert!(
-        sent(&rig.ended(2, 0, at, Outcome::Reset), 2).is_some(),
+        sent(&bench.ended(2, 0, at, Outcome::Reset), 2).is_some(),
         "a query goes again"
     );
     assert_eq!(
-        rig.gateway.settings().class_names,
+        bench.dispatcher.settings().class_names,
         ["b", "a", "load"],
         "kept while it was under way"
     );
-    rig.event(Event::Settings(Box::new(old)));
+    bench.event(Event::Settings(Box::new(old)));
     assert_eq!(
-        rig.gateway.settings().class_names,
+        bench.dispatcher.settings().class_names,
         ["a", "load"],
         "and no longer"
     );
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A hundred gateways side by side: what is harmless in one and harmful when all do it.
+//! A hundred managers side by side: what is harmless in one and harmful when all do it.
 
 mod common;
 use common::*;
@@ -6,8 +6,8 @@
 
 const MANY: u32 = 100;
 
-/// So many gateways of one fleet, each with its place in it.
-fn fleet(instances: u32, classes: &[Class]) -> Vec<Rig> {
+/// So many managers of one fleet, each with its place in it.
+fn fleet(instances: u32, classes: &[Class]) -> Vec<TestBench> {
     let one = |ordinal: u32| {
         let large = Settings {
             instances,
@@ -15,17 +15,17 @@
             ..settings(classes.to_vec())
         };
         let seed = u64::from(ordinal) * 7919 + 3;
-        let mut rig = Rig {
-            gateway: Dispatcher::new(large, seed).expect("settings"),
+        let mut bench = TestBench {
+            dispatcher: Dispatcher::new(large, seed).expect("settings"),
             now: 1000.0,
         };
-        rig.event(Event::Started);
-        rig
+        bench.event(Event::Started);
+        bench
     };
     (0..instances).map(one).collect()
 }
 
-/// Work sent within a window from then on.
+/// Work sent within a window that begins then, in ms.
 fn within(sends: &[(f64, f64)], from: f64, window: f64) -> f64 {
     sends
         .iter()
@@ -34,18 +34,18 @@
         .sum()
 }
 
-/// The cold budget at size: over many gateways' seeds the sum stays under the rule, and the engine does warm up.
+/// With many managers the sum of what they send stays within the rule, and the engine does warm up.
 #[test]
-fn many_gateways_together_keep_the_cold_budget_and_use_it() {
+fn many_managers_together_keep_the_slow_start_budget_and_use_it() {
     let window = 1000.0;
     let mut sends = Vec::new();
-    for rig in &mut fleet(250, &[class(1, 400.0, 1.0)]) {
-        rig.list(vec![entry(0, EngineState::Ready, 1000.0)]);
+    for bench in &mut fleet(250, &[class(1, 400.0, 1.0)]) {
+        bench.list(vec![entry(0, EngineState::Ready, 1000.0)]);
         for id in 0..40u32 {
-            rig.now += 200.0;
-            for id in all_sent(&rig.request_with(id, 0, 0, 3000.0, Some(200.0))) {
-                sends.push((rig.now, 200.0));
-                rig.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
+            bench.now += 200.0;
+            for id in all_sent(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))) {
+                sends.push((bench.now, 200.0));
+                bench.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
             }
         }
     }
@@ -60,23 +60,23 @@
     assert!(used > 0.25 * 2.0 * 0.3 * 8.0 * window, "starved: {used}");
 }
 
-/// A day of six in ten engines replaced: no query that is larger than one gateway's part of a cold engine's budget
-/// reached any, and the survivors drowned beside eighteen idle engines. Such queries go in turn: together the
-/// gateways keep the budget in every window, and use a good part of it.
+/// When six in ten engines were replaced, no query larger than one manager's part of a cold engine's budget reached any
+/// of the new ones, and the others were overloaded beside eighteen idle engines. Such queries go in turn: together the
+/// managers keep the budget in every window, and use a good part of it.
 #[test]
 fn heavy_queries_reach_a_cold_engine_in_turn_and_keep_its_budget() {
     let (work, window, whole) = (600.0, 1000.0, 2.0 * 0.3 * 8.0 * 1000.0);
     let mut sends = Vec::new();
-    for (k, rig) in fleet(MANY, &[class(3, 1500.0, 1.0)]).iter_mut().enumerate() {
-        rig.list(vec![entry(0, EngineState::Ready, 1000.0)]);
-        rig.now += k as f64 * 2.0;
+    for (k, bench) in fleet(MANY, &[class(3, 1500.0, 1.0)]).iter_mut().enumerate() {
+        bench.list(vec![entry(0, EngineState::Ready, 1000.0)]);
+        bench.now += k as f64 * 2.0;
         for id in 0..40 {
-            rig.now += 100.0;
-            let mut actions = rig.tick(0.0);
-            actions.extend(rig.request_with(id, 0, 0, 4000.0, Some(work)));
+            bench.now += 100.0;
+            let mut actions = bench.tick(0.0);
+            actions.extend(bench.request_with(id, 0, 0, 4000.0, Some(work)));
             for id in all_sent(&actions) {
-                sends.push((rig.now, work));
-                rig.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
+                sends.push((bench.now, work));
+                bench.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
             }
         }
     }
@@ -89,25 +89,25 @@
     assert!(used > 0.25 * whole, "starved: {used} of {whole} a window");
 }
 
-/// The cold budget takes a light query of a heavy class for what it is estimated at.
+/// The slow-start budget counts a light query of a heavy class by its estimate.
 #[test]
-fn a_light_query_of_a_heavy_class_passes_the_cold_budget() {
-    let mut rig = Rig::new(settings(vec![class(3, 6000.0, 1.0)]), 0); // usually 9,000 ms of work
-    rig.list(vec![entry(0, EngineState::Ready, rig.now)]);
+fn light_query_of_a_heavy_class_passes_the_slow_start_budget() {
+    let mut bench = TestBench::new(settings(vec![class(3, 6000.0, 1.0)]), 0); // usually 9,000 ms of work
+    bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
     assert_eq!(
-        sent(&rig.request_with(1, 0, 0, 9000.0, Some(300.0)), 1),
+        sent(&bench.request_with(1, 0, 0, 9000.0, Some(300.0)), 1),
         Some(engine(0))
     );
     assert_eq!(
-        sent(&rig.request_with(2, 0, 0, 9000.0, Some(9000.0)), 2),
+        sent(&bench.request_with(2, 0, 0, 9000.0, Some(9000.0)), 2),
         None
     );
 }
 
-/// What has just started is not taken to be as crowded as those that were there before it.
+/// The load of the older engines does not count for one that has just started.
 #[test]
-fn an_engine_that_just_started_is_not_thought_as_crowded_as_the_rest() {
-    let mut rig = Rig::new(
+fn engine_that_just_started_is_not_taken_for_crowded() {
+    let mut bench = TestBench::new(
         Settings {
             instances: 2,
             ..settings(vec![class(1, 1000.0, 1.0)])
@@ -115,26 +115,26 @@
         3,
     );
     for id in 0..60 {
-        rig.now += 20.0;
-        let at = sent(&rig.request(id, 0, 0), id).expect("an engine");
+        bench.now += 20.0;
+        let at = sent(&bench.request(id, 0, 0), id).expect("an engine");
         let report = LoadReport {
             inflight: Some(60.0),
             ..LoadReport::default()
         };
-        rig.event(served(id, at, 150.0, Some((100.0, 8.0)), report));
+        bench.event(served(id, at, 150.0, measured(100.0, 8.0), report));
     }
-    rig.list(vec![entry(4, EngineState::Ready, rig.now - 500.0)]);
-    let asked = (90..96).map(|id| sent(&rig.request_with(id, 0, 0, 9000.0, Some(100.0)), id));
+    bench.list(vec![entry(4, EngineState::Ready, bench.now - 500.0)]);
+    let asked = (90..96).map(|id| sent(&bench.request_with(id, 0, 0, 9000.0, Some(100.0)), id));
     assert_eq!(asked.collect::<Vec<_>>(), vec![Some(engine(4)); 6]);
 }
 
-/// Reports come with answers, and what has just started answers soonest. Three engines with six queries a core
-/// drown while twelve cold ones beside them answer the small queries at once: an engine that was not heard of lately
-/// is still taken for as crowded as the warm ones that were.
+/// Load reports come with answers, and engines that have just started answer first. Three engines with six queries a core
+/// are overloaded while twelve cold ones answer small queries at once: an engine that was not heard of lately still counts
+/// as crowded as the warm ones that were.
 #[test]
-fn answers_of_cold_engines_do_not_hide_that_the_rest_drown() {
+fn answers_of_cold_engines_do_not_hide_crowded_ones() {
     let classes = vec![class(1, 1000.0, 1.0), class(3, 1000.0, 20.0)];
-    let mut rig = Rig::new(
+    let mut bench = TestBench::new(
         Settings {
             instances: MANY,
             ..settings(classes)
@@ -144,14 +144,14 @@
     let mut quick = 0;
     for id in 0..240 {
         if id == 40 {
-            rig.list(
+            bench.list(
                 (3..15)
-                    .map(|n| entry(n, EngineState::Ready, rig.now - 500.0))
+                    .map(|n| entry(n, EngineState::Ready, bench.now - 500.0))
                     .collect(),
             );
         }
-        rig.now += 25.0;
-        let at = sent(&rig.request_with(id, 0, 0, 4000.0, Some(5.0)), id).expect("an engine");
+        bench.now += 25.0;
+        let at = sent(&bench.request_with(id, 0, 0, 4000.0, Some(5.0)), id).expect("an engine");
         let cold = at.addr[3] >= 3;
         quick += u32::from(cold);
         let (took, inflight) = if cold { (6.0, 1.0) } else { (30.0, 48.0) };
@@ -159,17 +159,17 @@
             inflight: Some(inflight),
             ..LoadReport::default()
         };
-        rig.event(served(id, at, took, Some((5.0, 8.0)), report));
+        bench.event(served(id, at, took, measured(5.0, 8.0), report));
     }
     assert!(quick > 150, "{quick} to the cold ones");
     // One heavy query an engine may bring news; those after it find no room, and do not pile up.
-    let asked = (300..310).map(|id| rig.request_with(id, 1, 0, 4000.0, Some(6000.0)));
+    let asked = (300..310).map(|id| bench.request_with(id, 1, 0, 4000.0, Some(6000.0)));
     let warm: Vec<u32> = asked.flat_map(|actions| all_sent(&actions)).collect();
     assert!(warm.len() <= 3, "{warm:?} went to engines that drown");
 }
 
 /// Whatever the number of managers that the settings name, and with hundreds of engines, a manager with little traffic
-/// serves every class: six in ten engines are replaced at once, the newcomers cold, and nothing is refused.
+/// serves every class: six in ten engines are replaced at once, the new ones cold, and nothing is rejected.
 #[test]
 fn every_class_is_served_by_one_manager_and_by_one_of_a_thousand() {
     let at = |n: u16| EngineId {
@@ -182,25 +182,25 @@
     };
     for instances in [1, 350, 1024] {
         let classes = vec![class(1, 1000.0, 1.0), class(3, 5000.0, 20.0)];
-        let mut rig = Rig::new(
+        let mut bench = TestBench::new(
             Settings {
                 instances,
                 ..settings(classes)
             },
             0,
         );
-        rig.list((0..300).map(|n| line(n, EngineState::Ready, 0.0)).collect());
+        bench.list((0..300).map(|n| line(n, EngineState::Ready, 0.0)).collect());
         let mut served_of = [0; 2];
         for id in 0..400u32 {
             if id == 200 {
                 let old = (0..180).map(|n| line(n, EngineState::Draining, 0.0));
-                let new = (300..480).map(|n| line(n, EngineState::Ready, rig.now));
-                rig.list(old.chain(new).collect());
+                let new = (300..480).map(|n| line(n, EngineState::Ready, bench.now));
+                bench.list(old.chain(new).collect());
             }
-            rig.now += 50.0;
+            bench.now += 50.0;
             let (of, cost) = if id % 4 == 0 { (1, 900.0) } else { (0, 50.0) };
-            let mut actions = rig.tick(0.0);
-            actions.extend(rig.request_with(id, of, 0, 15_000.0, Some(cost)));
+            let mut actions = bench.tick(0.0);
+            actions.extend(bench.request_with(id, of, 0, 15_000.0, Some(cost)));
             let to = sent(&actions, id)
                 .unwrap_or_else(|| panic!("{instances} managers: {id} was not sent"));
             assert!(
@@ -211,7 +211,7 @@
                 inflight: Some(4.0),
                 ..LoadReport::default()
             };
-            rig.event(served(id, to, cost, Some((cost, 8.0)), report));
+            bench.event(served(id, to, cost, measured(cost, 8.0), report));
             served_of[of] += 1;
         }
         assert_eq!(served_of, [300, 100]);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -4,14 +4,14 @@
 use common::*;
 use workload_manager::*;
 
-/// Runs `n` queries through, each with the engine reporting full business, so that the bound binds.
-fn busy(rig: &mut Rig, engine: EngineId) {
+/// Lets an engine report that all its cores are busy, so that the concurrency limit binds.
+fn report_all_cores_busy(bench: &mut TestBench, engine: EngineId) {
     for _ in 0..20 {
         let report = LoadReport {
             cpu_busy: Some(1.0),
             ..LoadReport::default()
         };
-        rig.event(Event::HealthCheckEnded {
+        bench.event(Event::HealthCheckEnded {
             engine,
             outcome: Outcome::Ok,
             elapsed_ms: 1.0,
@@ -21,41 +21,41 @@
 }
 
 #[test]
-fn the_bound_starts_at_twice_the_share_of_cores_and_binds_under_pressure() {
-    let mut rig = Rig::new(
+fn limit_starts_at_twice_the_share_of_cores_and_binds_under_pressure() {
+    let mut bench = TestBench::new(
         Settings {
             instances: 2,
             ..settings(vec![class(1, 9000.0, 1.0)])
         },
         1,
     );
-    busy(&mut rig, engine(0));
+    report_all_cores_busy(&mut bench, engine(0));
     let sent: usize = (0..30)
-        .map(|id| all_sent(&rig.request(id, 0, 0)).len())
+        .map(|id| all_sent(&bench.request(id, 0, 0)).len())
         .sum();
-    assert_eq!(sent, 8, "2 threads a core x 8 cores / 2 gateways");
+    assert_eq!(sent, 8, "2 threads a core x 8 cores / 2 managers");
 }
 
 #[test]
-fn the_bound_holds_at_least_one_query_of_the_widest_class() {
+fn limit_holds_at_least_one_query_of_the_widest_class() {
     let wide = class(7, 9000.0, 1.0);
-    let mut rig = Rig::new(
+    let mut bench = TestBench::new(
         Settings {
             instances: 16,
             ..settings(vec![wide])
         },
         1,
     );
-    busy(&mut rig, engine(0));
-    assert!(sent(&rig.request(1, 0, 0), 1).is_some());
-    assert!(sent(&rig.request(2, 0, 0), 2).is_none());
+    report_all_cores_busy(&mut bench, engine(0));
+    assert!(sent(&bench.request(1, 0, 0), 1).is_some());
+    assert!(sent(&bench.request(2, 0, 0), 2).is_none());
 }
 
-/// At size a gateway's share of an engine is a part of a thread: all reported threads are held under all bounds.
+/// With many managers, one's share of an engine is a part of a thread: the reported threads are held under all limits.
 #[test]
-fn where_the_share_is_less_than_a_query_reported_threads_are_held_under_all_bounds() {
+fn share_below_one_query_keeps_reported_threads_under_all_limits() {
     let play = |held: f64| {
-        let mut rig = Rig::new(
+        let mut bench = TestBench::new(
             Settings {
                 instances: 250,
                 ..settings(vec![class(1, 9000.0, 1.0)])
@@ -68,14 +68,14 @@
                 cpu_busy: Some(1.0),
                 ..LoadReport::default()
             };
-            rig.event(Event::HealthCheckEnded {
+            bench.event(Event::HealthCheckEnded {
                 engine: engine(n % 2),
                 outcome: Outcome::Ok,
                 elapsed_ms: 1.0,
                 load_report: report,
             });
         }
-        all_sent(&rig.request(1, 0, 0)).len() + all_sent(&rig.request(2, 0, 0)).len()
+        all_sent(&bench.request(1, 0, 0)).len() + all_sent(&bench.request(2, 0, 0)).len()
     };
     assert_eq!(play(10.0), 2, "under two threads a core");
     assert_eq!(
@@ -86,59 +86,69 @@
 }
 
 #[test]
-fn a_refusal_as_full_is_pressure_and_the_retry_keeps_its_age() {
-    let mut rig = Rig::new(settings(vec![class(1, 9000.0, 1.0)]), 1);
-    rig.request(1, 0, 0);
+fn rejection_ejects_the_engine_and_the_retry_keeps_its_place() {
+    let mut bench = TestBench::new(settings(vec![class(1, 9000.0, 1.0)]), 1);
+    bench.request(1, 0, 0);
     assert!(
-        all_sent(&rig.ended(1, 0, engine(0), Outcome::Rejected)).is_empty(),
+        all_sent(&bench.ended(1, 0, engine(0), Outcome::Rejected)).is_empty(),
         "shut for a moment"
     );
     assert!(
-        all_sent(&rig.request(2, 0, 0)).is_empty(),
+        all_sent(&bench.request(2, 0, 0)).is_empty(),
         "the newer waits too"
     );
     assert!(
-        all_sent(&rig.tick(400.0)).is_empty(),
+        all_sent(&bench.tick(400.0)).is_empty(),
         "the pause is half a second"
     );
-    assert_eq!(all_sent(&rig.tick(100.0)), vec![1, 2]);
-    rig.ended(2, 0, engine(0), Outcome::Rejected);
+    assert_eq!(all_sent(&bench.tick(100.0)), vec![1, 2]);
+    bench.ended(2, 0, engine(0), Outcome::Rejected);
     assert!(
-        all_sent(&rig.tick(900.0)).is_empty(),
+        all_sent(&bench.tick(900.0)).is_empty(),
         "and longer the next time"
     );
-    assert_eq!(all_sent(&rig.tick(100.0)), vec![2]);
-    rig.ended(2, 1, engine(0), Outcome::Ok);
-    rig.request(3, 0, 0);
-    rig.ended(3, 0, engine(0), Outcome::Rejected);
-    assert_eq!(all_sent(&rig.tick(500.0)), vec![3], "until it serves again");
+    assert_eq!(all_sent(&bench.tick(100.0)), vec![2]);
+    bench.ended(2, 1, engine(0), Outcome::Ok);
+    bench.request(3, 0, 0);
+    bench.ended(3, 0, engine(0), Outcome::Rejected);
+    assert_eq!(
+        all_sent(&bench.tick(500.0)),
+        vec![3],
+        "until it serves again"
+    );
 }
 
 #[test]
-fn waiters_leave_oldest_first_and_the_head_holds_the_line() {
+fn waiting_requests_leave_oldest_first_and_the_oldest_holds_back_the_rest() {
     let (small, wide) = (class(1, 9000.0, 1.0), class(4, 9000.0, 4.0));
-    let mut rig = Rig::new(settings(vec![small, wide]), 1);
-    busy(&mut rig, engine(0));
+    let mut bench = TestBench::new(settings(vec![small, wide]), 1);
+    report_all_cores_busy(&mut bench, engine(0));
     for id in 0..14 {
-        assert!(sent(&rig.request_with(id, 0, 0, 20_000.0, Some(300.0)), id).is_some());
+        assert!(sent(&bench.request_with(id, 0, 0, 20_000.0, Some(300.0)), id).is_some());
     }
     assert!(
-        all_sent(&rig.request_with(20, 1, 0, 20_000.0, Some(300.0))).is_empty(),
+        all_sent(&bench.request_with(20, 1, 0, 20_000.0, Some(300.0))).is_empty(),
         "4 do not fit beside 14 of 16"
     );
     assert!(
-        all_sent(&rig.request_with(21, 0, 0, 20_000.0, Some(300.0))).is_empty(),
+        all_sent(&bench.request_with(21, 0, 0, 20_000.0, Some(300.0))).is_empty(),
         "1 would, but the head holds"
     );
-    assert!(all_sent(&rig.ended(0, 0, engine(0), Outcome::Ok)).is_empty());
-    assert_eq!(all_sent(&rig.ended(1, 0, engine(0), Outcome::Ok)), vec![20]);
-    assert_eq!(all_sent(&rig.ended(2, 0, engine(0), Outcome::Ok)), vec![21]);
+    assert!(all_sent(&bench.ended(0, 0, engine(0), Outcome::Ok)).is_empty());
+    assert_eq!(
+        all_sent(&bench.ended(1, 0, engine(0), Outcome::Ok)),
+        vec![20]
+    );
+    assert_eq!(
+        all_sent(&bench.ended(2, 0, engine(0), Outcome::Ok)),
+        vec![21]
+    );
 }
 
 #[test]
-fn the_fitted_peak_moves_the_bound_within_its_clamps() {
+fn fitted_peak_moves_the_limit_within_its_bounds() {
     // An engine whose output peaks at one thread a core: the bound comes down from its start, to half at least.
-    let mut rig = Rig::new(settings(vec![class(1, 60_000.0, 1.0)]), 1);
+    let mut bench = TestBench::new(settings(vec![class(1, 60_000.0, 1.0)]), 1);
     let (mut id, mut running) = (0u32, Vec::new());
     for round in 0..40u32 {
         let level = 4 + (round * 5) % 12;
@@ -146,16 +156,16 @@
         let took = f64::from(level) * 300.0 / output;
         for _ in 0..75 {
             while running.len() < level as usize {
-                let more = all_sent(&rig.request_with(id, 0, 0, 90_000.0, Some(300.0)));
+                let more = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
                 id += 1;
                 if more.is_empty() {
                     break;
                 }
                 running.extend(more);
             }
-            rig.now += took / f64::from(level);
+            bench.now += took / f64::from(level);
             let done = running.remove(0);
-            running.extend(all_sent(&rig.ended_after(
+            running.extend(all_sent(&bench.ended_after(
                 done,
                 0,
                 engine(0),
@@ -164,9 +174,9 @@
             )));
         }
     }
-    busy(&mut rig, engine(0));
+    report_all_cores_busy(&mut bench, engine(0));
     while running.len() < 60 {
-        let more = all_sent(&rig.request_with(id, 0, 0, 90_000.0, Some(300.0)));
+        let more = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
         id += 1;
         if more.is_empty() {
             break;
@@ -183,16 +193,16 @@
 #[test]
 fn same_events_give_the_same_actions() {
     let play = || {
-        let mut rig = Rig::new(
+        let mut bench = TestBench::new(
             settings(vec![class(1, 500.0, 1.0), class(3, 2000.0, 8.0)]),
             5,
         );
         let mut all = Vec::new();
         for id in 0..300u32 {
-            all.extend(rig.request(id, id as usize % 2, 0));
-            all.extend(rig.tick(7.0));
+            all.extend(bench.request(id, id as usize % 2, 0));
+            all.extend(bench.tick(7.0));
             if id > 20 {
-                all.extend(rig.ended(id - 20, 0, engine((id % 5) as u8), Outcome::Ok));
+                all.extend(bench.ended(id - 20, 0, engine((id % 5) as u8), Outcome::Ok));
             }
         }
         all
@@ -201,7 +211,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_used_are_refused_with_a_type() {
+fn impossible_settings_are_rejected_with_the_setting_and_its_value() {
     let new = |s: Settings| Dispatcher::new(s, 1).err();
     let impossible = |setting, value| Some(SettingsError::ImpossibleFigure { setting, value });
     assert_eq!(new(settings(vec![])), Some(SettingsError::NoClasses));
@@ -241,32 +251,33 @@
 }
 
 #[test]
-fn unknown_and_repeated_things_are_ignored() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
-    assert!(rig.ended(99, 0, engine(0), Outcome::Ok).is_empty());
-    assert!(rig.event(Event::ClientDisconnected { id: 99 }).is_empty());
+fn unknown_and_repeated_ids_are_ignored() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
+    assert!(bench.ended(99, 0, engine(0), Outcome::Ok).is_empty());
+    assert!(bench.event(Event::ClientDisconnected { id: 99 }).is_empty());
     assert!(
-        rig.event(Event::PeerMessage { payload: vec![1] })
+        bench
+            .event(Event::PeerMessage { payload: vec![1] })
             .is_empty()
     );
     assert_eq!(
-        rig.request(1, 9, 0),
+        bench.request(1, 9, 0),
         vec![Action::Fail { id: 1 }],
         "an unknown class is failed at once"
     );
-    let at = sent(&rig.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
+    let at = sent(&bench.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
     assert!(
-        rig.ended(2, 3, at, Outcome::Reset).is_empty(),
+        bench.ended(2, 3, at, Outcome::Reset).is_empty(),
         "no such attempt"
     );
     assert!(
-        rig.ended(2, 0, engine(9), Outcome::Reset).is_empty(),
+        bench.ended(2, 0, engine(9), Outcome::Reset).is_empty(),
         "no such engine"
     );
-    assert!(rig.request(2, 0, 0).is_empty(), "a repeated id");
-    rig.ended(2, 0, at, Outcome::Ok);
+    assert!(bench.request(2, 0, 0).is_empty(), "a repeated id");
+    bench.ended(2, 0, at, Outcome::Ok);
     assert!(
-        rig.ended(2, 0, at, Outcome::Reset).is_empty(),
+        bench.ended(2, 0, at, Outcome::Reset).is_empty(),
         "a repeated outcome"
     );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,48 +15,49 @@
 }
 
 #[test]
-fn rule_1_a_waiter_is_answered_before_its_client_leaves() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
-    assert!(rig.request_with(1, 0, 0, 900.0, None).is_empty());
+fn rule_1_waiting_request_is_answered_before_its_deadline() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
+    assert!(bench.request_with(1, 0, 0, 900.0, None).is_empty());
     let mut answer = false;
-    while rig.now < 1890.0 {
-        answer |= answered(&rig.tick(10.0), 1);
+    while bench.now < 1890.0 {
+        answer |= answered(&bench.tick(10.0), 1);
     }
     assert!(answer, "no engine: ended before the deadline");
-    assert!(!answered(&rig.tick(500.0), 1), "and once only");
+    assert!(!answered(&bench.tick(500.0), 1), "and once only");
 }
 
 #[test]
-fn rule_1_nothing_is_sent_for_a_request_whose_client_left() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
-    rig.request(1, 0, 0);
-    rig.event(Event::ClientDisconnected { id: 1 });
+fn rule_1_request_of_a_disconnected_client_is_not_sent() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
+    bench.request(1, 0, 0);
+    bench.event(Event::ClientDisconnected { id: 1 });
     assert_eq!(
-        sent(&rig.list(vec![entry(0, EngineState::Ready, 0.0)]), 1),
+        sent(&bench.list(vec![entry(0, EngineState::Ready, 0.0)]), 1),
         None
     );
 }
 
 #[test]
-fn rule_2_a_once_request_that_may_have_run_is_failed() {
+fn rule_2_non_idempotent_request_that_may_have_run_fails() {
     let once = Class {
         idempotency: Idempotency::NonIdempotent,
         ..class(1, 1000.0, 1.0)
     };
-    let mut rig = Rig::new(settings(vec![once]), 3);
-    let at = sent(&rig.request(1, 0, 0), 1).unwrap();
-    let again = rig.ended(1, 0, at, Outcome::NoConnection);
+    let mut bench = TestBench::new(settings(vec![once]), 3);
+    let at = sent(&bench.request(1, 0, 0), 1).unwrap();
+    let again = bench.ended(1, 0, at, Outcome::NoConnection);
     let at = sent(&again, 1).expect("never ran: another attempt");
     assert!(
-        rig.ended(1, 1, at, Outcome::Reset)
+        bench
+            .ended(1, 1, at, Outcome::Reset)
             .contains(&Action::Fail { id: 1 })
     );
 }
 
-/// Guard: an attempt for which the host had no descriptor was none: it counts against neither the cap nor the budget,
-/// and the next goes at once where a query of ours holds a connection, not to other engines that cannot be reached.
+/// An attempt for which the host had no connection slot counts against neither the cap nor the budget. The next goes at
+/// once to an engine where a query holds a connection, and not to engines that cannot be reached.
 #[test]
-fn no_descriptor_is_no_attempt() {
+fn attempt_without_connection_slot_does_not_count() {
     let extra = Some(RetryBudget {
         free_retries: 0.0,
         retries_per_request: 0.0,
@@ -67,13 +68,13 @@
         retry_budget: extra,
         ..settings(vec![class(1, 1000.0, 1.0)])
     };
-    let mut rig = Rig::new(limits, 9);
-    let held = sent(&rig.request(1, 0, 0), 1).expect("an engine");
-    let bare = sent(&rig.request(2, 0, 0), 2).expect("an engine");
+    let mut bench = TestBench::new(limits, 9);
+    let held = sent(&bench.request(1, 0, 0), 1).expect("an engine");
+    let bare = sent(&bench.request(2, 0, 0), 2).expect("an engine");
     assert_ne!(held, bare);
     for number in 0..3 {
         let at = if number == 0 { bare } else { held };
-        let again = rig.ended(2, number, at, Outcome::NoConnectionSlot);
+        let again = bench.ended(2, number, at, Outcome::NoConnectionSlot);
         if number == 0 {
             assert_eq!(sent(&again, 2), Some(held), "the one that is reached");
         } else {
@@ -82,7 +83,7 @@
                 "not the same again at once"
             );
             assert_eq!(
-                sent(&rig.tick(50.0), 2).is_some(),
+                sent(&bench.tick(50.0), 2).is_some(),
                 number == 1,
                 "later any of them"
             );
@@ -90,20 +91,20 @@
         }
     }
     // Where nothing is out there is no descriptor for a tick, and then the request goes all the same.
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
-    let at = sent(&rig.request(1, 0, 0), 1).expect("an engine");
-    let none = rig.ended(1, 0, at, Outcome::NoConnectionSlot);
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
+    let at = sent(&bench.request(1, 0, 0), 1).expect("an engine");
+    let none = bench.ended(1, 0, at, Outcome::NoConnectionSlot);
     assert!(!answered(&none, 1) && all_sent(&none).is_empty());
-    assert!(sent(&rig.tick(60.0), 1).is_some());
+    assert!(sent(&bench.tick(60.0), 1).is_some());
 }
 
 #[test]
-fn rule_2_a_keyed_repeat_stays_in_its_group_and_span() {
+fn rule_2_keyed_retry_stays_in_its_dedup_scope_and_window() {
     for scope in [DedupScope::Zone, DedupScope::Cell] {
-        let mut rig = Rig::new(settings(vec![keyed(scope)]), 6);
-        let first = sent(&rig.request(1, 0, 0), 1).unwrap();
-        rig.now += 100.0;
-        let second = sent(&rig.ended(1, 0, first, Outcome::Error), 1).expect("repeat");
+        let mut bench = TestBench::new(settings(vec![keyed(scope)]), 6);
+        let first = sent(&bench.request(1, 0, 0), 1).unwrap();
+        bench.now += 100.0;
+        let second = sent(&bench.ended(1, 0, first, Outcome::Error), 1).expect("repeat");
         let group = |e: EngineId| {
             if scope == DedupScope::Zone {
                 e.addr[3] % 2
@@ -112,8 +113,8 @@
             }
         };
         assert_eq!(group(first), group(second));
-        rig.now += 1000.0;
-        let late = rig.ended(1, 1, second, Outcome::Error);
+        bench.now += 1000.0;
+        let late = bench.ended(1, 1, second, Outcome::Error);
         assert!(
             late.contains(&Action::Fail { id: 1 }),
             "span over; a refusal would promise too much"
@@ -122,30 +123,30 @@
 }
 
 #[test]
-fn rule_3_nothing_goes_to_a_draining_or_unlisted_engine() {
-    let mut rig = Rig::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
-    rig.list(vec![entry(0, EngineState::Draining, 0.0)]);
+fn rule_3_draining_or_unlisted_engine_gets_nothing() {
+    let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
+    bench.list(vec![entry(0, EngineState::Draining, 0.0)]);
     for id in 1..6 {
-        assert_eq!(sent(&rig.request(id, 0, 0), id), Some(engine(1)));
+        assert_eq!(sent(&bench.request(id, 0, 0), id), Some(engine(1)));
     }
-    rig.event(Event::EndpointList {
+    bench.event(Event::EndpointList {
         kind: ListUpdateKind::Full,
         entries: vec![entry(0, EngineState::Ready, 0.0)],
     });
-    assert_eq!(sent(&rig.request(9, 0, 0), 9), Some(engine(0)));
+    assert_eq!(sent(&bench.request(9, 0, 0), 9), Some(engine(0)));
 }
 
 #[test]
-fn rule_4_a_cold_engine_gets_less_than_its_budget() {
-    let mut rig = Rig::new(settings(vec![class(1, 400.0, 1.0)]), 0);
-    rig.list(vec![entry(0, EngineState::Ready, rig.now)]);
+fn rule_4_cold_engine_gets_less_than_its_budget() {
+    let mut bench = TestBench::new(settings(vec![class(1, 400.0, 1.0)]), 0);
+    bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
     let mut work = 0.0;
     for id in 0..200 {
-        rig.now += 5.0;
-        let actions = rig.request_with(id, 0, 0, 3000.0, Some(200.0));
+        bench.now += 5.0;
+        let actions = bench.request_with(id, 0, 0, 3000.0, Some(200.0));
         for id in all_sent(&actions) {
             work += 200.0;
-            rig.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
+            bench.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
         }
     }
     // Multiple x share x cores x window: what would tip it over.
@@ -156,67 +157,70 @@
 }
 
 #[test]
-fn rule_5_one_key_runs_in_turn_and_rests() {
+fn rule_5_requests_of_one_key_run_in_order_with_a_pause() {
     let ordered = Class {
         ordered_by_key: true,
         ..keyed(DedupScope::All)
     };
-    let mut rig = Rig::new(settings(vec![ordered]), 3);
-    let at = sent(&rig.request(1, 0, 9), 1).unwrap();
-    assert_eq!(sent(&rig.request(2, 0, 9), 2), None);
+    let mut bench = TestBench::new(settings(vec![ordered]), 3);
+    let at = sent(&bench.request(1, 0, 9), 1).unwrap();
+    assert_eq!(sent(&bench.request(2, 0, 9), 2), None);
     assert!(
-        sent(&rig.request(3, 0, 8), 3).is_some(),
+        sent(&bench.request(3, 0, 8), 3).is_some(),
         "another key steps past"
     );
-    rig.event(Event::ClientDisconnected { id: 1 });
-    assert_eq!(sent(&rig.tick(10.0), 2), None, "its attempt is still out");
-    assert_eq!(sent(&rig.ended(1, 0, at, Outcome::TimedOut), 2), None);
-    assert_eq!(sent(&rig.tick(250.0), 2), None, "the key rests");
-    assert!(sent(&rig.tick(60.0), 2).is_some());
+    bench.event(Event::ClientDisconnected { id: 1 });
+    assert_eq!(sent(&bench.tick(10.0), 2), None, "its attempt is still out");
+    assert_eq!(sent(&bench.ended(1, 0, at, Outcome::TimedOut), 2), None);
+    assert_eq!(sent(&bench.tick(250.0), 2), None, "the key rests");
+    assert!(sent(&bench.tick(60.0), 2).is_some());
 }
 
-/// Guard: keys come from clients, so one is held while it has requests or rests, and no longer.
+/// Keys come from clients, so one is held only while it has requests or a pause.
 #[test]
-fn rule_5_a_key_is_forgotten_after_its_rest() {
+fn rule_5_key_is_forgotten_after_its_pause() {
     let ordered = Class {
         ordered_by_key: true,
         ..keyed(DedupScope::All)
     };
-    let mut rig = Rig::new(settings(vec![ordered]), 3);
+    let mut bench = TestBench::new(settings(vec![ordered]), 3);
     for id in 1..=100 {
-        let at = sent(&rig.request(id, 0, u64::from(id)), id).unwrap();
-        rig.event(Event::ClientDisconnected { id });
-        rig.ended(id, 0, at, Outcome::Reset);
+        let at = sent(&bench.request(id, 0, u64::from(id)), id).unwrap();
+        bench.event(Event::ClientDisconnected { id });
+        bench.ended(id, 0, at, Outcome::Reset);
     }
-    assert_eq!(rig.gateway.state_sizes()[2], 100, "all of them rest");
-    rig.tick(400.0);
-    assert_eq!(rig.gateway.state_sizes()[2], 0);
+    assert_eq!(bench.dispatcher.state_sizes()[2], 100, "all of them rest");
+    bench.tick(400.0);
+    assert_eq!(bench.dispatcher.state_sizes()[2], 0);
 }
 
 #[test]
-fn rule_6_a_bound_class_waits_for_its_engines() {
+fn rule_6_bound_class_waits_for_its_engines() {
     let bound = Class {
         allowed_zones: Some(vec![1]),
         allowed_machine_types: Some(vec![0]),
         ..class(1, 1000.0, 1.0)
     };
-    let mut rig = Rig::new(settings(vec![bound, class(1, 1000.0, 1.0)]), 1);
-    assert_eq!(sent(&rig.request(1, 0, 0), 1), None);
-    assert!(sent(&rig.request(2, 1, 0), 2).is_some(), "others step past");
+    let mut bench = TestBench::new(settings(vec![bound, class(1, 1000.0, 1.0)]), 1);
+    assert_eq!(sent(&bench.request(1, 0, 0), 1), None);
+    assert!(
+        sent(&bench.request(2, 1, 0), 2).is_some(),
+        "others step past"
+    );
     assert_eq!(
-        sent(&rig.list(vec![entry(1, EngineState::Ready, 0.0)]), 1),
+        sent(&bench.list(vec![entry(1, EngineState::Ready, 0.0)]), 1),
         Some(engine(1))
     );
 }
 
 #[test]
-fn rule_7_further_attempts_stay_within_their_budget() {
+fn rule_7_retries_stay_within_their_budget() {
     let extra = Some(RetryBudget {
         free_retries: 2.0,
         retries_per_request: 0.1,
         window_ms: 5000.0,
     });
-    let mut rig = Rig::new(
+    let mut bench = TestBench::new(
         Settings {
             retry_budget: extra,
             ..settings(vec![class(1, 1000.0, 1.0)])
@@ -225,16 +229,16 @@
     );
     let mut sends = 0;
     for id in 0..10 {
-        let asked = rig.request(id, 0, 0);
+        let asked = bench.request(id, 0, 0);
         let at = sent(&asked, id).unwrap();
-        sends += all_sent(&asked).len() + all_sent(&rig.ended(id, 0, at, Outcome::Error)).len();
+        sends += all_sent(&asked).len() + all_sent(&bench.ended(id, 0, at, Outcome::Error)).len();
     }
     assert_eq!(sends, 13, "two free and a tenth of ten");
 }
 
-/// What the property test knows of one request.
+/// What the random test knows of one request.
 #[derive(Default)]
-struct Seen {
+struct TrackedRequest {
     class: usize,
     key: u64,
     due: f64,
@@ -246,7 +250,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum RandomEvent {
     Ask {
         class: usize,
         key: u64,
@@ -270,14 +274,14 @@
     },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn random_event() -> impl Strategy<Value = RandomEvent> {
     prop_oneof![
         4 => (0usize..5, 0u64..3, 200.0..4000.0, prop_oneof![Just(f64::NAN), Just(-1.0), 10.0..5000.0])
-            .prop_map(|(class, key, left, cost)| Step::Ask { class, key, left, cost }),
-        4 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
-        1 => (0u8..5, 0usize..3, any::<bool>()).prop_map(|(n, state, fresh)| Step::List { n, state, fresh }),
-        3 => (1.0..120.0).prop_map(|ms| Step::Wait { ms }),
+            .prop_map(|(class, key, left, cost)| RandomEvent::Ask { class, key, left, cost }),
+        4 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| RandomEvent::End { pick, outcome }),
+        1 => any::<usize>().prop_map(|pick| RandomEvent::Leave { pick }),
+        1 => (0u8..5, 0usize..3, any::<bool>()).prop_map(|(n, state, fresh)| RandomEvent::List { n, state, fresh }),
+        3 => (1.0..120.0).prop_map(|ms| RandomEvent::Wait { ms }),
     ]
 }
 
@@ -299,15 +303,15 @@
     )
 }
 
-/// Plays steps against a gateway and checks the rules at every action.
+/// Plays random events against a dispatcher and checks the rules at every action.
 struct Checker {
-    rig: Rig,
+    bench: TestBench,
     classes: Vec<Class>,
-    reqs: BTreeMap<u32, Seen>,
+    requests: BTreeMap<u32, TrackedRequest>,
     states: BTreeMap<EngineId, EngineState>,
-    rest: BTreeMap<u64, f64>,
-    taken: VecDeque<f64>,
-    extras: VecDeque<f64>,
+    paused_until: BTreeMap<u64, f64>,
+    accepted_at: VecDeque<f64>,
+    retried_at: VecDeque<f64>,
 }
 
 impl Checker {
@@ -333,7 +337,7 @@
             retries_per_request: 0.3,
             window_ms: 3000.0,
         });
-        let rig = Rig::new(
+        let bench = TestBench::new(
             Settings {
                 retry_budget: extra,
                 ..settings(classes.clone())
@@ -341,93 +345,101 @@
             4,
         );
         let states = (0..4).map(|n| (engine(n), EngineState::Ready)).collect();
-        let (reqs, rest) = (BTreeMap::new(), BTreeMap::new());
+        let (requests, paused_until) = (BTreeMap::new(), BTreeMap::new());
         Checker {
-            rig,
+            bench,
             classes,
-            reqs,
+            requests,
             states,
-            rest,
-            taken: VecDeque::new(),
-            extras: VecDeque::new(),
+            paused_until,
+            accepted_at: VecDeque::new(),
+            retried_at: VecDeque::new(),
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet")]
-    fn play(&mut self, step: &Step, next: u32) {
-        let actions = match *step {
-            Step::Ask {
+    /// Plays one event; `next_id` is the id of a request that comes with it.
+    fn play(&mut self, event: &RandomEvent, next_id: u32) {
+        let actions = match *event {
+            RandomEvent::Ask {
                 class,
                 key,
                 left,
                 cost,
-            } => {
-                let due = self.rig.now + left;
-                self.reqs.insert(
-                    next,
-                    Seen {
-                        class,
-                        key,
-                        due,
-                        ..Seen::default()
-                    },
-                );
-                self.taken.push_back(self.rig.now);
-                self.rig.request_with(next, class, key, left, Some(cost))
-            }
-            Step::End { pick, outcome } => {
-                let out: Vec<u32> = self
-                    .reqs
-                    .iter()
-                    .filter(|(_, s)| s.out.is_some())
-                    .map(|(id, _)| *id)
-                    .collect();
-                if out.is_empty() {
-                    return;
-                }
-                let id = out[pick % out.len()];
-                self.end(id, OUTCOMES[outcome])
-            }
-            Step::Leave { pick } => {
-                let open: Vec<u32> = self
-                    .reqs
-                    .iter()
-                    .filter(|(_, s)| !s.over)
-                    .map(|(id, _)| *id)
-                    .collect();
-                if open.is_empty() {
-                    return;
-                }
-                let id = open[pick % open.len()];
-                self.reqs.get_mut(&id).unwrap().over = true;
-                self.rig.event(Event::ClientDisconnected { id })
-            }
-            Step::List { n, state, fresh } => {
-                let state = [
-                    EngineState::Ready,
-                    EngineState::Draining,
-                    EngineState::Removed,
-                ][state];
-                self.states.insert(engine(n), state);
-                let started = if fresh { self.rig.now } else { 0.0 };
-                self.rig.list(vec![entry(n, state, started)])
-            }
-            Step::Wait { ms } => {
-                let until = self.rig.now + ms;
-                while self.rig.now < until {
-                    let actions = self.rig.tick(5.0);
-                    self.check(&actions);
-                    self.deadlines();
-                }
-                return;
-            }
+            } => self.ask(next_id, class, key, left, cost),
+            RandomEvent::End { pick, outcome } => self.end_one(pick, OUTCOMES[outcome]),
+            RandomEvent::Leave { pick } => self.disconnect_one(pick),
+            RandomEvent::List { n, state, fresh } => self.change_list(n, state, fresh),
+            RandomEvent::Wait { ms } => self.wait(ms),
         };
         self.check(&actions);
     }
 
+    fn ask(&mut self, id: u32, class: usize, key: u64, left: f64, cost: f64) -> Vec<Action> {
+        let due = self.bench.now + left;
+        let tracked = TrackedRequest {
+            class,
+            key,
+            due,
+            ..TrackedRequest::default()
+        };
+        self.requests.insert(id, tracked);
+        self.accepted_at.push_back(self.bench.now);
+        self.bench.request_with(id, class, key, left, Some(cost))
+    }
+
+    /// Ids of the requests that meet a condition.
+    fn ids(&self, condition: impl Fn(&TrackedRequest) -> bool) -> Vec<u32> {
+        self.requests
+            .iter()
+            .filter(|(_, request)| condition(request))
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    fn end_one(&mut self, pick: usize, outcome: Outcome) -> Vec<Action> {
+        let in_flight = self.ids(|request| request.out.is_some());
+        if in_flight.is_empty() {
+            return Vec::new();
+        }
+        self.end(in_flight[pick % in_flight.len()], outcome)
+    }
+
+    fn disconnect_one(&mut self, pick: usize) -> Vec<Action> {
+        let open = self.ids(|request| !request.over);
+        if open.is_empty() {
+            return Vec::new();
+        }
+        let id = open[pick % open.len()];
+        self.requests.get_mut(&id).unwrap().over = true;
+        self.bench.event(Event::ClientDisconnected { id })
+    }
+
+    fn change_list(&mut self, n: u8, state: usize, fresh: bool) -> Vec<Action> {
+        let states = [
+            EngineState::Ready,
+            EngineState::Draining,
+            EngineState::Removed,
+        ];
+        self.states.insert(engine(n), states[state]);
+        let started_at_ms = if fresh { self.bench.now } else { 0.0 };
+        self.bench
+            .list(vec![entry(n, states[state], started_at_ms)])
+    }
+
+    /// Lets time pass; the actions of its ticks are checked here.
+    fn wait(&mut self, ms: f64) -> Vec<Action> {
+        let until = self.bench.now + ms;
+        while self.bench.now < until {
+            let actions = self.bench.tick(5.0);
+            self.check(&actions);
+            self.deadlines();
+        }
+        Vec::new()
+    }
+
     fn end(&mut self, id: u32, outcome: Outcome) -> Vec<Action> {
-        let now = self.rig.now;
-        let s = self.reqs.get_mut(&id).unwrap();
+        let now = self.bench.now;
+        let s = self.requests.get_mut(&id).unwrap();
         let at = s.out.take().unwrap();
         if may_have_run(outcome) {
             let first = (at, s.sent_at);
@@ -438,7 +450,7 @@
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
         if pauses && self.classes[s.class].ordered_by_key {
-            self.rest.insert(s.key, now + 300.0);
+            self.paused_until.insert(s.key, now + 300.0);
         }
         let (attempt, finished) = (s.attempts - 1, s.over || outcome == Outcome::Ok);
         s.over |= finished;
@@ -448,7 +460,7 @@
             ..LoadReport::default()
         };
         let (took_ms, billed_ms) = (now - s.sent_at, None);
-        self.rig.event(Event::AttemptEnded(AttemptEnded {
+        self.bench.event(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
             engine: at,
@@ -461,18 +473,18 @@
         }))
     }
 
-    /// At its deadline an attempt times out; a waiter must have been answered by then.
+    /// At its deadline an attempt times out; a waiting request must have been answered by then.
     fn deadlines(&mut self) {
-        let now = self.rig.now;
+        let now = self.bench.now;
         let due: Vec<u32> = self
-            .reqs
+            .requests
             .iter()
             .filter(|(_, s)| !s.over && s.due <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in due {
             assert!(
-                self.reqs[&id].out.is_some(),
+                self.requests[&id].out.is_some(),
                 "rule 1: {id} waits past its deadline"
             );
             let actions = self.end(id, Outcome::TimedOut);
@@ -485,12 +497,12 @@
     }
 
     fn check(&mut self, actions: &[Action]) {
-        let now = self.rig.now;
+        let now = self.bench.now;
         for action in actions {
             match action {
                 Action::StartAttempt { id, engine, .. } => self.check_send(*id, *engine, now),
                 Action::Reject { id, .. } | Action::Fail { id } => {
-                    let s = self.reqs.get_mut(id).expect("known");
+                    let s = self.requests.get_mut(id).expect("known");
                     assert!(!s.over, "rule 1: {id} is answered twice");
                     s.over = true;
                     let refused = matches!(action, Action::Reject { .. });
@@ -507,7 +519,7 @@
     }
 
     fn check_send(&mut self, id: u32, at: EngineId, now: f64) {
-        let s = &self.reqs[&id];
+        let s = &self.requests[&id];
         let c = &self.classes[s.class];
         assert!(!s.over, "rule 1: {id} is sent after its end");
         assert!(s.out.is_none(), "rule 2: {id} is out twice");
@@ -533,15 +545,15 @@
             "rule 3: {id} to an engine that drains"
         );
         if c.ordered_by_key && s.key != 0 {
-            let same = |o: &Seen| self.classes[o.class].ordered_by_key && o.key == s.key;
+            let same = |o: &TrackedRequest| self.classes[o.class].ordered_by_key && o.key == s.key;
             let earlier = self
-                .reqs
+                .requests
                 .range(..id)
                 .any(|(_, o)| same(o) && (!o.over || o.out.is_some()));
             assert!(!earlier, "rule 5: {id} overtakes");
-            let rests = s.attempts == 0 && self.rest.get(&s.key).is_some_and(|r| now < *r);
+            let rests = s.attempts == 0 && self.paused_until.get(&s.key).is_some_and(|r| now < *r);
             let other = self
-                .reqs
+                .requests
                 .range(..id)
                 .any(|(_, o)| same(o) && o.first_ran.is_some());
             assert!(!(rests && other), "rule 5: {id} while its key rests");
@@ -552,12 +564,12 @@
                 .is_none_or(|z| z.contains(&(at.addr[3] % 2))),
             "rule 6: {id}"
         );
-        let s = self.reqs.get_mut(&id).unwrap();
+        let s = self.requests.get_mut(&id).unwrap();
         if s.attempts > 0 {
-            self.extras.push_back(now);
+            self.retried_at.push_back(now);
             let from = now - 3000.0;
-            let spent = self.extras.iter().filter(|t| **t > from).count() as f64;
-            let taken = self.taken.iter().filter(|t| **t > from).count() as f64;
+            let spent = self.retried_at.iter().filter(|t| **t > from).count() as f64;
+            let taken = self.accepted_at.iter().filter(|t| **t > from).count() as f64;
             assert!(
                 spent <= 3.0 + 0.3 * taken,
                 "rule 7: {spent} further attempts of {taken}"
@@ -580,12 +592,12 @@
     let mut runner = proptest::test_runner::TestRunner::new_with_rng(config, seed);
     let sends = std::cell::Cell::new(0usize);
     runner
-        .run(&prop::collection::vec(step(), 1..250), |steps| {
+        .run(&prop::collection::vec(random_event(), 1..250), |events| {
             let mut checker = Checker::new();
-            for (i, step) in steps.iter().enumerate() {
-                checker.play(step, i as u32);
+            for (id, event) in events.iter().enumerate() {
+                checker.play(event, id as u32);
             }
-            let ids: BTreeSet<u32> = checker.reqs.keys().copied().collect();
+            let ids: BTreeSet<u32> = checker.requests.keys().copied().collect();
             sends.set(sends.get() + ids.len());
             Ok(())
         })
@@ -593,19 +605,19 @@
     assert!(sends.get() > 1000, "the test drove real traffic");
 }
 
-/// Two processes of one gateway have its part of a cold engine's budget together: neither sends more than its own.
+/// Two processes of one manager share its part of a cold engine's budget: neither sends more than its own part.
 #[test]
-fn rule_4_two_processes_share_the_cold_budget() {
+fn rule_4_peer_processes_share_the_slow_start_budget() {
     let sends = |parts: f64| {
-        let mut rig = Rig::new(settings(vec![class(1, 600.0, 1.0)]), 0);
-        rig.event(Event::PeerProcesses {
+        let mut bench = TestBench::new(settings(vec![class(1, 600.0, 1.0)]), 0);
+        bench.event(Event::PeerProcesses {
             capacity_divisor: parts,
         });
-        rig.list(vec![entry(0, EngineState::Ready, rig.now)]);
-        let ids = (0..200).map(|id| (id, query(id, 0, rig.now + 9000.0, Some(200.0), None)));
+        bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
+        let ids = (0..200).map(|id| (id, query(id, 0, bench.now + 9000.0, Some(200.0), None)));
         ids.collect::<Vec<_>>()
             .into_iter()
-            .filter(|(id, q)| sent(&rig.event(q.clone()), *id).is_some())
+            .filter(|(id, q)| sent(&bench.event(q.clone()), *id).is_some())
             .count()
     };
     let (alone, old, new) = (sends(1.0), sends(4.0), sends(4.0 / 3.0));
