--- a/tests/scenarios/process_lifecycle.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -120,7 +120,7 @@
 #[case::not_json("not_json", "{", "", "configuration: EOF")]
 #[case::no_class("no_class", &good().replace("\"classes\":[", "\"classes\":[],\"was\":["), "", "no request class")]
 #[case::bad_figure("bad_figure", &good().replace("\"coldMs\":15000", "\"coldMs\":-1"), "", "impossible figure")]
-#[case::no_managers("no_managers", &good().replace("\"nInstances\":1", "\"nInstances\":0"), "", "no gateway instance")]
+#[case::no_managers("no_managers", &good().replace("\"nInstances\":1", "\"nInstances\":0"), "", "no workload manager instance")]
 #[case::negative_managers("negative_managers", &good().replace("\"nInstances\":1", "\"nInstances\":-1"), "", "settings: ")]
 #[case::managers_missing("managers_missing", &good().replace("\"nInstances\":1,", ""), "", "nInstances")]
 #[case::bad_seed("bad_seed", &good().replace("8c1f30d27a5be964", "xyz"), "", "seed")]
