--- a/src/engines/admission.rs
+++ b/src/engines/admission.rs
@@ -1,28 +1,34 @@
 //! Whether an engine may be sent new attempts.
+//!
+//! Owned by the engine's entry in the fleet, and shared with the engine's actor and its connections, which read it
+//! just before they write an attempt. So a draining or an ejection takes effect at once, even where the message that
+//! announces it waits in a mailbox or was dropped because the mailbox was full.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Shared by an engine's actor and its connections, and read before each attempt is written: what the list and staff
-/// say takes effect at once, also where the orders that carry it wait in a mailbox, or find it full.
+/// The two independent reasons for which an engine takes no new attempts.
+///
+/// Relaxed ordering is enough: each flag stands for itself and publishes no other data, and all readers run on the
+/// runtime's one thread.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
-    banned: AtomicBool,
-    drained: AtomicBool,
+    manually_ejected: AtomicBool,
+    not_ready: AtomicBool,
 }
 
 impl Admission {
-    /// Staff took the engine out, or gave it back.
-    pub(crate) fn ban(&self, out: bool) {
-        self.banned.store(out, Ordering::Relaxed);
+    /// Records that on-call staff ejected the engine, or restored it.
+    pub(crate) fn set_manually_ejected(&self, ejected: bool) {
+        self.manually_ejected.store(ejected, Ordering::Relaxed);
     }
 
-    /// The list says that it drains or is gone, or that it is ready.
-    pub(crate) fn drain(&self, out: bool) {
-        self.drained.store(out, Ordering::Relaxed);
+    /// Records whether the endpoint list names the engine as anything but ready: draining, or removed.
+    pub(crate) fn set_not_ready(&self, not_ready: bool) {
+        self.not_ready.store(not_ready, Ordering::Relaxed);
     }
 
-    /// Whether nothing new may go there.
-    pub(crate) fn closed(&self) -> bool {
-        self.banned.load(Ordering::Relaxed) || self.drained.load(Ordering::Relaxed)
+    /// Whether the engine takes no new attempts.
+    pub(crate) fn is_closed(&self) -> bool {
+        self.manually_ejected.load(Ordering::Relaxed) || self.not_ready.load(Ordering::Relaxed)
     }
 }
--- /dev/null
+++ b/src/engines/connection_slots/tests.rs
@@ -0,0 +1,106 @@
+//! Tests of the table of connection slots.
+
+use super::*;
+use crate::core::{Clock, Handle};
+use crate::engines::EngineContext;
+use crate::engines::connection_load::ConnectionUse;
+use futures::FutureExt;
+
+/// The table, with its numbers of shared and reserved slots.
+fn slots() -> (Arc<ConnectionSlots>, usize, usize) {
+    let context = EngineContext::for_tests(Handle::new(1, Clock::new()).0);
+    let shared = context.limits.engine_connections;
+    let reserved = context.limits.engine_connections_reserved;
+    (context.slots, shared, reserved)
+}
+
+fn busy_load(since_ms: f64) -> Arc<ConnectionLoad> {
+    let load = Arc::<ConnectionLoad>::default();
+    load.begin_attempt(ConnectionUse::Shared, since_ms);
+    load
+}
+
+/// The reserved slots are for engines without a connection alone, and a busy connection is not evicted.
+#[test]
+fn reserved_slots_are_for_first_connections_and_busy_ones_are_not_evicted() {
+    let (slots, shared, reserved) = slots();
+    let all: Vec<_> = (0..shared)
+        .map(|_| {
+            slots
+                .acquire(&busy_load(1.0), SlotPurpose::AdditionalConnection)
+                .expect("a slot")
+        })
+        .collect();
+    assert!(
+        slots
+            .acquire(&busy_load(1.0), SlotPurpose::AdditionalConnection)
+            .is_none()
+            && slots
+                .acquire(&busy_load(1.0), SlotPurpose::ExclusiveUse)
+                .is_none()
+    );
+    let first: Vec<_> = (0..reserved)
+        .map(|_| {
+            slots
+                .acquire(&busy_load(1.0), SlotPurpose::FirstConnection)
+                .expect("a slot")
+        })
+        .collect();
+    assert!(
+        slots
+            .acquire(&busy_load(1.0), SlotPurpose::FirstConnection)
+            .is_none(),
+        "all are busy"
+    );
+    drop(first);
+    assert!(
+        slots
+            .acquire(&busy_load(1.0), SlotPurpose::FirstConnection)
+            .is_some()
+            && all.len() == shared
+    );
+    assert_eq!(slots.metrics.engine_connections_evicted.get(), 0);
+}
+
+/// The connection that has been idle longest is evicted, once, and its descriptor is ready only when it is dropped.
+#[test]
+fn longest_idle_connection_is_evicted_once_and_its_descriptor_awaited() {
+    let (slots, shared, reserved) = slots();
+    let mut all = Vec::new();
+    for n in 0..shared + reserved {
+        let load = busy_load(1000.0 + n as f64);
+        all.push((
+            slots
+                .acquire(&load, SlotPurpose::FirstConnection)
+                .expect("a slot"),
+            load,
+        ));
+    }
+    [7, 3, 5]
+        .into_iter()
+        .for_each(|n: usize| all[n].1.end_attempt(ConnectionUse::Shared));
+    let mut successor = slots
+        .acquire(&busy_load(2000.0), SlotPurpose::FirstConnection)
+        .expect("a slot");
+    assert!(all[3].1.is_evicted() && !all[5].1.is_evicted());
+    assert!(
+        all[3].0.evicted().now_or_never().is_some() && all[5].0.evicted().now_or_never().is_none()
+    );
+    let mut descriptor_ready = Box::pin(successor.descriptor_ready());
+    assert!(
+        descriptor_ready.as_mut().now_or_never().is_none(),
+        "the socket is still open"
+    );
+    let next = slots
+        .acquire(&busy_load(2000.0), SlotPurpose::ExclusiveUse)
+        .expect("a slot");
+    assert!(
+        all[5].1.is_evicted(),
+        "the next one, as the longest idle is evicted already"
+    );
+    drop(all.remove(3));
+    assert!(descriptor_ready.now_or_never().is_some());
+    drop((successor, next, all));
+    assert_eq!(slots.metrics.engine_connections_open.get(), 0);
+    assert!(slots.table().entries.is_empty());
+}
--- a/src/engines/context.rs
+++ b/src/engines/context.rs
@@ -1,24 +1,95 @@
-//! What all engines' actors share, and the orders that an actor takes.
+//! What the actors of all engines share, and the messages that an engine's actor receives.
 
-use super::slots::Slots;
+use super::connection_slots::ConnectionSlots;
 use crate::core::{AttemptEvent, AttemptRequest, CoreMessage, Handle};
 use crate::decision::{EngineId, EngineState, LoadReport, RequestId};
 use crate::limits::{Limits, MemoryPool};
 use crate::metrics::Metrics;
+use crate::node_config::EngineProtocol;
 use std::sync::Arc;
 
-/// What all engines' actors share.
+/// Names one attempt of one request, at whatever engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct AttemptId {
+    /// Its request.
+    pub(crate) request: RequestId,
+    /// Its number among the attempts of the request, from 0.
+    pub(crate) number: u16,
+}
+
+impl From<&AttemptRequest> for AttemptId {
+    fn from(attempt: &AttemptRequest) -> AttemptId {
+        AttemptId {
+            request: attempt.id,
+            number: attempt.attempt,
+        }
+    }
+}
+
+/// Whether another attempt may follow a cancelled one. If so, the engine has to confirm that it read the
+/// cancellation before the end of the attempt is reported.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AfterCancellation {
+    /// Another attempt may follow.
+    RetryMayFollow,
+    /// The request ends with this attempt.
+    NoRetry,
+}
+
+impl AfterCancellation {
+    /// Whether another attempt may follow.
+    pub(crate) fn retry_may_follow(self) -> bool {
+        self == AfterCancellation::RetryMayFollow
+    }
+}
+
+impl From<bool> for AfterCancellation {
+    fn from(retry_may_follow: bool) -> AfterCancellation {
+        match retry_may_follow {
+            true => AfterCancellation::RetryMayFollow,
+            false => AfterCancellation::NoRetry,
+        }
+    }
+}
+
+/// A message to an engine's actor, which passes it on to its connections.
+#[derive(Clone, Debug)]
+pub(crate) enum EngineMessage {
+    /// Start an attempt. Boxed, as a mailbox allocates space for some messages from the start.
+    StartAttempt(Box<AttemptRequest>),
+    /// Cancel an attempt.
+    CancelAttempt {
+        /// Which attempt.
+        attempt: AttemptId,
+        /// What may come after it.
+        after: AfterCancellation,
+    },
+    /// Give an attempt another priority.
+    SetPriority {
+        /// Which attempt.
+        attempt: AttemptId,
+        /// The new priority, 0 to 3.
+        priority: u8,
+    },
+    /// The endpoint list names this state of the engine.
+    StateChanged(EngineState),
+    /// On-call staff ejected the engine or restored it: see [`Admission`](super::admission::Admission).
+    ManualEjectionChanged,
+}
+
+/// What the actors of all engines share.
 #[derive(Clone)]
 pub(crate) struct EngineContext {
+    /// The core, which is sent the events of attempts.
     pub(crate) core: Handle,
     pub(crate) limits: Arc<Limits>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Whether the engines speak Flight SQL and not lines.
-    pub(crate) flight: bool,
+    /// What the engines speak.
+    pub(crate) protocol: EngineProtocol,
     /// Memory for results that are not complete yet.
-    pub(crate) held: Arc<MemoryPool>,
-    /// Descriptors of connections to engines.
-    pub(crate) slots: Arc<Slots>,
+    pub(crate) partial_results: Arc<MemoryPool>,
+    /// Slots of connections to engines.
+    pub(crate) slots: Arc<ConnectionSlots>,
 }
 
 impl EngineContext {
@@ -26,66 +97,66 @@
         core: Handle,
         limits: Arc<Limits>,
         metrics: Arc<Metrics>,
-        flight: bool,
+        protocol: EngineProtocol,
     ) -> EngineContext {
-        let slots = Slots::new(limits.clone(), metrics.clone());
+        let slots = ConnectionSlots::new(limits.clone(), metrics.clone());
         EngineContext {
             core,
             limits,
             metrics,
-            flight,
-            held: Arc::default(),
+            protocol,
+            partial_results: Arc::default(),
             slots,
         }
     }
 
-    /// Tells the core news of an attempt.
-    pub(crate) async fn tell(
+    /// Sends the core an event of an attempt, with the load report that came along.
+    pub(crate) async fn send_event(
         &self,
         engine: EngineId,
-        (id, attempt): (RequestId, u16),
-        report: LoadReport,
-        news: AttemptEvent,
+        attempt: AttemptId,
+        load_report: LoadReport,
+        event: AttemptEvent,
     ) {
         self.core
             .send(CoreMessage::Attempt {
                 engine,
-                id,
-                attempt,
-                load_report: report,
-                event: news,
+                id: attempt.request,
+                attempt: attempt.number,
+                load_report,
+                event,
             })
             .await;
     }
 
-    /// Tells the core the end of an attempt about which its engine reported nothing.
-    pub(crate) async fn tell_end(
+    /// Sends the core an event of an attempt that no load report came along with.
+    pub(crate) async fn send_event_without_report(
         &self,
         engine: EngineId,
-        ask: &AttemptRequest,
-        news: AttemptEvent,
+        attempt: AttemptId,
+        event: AttemptEvent,
     ) {
-        self.tell(engine, (ask.id, ask.attempt), LoadReport::default(), news)
+        self.send_event(engine, attempt, LoadReport::default(), event)
             .await;
     }
 }
 
 #[cfg(test)]
 impl EngineContext {
-    /// One for tests of engines' actors.
+    /// A context with 256 descriptors for engines that speak the line protocol.
     pub(crate) fn for_tests(core: Handle) -> EngineContext {
-        EngineContext::with_sockets(core, 256)
+        EngineContext::with_descriptors(core, 256)
     }
 
     /// The same with so many descriptors.
-    pub(crate) fn with_sockets(core: Handle, sockets: usize) -> EngineContext {
+    pub(crate) fn with_descriptors(core: Handle, descriptors: usize) -> EngineContext {
         let limits = Arc::new(Limits::new(
-            sockets,
+            descriptors,
             32,
             true,
             &EngineContext::settings_for_tests(),
         ));
-        EngineContext::new(core, limits, Arc::default(), false)
+        EngineContext::new(core, limits, Arc::default(), EngineProtocol::Lines)
     }
 
     /// Settings with one class.
@@ -96,17 +167,3 @@
         crate::settings_json::parse(text.as_bytes()).expect("settings")
     }
 }
-
-/// What an engine's actor is told.
-#[derive(Clone, Debug)]
-pub(crate) enum Order {
-    /// Boxed, as a mailbox has room for some orders from the start.
-    Ask(Box<AttemptRequest>),
-    /// Given up; and whether another attempt may follow.
-    Quit(RequestId, u16, bool),
-    Priority(RequestId, u16, u8),
-    /// What the list says of the engine.
-    Listed(EngineState),
-    /// Staff took it out, or gave it back.
-    Banned,
-}
--- /dev/null
+++ b/src/engines/fleet.rs
@@ -0,0 +1,152 @@
+//! All engines of the endpoint list, and the actor of each that is in use.
+
+use super::admission::Admission;
+use super::context::{AttemptId, EngineContext, EngineMessage};
+use super::{flight, line_protocol};
+use crate::core::{AttemptRequest, EnginePort};
+use crate::decision::{EngineId, EngineState, RequestId};
+use crate::node_config::{EngineProtocol, EngineRecord};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::sync::mpsc::{self, error::TrySendError};
+
+/// One engine of the list.
+struct FleetMember {
+    address: SocketAddr,
+    /// The mailbox of the engine's actor, since its first attempt. The actor ends with its last connection, which
+    /// closes the mailbox; the next attempt starts another one.
+    mailbox: Option<mpsc::Sender<EngineMessage>>,
+    admission: Arc<Admission>,
+}
+
+impl FleetMember {
+    fn new(address: SocketAddr) -> FleetMember {
+        FleetMember {
+            address,
+            mailbox: None,
+            admission: Arc::default(),
+        }
+    }
+}
+
+/// All engines that the endpoint list names. An engine that is not in use costs its entry alone.
+pub(crate) struct Fleet {
+    context: EngineContext,
+    members: HashMap<EngineId, FleetMember>,
+}
+
+impl Fleet {
+    pub(crate) fn new(context: EngineContext) -> Fleet {
+        Fleet {
+            context,
+            members: HashMap::new(),
+        }
+    }
+
+    /// Number of engines that the fleet knows.
+    #[cfg(test)]
+    pub(super) fn len(&self) -> usize {
+        self.members.len()
+    }
+
+    /// Sends to the engine's actor, if there is one. A full mailbox drops the message: the core repeats a
+    /// cancellation, and a state or an ejection takes effect through the admission.
+    fn send_to_actor(&self, engine: EngineId, message: EngineMessage) {
+        let member = self.members.get(&engine);
+        if let Some(mailbox) = member.and_then(|member| member.mailbox.as_ref()) {
+            let _ = mailbox.try_send(message);
+        }
+    }
+}
+
+/// Starts the actor of an engine; returns its mailbox.
+fn spawn_actor(
+    engine: EngineId,
+    member: &FleetMember,
+    context: &EngineContext,
+) -> mpsc::Sender<EngineMessage> {
+    let (mailbox, messages) = mpsc::channel(context.limits.mailbox_messages);
+    let admission = member.admission.clone();
+    let address = member.address;
+    let context = context.clone();
+    match context.protocol {
+        EngineProtocol::Flight => {
+            tokio::spawn(flight::run(engine, address, messages, context, admission))
+        }
+        EngineProtocol::Lines => tokio::spawn(line_protocol::run(
+            engine, address, messages, context, admission,
+        )),
+    };
+    mailbox
+}
+
+impl EnginePort for Fleet {
+    fn start_attempt(&mut self, engine: EngineId, attempt: AttemptRequest) -> bool {
+        let Some(member) = self.members.get_mut(&engine) else {
+            return false;
+        };
+        let mut message = EngineMessage::StartAttempt(Box::new(attempt));
+        if let Some(mailbox) = &member.mailbox {
+            match mailbox.try_send(message) {
+                Ok(()) => return true,
+                Err(TrySendError::Full(_)) => return false,
+                Err(TrySendError::Closed(unread)) => message = unread,
+            }
+        }
+        let mailbox = spawn_actor(engine, member, &self.context);
+        member.mailbox.insert(mailbox).try_send(message).is_ok()
+    }
+
+    fn cancel_attempt(
+        &mut self,
+        engine: EngineId,
+        request: RequestId,
+        number: u16,
+        retry_may_follow: bool,
+    ) {
+        let cancellation = EngineMessage::CancelAttempt {
+            attempt: AttemptId { request, number },
+            after: retry_may_follow.into(),
+        };
+        self.send_to_actor(engine, cancellation);
+    }
+
+    fn set_priority(&mut self, engine: EngineId, request: RequestId, number: u16, priority: u8) {
+        let attempt = AttemptId { request, number };
+        self.send_to_actor(engine, EngineMessage::SetPriority { attempt, priority });
+    }
+
+    fn engine_listed(&mut self, record: &EngineRecord) {
+        let engine = record.entry.engine;
+        let state = record.entry.state;
+        let known_address = self.members.get(&engine).map(|member| member.address);
+        if known_address != Some(record.address) && state == EngineState::Ready {
+            // Attempts on their way to the old address would reach whatever process has it now, if any.
+            self.engine_removed(engine);
+            self.members
+                .insert(engine, FleetMember::new(record.address));
+        }
+        if let Some(member) = self.members.get(&engine) {
+            member.admission.set_not_ready(state != EngineState::Ready);
+        }
+        self.send_to_actor(engine, EngineMessage::StateChanged(state));
+        if state == EngineState::Removed {
+            self.engine_removed(engine);
+        }
+    }
+
+    fn set_manually_ejected(&mut self, engine: EngineId, ejected: bool) {
+        if let Some(member) = self.members.get(&engine) {
+            member.admission.set_manually_ejected(ejected);
+        }
+        self.send_to_actor(engine, EngineMessage::ManualEjectionChanged);
+    }
+
+    /// Dropping the mailbox ends the actor, once its attempts are over.
+    fn engine_removed(&mut self, engine: EngineId) {
+        if let Some(member) = self.members.remove(&engine) {
+            member.admission.set_not_ready(true);
+        }
+    }
+}
--- /dev/null
+++ b/src/engines/flight/metadata.rs
@@ -0,0 +1,73 @@
+//! The metadata of calls to Flight SQL engines: the terms of an attempt, and what an engine reports with its answers.
+
+use crate::clients::flight::metadata_keys::{CLASS, REFERENCE};
+use crate::clients::parse_non_negative;
+use crate::core::AttemptRequest;
+use crate::decision::Millis;
+use std::time::Duration;
+use tonic::Request;
+use tonic::metadata::MetadataMap;
+
+/// Attempts that the engine has in flight.
+pub(super) const INFLIGHT: &str = "magpiechute-inflight";
+/// Work of the statement in ms.
+pub(super) const WORK_MS: &str = "magpiechute-work-ms";
+/// Memory that the statement used, in MB.
+pub(super) const USED_MB: &str = "magpiechute-used-mb";
+/// Memory granted to the statement, in MB.
+const MEMORY_MB: &str = "magpiechute-memory-mb";
+/// Priority of the statement, 0 to 3.
+const PRIORITY: &str = "magpiechute-priority";
+/// Key by which engines recognise a repeat.
+const IDEMPOTENCY_KEY: &str = "magpiechute-key";
+
+/// Shortest timeout sent with a call, in ms.
+const MIN_TIMEOUT_MS: Millis = 1.0;
+
+/// Wraps a message in a request with the metadata that every call of an attempt carries.
+pub(super) fn call_request<T>(attempt: &AttemptRequest, now_ms: Millis, message: T) -> Request<T> {
+    let mut request = Request::new(message);
+    let remaining_ms = (attempt.deadline_ms - now_ms).max(MIN_TIMEOUT_MS);
+    request.set_timeout(Duration::from_micros((remaining_ms * 1000.0) as u64));
+    let metadata = request.metadata_mut();
+    insert(metadata, CLASS, attempt.class.name.clone());
+    insert(metadata, REFERENCE, text_of(&attempt.client_reference));
+    insert(metadata, PRIORITY, attempt.priority.to_string());
+    if let Some(key) = &attempt.idempotency_key {
+        insert(metadata, IDEMPOTENCY_KEY, text_of(key));
+    }
+    if attempt.memory_mb > 0.0 {
+        insert(
+            metadata,
+            MEMORY_MB,
+            format!("{:.0}", attempt.memory_mb.ceil()),
+        );
+    }
+    request
+}
+
+fn text_of(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
+}
+
+/// Inserts a value; one that metadata cannot carry is left out.
+fn insert(metadata: &mut MetadataMap, key: &'static str, value: String) {
+    if let Ok(value) = value.parse() {
+        metadata.insert(key, value);
+    }
+}
+
+/// Copies what an engine reports of itself and of the statement.
+pub(super) fn keep_measurements(kept: &mut MetadataMap, received: &MetadataMap) {
+    for key in [INFLIGHT, WORK_MS, USED_MB] {
+        if let Some(value) = received.get(key) {
+            kept.insert(key, value.clone());
+        }
+    }
+}
+
+/// A figure that an engine reported; none where it is absent or no figure.
+pub(super) fn figure(metadata: &MetadataMap, key: &str) -> Option<f64> {
+    let value = metadata.get(key)?;
+    parse_non_negative(value.as_bytes())
+}
--- a/src/engines/flight/mod.rs
+++ b/src/engines/flight/mod.rs
@@ -1,18 +1,18 @@
 //! Engines that speak Arrow Flight SQL: one actor an engine, one connection to it, one task an attempt. Dropping a
 //! task resets its stream, which is how an attempt is given up; it is over once that reset has left.
 
+mod metadata;
 mod wire;
 
 use super::admission::Admission;
-use super::context::{EngineContext, Order};
-use super::load::Load;
-use super::slots::Need;
+use super::connection_load::{ConnectionLoad, ConnectionUse};
+use super::connection_slots::SlotPurpose;
+use super::context::{AfterCancellation, AttemptId, EngineContext, EngineMessage};
 use crate::attempt::{AttemptEnd, AttemptState};
-use crate::clients::flight::metadata_keys::{CLASS, REFERENCE};
 use crate::core::{
     AttemptEvent, AttemptRequest, ResultBody, ResultChunk, ResultFormat, StatementKind,
 };
-use crate::decision::{EngineId, EngineState, LoadReport, Outcome, RequestId};
+use crate::decision::{EngineId, EngineState, LoadReport, Outcome};
 use crate::limits::MemoryReservation;
 use crate::rows;
 use arrow_flight::flight_service_client::FlightServiceClient;
@@ -22,45 +22,33 @@
 use arrow_flight::{FlightData, FlightDescriptor};
 use bytes::Bytes;
 use futures::stream;
+use metadata::{INFLIGHT, USED_MB, WORK_MS, call_request, figure, keep_measurements};
 use prost::Message;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
-use std::time::Duration;
 use tokio::sync::{Mutex, mpsc};
 use tokio::task::{AbortHandle, Id, JoinError, JoinSet};
 use tokio::time::{Instant, sleep_until, timeout};
 use tonic::metadata::MetadataMap;
-use tonic::{Code, Request, Status};
+use tonic::{Code, Status};
 use wire::{Untaken, Wire};
 
-/// Names of the metadata in which an engine tells its load and what a query needed.
-const INFLIGHT: &str = "magpiechute-inflight";
-const WORK_MS: &str = "magpiechute-work-ms";
-const USED_MB: &str = "magpiechute-used-mb";
-/// And of those that name a query's terms to it.
-const MEMORY_MB: &str = "magpiechute-memory-mb";
-const PRIORITY: &str = "magpiechute-priority";
-const KEY: &str = "magpiechute-key";
-
-/// An attempt's name within its engine's actor.
-type Key = (RequestId, u16);
-
 /// An attempt at work.
 struct Running {
-    key: Key,
+    key: AttemptId,
     task: AbortHandle,
     /// The connection that it is on, once it is on one.
     wire: Arc<OnceLock<Wire>>,
     /// The core gave it up; and whether another attempt may follow.
-    quit: Option<bool>,
+    quit: Option<AfterCancellation>,
 }
 
 /// Runs one engine until it idles without a connection, or until the list drops it and its attempts are over.
 pub(crate) async fn run(
     engine: EngineId,
     address: SocketAddr,
-    mut orders: mpsc::Receiver<Order>,
+    mut orders: mpsc::Receiver<EngineMessage>,
     context: EngineContext,
     admission: Arc<Admission>,
 ) {
@@ -110,10 +98,10 @@
 }
 
 impl Engine {
-    fn order(&mut self, order: Order) {
+    fn order(&mut self, order: EngineMessage) {
         match order {
-            Order::Ask(ask) => {
-                let (key, wire) = ((ask.id, ask.attempt), Arc::<OnceLock<Wire>>::default());
+            EngineMessage::StartAttempt(ask) => {
+                let (key, wire) = (AttemptId::from(&*ask), Arc::<OnceLock<Wire>>::default());
                 let task = self
                     .tasks
                     .spawn(attempt(self.link.clone(), *ask, wire.clone()));
@@ -127,16 +115,16 @@
                     },
                 );
             }
-            Order::Quit(id, attempt, again) => {
-                for one in self.running.values_mut().filter(|r| r.key == (id, attempt)) {
-                    one.quit = one.quit.or(Some(again));
+            EngineMessage::CancelAttempt { attempt, after } => {
+                for one in self.running.values_mut().filter(|r| r.key == attempt) {
+                    one.quit = one.quit.or(Some(after));
                     one.task.abort();
                 }
             }
             // Flight SQL has no message for a query's new priority.
-            Order::Priority(..) | Order::Banned => {}
-            Order::Listed(EngineState::Removed) => self.cut_later(),
-            Order::Listed(_) => self.cut = None,
+            EngineMessage::SetPriority { .. } | EngineMessage::ManualEjectionChanged => {}
+            EngineMessage::StateChanged(EngineState::Removed) => self.cut_later(),
+            EngineMessage::StateChanged(_) => self.cut = None,
         }
     }
 
@@ -188,8 +176,13 @@
 }
 
 /// Tells the end of an attempt whose task was dropped, once that is proven.
-async fn prove(link: Arc<Link>, key: Key, wire: Arc<OnceLock<Wire>>, quit: Option<bool>) {
-    let again = quit.unwrap_or(false);
+async fn prove(
+    link: Arc<Link>,
+    key: AttemptId,
+    wire: Arc<OnceLock<Wire>>,
+    quit: Option<AfterCancellation>,
+) {
+    let again = quit.is_some_and(AfterCancellation::retry_may_follow);
     let end = match wire.get() {
         None => AttemptState::default()
             .cancel(again, || 0)
@@ -239,14 +232,14 @@
     engine: EngineId,
     address: SocketAddr,
     context: EngineContext,
-    wire: Mutex<Option<(Wire, Arc<Load>)>>,
+    wire: Mutex<Option<(Wire, Arc<ConnectionLoad>)>>,
     admission: Arc<Admission>,
 }
 
 impl Link {
     /// Whether nothing new may go to its engine.
     fn closed(&self) -> bool {
-        self.admission.closed()
+        self.admission.is_closed()
     }
 
     /// The connection, which is up, to carry one more attempt; why not, where there is none, so that nothing was sent.
@@ -254,17 +247,17 @@
         let mut held = self.wire.lock().await;
         if let Some((wire, load)) = held
             .as_ref()
-            .filter(|(wire, load)| !wire.closed() && !load.leaving())
+            .filter(|(wire, load)| !wire.closed() && !load.is_evicted())
         {
             return Ok((wire.clone(), Carried::on(load, self.context.core.now())));
         }
         *held = None;
-        let load = Arc::<Load>::default();
+        let load = Arc::<ConnectionLoad>::default();
         let carried = Carried::on(&load, self.context.core.now());
         let slot = self
             .context
             .slots
-            .take(&load, Need::First)
+            .acquire(&load, SlotPurpose::FirstConnection)
             .ok_or(Lost(Outcome::NoConnectionSlot))?;
         let wire = Wire::connect(self.address, &self.context.limits, slot).await;
         let wire = wire.ok_or(Lost(Outcome::NoConnection))?;
@@ -273,29 +266,27 @@
         Ok((wire, carried))
     }
 
-    async fn tell(&self, key: Key, report: LoadReport, news: AttemptEvent) {
-        self.context.tell(self.engine, key, report, news).await;
+    async fn tell(&self, key: AttemptId, report: LoadReport, news: AttemptEvent) {
+        self.context
+            .send_event(self.engine, key, report, news)
+            .await;
     }
 
     async fn ended(
         &self,
-        key: Key,
+        key: AttemptId,
         outcome: Outcome,
         told: &MetadataMap,
         body: Option<ResultBody>,
     ) {
-        let figure = |key| {
-            told.get(key)
-                .and_then(|v| crate::clients::parse_non_negative(v.as_bytes()))
-        };
         let report = LoadReport {
-            inflight: figure(INFLIGHT),
+            inflight: figure(told, INFLIGHT),
             ..LoadReport::default()
         };
         let news = AttemptEvent::Ended {
             outcome,
-            measured_work_ms: figure(WORK_MS),
-            measured_memory_mb: figure(USED_MB),
+            measured_work_ms: figure(told, WORK_MS),
+            measured_memory_mb: figure(told, USED_MB),
             body,
         };
         self.tell(key, report, news).await;
@@ -303,18 +294,18 @@
 }
 
 /// One attempt on a connection, for as long as this is held.
-struct Carried(Arc<Load>);
+struct Carried(Arc<ConnectionLoad>);
 
 impl Carried {
-    fn on(load: &Arc<Load>, now: f64) -> Carried {
-        load.add(false, now);
+    fn on(load: &Arc<ConnectionLoad>, now: f64) -> Carried {
+        load.begin_attempt(ConnectionUse::Shared, now);
         Carried(load.clone())
     }
 }
 
 impl Drop for Carried {
     fn drop(&mut self) {
-        self.0.take_off(false);
+        self.0.end_attempt(ConnectionUse::Shared);
     }
 }
 
@@ -354,7 +345,7 @@
 }
 
 async fn attempt(link: Arc<Link>, ask: AttemptRequest, on: Arc<OnceLock<Wire>>) {
-    let key = (ask.id, ask.attempt);
+    let key = AttemptId::from(&ask);
     let mut told = MetadataMap::new();
     let done = match link.wire().await {
         // Guard: a drain that came while the connection did stops the attempt before its first byte.
@@ -380,30 +371,6 @@
     }
 }
 
-/// A request with the metadata that every call of an attempt carries.
-fn request<T>(link: &Link, ask: &AttemptRequest, message: T) -> Request<T> {
-    let mut request = Request::new(message);
-    let left = (ask.deadline_ms - link.context.core.now()).max(1.0);
-    request.set_timeout(Duration::from_micros((left * 1000.0) as u64));
-    let class = ask.class.name.clone();
-    let name = String::from_utf8_lossy(&ask.client_reference).into_owned();
-    let mut put = |key: &'static str, value: String| {
-        if let Ok(value) = value.parse() {
-            request.metadata_mut().insert(key, value);
-        }
-    };
-    put(CLASS, class);
-    put(REFERENCE, name);
-    put(PRIORITY, ask.priority.to_string());
-    if let Some(key) = &ask.idempotency_key {
-        put(KEY, String::from_utf8_lossy(key).into_owned());
-    }
-    if ask.memory_mb > 0.0 {
-        put(MEMORY_MB, format!("{:.0}", ask.memory_mb.ceil()));
-    }
-    request
-}
-
 /// One attempt: a result that is held whole, or `None` where it streamed to the client.
 async fn send(
     link: &Link,
@@ -440,9 +407,13 @@
     let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
     let data = FlightData::new().with_descriptor(descriptor);
     let response = client
-        .do_put(request(link, ask, stream::iter([data])))
+        .do_put(call_request(
+            ask,
+            link.context.core.now(),
+            stream::iter([data]),
+        ))
         .await?;
-    note(told, response.metadata());
+    keep_measurements(told, response.metadata());
     let mut results = response.into_inner();
     // An update that ends without its result may have run.
     let result = results.message().await?.ok_or(Lost(Outcome::Error))?;
@@ -465,14 +436,16 @@
     };
     let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
     let info = client
-        .get_flight_info(request(link, ask, descriptor))
+        .get_flight_info(call_request(ask, link.context.core.now(), descriptor))
         .await?
         .into_inner();
-    let mut rows = Rows::new(link, (ask.id, ask.attempt));
+    let mut rows = Rows::new(link, AttemptId::from(ask));
     for (part, endpoint) in info.endpoint.into_iter().enumerate() {
         let ticket = endpoint.ticket.ok_or(Lost(Outcome::Error))?;
-        let response = client.do_get(request(link, ask, ticket)).await?;
-        note(told, response.metadata());
+        let response = client
+            .do_get(call_request(ask, link.context.core.now(), ticket))
+            .await?;
+        keep_measurements(told, response.metadata());
         let mut data = response.into_inner();
         let mut first = part > 0;
         while let Some(message) = data.message().await? {
@@ -483,7 +456,7 @@
             rows.push(Bytes::from(message.encode_to_vec())).await?;
         }
         if let Some(trailers) = data.trailers().await? {
-            note(told, &trailers);
+            keep_measurements(told, &trailers);
         }
     }
     rows.finish().await
@@ -492,7 +465,7 @@
 /// The rows of a query as they come: held until they are whole, or streamed once they outgrow what is held.
 struct Rows<'a> {
     link: &'a Link,
-    key: Key,
+    key: AttemptId,
     held: Vec<Bytes>,
     /// Bytes of all pieces so far.
     size: usize,
@@ -502,8 +475,8 @@
 }
 
 impl<'a> Rows<'a> {
-    fn new(link: &'a Link, key: Key) -> Rows<'a> {
-        let reservation = MemoryReservation::new(&link.context.held);
+    fn new(link: &'a Link, key: AttemptId) -> Rows<'a> {
+        let reservation = MemoryReservation::new(&link.context.partial_results);
         Rows {
             link,
             key,
@@ -572,14 +545,5 @@
     }
 }
 
-/// Keeps what an engine tells of itself and of the query.
-fn note(told: &mut MetadataMap, from: &MetadataMap) {
-    for key in [INFLIGHT, WORK_MS, USED_MB] {
-        if let Some(value) = from.get(key) {
-            told.insert(key, value.clone());
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/engines/flight/tests.rs
+++ b/src/engines/flight/tests.rs
@@ -1,13 +1,18 @@
 //! Tests of a Flight engine's actor against a peer that speaks no more than HTTP/2.
 
 use super::*;
-use crate::engines::tests::{LARGE, Rig, ask, ask_of, block, given_up};
+use crate::engines::context::AfterCancellation;
+use crate::engines::tests::test_bench::{
+    EngineTestBench, LARGE, attempt, attempt_with_statement, cancel, is_cancelled, is_ended,
+    run_test, start,
+};
+use crate::node_config::EngineProtocol;
 use std::future::poll_fn;
 use tokio::net::TcpStream;
 
 /// A peer that would take any amount in one go.
-async fn peer(rig: &Rig) -> h2::server::Connection<TcpStream, Bytes> {
-    let stream = rig.accept().await;
+async fn peer(bench: &EngineTestBench) -> h2::server::Connection<TcpStream, Bytes> {
+    let stream = bench.accept().await;
     let mut build = h2::server::Builder::new();
     build
         .initial_window_size(1 << 30)
@@ -16,51 +21,61 @@
 }
 
 #[test]
-fn what_has_no_connection_is_over_at_once() {
-    block(async {
-        let mut rig = Rig::flight().await;
-        rig.tell(ask(1)).await;
-        rig.tell(Order::Quit(1, 0, false)).await;
-        assert!(given_up(&rig.end().await, 1, AttemptEnd::NeverSent));
+fn cancelled_attempt_without_a_connection_ends_at_once() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
+        bench.send(start(attempt(1))).await;
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::NeverSent
+        ));
     });
 }
 
 /// The reset has left once the end is told, and what else is on the connection goes on.
 #[test]
-fn a_reset_has_left_when_the_end_is_told() {
-    block(async {
-        let mut rig = Rig::flight().await;
-        rig.tell(ask(1)).await;
-        rig.tell(ask(2)).await;
-        let mut peer = peer(&rig).await;
+fn cancellation_ends_once_its_reset_is_sent_and_spares_other_calls() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
+        bench.send(start(attempt(1))).await;
+        bench.send(start(attempt(2))).await;
+        let mut peer = peer(&bench).await;
         let (_first, mut first) = peer.accept().await.expect("a call").expect("a call");
         let (_second, mut second) = peer.accept().await.expect("a call").expect("a call");
-        rig.tell(Order::Quit(1, 0, false)).await;
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
         // The peer is not polled meanwhile: what it finds afterwards was there.
-        assert!(given_up(&rig.end().await, 1, AttemptEnd::Cancelled));
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::Cancelled
+        ));
         tokio::select! {
             biased;
             reset = poll_fn(|cx| first.poll_reset(cx)) => assert_eq!(reset.expect("reset"), h2::Reason::CANCEL),
             _ = peer.accept() => panic!("a call"),
         }
         let reset = poll_fn(|cx| std::task::Poll::Ready(second.poll_reset(cx).is_ready())).await;
-        assert!(!reset && rig.context.metrics.cancellations_unconfirmed.get() == 0);
+        assert!(!reset && bench.context.metrics.cancellations_unconfirmed.get() == 0);
     });
 }
 
 /// Guard: where another attempt may follow, the peer has answered a ping behind the reset.
 #[test]
-fn an_attempt_may_follow_once_the_reset_is_read() {
-    block(async {
-        let mut rig = Rig::flight().await;
-        rig.tell(ask(1)).await;
-        let mut peer = peer(&rig).await;
+fn cancellation_before_a_retry_ends_once_a_ping_behind_its_reset_is_answered() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
+        bench.send(start(attempt(1))).await;
+        let mut peer = peer(&bench).await;
         let (_call, mut answer) = peer.accept().await.expect("a call").expect("a call");
-        rig.tell(Order::Quit(1, 0, true)).await;
-        assert!(rig.silent().await, "the peer has read nothing of it");
+        bench
+            .send(cancel(1, AfterCancellation::RetryMayFollow))
+            .await;
+        assert!(bench.is_silent().await, "the peer has read nothing of it");
         tokio::select! {
             biased;
-            told = rig.end() => assert!(given_up(&told, 1, AttemptEnd::Cancelled)),
+            told = bench.next_event() => assert!(is_cancelled(&told, 1, AttemptEnd::Cancelled)),
             _ = peer.accept() => panic!("a call"),
         }
         assert!(poll_fn(|cx| std::task::Poll::Ready(answer.poll_reset(cx).is_ready())).await);
@@ -69,34 +84,25 @@
 
 /// Guard: a peer that reads no more keeps the reset; its connection is closed, and what else is on it is reset.
 #[test]
-fn a_peer_that_reads_nothing_is_closed() {
-    block(async {
-        let mut rig = Rig::flight().await;
-        rig.tell(ask(2)).await;
-        let mut peer = peer(&rig).await;
+fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
+        bench.send(start(attempt(2))).await;
+        let mut peer = peer(&bench).await;
         let _second = peer.accept().await.expect("a call").expect("a call");
-        rig.tell(ask_of(1, LARGE)).await;
+        bench.send(start(attempt_with_statement(1, LARGE))).await;
         let _first = peer.accept().await.expect("a call").expect("a call");
         // All that both sockets take is written in these turns.
         for _ in 0..1000 {
             tokio::task::yield_now().await;
         }
-        rig.tell(Order::Quit(1, 0, false)).await;
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
         let (mut gone, mut reset) = (false, false);
         for _ in 0..2 {
-            let told = rig.end().await;
-            gone |= given_up(&told, 1, AttemptEnd::ConnectionLost);
-            reset |= matches!(
-                told,
-                (
-                    2,
-                    AttemptEvent::Ended {
-                        outcome: Outcome::Reset,
-                        ..
-                    }
-                )
-            );
+            let told = bench.next_event().await;
+            gone |= is_cancelled(&told, 1, AttemptEnd::ConnectionLost);
+            reset |= is_ended(&told, 2, Outcome::Reset);
         }
-        assert!(gone && reset && rig.context.metrics.cancellations_unconfirmed.get() == 1);
+        assert!(gone && reset && bench.context.metrics.cancellations_unconfirmed.get() == 1);
     });
 }
--- a/src/engines/flight/wire.rs
+++ b/src/engines/flight/wire.rs
@@ -1,7 +1,7 @@
 //! One HTTP/2 connection to a Flight engine, of which it is known what has left. A call that is dropped queues its
 //! reset at once; the next flush of the connection after that has written it (RFC 9113, 5.4.2 and 6.4).
 
-use crate::engines::slots::Slot;
+use crate::engines::connection_slots::ConnectionSlot;
 use crate::limits::Limits;
 use bytes::Bytes;
 use futures::task::AtomicWaker;
@@ -54,10 +54,10 @@
     pub(super) async fn connect(
         address: SocketAddr,
         limits: &Limits,
-        mut slot: Slot,
+        mut slot: ConnectionSlot,
     ) -> Option<Wire> {
         let up = async {
-            slot.free().await;
+            slot.descriptor_ready().await;
             let stream = TcpStream::connect(address).await.ok()?;
             let _ = stream.set_nodelay(true);
             let shared = Arc::<Shared>::default();
@@ -129,7 +129,7 @@
 /// stands for all that are wanted as it is sent. The descriptor is free again after the socket: it is dropped last.
 #[expect(clippy::similar_names, reason = "not split yet")]
 async fn drive(
-    slot: Slot,
+    slot: ConnectionSlot,
     mut connection: Connection<Tap, Bytes>,
     shared: Arc<Shared>,
     pongs: watch::Sender<u64>,
@@ -161,7 +161,7 @@
                 idle = Instant::now() + every;
             }
             () = shared.look.notified() => {}
-            () = slot.leaves() => return,
+            () = slot.evicted() => return,
             () = sleep_until(until) => if sent.is_some() {
                 return;
             }
--- a/src/engines/lines/answers.rs
+++ b/src/engines/line_protocol/answers.rs
@@ -4,6 +4,7 @@
 use crate::attempt::{AttemptEnd, never_ran};
 use crate::core::{AttemptEvent, ResultBody, ResultFormat};
 use crate::decision::{LoadReport, Outcome, Progress};
+use crate::engines::context::AttemptId;
 use crate::engines::reply::{Broken, Reply, number_of, rows_of, take};
 use crate::limits::MemoryReservation;
 use bytes::Bytes;
@@ -45,9 +46,7 @@
     async fn reply(&mut self, reply: Reply) -> Result<(), Broken> {
         self.idle_since = Instant::now();
         self.back.broken.store(0, Ordering::Relaxed);
-        self.load
-            .heard
-            .store(self.context.core.now() as u64, Ordering::Relaxed);
+        self.load.record_answer(self.context.core.now());
         if reply.word.as_ref() == b"green" {
             self.confirmed(&reply.name);
             return Ok(());
@@ -110,7 +109,7 @@
                 .and_then(crate::clients::parse_non_negative)
         };
         let (billed_ms, billed_mb) = (figure("cpu"), figure("used"));
-        let mut reservation = MemoryReservation::new(&self.context.held);
+        let mut reservation = MemoryReservation::new(&self.context.partial_results);
         reservation.set(reply.body.len(), limits.share(limits.partial_result_bytes));
         attempt.pages = Some(Pages {
             all,
@@ -168,7 +167,7 @@
         let Some(attempt) = self.attempts.get(&reply.name) else {
             return Ok(());
         };
-        let key = (attempt.ask.id, attempt.ask.attempt);
+        let key = AttemptId::from(&*attempt.ask);
         let level = reply
             .field("num")
             .and_then(crate::clients::parse_non_negative);
@@ -182,7 +181,7 @@
         self.context.metrics.progress_notes.increment();
         self.idle_words += 1;
         self.context
-            .tell(self.engine, key, report, AttemptEvent::Progress(note))
+            .send_event(self.engine, key, report, AttemptEvent::Progress(note))
             .await;
         Ok(())
     }
@@ -217,14 +216,9 @@
         let Some(attempt) = self.answered(name) else {
             return Ok(());
         };
-        self.load.take_off(once(&attempt.ask));
+        self.load.end_attempt(once(&attempt.ask));
         self.context
-            .tell(
-                self.engine,
-                (attempt.ask.id, attempt.ask.attempt),
-                report,
-                news,
-            )
+            .send_event(self.engine, AttemptId::from(&*attempt.ask), report, news)
             .await;
         Ok(())
     }
--- a/src/engines/lines/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -1,13 +1,14 @@
 //! One connection to an engine: an actor that writes attempts, priorities and cancellations, and reads the answers.
 
+use super::timers::{Timers, is_due};
 use crate::attempt::{AttemptEnd, AttemptState};
 use crate::core::{AttemptEvent, AttemptRequest};
-use crate::decision::{EngineId, EngineState, Idempotency, LoadReport, Millis, Outcome, RequestId};
+use crate::decision::{EngineId, EngineState, LoadReport, Millis, Outcome};
 use crate::engines::admission::Admission;
-use crate::engines::context::{EngineContext, Order};
-use crate::engines::load::Load;
+use crate::engines::connection_load::{ConnectionLoad, ConnectionUse};
+use crate::engines::connection_slots::ConnectionSlot;
+use crate::engines::context::{AttemptId, EngineContext, EngineMessage};
 use crate::engines::reply::Broken;
-use crate::engines::slots::Slot;
 use crate::limits::MemoryReservation;
 use crate::net::{self, Outbox};
 use bytes::{Bytes, BytesMut};
@@ -58,43 +59,12 @@
     until: Instant,
 }
 
-/// Times at which a connection has to act although nothing happens on it.
-struct Timers {
-    /// It has been idle for long enough to be closed.
-    idle: Option<Instant>,
-    /// Its engine is gone from the list, and what is open has had its time.
-    cut: Option<Instant>,
-    /// An answer stopped short.
-    half_answer: Option<Instant>,
-    /// A cancellation was not sent or confirmed.
-    cancellation: Option<Instant>,
-    /// The next page of a result did not come.
-    page: Option<Instant>,
-}
-
-impl Timers {
-    fn first(&self) -> Option<Instant> {
-        let all = [
-            self.idle,
-            self.cut,
-            self.half_answer,
-            self.cancellation,
-            self.page,
-        ];
-        all.into_iter().flatten().min()
-    }
-}
-
-fn due(timer: Option<Instant>, now: Instant) -> bool {
-    timer.is_some_and(|at| at <= now)
-}
-
 pub(super) struct Connection {
     pub(super) engine: EngineId,
-    orders: mpsc::Receiver<Order>,
+    orders: mpsc::Receiver<EngineMessage>,
     /// Where attempts go back to that it was never sent.
     pub(super) back: ReturnPath,
-    pub(super) load: Arc<Load>,
+    pub(super) load: Arc<ConnectionLoad>,
     pub(super) context: EngineContext,
     /// Attempts of which nothing is written yet.
     waiting: VecDeque<Box<AttemptRequest>>,
@@ -124,9 +94,9 @@
 impl Connection {
     pub(super) fn new(
         engine: EngineId,
-        orders: mpsc::Receiver<Order>,
+        orders: mpsc::Receiver<EngineMessage>,
         back: ReturnPath,
-        load: Arc<Load>,
+        load: Arc<ConnectionLoad>,
         context: EngineContext,
         admission: Arc<Admission>,
     ) -> Connection {
@@ -154,7 +124,7 @@
     }
 
     /// Connects, serves until the connection ends, and tells the ends of all that is left.
-    pub(super) async fn run(mut self, address: SocketAddr, mut slot: Slot) {
+    pub(super) async fn run(mut self, address: SocketAddr, mut slot: ConnectionSlot) {
         let stream = self.connect(address, &mut slot).await;
         let was_up = stream.is_some();
         if let Some(stream) = stream {
@@ -172,9 +142,13 @@
 
     /// Connects; none where that fails, takes too long, or nothing waits for it any more. Orders are heard while the
     /// connection comes up: an attempt given up or drained by then is not sent.
-    async fn connect(&mut self, address: SocketAddr, slot: &mut Slot) -> Option<TcpStream> {
+    async fn connect(
+        &mut self,
+        address: SocketAddr,
+        slot: &mut ConnectionSlot,
+    ) -> Option<TcpStream> {
         let until = Instant::now() + self.context.limits.engine_connect_timeout;
-        let free = slot.free();
+        let free = slot.descriptor_ready();
         let connect = async move {
             free.await;
             TcpStream::connect(address).await
@@ -184,7 +158,7 @@
         loop {
             tokio::select! {
                 up = &mut connecting => return up.ok().and_then(Result::ok),
-                () = slot.leaves() => return None,
+                () = slot.evicted() => return None,
                 Some(order) = self.orders.recv() => self.order(order),
             }
             self.report().await;
@@ -194,7 +168,7 @@
         }
     }
 
-    async fn serve_and_close(&mut self, stream: TcpStream, slot: &Slot) {
+    async fn serve_and_close(&mut self, stream: TcpStream, slot: &ConnectionSlot) {
         let _ = stream.set_nodelay(true);
         self.context.metrics.engine_connections.increment();
         let _ = self.serve(&stream, slot).await;
@@ -214,10 +188,10 @@
             return;
         }
         for ask in std::mem::take(&mut self.waiting) {
-            self.load.take_off(once(&ask));
+            self.load.end_attempt(once(&ask));
             if let Err(mpsc::error::SendError(Some(ask))) = self.back.asks.send(Some(ask)) {
                 // The engine's actor has ended.
-                self.load.add(once(&ask), self.context.core.now());
+                self.load.begin_attempt(once(&ask), self.context.core.now());
                 self.waiting.push_back(ask);
             }
         }
@@ -240,7 +214,7 @@
 
     /// Counts an attempt off; the core hears of it with the next report.
     pub(super) fn end(&mut self, ask: Box<AttemptRequest>, told: AttemptEvent) {
-        self.load.take_off(once(&ask));
+        self.load.end_attempt(once(&ask));
         self.ends.push((ask, told));
     }
 
@@ -261,11 +235,13 @@
 
     async fn report(&mut self) {
         for (ask, told) in std::mem::take(&mut self.ends) {
-            self.context.tell_end(self.engine, &ask, told).await;
+            self.context
+                .send_event_without_report(self.engine, (&*ask).into(), told)
+                .await;
         }
     }
 
-    async fn serve(&mut self, stream: &TcpStream, slot: &Slot) -> Result<(), Broken> {
+    async fn serve(&mut self, stream: &TcpStream, slot: &ConnectionSlot) -> Result<(), Broken> {
         loop {
             if !self.look_before_sending(stream).await? {
                 return Ok(());
@@ -303,7 +279,7 @@
                     }
                 },
                 ready = stream.writable(), if !self.out.is_empty() => ready?,
-                () = slot.leaves() => return Ok(()),
+                () = slot.evicted() => return Ok(()),
                 () = sleep_until(wake) => if !self.timers_due(&timers, Instant::now())? {
                     return Ok(());
                 }
@@ -341,8 +317,8 @@
             idle: self
                 .idle()
                 .then_some(self.idle_since + limits.engine_idle_timeout),
-            cut: self.cut,
-            half_answer: self
+            removal: self.cut,
+            partial_answer: self
                 .half_since
                 .map(|since| since + limits.partial_answer_timeout),
             cancellation: self.cancellations.iter().map(|c| c.until).min(),
@@ -352,16 +328,16 @@
 
     /// Acts on the timers that are due; false where the connection is to be closed in order.
     fn timers_due(&mut self, timers: &Timers, now: Instant) -> Result<bool, Broken> {
-        if due(timers.cut, now) || due(timers.idle, now) {
+        if is_due(timers.removal, now) || is_due(timers.idle, now) {
             return Ok(false);
         }
         // Guard: a peer that takes nothing, or says nothing, would keep the attempt out for ever.
-        if due(timers.cancellation, now) {
+        if is_due(timers.cancellation, now) {
             self.context.metrics.cancellations_unconfirmed.increment();
             return Err(Broken);
         }
         // Guard: an answer that stops short leaves nothing behind it that could be read.
-        if due(timers.half_answer, now) {
+        if is_due(timers.partial_answer, now) {
             return Err(self.malformed());
         }
         self.late_pages(now);
@@ -477,28 +453,33 @@
         }
     }
 
-    fn order(&mut self, order: Order) {
+    fn order(&mut self, order: EngineMessage) {
         match order {
-            Order::Ask(ask) if self.closed() => {
+            EngineMessage::StartAttempt(ask) if self.closed() => {
                 self.end(ask, AttemptEvent::end(Outcome::NoConnection))
             }
-            Order::Ask(ask) => self.waiting.push_back(ask),
-            Order::Quit(id, attempt, again) => self.quit(id, attempt, again),
-            Order::Priority(id, attempt, n) => {
+            EngineMessage::StartAttempt(ask) => self.waiting.push_back(ask),
+            EngineMessage::CancelAttempt { attempt, after } => {
+                self.quit(attempt, after.retry_may_follow())
+            }
+            EngineMessage::SetPriority {
+                attempt,
+                priority: n,
+            } => {
                 if let Some(ask) = self
                     .waiting
                     .iter_mut()
-                    .find(|a| a.id == id && a.attempt == attempt)
+                    .find(|a| AttemptId::from(&***a) == attempt)
                 {
                     ask.priority = n;
-                } else if let Some(name) = self.name_of(id, attempt) {
+                } else if let Some(name) = self.name_of(attempt) {
                     self.line("PRIO", &name, Some(usize::from(n)));
                 }
             }
-            Order::Banned if self.closed() => self.unsent(),
-            Order::Banned => {}
-            Order::Listed(EngineState::Ready) => self.cut = None,
-            Order::Listed(state) => {
+            EngineMessage::ManualEjectionChanged if self.closed() => self.unsent(),
+            EngineMessage::ManualEjectionChanged => {}
+            EngineMessage::StateChanged(EngineState::Ready) => self.cut = None,
+            EngineMessage::StateChanged(state) => {
                 // Guard: what is not begun when the drain is heard of is not begun at all.
                 self.unsent();
                 if state == EngineState::Removed {
@@ -510,21 +491,21 @@
 
     /// Whether nothing new may go to its engine.
     fn closed(&self) -> bool {
-        self.admission.closed()
+        self.admission.is_closed()
     }
 
-    fn name_of(&self, id: RequestId, attempt: u16) -> Option<Bytes> {
+    fn name_of(&self, attempt: AttemptId) -> Option<Bytes> {
         let found = self
             .attempts
             .iter()
-            .find(|(_, a)| a.ask.id == id && a.ask.attempt == attempt);
+            .find(|(_, a)| AttemptId::from(&*a.ask) == attempt);
         found.map(|(name, _)| name.clone())
     }
 
     /// Gives an attempt up. It is over once its cancellation was sent, and no sooner where anything of it was.
-    fn quit(&mut self, id: RequestId, attempt: u16, again: bool) {
-        self.quit_waiting(id, attempt, again);
-        let Some(name) = self.name_of(id, attempt) else {
+    fn quit(&mut self, attempt: AttemptId, again: bool) {
+        self.quit_waiting(attempt, again);
+        let Some(name) = self.name_of(attempt) else {
             return;
         };
         let Some(at) = self.attempts.get_mut(&name) else {
@@ -561,11 +542,11 @@
     }
 
     /// Gives an attempt up of which nothing is written yet.
-    fn quit_waiting(&mut self, id: RequestId, attempt: u16, again: bool) {
+    fn quit_waiting(&mut self, attempt: AttemptId, again: bool) {
         let Some(i) = self
             .waiting
             .iter()
-            .position(|a| a.id == id && a.attempt == attempt)
+            .position(|a| AttemptId::from(&**a) == attempt)
         else {
             return;
         };
@@ -614,7 +595,7 @@
     out.push(line)
 }
 
-/// Whether it may run once only.
-pub(super) fn once(ask: &AttemptRequest) -> bool {
-    ask.class.class.idempotency == Idempotency::NonIdempotent
+/// How it would like to use its connection.
+pub(super) fn once(ask: &AttemptRequest) -> ConnectionUse {
+    ConnectionUse::of(ask)
 }
--- /dev/null
+++ b/src/engines/line_protocol/tests.rs
@@ -0,0 +1,353 @@
+//! Tests of one engine's actor against a peer that is a bare socket.
+
+use super::*;
+use crate::attempt::AttemptEnd;
+use crate::core::AttemptRequest;
+use crate::engines::context::AfterCancellation;
+use crate::engines::tests::test_bench::{
+    EngineTestBench, LARGE, attempt, attempt_with_statement, cancel, is_cancelled, is_ended,
+    run_test, start,
+};
+use crate::node_config::EngineProtocol;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::sleep;
+
+/// Guard: what waits for a connection when staff take its engine out is given back, and nothing is connected.
+#[test]
+fn manual_ejection_fails_attempts_that_wait_without_connecting() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        // Behind it in the mailbox: the flag is there before the order is read.
+        bench.send(start(attempt(1))).await;
+        bench.admission.set_manually_ejected(true);
+        assert!(is_ended(
+            &bench.next_event().await,
+            1,
+            Outcome::NoConnection
+        ));
+        tokio::select! {
+            biased;
+            _ = bench.listener.accept() => panic!("connected to an engine that was taken out"),
+            () = sleep(Duration::ZERO) => {}
+        }
+    });
+}
+
+/// What was never handed to a socket is over at once, and nothing of it is written.
+#[test]
+fn cancelled_attempt_that_waits_ends_at_once_and_is_not_written() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        bench.send(start(attempt(1))).await;
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::NeverSent
+        ));
+        bench.send(start(attempt(2))).await;
+        let mut peer = bench.accept().await;
+        let mut text = [0; 64];
+        let n = peer.read(&mut text).await.expect("bytes");
+        assert!(text[..n].starts_with(b"ASK 0000000000000002 "));
+        assert!(bench.is_silent().await, "given up once, told once");
+    });
+}
+
+/// Guard: an attempt is held against its times once more as it is written, as a connection may come up late. It was
+/// never sent then, and what is behind it goes on.
+#[test]
+fn attempt_past_its_deadline_or_send_limit_is_not_written() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        let now = bench.context.core.now();
+        for (id, deadline_ms, send_before_ms) in
+            [(1, now, f64::INFINITY), (2, 1e13, now), (3, 1e13, 1e13)]
+        {
+            bench
+                .send(start(AttemptRequest {
+                    deadline_ms,
+                    send_before_ms,
+                    ..attempt(id)
+                }))
+                .await;
+        }
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::NeverSent
+        ));
+        assert!(is_ended(&bench.next_event().await, 2, Outcome::NotSent));
+        let mut text = [0; 20];
+        bench
+            .accept()
+            .await
+            .read_exact(&mut text)
+            .await
+            .expect("bytes");
+        assert_eq!(&text, b"ASK 0000000000000003");
+    });
+}
+
+/// Guard: an order that stands in the mailbox as the connection comes up holds for what waits there. Which of the two
+/// the runtime shows first is left to chance, so it is tried often.
+#[test]
+fn cancellation_that_arrives_with_the_connection_takes_effect() {
+    run_test(async {
+        for _ in 0..40 {
+            let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+            bench.send(start(attempt(1))).await;
+            tokio::task::yield_now().await;
+            bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+            assert!(
+                is_cancelled(&bench.next_event().await, 1, AttemptEnd::NeverSent),
+                "it was written"
+            );
+        }
+    });
+}
+
+/// Guard: an engine that closes an idle connection just as a request comes has not had that request: it goes over
+/// another connection. Neither the runtime nor the actor has looked at the socket in between.
+#[test]
+fn idle_connection_closed_by_its_peer_is_replaced_before_the_next_attempt() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        for id in 1..4 {
+            bench.send(start(attempt(id))).await;
+            let mut peer = bench.accept().await;
+            let mut heard = Vec::new();
+            while !heard.ends_with(b"          \r\n") {
+                assert!(peer.read_buf(&mut heard).await.expect("bytes") > 0);
+            }
+            peer.write_all(format!("{id:016x} served batches=1 2\r\na\n\r\n").as_bytes())
+                .await
+                .expect("answer");
+            let told = bench.next_event().await;
+            assert!(
+                matches!(told, (at, AttemptEvent::Ended { outcome: Outcome::Ok, .. }) if at == id),
+                "{told:?}"
+            );
+            drop(peer);
+        }
+    });
+}
+
+/// Guard: answers without an end, be they to nothing that was asked or notes, end their connection and what is on it.
+#[test]
+fn uneventful_answers_past_the_limit_close_the_connection() {
+    run_test(async {
+        for (answer, most) in [
+            ("00000000000000aa served batches=1", 129),
+            ("0000000000000001 update -", 16_385),
+        ] {
+            let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+            bench.send(start(attempt(1))).await;
+            let mut peer = bench.accept().await;
+            peer.read_u8().await.expect("a byte");
+            let all = format!("{answer} 0\r\n\r\n").repeat(most);
+            let writes = tokio::spawn(async move {
+                let _ = peer.write_all(all.as_bytes()).await;
+                peer
+            });
+            let told = loop {
+                match bench.next_event().await {
+                    (1, AttemptEvent::Progress(_)) => {}
+                    told => break told,
+                }
+            };
+            assert!(is_ended(&told, 1, Outcome::Reset), "{told:?}");
+            assert_eq!(bench.context.metrics.engine_malformed.get(), 1);
+            drop(writes);
+        }
+    });
+}
+
+/// An engine that reads a byte at a time has the attempt and the cancellation in this order; the end is told once, also
+/// where the order is given again.
+#[test]
+fn slow_reader_receives_attempt_then_cancellation_and_the_end_is_reported_once() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        bench.send(start(attempt(1))).await;
+        let mut peer = bench.accept().await;
+        let mut heard = vec![peer.read_u8().await.expect("a byte")];
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        while !heard.ends_with(b"QUIT 0000000000000001\r\n") {
+            heard.push(peer.read_u8().await.expect("a byte"));
+        }
+        assert!(heard.starts_with(b"ASK 0000000000000001 "));
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::Cancelled
+        ));
+        assert!(bench.is_silent().await);
+    });
+}
+
+/// Guard: where another attempt may follow, a cancellation that was sent proves nothing, as connections are read in no
+/// order among each other; that the engine answers what stands behind it does. A note meanwhile proves nothing either.
+#[test]
+fn cancellation_before_a_retry_ends_once_the_engine_confirms_it() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        bench.send(start(attempt(1))).await;
+        let mut peer = bench.accept().await;
+        let mut heard = vec![peer.read_u8().await.expect("a byte")];
+        bench
+            .send(cancel(1, AfterCancellation::RetryMayFollow))
+            .await;
+        while !heard.ends_with(b"QUIT 0000000000000001\r\nNOOP 0000000000000001\r\n") {
+            heard.push(peer.read_u8().await.expect("a byte"));
+        }
+        peer.write_all(b"00000000000000aa green - 0\r\n\r\n")
+            .await
+            .expect("answer");
+        assert!(bench.is_silent().await, "another tag");
+        peer.write_all(b"0000000000000001 green - 0\r\n\r\n")
+            .await
+            .expect("answer");
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::Cancelled
+        ));
+    });
+}
+
+/// Guard: an engine that reads and says nothing has its connection closed before another attempt may follow.
+#[test]
+fn unconfirmed_cancellation_closes_the_connection() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        bench.send(start(attempt(1))).await;
+        let mut peer = bench.accept().await;
+        let mut all = vec![peer.read_u8().await.expect("a byte")];
+        bench
+            .send(cancel(1, AfterCancellation::RetryMayFollow))
+            .await;
+        while peer.read_buf(&mut all).await.is_ok_and(|n| n > 0) {}
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::ConnectionLost
+        ));
+        assert_eq!(bench.context.metrics.cancellations_unconfirmed.get(), 1);
+    });
+}
+
+/// Guard: nothing is told before the cancellation was sent: a peer that does not read keeps the attempt out. Once it
+/// reads it finds the attempt whole and then the cancellation.
+#[test]
+fn cancellation_ends_no_sooner_than_it_is_written() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        bench.send(start(attempt_with_statement(1, LARGE))).await;
+        let mut peer = bench.accept().await;
+        let mut first = [0; 4];
+        peer.read_exact(&mut first).await.expect("bytes");
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        assert!(bench.is_silent().await, "the cancellation is still here");
+        let mut all = Vec::new();
+        while !all.ends_with(b"QUIT 0000000000000001\r\n") {
+            assert!(peer.read_buf(&mut all).await.expect("bytes") > 0);
+        }
+        assert!(all.len() > LARGE);
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::Cancelled
+        ));
+    });
+}
+
+/// Guard: a peer that reads nothing is not waited for without a bound. Its connection is closed, so that it never has
+/// the attempt whole, and what waited behind goes over another connection.
+#[test]
+fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        bench.send(start(attempt_with_statement(1, LARGE))).await;
+        let mut peer = bench.accept().await;
+        peer.read_exact(&mut [0; 4]).await.expect("bytes");
+        bench.send(start(attempt(2))).await;
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        let mut other = bench.accept().await;
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::NeverSent
+        ));
+        assert_eq!(bench.context.metrics.cancellations_unconfirmed.get(), 1);
+        let mut text = [0; 20];
+        other.read_exact(&mut text).await.expect("bytes");
+        assert_eq!(&text, b"ASK 0000000000000002");
+        let mut rest = Vec::new();
+        while peer.read_buf(&mut rest).await.is_ok_and(|n| n > 0) {}
+        assert!(rest.len() < LARGE, "it never has it whole");
+    });
+}
+
+/// Guard: a connection that breaks while the cancellation is queued is an end that is told once, as the one that was
+/// asked for.
+#[test]
+fn reset_while_cancellation_is_queued_is_reported_once() {
+    run_test(async {
+        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        bench.send(start(attempt_with_statement(1, LARGE))).await;
+        let mut peer = bench.accept().await;
+        peer.read_exact(&mut [0; 4]).await.expect("bytes");
+        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        assert!(bench.is_silent().await);
+        drop(peer);
+        assert!(is_cancelled(
+            &bench.next_event().await,
+            1,
+            AttemptEnd::NeverSent
+        ));
+        assert!(bench.is_silent().await);
+    });
+}
+
+/// A good answer that crosses the cancellation is passed on; pages that the cancellation let go are not asked for; and
+/// an answer that proves that nothing ran does so for what is given up too.
+#[test]
+fn answers_that_cross_a_cancellation_end_the_attempt() {
+    run_test(async {
+        for (answer, page) in [
+            ("served batches=1 2\r\na\n", true),
+            ("served batches=3 2\r\na\n", false),
+        ] {
+            let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+            bench.send(start(attempt(1))).await;
+            bench.send(start(attempt_with_statement(2, LARGE))).await;
+            let mut peer = bench.accept().await;
+            peer.read_exact(&mut [0; 20]).await.expect("bytes");
+            bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+            assert!(
+                bench.is_silent().await,
+                "the cancellation stands behind what is not read"
+            );
+            peer.write_all(format!("0000000000000001 {answer}\r\n").as_bytes())
+                .await
+                .expect("answer");
+            match bench.next_event().await {
+                (
+                    1,
+                    AttemptEvent::Ended {
+                        outcome: Outcome::Ok,
+                        body: Some(_),
+                        ..
+                    },
+                ) => assert!(page),
+                told => assert!(
+                    !page && is_cancelled(&told, 1, AttemptEnd::Answered),
+                    "{told:?}"
+                ),
+            }
+        }
+    });
+}
--- a/src/engines/many.rs
+++ b/src/engines/tests/engines_beyond_descriptors.rs
@@ -1,14 +1,13 @@
-//! Tests of a manager with more engines in its list than descriptors, and of a list that churns.
+//! Tests of a fleet with more engines than descriptors, and of an endpoint list that churns.
 
-use super::Fleet;
-use super::context::{EngineContext, Order};
-use super::tests::{ask, block, line};
+use super::test_bench::{TEST_TIMEOUT, attempt, next_event, record, run_test};
 use crate::core::tests::taken;
 use crate::core::{
     AcceptedRequest, Answer, AttemptEvent, ClientPort, Clock, Core, CoreMessage, EnginePort,
     Handle, Mailbox, run,
 };
-use crate::decision::{EngineEntry, EngineState, ListUpdateKind, Outcome, RequestId};
+use crate::decision::{EngineState, ListUpdateKind, Outcome, RequestId};
+use crate::engines::{EngineContext, Fleet};
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use bytes::Bytes;
 use std::sync::Arc;
@@ -18,20 +17,16 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// Engines of one process: each answers every attempt, once it may.
+/// Engines of this process: each answers every attempt, once `hold` has a permit where there is one.
 async fn engines(count: u32, hold: Option<Arc<Semaphore>>) -> Vec<EngineRecord> {
-    let mut lines = Vec::new();
+    let mut records = Vec::new();
     for id in 1..=count {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let (engine, state, nominal) = (engine_id(id), EngineState::Ready, 8.0);
-        let entry = EngineEntry {
-            engine,
-            state,
-            nominal_capacity: nominal,
-            ..EngineEntry::default()
-        };
-        lines.push(EngineRecord { entry, address });
+        records.push(EngineRecord {
+            address,
+            ..record(id, EngineState::Ready)
+        });
         let hold = hold.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -39,7 +34,7 @@
             }
         });
     }
-    lines
+    records
 }
 
 async fn serve(stream: TcpStream, hold: Option<Arc<Semaphore>>) -> std::io::Result<()> {
@@ -65,118 +60,118 @@
 }
 
 /// A fleet without a core, on the smallest machine's descriptors.
-struct Rig {
+struct FleetTestBench {
     fleet: Fleet,
     context: EngineContext,
-    news: Mailbox,
-    most: u64,
+    core_messages: Mailbox,
+    connection_limit: u64,
 }
 
-impl Rig {
-    async fn new(count: u32, hold: Option<Arc<Semaphore>>) -> Rig {
-        let (core, news) = Handle::new(64, Clock::new());
-        let context = EngineContext::with_sockets(core, 64);
-        let most =
+impl FleetTestBench {
+    async fn new(count: u32, hold: Option<Arc<Semaphore>>) -> FleetTestBench {
+        let (core, core_messages) = Handle::new(64, Clock::new());
+        let context = EngineContext::with_descriptors(core, 64);
+        let connection_limit =
             (context.limits.engine_connections + context.limits.engine_connections_reserved) as u64;
         let mut fleet = Fleet::new(context.clone());
         engines(count, hold)
             .await
             .iter()
-            .for_each(|line| fleet.engine_listed(line));
-        Rig {
+            .for_each(|record| fleet.engine_listed(record));
+        FleetTestBench {
             fleet,
             context,
-            news,
-            most,
+            core_messages,
+            connection_limit,
         }
     }
 
-    fn ask(&mut self, engine: u32, id: u32) {
-        let Order::Ask(one) = ask(id) else {
-            unreachable!("an attempt")
-        };
-        assert!(self.fleet.start_attempt(engine_id(engine), *one));
+    fn start_attempt(&mut self, engine: u32, id: u32) {
+        assert!(self.fleet.start_attempt(engine_id(engine), attempt(id)));
     }
 
-    async fn end(&mut self) -> (RequestId, Outcome) {
-        let input = timeout(Duration::from_secs(20), self.news.next_message())
-            .await
-            .expect("an end");
+    async fn next_end(&mut self) -> (RequestId, Outcome) {
+        let (id, event) = next_event(&mut self.core_messages).await;
         assert!(
-            self.context.metrics.engine_connections_open.get() <= self.most,
-            "more descriptors than there are"
+            self.context.metrics.engine_connections_open.get() <= self.connection_limit,
+            "more connections than descriptors"
         );
-        match input {
-            Some(CoreMessage::Attempt {
-                id,
-                event: AttemptEvent::Ended { outcome, .. },
-                ..
-            }) => (id, outcome),
-            _ => panic!("no end"),
+        match event {
+            AttemptEvent::Ended { outcome, .. } => (id, outcome),
+            event => panic!("no end: {event:?}"),
         }
     }
 }
 
-/// Eight engines for each descriptor, in turn and again: idle connections make room, and every attempt is served.
+/// Eight engines for each descriptor are used in turn, twice: idle connections are evicted, and every attempt is served.
 #[test]
-fn idle_connections_make_room() {
-    block(async {
-        let mut rig = Rig::new(200, None).await;
+fn idle_connections_are_evicted_and_every_attempt_is_served() {
+    run_test(async {
+        let mut bench = FleetTestBench::new(200, None).await;
         for id in 1..=400 {
-            rig.ask(id % 200 + 1, id);
-            assert_eq!(rig.end().await, (id, Outcome::Ok));
+            bench.start_attempt(id % 200 + 1, id);
+            assert_eq!(bench.next_end().await, (id, Outcome::Ok));
         }
-        let metrics = &rig.context.metrics;
-        assert_eq!(metrics.engine_connections_open.get(), rig.most);
-        assert_eq!(metrics.engine_connections_evicted.get(), 400 - rig.most);
+        let metrics = &bench.context.metrics;
+        assert_eq!(
+            metrics.engine_connections_open.get(),
+            bench.connection_limit
+        );
+        assert_eq!(
+            metrics.engine_connections_evicted.get(),
+            400 - bench.connection_limit
+        );
     });
 }
 
-/// Guard: what carries an attempt gives nothing up. Where all do, an attempt comes back at once as none, and the next
-/// one finds room as soon as one of them is served.
+/// A connection that carries an attempt is never evicted. Where all do, a further attempt comes back at once without a
+/// slot, and the next one finds a slot as soon as one of them is served.
 #[test]
-fn what_carries_an_attempt_stays() {
-    block(async {
+fn busy_connections_are_not_evicted_and_the_next_attempt_gets_no_slot() {
+    run_test(async {
         let hold = Arc::new(Semaphore::new(0));
-        let mut rig = Rig::new(40, Some(hold.clone())).await;
-        let most = rig.most as u32;
-        (1..=most).for_each(|n| rig.ask(n, n));
-        rig.ask(most + 1, 1000);
-        assert_eq!(rig.end().await, (1000, Outcome::NoConnectionSlot));
+        let mut bench = FleetTestBench::new(40, Some(hold.clone())).await;
+        let connection_limit = bench.connection_limit as u32;
+        (1..=connection_limit).for_each(|n| bench.start_attempt(n, n));
+        bench.start_attempt(connection_limit + 1, 1000);
+        assert_eq!(bench.next_end().await, (1000, Outcome::NoConnectionSlot));
         hold.add_permits(1);
-        let (served, outcome) = rig.end().await;
+        let (served, outcome) = bench.next_end().await;
         assert_eq!(outcome, Outcome::Ok);
-        rig.ask(most + 1, 1001);
-        let mut open: Vec<u32> = (1..=most).filter(|n| *n != served).chain([1001]).collect();
+        bench.start_attempt(connection_limit + 1, 1001);
+        let mut open: Vec<u32> = (1..=connection_limit)
+            .filter(|n| *n != served)
+            .chain([1001])
+            .collect();
         hold.add_permits(open.len());
         while !open.is_empty() {
-            let (id, outcome) = rig.end().await;
+            let (id, outcome) = bench.next_end().await;
             assert_eq!(outcome, Outcome::Ok);
             open.retain(|n| *n != id);
         }
-        assert_eq!(rig.context.metrics.engine_connections_evicted.get(), 1);
+        assert_eq!(bench.context.metrics.engine_connections_evicted.get(), 1);
     });
 }
 
-/// A client that counts what it was told.
-struct Client(mpsc::UnboundedSender<bool>);
+/// A client that passes on whether each answer was a result.
+struct CountingClient(mpsc::UnboundedSender<bool>);
 
-impl ClientPort for Client {
+impl ClientPort for CountingClient {
     fn answer(&self, _: RequestId, answer: Answer) {
         let _ = self.0.send(matches!(answer, Answer::Served(_)));
     }
 }
 
-/// Core, module and fleet with 200 engines on the descriptors of the smallest machine: bursts of more requests than
-/// there are connections are served, all of them.
+/// Core, dispatcher and fleet with 200 engines on the descriptors of the smallest machine serve bursts of more requests
+/// than there are connections completely.
 #[test]
-fn more_engines_than_descriptors_serve_all() {
-    block(async {
+fn bursts_on_more_engines_than_descriptors_are_served_completely() {
+    run_test(async {
         let (handle, inputs) = Handle::new(64, Clock::new());
-        let context = EngineContext::with_sockets(handle.clone(), 64);
+        let context = EngineContext::with_descriptors(handle.clone(), 64);
         let parsed = EngineContext::settings_for_tests();
         let (settings, class) = (parsed.settings, parsed.classes[0].clone());
-        let most =
+        let connection_limit =
             (context.limits.engine_connections + context.limits.engine_connections_reserved) as u64;
         let (limits, metrics) = (context.limits.clone(), context.metrics.clone());
         let core =
@@ -184,7 +179,7 @@
         tokio::spawn(run(core, inputs, Clock::new()));
         let entries = engines(200, None).await;
         handle
-            .send(CoreMessage::EndpointList(EndpointListEvent {
+            .tell(CoreMessage::EndpointList(EndpointListEvent {
                 number: 1,
                 kind: ListUpdateKind::Full,
                 records: entries,
@@ -192,14 +187,14 @@
             }))
             .await;
         let (to, mut told) = mpsc::unbounded_channel();
-        let client: Arc<dyn ClientPort> = Arc::new(Client(to));
+        let client: Arc<dyn ClientPort> = Arc::new(CountingClient(to));
         for burst in 0..10 {
             for n in 0..40 {
                 let id = burst * 40 + n;
                 let one = taken(id, &class, handle.now() + 15_000.0, 50.0, client.clone());
                 let name = Bytes::from(format!("{id:016x}"));
                 handle
-                    .send(CoreMessage::Request(AcceptedRequest {
+                    .tell(CoreMessage::Request(AcceptedRequest {
                         client_reference: name,
                         data_set: id,
                         ..one
@@ -207,23 +202,21 @@
                     .await;
             }
             for _ in 0..40 {
-                let served = timeout(Duration::from_secs(20), told.recv())
-                    .await
-                    .expect("an answer");
+                let served = timeout(TEST_TIMEOUT, told.recv()).await.expect("an answer");
                 assert_eq!(served, Some(true), "{metrics}");
-                assert!(metrics.engine_connections_open.get() <= most);
+                assert!(metrics.engine_connections_open.get() <= connection_limit);
             }
         }
         assert!(metrics.engine_connections_evicted.get() > 0, "{metrics}");
     });
 }
 
-/// An engine whose connections come up late, if at all: the attempt comes back unsent and holds no descriptor, and once
-/// the engine accepts it serves as any other.
+/// Where an engine accepts no connection, the attempt comes back unsent and holds no descriptor; once the engine accepts
+/// it serves as any other.
 #[test]
-fn an_engine_that_comes_up_late() {
-    block(async {
-        let mut rig = Rig::new(0, None).await;
+fn engine_that_accepts_late_fails_unsent_attempts_then_serves() {
+    run_test(async {
+        let mut bench = FleetTestBench::new(0, None).await;
         let socket = TcpSocket::new_v4().expect("socket");
         socket.bind(([127, 0, 0, 1], 0).into()).expect("bind");
         let listener = socket.listen(1).expect("listen");
@@ -235,21 +228,21 @@
         {
             crowd.push(stream);
         }
-        rig.fleet.engine_listed(&EngineRecord {
+        bench.fleet.engine_listed(&EngineRecord {
             address,
-            ..line(1, EngineState::Ready)
+            ..record(1, EngineState::Ready)
         });
-        rig.ask(1, 1);
-        assert_eq!(rig.end().await, (1, Outcome::NoConnection));
-        assert_eq!(rig.context.metrics.engine_connections_open.get(), 0);
+        bench.start_attempt(1, 1);
+        assert_eq!(bench.next_end().await, (1, Outcome::NoConnection));
+        assert_eq!(bench.context.metrics.engine_connections_open.get(), 0);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(serve(stream, None));
             }
         });
         for id in 2.. {
-            rig.ask(1, id);
-            let (ended, outcome) = rig.end().await;
+            bench.start_attempt(1, id);
+            let (ended, outcome) = bench.next_end().await;
             assert_eq!(ended, id);
             if outcome == Outcome::Ok {
                 break;
@@ -259,30 +252,30 @@
     });
 }
 
-/// Guard: six in ten of a thousand engines are replaced at once, several times over, the old ones draining meanwhile,
-/// and some of the newcomers refuse connections: nothing stays behind, neither actors nor entries nor descriptors.
+/// Six in ten of a thousand engines are replaced at once, several times over, while the old ones drain and some of the
+/// new ones refuse connections: neither actors nor entries nor descriptors remain of those that were removed.
 #[test]
-fn nothing_stays_of_engines_that_left() {
-    block(async {
-        let mut rig = Rig::new(0, None).await;
+fn replaced_engines_leave_no_actor_entry_or_descriptor() {
+    run_test(async {
+        let mut bench = FleetTestBench::new(0, None).await;
         let list = |fleet: &mut Fleet, ids: std::ops::Range<u32>, state| {
-            ids.for_each(|id| fleet.engine_listed(&line(id, state)));
+            ids.for_each(|id| fleet.engine_listed(&record(id, state)));
         };
-        list(&mut rig.fleet, 0..1024, EngineState::Ready);
+        list(&mut bench.fleet, 0..1024, EngineState::Ready);
         for round in 0..8 {
             let (old, new) = (
                 round * 614..(round + 1) * 614,
                 (round + 1) * 614 + 410..(round + 2) * 614 + 410,
             );
-            list(&mut rig.fleet, old.clone(), EngineState::Draining);
-            list(&mut rig.fleet, new.clone(), EngineState::Ready);
+            list(&mut bench.fleet, old.clone(), EngineState::Draining);
+            list(&mut bench.fleet, new.clone(), EngineState::Ready);
             for id in new.take(20) {
-                rig.ask(id, id);
+                bench.start_attempt(id, id);
             }
             for _ in 0..20 {
-                assert_eq!(rig.end().await.1, Outcome::NoConnection);
+                assert_eq!(bench.next_end().await.1, Outcome::NoConnection);
             }
-            list(&mut rig.fleet, old, EngineState::Removed);
+            list(&mut bench.fleet, old, EngineState::Removed);
         }
         let tasks = || {
             tokio::runtime::Handle::current()
@@ -294,13 +287,11 @@
                 tokio::task::yield_now().await;
             }
         };
-        timeout(Duration::from_secs(20), over)
-            .await
-            .expect("no actor stays");
+        timeout(TEST_TIMEOUT, over).await.expect("no actor stays");
         assert_eq!(
             (
-                rig.fleet.peers.len(),
-                rig.context.metrics.engine_connections_open.get()
+                bench.fleet.len(),
+                bench.context.metrics.engine_connections_open.get()
             ),
             (1024, 0)
         );
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -232,8 +232,12 @@
     let (limits, metrics) = (&services.limits, &services.metrics);
     let clock = Clock::new();
     let (handle, inputs) = Handle::new(limits.mailbox_messages, clock);
-    let uses_flight = engine_protocol == EngineProtocol::Flight;
-    let engines = EngineContext::new(handle.clone(), limits.clone(), metrics.clone(), uses_flight);
+    let engines = EngineContext::new(
+        handle.clone(),
+        limits.clone(),
+        metrics.clone(),
+        engine_protocol,
+    );
     // With the seed of its predecessor a successor would act at the same random times.
     let seed = if setup.is_successor {
         setup.seed ^ clock.now().to_bits()
