--- a/src/engines/flight/tests.rs
+++ b/src/engines/flight/tests.rs
@@ -10,7 +10,7 @@
 use std::future::poll_fn;
 use tokio::net::TcpStream;
 
-/// A peer that would take any amount in one go.
+/// A peer whose windows take in any amount at once.
 async fn peer(bench: &EngineTestBench) -> h2::server::Connection<TcpStream, Bytes> {
     let stream = bench.accept().await;
     let mut build = h2::server::Builder::new();
@@ -34,7 +34,7 @@
     });
 }
 
-/// The reset has left once the end is told, and what else is on the connection goes on.
+/// The reset has been sent once the end is reported, and the other call on the connection goes on.
 #[test]
 fn cancellation_ends_once_its_reset_is_sent_and_spares_other_calls() {
     run_test(async {
@@ -45,7 +45,7 @@
         let (_first, mut first) = peer.accept().await.expect("a call").expect("a call");
         let (_second, mut second) = peer.accept().await.expect("a call").expect("a call");
         bench.send(cancel(1, AfterCancellation::NoRetry)).await;
-        // The peer is not polled meanwhile: what it finds afterwards was there.
+        // The peer is not polled meanwhile: what it reads afterwards was sent by then.
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -61,7 +61,7 @@
     });
 }
 
-/// Guard: where another attempt may follow, the peer has answered a ping behind the reset.
+/// Where another attempt may follow, the end is reported once the peer has answered a ping behind the reset.
 #[test]
 fn cancellation_before_a_retry_ends_once_a_ping_behind_its_reset_is_answered() {
     run_test(async {
@@ -75,14 +75,14 @@
         assert!(bench.is_silent().await, "the peer has read nothing of it");
         tokio::select! {
             biased;
-            told = bench.next_event() => assert!(is_cancelled(&told, 1, AttemptEnd::Cancelled)),
+            event = bench.next_event() => assert!(is_cancelled(&event, 1, AttemptEnd::Cancelled)),
             _ = peer.accept() => panic!("a call"),
         }
         assert!(poll_fn(|cx| std::task::Poll::Ready(answer.poll_reset(cx).is_ready())).await);
     });
 }
 
-/// Guard: a peer that reads no more keeps the reset; its connection is closed, and what else is on it is reset.
+/// The wait for a peer that reads no more is bounded: its connection is closed, and the other call on it ends as reset.
 #[test]
 fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
     run_test(async {
@@ -97,12 +97,14 @@
             tokio::task::yield_now().await;
         }
         bench.send(cancel(1, AfterCancellation::NoRetry)).await;
-        let (mut gone, mut reset) = (false, false);
+        let (mut connection_lost, mut reset) = (false, false);
         for _ in 0..2 {
-            let told = bench.next_event().await;
-            gone |= is_cancelled(&told, 1, AttemptEnd::ConnectionLost);
-            reset |= is_ended(&told, 2, Outcome::Reset);
+            let event = bench.next_event().await;
+            connection_lost |= is_cancelled(&event, 1, AttemptEnd::ConnectionLost);
+            reset |= is_ended(&event, 2, Outcome::Reset);
         }
-        assert!(gone && reset && bench.context.metrics.cancellations_unconfirmed.get() == 1);
+        assert!(
+            connection_lost && reset && bench.context.metrics.cancellations_unconfirmed.get() == 1
+        );
     });
 }
--- /dev/null
+++ b/src/engines/line_protocol/connection/answers.rs
@@ -0,0 +1,203 @@
+//! What a connection does with the answers of its engine: ends of attempts, pages of results and progress reports.
+
+use super::result_pages::{PageInsertion, ResultPages};
+use super::{Connection, ConnectionError, SentAttempt};
+use crate::attempt::{AttemptEnd, never_ran};
+use crate::core::AttemptEvent;
+use crate::decision::{LoadReport, Outcome, Progress};
+use crate::engines::connection_load::ConnectionUse;
+use crate::engines::context::AttemptId;
+use crate::engines::line_protocol::answer::{Answer, AnswerError, AnswerStatus, take_answer};
+use crate::engines::line_protocol::command::Command;
+use bytes::Bytes;
+use tokio::time::Instant;
+
+/// The `num` of a `queued` progress report that waits for a bulk load; any other waits for memory.
+const WAITING_FOR_BULK_LOAD: f64 = 2.0;
+
+impl Connection {
+    /// Handles all complete answers in the input.
+    pub(super) async fn handle_input(&mut self) -> Result<(), ConnectionError> {
+        loop {
+            let limits = &self.context.limits;
+            let answer = take_answer(&mut self.input, limits.line_bytes, limits.page_bytes)?;
+            let Some(answer) = answer else {
+                break;
+            };
+            self.partial_answer_since = None;
+            self.handle_answer(answer).await?;
+            // Answers without end would keep the attempts behind them in flight, and the core busy.
+            let count = self.uneventful_answers;
+            if count > self.context.limits.uneventful_answers {
+                return Err(AnswerError::Uneventful { count }.into());
+            }
+        }
+        if self.input.is_empty() {
+            self.partial_answer_since = None;
+        } else {
+            self.partial_answer_since.get_or_insert_with(Instant::now);
+        }
+        Ok(())
+    }
+
+    async fn handle_answer(&mut self, answer: Answer) -> Result<(), ConnectionError> {
+        self.idle_since = Instant::now();
+        self.unsent_attempts.reset_failures();
+        self.load.record_answer(self.context.core.now());
+        if answer.status == AnswerStatus::Confirmed {
+            self.confirm_cancellations(&answer.reference);
+            return Ok(());
+        }
+        let Some(sent) = self.sent.get(&answer.reference) else {
+            // The attempt was cancelled meanwhile, or never sent. The connection is good all the same.
+            self.count_unexpected_answer();
+            return Ok(());
+        };
+        let has_pages = sent.pages.is_some();
+        match answer.status {
+            // An engine may repeat its answer; the copy has no effect.
+            AnswerStatus::Served if has_pages => self.count_unexpected_answer(),
+            AnswerStatus::Served => self.handle_first_page(&answer).await?,
+            AnswerStatus::Page => self.handle_further_page(&answer).await?,
+            AnswerStatus::Progress => self.handle_progress(&answer).await,
+            // Any other answer after the first page means that the pages are lost, and the statement has run.
+            _ if has_pages => self.end_without_result(&answer, Outcome::Error).await,
+            AnswerStatus::Overloaded => self.end_without_result(&answer, Outcome::Rejected).await,
+            AnswerStatus::Failed => self.end_without_result(&answer, Outcome::Error).await,
+            AnswerStatus::NotFound => self.end_without_result(&answer, Outcome::NotSent).await,
+            AnswerStatus::Confirmed | AnswerStatus::Unknown => {
+                return Err(AnswerError::UnknownStatus.into());
+            }
+        }
+        Ok(())
+    }
+
+    /// Handles a good answer with the first page of its result; asks for the other pages.
+    async fn handle_first_page(&mut self, answer: &Answer) -> Result<(), ConnectionError> {
+        let limit_pages = self.context.limits.pages_per_result;
+        let count = answer.whole_number("batches").unwrap_or(0);
+        if !(1..=limit_pages).contains(&count) {
+            return Err(AnswerError::PageCount { limit_pages }.into());
+        }
+        answer.check_page()?;
+        let Some(sent) = self.sent.get_mut(&answer.reference) else {
+            return Ok(());
+        };
+        // The engine has dropped the other pages of an attempt that is being cancelled.
+        if !sent.state.begin_result() && count > 1 {
+            let event = AttemptEvent::Cancelled(AttemptEnd::Answered);
+            self.end_answered(&answer.reference, answer.load_report(), event)
+                .await;
+            return Ok(());
+        }
+        sent.pages = Some(ResultPages::new(answer, count, &self.context));
+        for number in 1..count {
+            self.context.metrics.result_pages.increment();
+            self.send_command(Command::NextPage(number), &answer.reference);
+        }
+        self.end_if_complete(&answer.reference).await;
+        Ok(())
+    }
+
+    /// Handles a page that was asked for.
+    async fn handle_further_page(&mut self, answer: &Answer) -> Result<(), ConnectionError> {
+        let sent = self.sent.get_mut(&answer.reference);
+        let pages = sent.and_then(|sent| sent.pages.as_mut());
+        let (Some(pages), Some(number)) = (pages, answer.whole_number("batch")) else {
+            self.count_unexpected_answer();
+            return Ok(());
+        };
+        if !pages.is_missing(number) {
+            self.count_unexpected_answer();
+            return Ok(());
+        }
+        answer.check_page()?;
+        match pages.insert(number, answer.body.clone(), &self.context.limits) {
+            PageInsertion::TooLarge => self.release_result(&answer.reference, Outcome::Error),
+            PageInsertion::Inserted => self.end_if_complete(&answer.reference).await,
+        }
+        Ok(())
+    }
+
+    async fn handle_progress(&mut self, answer: &Answer) {
+        let Some(sent) = self.sent.get(&answer.reference) else {
+            return;
+        };
+        let attempt = AttemptId::from(&*sent.request);
+        self.context.metrics.progress_notes.increment();
+        self.uneventful_answers += 1;
+        let event = AttemptEvent::Progress(progress_of(answer));
+        self.context
+            .send_event(self.engine, attempt, answer.load_report(), event)
+            .await;
+    }
+
+    /// Ends an attempt with an answer that brings no result.
+    async fn end_without_result(&mut self, answer: &Answer, outcome: Outcome) {
+        let Some(sent) = self.sent.get_mut(&answer.reference) else {
+            return;
+        };
+        let was_cancelled = sent.state.is_cancelling();
+        let end = sent.state.answered(!never_ran(outcome));
+        let event = if was_cancelled {
+            AttemptEvent::Cancelled(end)
+        } else {
+            AttemptEvent::end(outcome)
+        };
+        self.end_answered(&answer.reference, answer.load_report(), event)
+            .await;
+    }
+
+    /// Ends an attempt that the engine has answered.
+    async fn end_answered(&mut self, reference: &Bytes, report: LoadReport, event: AttemptEvent) {
+        let Some(SentAttempt { request, .. }) = self.take_answered(reference) else {
+            return;
+        };
+        self.load.end_attempt(ConnectionUse::of(&request));
+        self.context
+            .send_event(self.engine, (&*request).into(), report, event)
+            .await;
+    }
+
+    /// Ends an attempt with its result once all pages are in.
+    async fn end_if_complete(&mut self, reference: &Bytes) {
+        let Some(sent) = self.sent.get_mut(reference) else {
+            return;
+        };
+        if let Some(pages) = sent.pages.take_if(|pages| pages.is_complete()) {
+            let (report, event) = pages.finish(&self.context.limits);
+            self.end_answered(reference, report, event).await;
+        }
+    }
+
+    /// Counts an answer that nothing asked for, or that was given already.
+    pub(super) fn count_unexpected_answer(&mut self) {
+        self.context.metrics.engine_unexpected_answers.increment();
+        self.uneventful_answers += self.context.limits.unexpected_answer_weight;
+    }
+
+    /// Releases results whose next page did not come in time.
+    pub(super) fn release_overdue_results(&mut self, now: Instant) {
+        let is_overdue = |sent: &SentAttempt| {
+            let pages = sent.pages.as_ref();
+            pages.is_some_and(|pages| pages.next_page_due() <= now)
+        };
+        let overdue = self.sent.iter().filter(|(_, sent)| is_overdue(sent));
+        let references: Vec<Bytes> = overdue.map(|(reference, _)| reference.clone()).collect();
+        for reference in references {
+            self.release_result(&reference, Outcome::TimedOut);
+        }
+    }
+}
+
+/// The progress that an answer reports; none where it merely shows that the attempt is alive.
+fn progress_of(answer: &Answer) -> Option<Progress> {
+    let value = answer.number("num")?;
+    match answer.field("n")? {
+        b"pct" => Some(Progress::ShareDone(value)),
+        b"overflow" => Some(Progress::SpillingMb(value)),
+        b"queued" if value == WAITING_FOR_BULK_LOAD => Some(Progress::WaitingForBulkLoad),
+        b"queued" => Some(Progress::WaitingForMemory),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -0,0 +1,92 @@
+//! What a connection is asked to do: attempts wait in its queue until they are written, one at a time.
+
+use super::{Connection, PartlyWritten, SentAttempt};
+use crate::attempt::AttemptState;
+use crate::core::{AttemptEvent, AttemptRequest};
+use crate::decision::{EngineState, Outcome};
+use crate::engines::context::{AttemptId, EngineMessage};
+use crate::engines::line_protocol::command::{Command, LINE_END, attempt_line};
+
+impl Connection {
+    /// Handles a message of the engine's actor.
+    pub(super) fn handle_message(&mut self, message: EngineMessage) {
+        match message {
+            EngineMessage::StartAttempt(attempt) => self.queue_attempt(attempt),
+            EngineMessage::CancelAttempt { attempt, after } => {
+                self.cancel_queued(attempt, after);
+                self.cancel_sent(attempt, after);
+            }
+            EngineMessage::SetPriority { attempt, priority } => {
+                self.set_priority(attempt, priority);
+            }
+            EngineMessage::ManualEjectionChanged => {
+                if self.admission.is_closed() {
+                    self.fail_queued();
+                }
+            }
+            EngineMessage::StateChanged(EngineState::Ready) => self.removal_at = None,
+            EngineMessage::StateChanged(state) => {
+                // An engine that drains may be sent nothing that was not begun before.
+                self.fail_queued();
+                if state == EngineState::Removed {
+                    self.begin_removal();
+                }
+            }
+        }
+    }
+
+    fn queue_attempt(&mut self, attempt: Box<AttemptRequest>) {
+        if self.admission.is_closed() {
+            self.end_attempt(attempt, AttemptEvent::end(Outcome::NoConnection));
+        } else {
+            self.queued.push_back(attempt);
+        }
+    }
+
+    fn set_priority(&mut self, attempt: AttemptId, priority: u8) {
+        let mut queued = self.queued.iter_mut();
+        if let Some(request) = queued.find(|request| AttemptId::from(&***request) == attempt) {
+            request.priority = priority;
+        } else if let Some(reference) = self.reference_of(attempt) {
+            self.send_command(Command::SetPriority(priority), &reference);
+        }
+    }
+
+    /// Puts the next attempt into the output queue once that is empty. Only one attempt at a time is being written, so
+    /// at most one can be partly written when its engine starts to drain.
+    pub(super) fn write_next_attempt(&mut self) {
+        if self.admission.is_closed() {
+            self.fail_queued();
+        }
+        while self.output.is_empty() {
+            let Some(request) = self.queued.pop_front() else {
+                return;
+            };
+            let now_ms = self.context.core.now();
+            // Time has passed since it was queued, as a connection may come up late or accept nothing for long.
+            match request.expired(now_ms) {
+                Some(event) => self.end_attempt(request, event),
+                None => self.write_attempt(request, now_ms),
+            }
+        }
+    }
+
+    fn write_attempt(&mut self, request: Box<AttemptRequest>, now_ms: f64) {
+        self.output.push(attempt_line(&request, now_ms));
+        self.output.push(request.statement.clone());
+        let end_mark = self.output.push(LINE_END);
+        let reference = request.client_reference.clone();
+        self.partly_written = Some(PartlyWritten {
+            end_mark,
+            reference: reference.clone(),
+        });
+        let mut state = AttemptState::default();
+        state.begin_writing(end_mark);
+        let sent = SentAttempt {
+            request,
+            state,
+            pages: None,
+        };
+        self.sent.insert(reference, sent);
+    }
+}
--- /dev/null
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -0,0 +1,195 @@
+//! Cancellations on a connection, from the command to the proof that the attempt is over.
+//!
+//! A cancelled attempt has ended once its cancellation was written. Where another attempt may follow, the engine has to
+//! confirm that it read the cancellation: connections are read in no order among each other, so the next attempt could
+//! overtake a cancellation that was merely written. Commands of one connection are read in order, so the answer to a
+//! command that follows the cancellation is that confirmation.
+
+use super::{Connection, SentAttempt};
+use crate::attempt::{AttemptEnd, AttemptState};
+use crate::core::AttemptEvent;
+use crate::engines::context::{AfterCancellation, AttemptId};
+use crate::engines::line_protocol::command::Command;
+use crate::limits::Limits;
+use crate::net::Outbox;
+use bytes::Bytes;
+use std::collections::VecDeque;
+use tokio::time::Instant;
+
+/// A cancellation on its way to the engine.
+struct Cancellation {
+    /// Count of bytes written by which it is complete.
+    end_mark: u64,
+    /// The reference of its attempt.
+    reference: Bytes,
+    /// The tag by which the engine confirms it, where that is needed.
+    tag: Option<Bytes>,
+    /// When it must have been written, and confirmed.
+    due_at: Instant,
+}
+
+/// Cancellations that are not written or not confirmed yet, in order.
+#[derive(Default)]
+pub(super) struct Cancellations {
+    pending: VecDeque<Cancellation>,
+    last_tag: u64,
+}
+
+impl Cancellations {
+    /// Queues a cancellation for the engine; returns the count of bytes written by which it is complete.
+    fn send(
+        &mut self,
+        command: Command,
+        reference: &Bytes,
+        after: AfterCancellation,
+        output: &mut Outbox,
+        limits: &Limits,
+    ) -> u64 {
+        let end_mark = output.push(command.line(reference));
+        let (tag, timeout) = match after {
+            AfterCancellation::RetryMayFollow => {
+                let tag = self.next_tag();
+                output.push(Command::Confirm.line(&tag));
+                (Some(tag), limits.cancellation_confirm_timeout)
+            }
+            AfterCancellation::NoRetry => (None, limits.cancellation_write_timeout),
+        };
+        self.pending.push_back(Cancellation {
+            end_mark,
+            reference: reference.clone(),
+            tag,
+            due_at: Instant::now() + timeout,
+        });
+        end_mark
+    }
+
+    fn next_tag(&mut self) -> Bytes {
+        self.last_tag += 1;
+        Bytes::from(format!("{:016x}", self.last_tag))
+    }
+
+    /// When the first of them must have been written and confirmed.
+    pub(super) fn first_due(&self) -> Option<Instant> {
+        self.pending.iter().map(|pending| pending.due_at).min()
+    }
+
+    /// Forgets those of an attempt that has ended.
+    fn forget(&mut self, reference: &Bytes) {
+        self.pending
+            .retain(|pending| pending.reference != *reference);
+    }
+
+    /// Removes all up to the one with this tag; none where no cancellation has it.
+    fn take_confirmed(&mut self, tag: &Bytes) -> Option<Vec<Cancellation>> {
+        let mut pending = self.pending.iter();
+        let last = pending.position(|pending| pending.tag.as_ref() == Some(tag))?;
+        Some(self.pending.drain(..=last).collect())
+    }
+
+    /// Removes those that are complete once so many bytes are written.
+    fn take_written(&mut self, written: u64) -> Vec<Cancellation> {
+        let is_written = |pending: &mut Cancellation| pending.end_mark <= written;
+        std::iter::from_fn(|| self.pending.pop_front_if(is_written)).collect()
+    }
+
+    /// Puts those back at the front that wait for a confirmation.
+    fn put_back(&mut self, mut unconfirmed: VecDeque<Cancellation>) {
+        unconfirmed.append(&mut self.pending);
+        self.pending = unconfirmed;
+    }
+}
+
+impl Connection {
+    /// Cancels an attempt of which nothing is written yet.
+    pub(super) fn cancel_queued(&mut self, attempt: AttemptId, after: AfterCancellation) {
+        let mut queued = self.queued.iter();
+        let Some(index) = queued.position(|request| AttemptId::from(&**request) == attempt) else {
+            return;
+        };
+        let nothing_to_send = || 0;
+        let end = AttemptState::default().cancel(after.retry_may_follow(), nothing_to_send);
+        if let (Some(end), Some(request)) = (end, self.queued.remove(index)) {
+            self.end_attempt(request, AttemptEvent::Cancelled(end));
+        }
+    }
+
+    /// Cancels an attempt that was written at least in part.
+    pub(super) fn cancel_sent(&mut self, attempt: AttemptId, after: AfterCancellation) {
+        let Some(reference) = self.reference_of(attempt) else {
+            return;
+        };
+        let Some(sent) = self.sent.get_mut(&reference) else {
+            return;
+        };
+        // A statement that has ended holds pages of its result; one that has not is running.
+        let command = if sent.state.has_result() {
+            Command::Release
+        } else {
+            Command::Cancel
+        };
+        let end = sent.state.cancel(after.retry_may_follow(), || {
+            self.cancellations.send(
+                command,
+                &reference,
+                after,
+                &mut self.output,
+                &self.context.limits,
+            )
+        });
+        if let Some(end) = end {
+            self.end_cancelled(&reference, end);
+        }
+    }
+
+    fn end_cancelled(&mut self, reference: &Bytes, end: AttemptEnd) {
+        if let Some(sent) = self.sent.remove(reference) {
+            self.idle_since = Instant::now();
+            self.end_attempt(sent.request, AttemptEvent::Cancelled(end));
+        }
+    }
+
+    /// Removes an attempt that an answer has ended, with its cancellations: the connection is not to be closed for
+    /// those, as they serve no purpose any more.
+    pub(super) fn take_answered(&mut self, reference: &Bytes) -> Option<SentAttempt> {
+        self.uneventful_answers = 0;
+        self.cancellations.forget(reference);
+        self.sent.remove(reference)
+    }
+
+    /// The engine confirms that it has read all commands up to this tag.
+    pub(super) fn confirm_cancellations(&mut self, tag: &Bytes) {
+        let Some(confirmed) = self.cancellations.take_confirmed(tag) else {
+            return self.count_unexpected_answer();
+        };
+        for cancellation in confirmed {
+            let sent = self.sent.get_mut(&cancellation.reference);
+            if let Some(end) = sent.and_then(|sent| sent.state.cancellation_confirmed()) {
+                self.end_cancelled(&cancellation.reference, end);
+            }
+        }
+    }
+
+    /// Acts on what has been written by now: attempts that are complete, and cancellations that end their attempt.
+    pub(super) fn process_written(&mut self) {
+        let written = self.output.written();
+        let mut unconfirmed = VecDeque::new();
+        for cancellation in self.cancellations.take_written(written) {
+            let sent = self.sent.get_mut(&cancellation.reference);
+            match sent.and_then(|sent| sent.state.wrote(written)) {
+                Some(end) => self.end_cancelled(&cancellation.reference, end),
+                None if cancellation.tag.is_some() => unconfirmed.push_back(cancellation),
+                None => {}
+            }
+        }
+        self.cancellations.put_back(unconfirmed);
+        let completed = self
+            .partly_written
+            .take_if(|partly| partly.end_mark <= written);
+        if let Some(completed) = completed {
+            self.context.metrics.attempts_written.increment();
+            if let Some(sent) = self.sent.get_mut(&completed.reference) {
+                sent.state.wrote(written);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/engines/line_protocol/engine.rs
@@ -0,0 +1,152 @@
+//! The actor of one engine: assigns attempts to connections, opens connections, and ends with the last of them.
+
+use super::connection::Connection;
+use super::unsent_attempts::{ConnectionEvent, UnsentAttempts};
+use crate::core::{AttemptEvent, AttemptRequest};
+use crate::decision::{EngineId, Outcome};
+use crate::engines::admission::Admission;
+use crate::engines::connection_choice::{ConnectionChoice, ConnectionEntry, choose_connection};
+use crate::engines::connection_load::{ConnectionLoad, ConnectionUse};
+use crate::engines::connection_slots::ConnectionSlot;
+use crate::engines::context::{EngineContext, EngineMessage};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+/// Runs one engine as long as it has connections, or until it is removed from the list and its attempts have ended.
+pub(crate) async fn run(
+    id: EngineId,
+    address: SocketAddr,
+    mut messages: mpsc::Receiver<EngineMessage>,
+    context: EngineContext,
+    admission: Arc<Admission>,
+) {
+    let (unsent_attempts, mut connection_events) = UnsentAttempts::new();
+    let mut engine = Engine {
+        id,
+        address,
+        context,
+        admission,
+        unsent_attempts,
+        connections: Vec::new(),
+    };
+    loop {
+        let message = tokio::select! {
+            biased;
+            // First: an unsent attempt is assigned before a message that could cancel it.
+            Some(event) = connection_events.recv() => match event {
+                ConnectionEvent::Unsent(attempt) => Some(EngineMessage::StartAttempt(attempt)),
+                ConnectionEvent::Closed => None,
+            },
+            message = messages.recv() => match message {
+                Some(message) => Some(message),
+                None => return,
+            },
+        };
+        engine.forget_closed_connections();
+        match message {
+            Some(EngineMessage::StartAttempt(attempt)) => engine.start_attempt(attempt).await,
+            Some(message) => engine.send_to_connections(&message),
+            None if engine.connections.is_empty()
+                && connection_events.is_empty()
+                && messages.is_empty() =>
+            {
+                return engine.retire(messages).await;
+            }
+            None => {}
+        }
+    }
+}
+
+/// The state of the actor.
+struct Engine {
+    id: EngineId,
+    address: SocketAddr,
+    context: EngineContext,
+    admission: Arc<Admission>,
+    unsent_attempts: UnsentAttempts,
+    connections: Vec<ConnectionEntry>,
+}
+
+impl Engine {
+    fn forget_closed_connections(&mut self) {
+        self.connections
+            .retain(|connection| !connection.mailbox.is_closed());
+    }
+
+    /// Sends to all connections, as each of them knows which attempts it has.
+    fn send_to_connections(&self, message: &EngineMessage) {
+        for connection in &self.connections {
+            let _ = connection.mailbox.try_send(message.clone());
+        }
+    }
+
+    /// Assigns an attempt to one of the connections, or to a new one.
+    async fn start_attempt(&mut self, attempt: Box<AttemptRequest>) {
+        // An attempt that a failed connection gave back must not open another one to an engine that is draining or
+        // ejected by now.
+        if self.admission.is_closed() {
+            return self.reject(&attempt, Outcome::NoConnection).await;
+        }
+        let usage = ConnectionUse::of(&attempt);
+        let index = match choose_connection(&self.connections, usage, &self.context) {
+            ConnectionChoice::Existing(index) => index,
+            ConnectionChoice::New { slot, load } => self.open_connection(slot, load),
+            ConnectionChoice::NoSlot => {
+                return self.reject(&attempt, Outcome::NoConnectionSlot).await;
+            }
+        };
+        let connection = &self.connections[index];
+        connection
+            .load
+            .begin_attempt(usage, self.context.core.now());
+        let start = EngineMessage::StartAttempt(attempt);
+        if let Err(refused) = connection.mailbox.try_send(start) {
+            connection.load.end_attempt(usage);
+            if let EngineMessage::StartAttempt(attempt) = refused.into_inner() {
+                self.report_unsent(&attempt, Outcome::NoConnection).await;
+            }
+        }
+    }
+
+    /// Starts the actor of a new connection; returns the connection's index.
+    fn open_connection(&mut self, slot: ConnectionSlot, load: Arc<ConnectionLoad>) -> usize {
+        let (mailbox, messages) = mpsc::channel(self.context.limits.mailbox_messages);
+        let connection = Connection::new(
+            self.id,
+            messages,
+            self.unsent_attempts.clone(),
+            load.clone(),
+            self.context.clone(),
+            self.admission.clone(),
+        );
+        tokio::spawn(connection.run(self.address, slot));
+        self.connections.push(ConnectionEntry { mailbox, load });
+        self.connections.len() - 1
+    }
+
+    /// Reports the end of an attempt that no connection takes. An engine without connections may end after that, so
+    /// the actor is woken to look.
+    async fn reject(&self, attempt: &AttemptRequest, outcome: Outcome) {
+        self.report_unsent(attempt, outcome).await;
+        self.unsent_attempts.report_closed();
+    }
+
+    async fn report_unsent(&self, attempt: &AttemptRequest, outcome: Outcome) {
+        self.context
+            .send_event_without_report(self.id, attempt.into(), AttemptEvent::end(outcome))
+            .await;
+    }
+
+    /// Ends the actor after its last connection. An attempt sent from now on finds the mailbox closed and starts a new
+    /// actor; one that came just before is reported as unsent.
+    async fn retire(&self, mut messages: mpsc::Receiver<EngineMessage>) {
+        messages.close();
+        while let Ok(message) = messages.try_recv() {
+            if let EngineMessage::StartAttempt(attempt) = message {
+                self.report_unsent(&attempt, Outcome::NoConnectionSlot)
+                    .await;
+            }
+        }
+    }
+}
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of one engine's actor against a peer that is a bare socket.
 
-use super::*;
 use crate::attempt::AttemptEnd;
-use crate::core::AttemptRequest;
+use crate::core::{AttemptEvent, AttemptRequest};
+use crate::decision::Outcome;
 use crate::engines::context::AfterCancellation;
 use crate::engines::tests::test_bench::{
     EngineTestBench, LARGE, attempt, attempt_with_statement, cancel, is_cancelled, is_ended,
@@ -13,12 +13,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::sleep;
 
-/// Guard: what waits for a connection when staff take its engine out is given back, and nothing is connected.
+/// An attempt that waits for a connection when on-call staff eject its engine ends unsent, and no connection is made.
 #[test]
 fn manual_ejection_fails_attempts_that_wait_without_connecting() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        // Behind it in the mailbox: the flag is there before the order is read.
+        // The flag is set before the actor reads the message.
         bench.send(start(attempt(1))).await;
         bench.admission.set_manually_ejected(true);
         assert!(is_ended(
@@ -28,13 +28,13 @@
         ));
         tokio::select! {
             biased;
-            _ = bench.listener.accept() => panic!("connected to an engine that was taken out"),
+            _ = bench.listener.accept() => panic!("connected to an ejected engine"),
             () = sleep(Duration::ZERO) => {}
         }
     });
 }
 
-/// What was never handed to a socket is over at once, and nothing of it is written.
+/// A cancelled attempt that was never handed to a socket ends at once, and nothing of it is written.
 #[test]
 fn cancelled_attempt_that_waits_ends_at_once_and_is_not_written() {
     run_test(async {
@@ -51,12 +51,12 @@
         let mut text = [0; 64];
         let n = peer.read(&mut text).await.expect("bytes");
         assert!(text[..n].starts_with(b"ASK 0000000000000002 "));
-        assert!(bench.is_silent().await, "given up once, told once");
+        assert!(bench.is_silent().await, "cancelled once, reported once");
     });
 }
 
-/// Guard: an attempt is held against its times once more as it is written, as a connection may come up late. It was
-/// never sent then, and what is behind it goes on.
+/// The limits in time of an attempt are checked once more as it is written, as a connection may come up late. An attempt
+/// past them ends as never sent, and the one behind it is written.
 #[test]
 fn attempt_past_its_deadline_or_send_limit_is_not_written() {
     run_test(async {
@@ -90,8 +90,8 @@
     });
 }
 
-/// Guard: an order that stands in the mailbox as the connection comes up holds for what waits there. Which of the two
-/// the runtime shows first is left to chance, so it is tried often.
+/// A cancellation that waits in the mailbox as the connection comes up holds for the queued attempt. Which of the two the
+/// runtime shows first is left to chance, so it is tried often.
 #[test]
 fn cancellation_that_arrives_with_the_connection_takes_effect() {
     run_test(async {
@@ -108,7 +108,7 @@
     });
 }
 
-/// Guard: an engine that closes an idle connection just as a request comes has not had that request: it goes over
+/// An engine that closes an idle connection just as an attempt is started has not received it: the attempt goes over
 /// another connection. Neither the runtime nor the actor has looked at the socket in between.
 #[test]
 fn idle_connection_closed_by_its_peer_is_replaced_before_the_next_attempt() {
@@ -117,24 +117,24 @@
         for id in 1..4 {
             bench.send(start(attempt(id))).await;
             let mut peer = bench.accept().await;
-            let mut heard = Vec::new();
-            while !heard.ends_with(b"          \r\n") {
-                assert!(peer.read_buf(&mut heard).await.expect("bytes") > 0);
+            let mut received = Vec::new();
+            while !received.ends_with(b"          \r\n") {
+                assert!(peer.read_buf(&mut received).await.expect("bytes") > 0);
             }
             peer.write_all(format!("{id:016x} served batches=1 2\r\na\n\r\n").as_bytes())
                 .await
                 .expect("answer");
-            let told = bench.next_event().await;
+            let event = bench.next_event().await;
             assert!(
-                matches!(told, (at, AttemptEvent::Ended { outcome: Outcome::Ok, .. }) if at == id),
-                "{told:?}"
+                matches!(event, (at, AttemptEvent::Ended { outcome: Outcome::Ok, .. }) if at == id),
+                "{event:?}"
             );
             drop(peer);
         }
     });
 }
 
-/// Guard: answers without an end, be they to nothing that was asked or notes, end their connection and what is on it.
+/// Unexpected answers or progress reports without end close their connection and end its attempts.
 #[test]
 fn uneventful_answers_past_the_limit_close_the_connection() {
     run_test(async {
@@ -151,34 +151,34 @@
                 let _ = peer.write_all(all.as_bytes()).await;
                 peer
             });
-            let told = loop {
+            let event = loop {
                 match bench.next_event().await {
                     (1, AttemptEvent::Progress(_)) => {}
-                    told => break told,
+                    event => break event,
                 }
             };
-            assert!(is_ended(&told, 1, Outcome::Reset), "{told:?}");
+            assert!(is_ended(&event, 1, Outcome::Reset), "{event:?}");
             assert_eq!(bench.context.metrics.engine_malformed.get(), 1);
             drop(writes);
         }
     });
 }
 
-/// An engine that reads a byte at a time has the attempt and the cancellation in this order; the end is told once, also
-/// where the order is given again.
+/// An engine that reads a byte at a time receives the attempt and the cancellation in this order; the end is reported
+/// once, also where the cancellation is sent to the actor twice.
 #[test]
 fn slow_reader_receives_attempt_then_cancellation_and_the_end_is_reported_once() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         bench.send(start(attempt(1))).await;
         let mut peer = bench.accept().await;
-        let mut heard = vec![peer.read_u8().await.expect("a byte")];
+        let mut received = vec![peer.read_u8().await.expect("a byte")];
         bench.send(cancel(1, AfterCancellation::NoRetry)).await;
         bench.send(cancel(1, AfterCancellation::NoRetry)).await;
-        while !heard.ends_with(b"QUIT 0000000000000001\r\n") {
-            heard.push(peer.read_u8().await.expect("a byte"));
+        while !received.ends_with(b"QUIT 0000000000000001\r\n") {
+            received.push(peer.read_u8().await.expect("a byte"));
         }
-        assert!(heard.starts_with(b"ASK 0000000000000001 "));
+        assert!(received.starts_with(b"ASK 0000000000000001 "));
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -188,20 +188,20 @@
     });
 }
 
-/// Guard: where another attempt may follow, a cancellation that was sent proves nothing, as connections are read in no
-/// order among each other; that the engine answers what stands behind it does. A note meanwhile proves nothing either.
+/// Where another attempt may follow, a cancellation that was merely written proves nothing, as connections are read in no
+/// order among each other; the answer to the command behind it does. An answer with another tag proves nothing either.
 #[test]
 fn cancellation_before_a_retry_ends_once_the_engine_confirms_it() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         bench.send(start(attempt(1))).await;
         let mut peer = bench.accept().await;
-        let mut heard = vec![peer.read_u8().await.expect("a byte")];
+        let mut received = vec![peer.read_u8().await.expect("a byte")];
         bench
             .send(cancel(1, AfterCancellation::RetryMayFollow))
             .await;
-        while !heard.ends_with(b"QUIT 0000000000000001\r\nNOOP 0000000000000001\r\n") {
-            heard.push(peer.read_u8().await.expect("a byte"));
+        while !received.ends_with(b"QUIT 0000000000000001\r\nNOOP 0000000000000001\r\n") {
+            received.push(peer.read_u8().await.expect("a byte"));
         }
         peer.write_all(b"00000000000000aa green - 0\r\n\r\n")
             .await
@@ -218,7 +218,7 @@
     });
 }
 
-/// Guard: an engine that reads and says nothing has its connection closed before another attempt may follow.
+/// An engine that reads and answers nothing has its connection closed before another attempt may follow.
 #[test]
 fn unconfirmed_cancellation_closes_the_connection() {
     run_test(async {
@@ -239,8 +239,8 @@
     });
 }
 
-/// Guard: nothing is told before the cancellation was sent: a peer that does not read keeps the attempt out. Once it
-/// reads it finds the attempt whole and then the cancellation.
+/// No end is reported before the cancellation is written: a peer that does not read keeps the attempt in flight. Once it
+/// reads, it receives the complete attempt and then the cancellation.
 #[test]
 fn cancellation_ends_no_sooner_than_it_is_written() {
     run_test(async {
@@ -250,7 +250,10 @@
         let mut first = [0; 4];
         peer.read_exact(&mut first).await.expect("bytes");
         bench.send(cancel(1, AfterCancellation::NoRetry)).await;
-        assert!(bench.is_silent().await, "the cancellation is still here");
+        assert!(
+            bench.is_silent().await,
+            "the cancellation is not written yet"
+        );
         let mut all = Vec::new();
         while !all.ends_with(b"QUIT 0000000000000001\r\n") {
             assert!(peer.read_buf(&mut all).await.expect("bytes") > 0);
@@ -264,8 +267,8 @@
     });
 }
 
-/// Guard: a peer that reads nothing is not waited for without a bound. Its connection is closed, so that it never has
-/// the attempt whole, and what waited behind goes over another connection.
+/// The wait for a peer that reads nothing is bounded. Its connection is closed, so that it never receives the attempt
+/// completely, and the attempt queued behind goes over another connection.
 #[test]
 fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
     run_test(async {
@@ -287,12 +290,11 @@
         assert_eq!(&text, b"ASK 0000000000000002");
         let mut rest = Vec::new();
         while peer.read_buf(&mut rest).await.is_ok_and(|n| n > 0) {}
-        assert!(rest.len() < LARGE, "it never has it whole");
+        assert!(rest.len() < LARGE, "it never receives it completely");
     });
 }
 
-/// Guard: a connection that breaks while the cancellation is queued is an end that is told once, as the one that was
-/// asked for.
+/// Where the connection fails while the cancellation is queued, one end is reported: that of the cancellation.
 #[test]
 fn reset_while_cancellation_is_queued_is_reported_once() {
     run_test(async {
@@ -312,8 +314,8 @@
     });
 }
 
-/// A good answer that crosses the cancellation is passed on; pages that the cancellation let go are not asked for; and
-/// an answer that proves that nothing ran does so for what is given up too.
+/// A complete result that crosses the cancellation is passed on; further pages, which the engine drops as it reads the
+/// cancellation, are not asked for.
 #[test]
 fn answers_that_cross_a_cancellation_end_the_attempt() {
     run_test(async {
@@ -329,7 +331,7 @@
             bench.send(cancel(1, AfterCancellation::NoRetry)).await;
             assert!(
                 bench.is_silent().await,
-                "the cancellation stands behind what is not read"
+                "the cancellation is queued behind what is not read"
             );
             peer.write_all(format!("0000000000000001 {answer}\r\n").as_bytes())
                 .await
@@ -343,9 +345,9 @@
                         ..
                     },
                 ) => assert!(page),
-                told => assert!(
-                    !page && is_cancelled(&told, 1, AttemptEnd::Answered),
-                    "{told:?}"
+                event => assert!(
+                    !page && is_cancelled(&event, 1, AttemptEnd::Answered),
+                    "{event:?}"
                 ),
             }
         }
--- a/src/engines/mod.rs
+++ b/src/engines/mod.rs
@@ -12,7 +12,6 @@
 mod fleet;
 pub(crate) mod flight;
 pub(crate) mod line_protocol;
-mod reply;
 #[cfg(test)]
 mod tests;
 
--- a/src/engines/tests/engines_beyond_descriptors.rs
+++ b/src/engines/tests/engines_beyond_descriptors.rs
@@ -167,7 +167,7 @@
 #[test]
 fn bursts_on_more_engines_than_descriptors_are_served_completely() {
     run_test(async {
-        let (handle, inputs) = Handle::new(64, Clock::new());
+        let (handle, mailbox) = Handle::new(64, Clock::new());
         let context = EngineContext::with_descriptors(handle.clone(), 64);
         let parsed = EngineContext::settings_for_tests();
         let (settings, class) = (parsed.settings, parsed.classes[0].clone());
@@ -176,10 +176,10 @@
         let (limits, metrics) = (context.limits.clone(), context.metrics.clone());
         let core =
             Core::new(settings, 7, Fleet::new(context), limits, metrics.clone()).expect("core");
-        tokio::spawn(run(core, inputs, Clock::new()));
+        tokio::spawn(run(core, mailbox, Clock::new()));
         let entries = engines(200, None).await;
         handle
-            .tell(CoreMessage::EndpointList(EndpointListEvent {
+            .send(CoreMessage::EndpointList(EndpointListEvent {
                 number: 1,
                 kind: ListUpdateKind::Full,
                 records: entries,
@@ -194,7 +194,7 @@
                 let one = taken(id, &class, handle.now() + 15_000.0, 50.0, client.clone());
                 let name = Bytes::from(format!("{id:016x}"));
                 handle
-                    .tell(CoreMessage::Request(AcceptedRequest {
+                    .send(CoreMessage::Request(AcceptedRequest {
                         client_reference: name,
                         data_set: id,
                         ..one
