--- /dev/null
+++ b/src/engines/flight/attempt.rs
@@ -0,0 +1,193 @@
+//! The task of one attempt: sends the statement, collects its result, and reports the attempt's end.
+
+use super::attempt_failure::AttemptFailure;
+use super::engine_link::EngineLink;
+use super::http2_connection::Http2Connection;
+use super::metadata::{INFLIGHT, USED_MB, WORK_MS, call_request, figure, keep_measurements};
+use super::result_collector::ResultCollector;
+use crate::core::{AttemptEvent, AttemptRequest, ResultBody, StatementKind};
+use crate::decision::{LoadReport, Outcome};
+use crate::engines::context::AttemptId;
+use crate::rows;
+use arrow_flight::flight_service_client::FlightServiceClient;
+use arrow_flight::sql::{
+    CommandStatementQuery, CommandStatementUpdate, DoPutUpdateResult, ProstMessageExt,
+};
+use arrow_flight::{FlightData, FlightDescriptor, Ticket};
+use bytes::Bytes;
+use futures::stream;
+use prost::Message;
+use std::sync::{Arc, OnceLock};
+use tonic::Request;
+use tonic::metadata::MetadataMap;
+
+/// Runs an attempt to its end and reports that. `used_connection` is set once the attempt has a connection: from then
+/// on some of it may have been sent.
+pub(super) async fn run_attempt(
+    link: Arc<EngineLink>,
+    request: AttemptRequest,
+    used_connection: Arc<OnceLock<Http2Connection>>,
+) {
+    let attempt = AttemptId::from(&request);
+    let connected = link.connection().await;
+    // The attempt may have been cancelled, or its time have passed, while the connection came up.
+    if connected.is_ok()
+        && let Some(event) = request.expired(link.context().core.now())
+    {
+        return link.send_event_without_report(attempt, event).await;
+    }
+    let mut measurements = MetadataMap::new();
+    let result = match connected {
+        Ok(_) if link.is_closed() => Err(AttemptFailure::EngineClosed),
+        Ok(connected) => {
+            let _ = used_connection.set(connected.connection.clone());
+            let mut statement = Statement::new(&link, &request, &mut measurements);
+            statement.execute(connected.connection).await
+        }
+        Err(failure) => Err(failure),
+    };
+    let (outcome, body) = match result {
+        Ok(body) => (Outcome::Ok, body),
+        Err(failure) => (failure.outcome(), None),
+    };
+    if matches!(outcome, Outcome::Reset | Outcome::NoConnection) {
+        // The next attempt opens a new connection, and so knows for sure whether it was sent.
+        link.forget_connection().await;
+    }
+    report_end(&link, attempt, outcome, &measurements, body).await;
+}
+
+async fn report_end(
+    link: &EngineLink,
+    attempt: AttemptId,
+    outcome: Outcome,
+    measurements: &MetadataMap,
+    body: Option<ResultBody>,
+) {
+    let load_report = LoadReport {
+        inflight: figure(measurements, INFLIGHT),
+        ..LoadReport::default()
+    };
+    let event = AttemptEvent::Ended {
+        outcome,
+        measured_work_ms: figure(measurements, WORK_MS),
+        measured_memory_mb: figure(measurements, USED_MB),
+        body,
+    };
+    link.send_event(attempt, load_report, event).await;
+}
+
+/// The execution of one attempt's statement.
+struct Statement<'a> {
+    link: &'a EngineLink,
+    request: &'a AttemptRequest,
+    /// What the engine reports of itself and of the statement.
+    measurements: &'a mut MetadataMap,
+}
+
+impl<'a> Statement<'a> {
+    fn new(
+        link: &'a EngineLink,
+        request: &'a AttemptRequest,
+        measurements: &'a mut MetadataMap,
+    ) -> Statement<'a> {
+        Statement {
+            link,
+            request,
+            measurements,
+        }
+    }
+
+    /// Executes it on this connection. Returns the complete result, or none where it streamed to the client.
+    async fn execute(
+        &mut self,
+        connection: Http2Connection,
+    ) -> Result<Option<ResultBody>, AttemptFailure> {
+        let context = self.link.context();
+        let origin = format!("http://{}", self.link.address()).parse()?;
+        let client = FlightServiceClient::with_origin(connection, origin)
+            .max_decoding_message_size(context.limits.flight_message_bytes);
+        // Counted before the call, as nothing shows when the last byte of a stream was sent.
+        context.metrics.attempts_written.increment();
+        let text = String::from_utf8(self.request.statement.to_vec())?;
+        match self.request.statement_kind {
+            StatementKind::Update => self.update(client, text).await.map(Some),
+            StatementKind::Query => self.query(client, text).await,
+        }
+    }
+
+    /// A request of this attempt, with its metadata.
+    fn call<T>(&self, message: T) -> Request<T> {
+        call_request(self.request, self.link.context().core.now(), message)
+    }
+
+    /// Executes an update; returns the number of rows that it changed.
+    async fn update(
+        &mut self,
+        mut client: FlightServiceClient<Http2Connection>,
+        query: String,
+    ) -> Result<ResultBody, AttemptFailure> {
+        let command = CommandStatementUpdate {
+            query,
+            transaction_id: None,
+        };
+        let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
+        let data = FlightData::new().with_descriptor(descriptor);
+        let response = client.do_put(self.call(stream::iter([data]))).await?;
+        keep_measurements(self.measurements, response.metadata());
+        let mut results = response.into_inner();
+        let result = results.message().await?;
+        let result = result.ok_or(AttemptFailure::MissingUpdateResult)?;
+        let count = DoPutUpdateResult::decode(result.app_metadata)?;
+        while results.message().await?.is_some() {}
+        Ok(rows::counted(count.record_count))
+    }
+
+    /// Executes a query; returns the rows of all its endpoints.
+    async fn query(
+        &mut self,
+        mut client: FlightServiceClient<Http2Connection>,
+        query: String,
+    ) -> Result<Option<ResultBody>, AttemptFailure> {
+        let command = CommandStatementQuery {
+            query,
+            transaction_id: None,
+        };
+        let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
+        let response = client.get_flight_info(self.call(descriptor)).await?;
+        let mut collector = ResultCollector::new(self.link, AttemptId::from(self.request));
+        for (index, endpoint) in response.into_inner().endpoint.into_iter().enumerate() {
+            let ticket = endpoint.ticket.ok_or(AttemptFailure::MissingTicket)?;
+            // Each endpoint begins with the schema, which the client gets once.
+            let skipped_messages = usize::from(index > 0);
+            self.collect_endpoint(&mut client, ticket, skipped_messages, &mut collector)
+                .await?;
+        }
+        collector.finish().await
+    }
+
+    /// Collects the rows of one endpoint, its first messages aside.
+    async fn collect_endpoint(
+        &mut self,
+        client: &mut FlightServiceClient<Http2Connection>,
+        ticket: Ticket,
+        mut skipped_messages: usize,
+        collector: &mut ResultCollector<'_>,
+    ) -> Result<(), AttemptFailure> {
+        let response = client.do_get(self.call(ticket)).await?;
+        keep_measurements(self.measurements, response.metadata());
+        let mut data = response.into_inner();
+        while let Some(message) = data.message().await? {
+            if skipped_messages > 0 {
+                skipped_messages -= 1;
+                continue;
+            }
+            let chunk = Bytes::from(message.encode_to_vec());
+            collector.push(chunk).await?;
+        }
+        if let Some(trailers) = data.trailers().await? {
+            keep_measurements(self.measurements, &trailers);
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/engines/flight/call.rs
@@ -0,0 +1,99 @@
+//! One call on an HTTP/2 connection, and the body of its response.
+
+use super::connection_signals::ConnectionSignals;
+use bytes::Bytes;
+use h2::client::SendRequest;
+use h2::{Reason, RecvStream, SendStream};
+use http_body::{Body, Frame};
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::{Context, Poll, ready};
+use thiserror::Error;
+
+/// The connection did not take a call: nothing of the call was sent.
+#[derive(Debug, Error)]
+#[error("the connection takes no call: {0}")]
+pub(super) struct ConnectionRefused(h2::Error);
+
+/// The sending half of a call. Dropped before the call has ended, it resets the call at once, with what is queued of it.
+struct CallGuard {
+    stream: SendStream<Bytes>,
+    has_ended: bool,
+    signals: Arc<ConnectionSignals>,
+}
+
+impl Drop for CallGuard {
+    fn drop(&mut self) {
+        self.signals.end_call();
+        if !self.has_ended {
+            self.stream.send_reset(Reason::CANCEL);
+        }
+    }
+}
+
+/// The body of a response, as it arrives.
+pub(super) struct ResponseBody {
+    stream: RecvStream,
+    call: CallGuard,
+    /// All data has arrived; the trailers follow.
+    data_ended: bool,
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = h2::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, h2::Error>>> {
+        if !self.data_ended {
+            if let Some(data) = ready!(self.stream.poll_data(context)) {
+                let data = data?;
+                let _ = self.stream.flow_control().release_capacity(data.len());
+                return Poll::Ready(Some(Ok(Frame::data(data))));
+            }
+            self.data_ended = true;
+        }
+        let trailers = ready!(self.stream.poll_trailers(context))?;
+        self.call.has_ended = true;
+        Poll::Ready(trailers.map(|trailers| Ok(Frame::trailers(trailers))))
+    }
+}
+
+/// Sends a call and waits for the head of its response.
+///
+/// # Errors
+/// [`ConnectionRefused`] where nothing of the call was sent; else the error of the connection or of the request's body.
+pub(super) async fn send_call(
+    requests: SendRequest<Bytes>,
+    signals: Arc<ConnectionSignals>,
+    request: http::Request<tonic::body::Body>,
+) -> Result<http::Response<ResponseBody>, Box<dyn std::error::Error + Send + Sync>> {
+    let (head, mut body) = request.into_parts();
+    let head = http::Request::from_parts(head, ());
+    let mut requests = requests.ready().await.map_err(ConnectionRefused)?;
+    let (response, stream) = requests
+        .send_request(head, false)
+        .map_err(ConnectionRefused)?;
+    signals.begin_call();
+    let mut call = CallGuard {
+        stream,
+        has_ended: false,
+        signals,
+    };
+    while let Some(frame) = poll_fn(|context| Pin::new(&mut body).poll_frame(context)).await {
+        if let Ok(data) = frame?.into_data() {
+            call.stream.send_data(data, false)?;
+        }
+    }
+    call.stream.send_data(Bytes::new(), true)?;
+    let (head, stream) = response.await?.into_parts();
+    let body = ResponseBody {
+        stream,
+        call,
+        data_ended: false,
+    };
+    Ok(http::Response::from_parts(head, body))
+}
--- /dev/null
+++ b/src/engines/flight/cancellation.rs
@@ -0,0 +1,74 @@
+//! The proof that an attempt whose task was aborted is over. Aborting a task resets its stream; the attempt has ended
+//! once that reset was sent and, where another attempt may follow, the engine has read it.
+
+use super::engine_link::EngineLink;
+use super::http2_connection::Http2Connection;
+use crate::attempt::{AttemptEnd, AttemptState};
+use crate::core::AttemptEvent;
+use crate::decision::Outcome;
+use crate::engines::context::{AfterCancellation, AttemptId};
+use std::sync::{Arc, OnceLock};
+use tokio::time::timeout;
+
+/// Reports the end of an attempt whose task was aborted, once that end is proven. `cancelled` is none where the core did
+/// not ask for it.
+pub(super) async fn report_aborted(
+    link: Arc<EngineLink>,
+    attempt: AttemptId,
+    used_connection: Arc<OnceLock<Http2Connection>>,
+    cancelled: Option<AfterCancellation>,
+) {
+    let after = cancelled.unwrap_or(AfterCancellation::NoRetry);
+    let end = match used_connection.get() {
+        None => end_without_connection(after),
+        Some(connection) => confirm_reset(&link, connection.clone(), after).await,
+    };
+    let event = match (cancelled, end) {
+        (Some(_), end) => AttemptEvent::Cancelled(end),
+        (None, AttemptEnd::NeverSent) => AttemptEvent::end(Outcome::NoConnection),
+        (None, _) => AttemptEvent::end(Outcome::Reset),
+    };
+    link.send_event_without_report(attempt, event).await;
+}
+
+/// The end of an attempt that had no connection yet.
+fn end_without_connection(after: AfterCancellation) -> AttemptEnd {
+    let nothing_to_send = || 0;
+    AttemptState::default()
+        .cancel(after.retry_may_follow(), nothing_to_send)
+        .unwrap_or(AttemptEnd::NeverSent)
+}
+
+/// Waits for the proof that an attempt on this connection is over. The wait is bounded: a connection that takes no more
+/// is closed, and the other attempts on it end as on any connection that failed.
+async fn confirm_reset(
+    link: &EngineLink,
+    mut connection: Http2Connection,
+    after: AfterCancellation,
+) -> AttemptEnd {
+    let limits = &link.context().limits;
+    let mut state = AttemptState::default();
+    let reset_mark = connection.next_flush();
+    // It is not known when the attempt was sent: possibly at once when it had a connection.
+    state.begin_writing(0);
+    state.cancel(after.retry_may_follow(), || reset_mark);
+    let flushed = connection.flushed(reset_mark);
+    let was_flushed = timeout(limits.cancellation_write_timeout, flushed).await;
+    let mut end = match was_flushed {
+        Ok(true) => state.wrote(reset_mark),
+        _ => None,
+    };
+    if end.is_none() && after.retry_may_follow() {
+        let confirmed = connection.confirm_read();
+        let was_confirmed = timeout(limits.cancellation_confirm_timeout, confirmed).await;
+        if was_confirmed == Ok(true) {
+            end = state.cancellation_confirmed();
+        }
+    }
+    if end.is_none() && !connection.is_closed() {
+        link.context().metrics.cancellations_unconfirmed.increment();
+        connection.close();
+        connection.closed().await;
+    }
+    end.unwrap_or_else(|| state.connection_closed(0))
+}
--- /dev/null
+++ b/src/engines/flight/connection_driver.rs
@@ -0,0 +1,93 @@
+//! The task that drives one HTTP/2 connection: polls it, sends pings, and closes it where a ping is not answered.
+
+use super::connection_signals::ConnectionSignals;
+use super::flush_tracking_socket::FlushTrackingSocket;
+use crate::engines::connection_slots::ConnectionSlot;
+use bytes::Bytes;
+use h2::client::Connection;
+use h2::{Ping, PingPong};
+use std::future::poll_fn;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep_until};
+
+/// When pings are sent to see whether the peer is alive, and how long their answers may take.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct KeepAlive {
+    pub(super) interval: Duration,
+    pub(super) timeout: Duration,
+}
+
+/// A ping that was sent and is not answered yet. Pings go out one at a time.
+struct PingInFlight {
+    /// The last requested ping when it was sent: it stands for all up to that one.
+    stands_for: u64,
+    sent_at: Instant,
+}
+
+/// Drives one connection. Fields are dropped in this order: the slot, and with it the descriptor, is free only after
+/// the socket has been closed.
+pub(super) struct ConnectionDriver {
+    /// The number of the last requested ping that is answered.
+    pub(super) answered_pings: watch::Sender<u64>,
+    pub(super) signals: Arc<ConnectionSignals>,
+    pub(super) keep_alive: KeepAlive,
+    pub(super) connection: Connection<FlushTrackingSocket, Bytes>,
+    pub(super) slot: ConnectionSlot,
+}
+
+impl ConnectionDriver {
+    /// Runs until the connection ends, is evicted, or a ping is not answered in time.
+    pub(super) async fn run(mut self) {
+        let Some(mut pings) = self.connection.ping_pong() else {
+            return;
+        };
+        let mut in_flight: Option<PingInFlight> = None;
+        let mut next_ping_at = Instant::now() + self.keep_alive.interval;
+        loop {
+            // Servers close a connection that is pinged while no call is open on it.
+            if !self.signals.has_open_calls() {
+                next_ping_at = next_ping_at.max(Instant::now() + self.keep_alive.interval);
+            }
+            if in_flight.is_none() && self.is_ping_due(next_ping_at) {
+                in_flight = match self.send_ping(&mut pings) {
+                    Ok(ping) => Some(ping),
+                    Err(_) => return,
+                };
+            }
+            let wake_at = in_flight
+                .as_ref()
+                .map_or(next_ping_at, |ping| ping.sent_at + self.keep_alive.timeout);
+            tokio::select! {
+                _ = &mut self.connection => return,
+                answer = poll_fn(|context| pings.poll_pong(context)), if in_flight.is_some() => {
+                    let Some(ping) = in_flight.take().filter(|_| answer.is_ok()) else {
+                        return;
+                    };
+                    self.answered_pings.send_replace(ping.stands_for);
+                    next_ping_at = Instant::now() + self.keep_alive.interval;
+                }
+                () = self.signals.driver_woken() => {}
+                () = self.slot.evicted() => return,
+                () = sleep_until(wake_at) => if in_flight.is_some() {
+                    return;
+                }
+            }
+        }
+    }
+
+    fn is_ping_due(&self, next_ping_at: Instant) -> bool {
+        let is_requested = self.signals.last_requested_ping() > *self.answered_pings.borrow();
+        is_requested || Instant::now() >= next_ping_at
+    }
+
+    fn send_ping(&self, pings: &mut PingPong) -> Result<PingInFlight, h2::Error> {
+        let stands_for = self.signals.last_requested_ping();
+        pings.send_ping(Ping::opaque())?;
+        Ok(PingInFlight {
+            stands_for,
+            sent_at: Instant::now(),
+        })
+    }
+}
--- /dev/null
+++ b/src/engines/flight/engine_link.rs
@@ -0,0 +1,164 @@
+//! What the attempts of one engine share: its connection, and the way to report to the core.
+
+use super::attempt_failure::AttemptFailure;
+use super::http2_connection::Http2Connection;
+use crate::core::AttemptEvent;
+use crate::decision::{EngineId, LoadReport, Millis};
+use crate::engines::admission::Admission;
+use crate::engines::connection_load::{ConnectionLoad, ConnectionUse};
+use crate::engines::connection_slots::SlotPurpose;
+use crate::engines::context::{AttemptId, EngineContext};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::sync::Mutex;
+
+/// Counts one attempt on a connection for as long as it lives.
+pub(super) struct LoadGuard(Arc<ConnectionLoad>);
+
+impl LoadGuard {
+    fn new(load: &Arc<ConnectionLoad>, now_ms: Millis) -> LoadGuard {
+        load.begin_attempt(ConnectionUse::Shared, now_ms);
+        LoadGuard(load.clone())
+    }
+}
+
+impl Drop for LoadGuard {
+    fn drop(&mut self) {
+        self.0.end_attempt(ConnectionUse::Shared);
+    }
+}
+
+/// A connection that is up, for one attempt.
+pub(super) struct AttemptConnection {
+    pub(super) connection: Http2Connection,
+    _load: LoadGuard,
+}
+
+/// The engine's connection, with what it carries.
+struct CurrentConnection {
+    connection: Http2Connection,
+    load: Arc<ConnectionLoad>,
+}
+
+impl CurrentConnection {
+    fn takes_calls(&self) -> bool {
+        !self.connection.is_closed() && !self.load.is_evicted()
+    }
+
+    fn for_attempt(&self, now_ms: Millis) -> AttemptConnection {
+        AttemptConnection {
+            connection: self.connection.clone(),
+            _load: LoadGuard::new(&self.load, now_ms),
+        }
+    }
+}
+
+/// One engine, as its attempts see it.
+pub(super) struct EngineLink {
+    engine: EngineId,
+    address: SocketAddr,
+    context: EngineContext,
+    admission: Arc<Admission>,
+    current: Mutex<Option<CurrentConnection>>,
+}
+
+impl EngineLink {
+    pub(super) fn new(
+        engine: EngineId,
+        address: SocketAddr,
+        context: EngineContext,
+        admission: Arc<Admission>,
+    ) -> EngineLink {
+        EngineLink {
+            engine,
+            address,
+            context,
+            admission,
+            current: Mutex::default(),
+        }
+    }
+
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    pub(super) fn context(&self) -> &EngineContext {
+        &self.context
+    }
+
+    /// Whether the engine takes no new attempts.
+    pub(super) fn is_closed(&self) -> bool {
+        self.admission.is_closed()
+    }
+
+    /// The connection for one more attempt; opens one where there is none.
+    ///
+    /// # Errors
+    /// Says why there is no connection. Nothing of the attempt was sent then.
+    pub(super) async fn connection(&self) -> Result<AttemptConnection, AttemptFailure> {
+        let mut current = self.current.lock().await;
+        if let Some(open) = current.as_ref().filter(|open| open.takes_calls()) {
+            return Ok(open.for_attempt(self.context.core.now()));
+        }
+        *current = None;
+        let load = Arc::<ConnectionLoad>::default();
+        // Counted from the start, so that the connection is not evicted while it comes up.
+        let load_guard = LoadGuard::new(&load, self.context.core.now());
+        let slot = self
+            .context
+            .slots
+            .acquire(&load, SlotPurpose::FirstConnection)
+            .ok_or(AttemptFailure::NoConnectionSlot)?;
+        let connection = Http2Connection::connect(self.address, &self.context.limits, slot).await?;
+        self.context.metrics.engine_connections.increment();
+        *current = Some(CurrentConnection {
+            connection: connection.clone(),
+            load,
+        });
+        Ok(AttemptConnection {
+            connection,
+            _load: load_guard,
+        })
+    }
+
+    /// Has the next attempt open a new connection.
+    pub(super) async fn forget_connection(&self) {
+        *self.current.lock().await = None;
+    }
+
+    /// Closes the connection, if there is one.
+    pub(super) async fn close_connection(&self) {
+        if let Some(current) = self.current.lock().await.take() {
+            current.connection.close();
+        }
+    }
+
+    /// Whether there is no connection, nor any attempt that opens one.
+    pub(super) fn is_unconnected(&self) -> bool {
+        let Ok(current) = self.current.try_lock() else {
+            return false;
+        };
+        current
+            .as_ref()
+            .is_none_or(|current| current.connection.is_closed())
+    }
+
+    /// Sends the core an event of an attempt, with the engine's load report.
+    pub(super) async fn send_event(
+        &self,
+        attempt: AttemptId,
+        load_report: LoadReport,
+        event: AttemptEvent,
+    ) {
+        self.context
+            .send_event(self.engine, attempt, load_report, event)
+            .await;
+    }
+
+    /// Sends the core an event of an attempt about which the engine reported nothing.
+    pub(super) async fn send_event_without_report(&self, attempt: AttemptId, event: AttemptEvent) {
+        self.context
+            .send_event_without_report(self.engine, attempt, event)
+            .await;
+    }
+}
--- /dev/null
+++ b/src/engines/flight/flush_tracking_socket.rs
@@ -0,0 +1,85 @@
+//! A socket that counts its flushes, so that it is known what has been sent.
+
+use super::connection_signals::ConnectionSignals;
+use std::io;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::{Context, Poll, ready};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+
+/// The socket of one HTTP/2 connection. Dropping it closes the `flushes` channel.
+pub(super) struct FlushTrackingSocket {
+    stream: TcpStream,
+    /// Number of flushes so far.
+    flushes: watch::Sender<u64>,
+    signals: Arc<ConnectionSignals>,
+}
+
+impl FlushTrackingSocket {
+    pub(super) fn new(
+        stream: TcpStream,
+        flushes: watch::Sender<u64>,
+        signals: Arc<ConnectionSignals>,
+    ) -> FlushTrackingSocket {
+        FlushTrackingSocket {
+            stream,
+            flushes,
+            signals,
+        }
+    }
+
+    /// Fails once the connection is to be closed.
+    fn check_open(&self) -> io::Result<()> {
+        if self.signals.is_close_requested() {
+            Err(io::ErrorKind::ConnectionReset.into())
+        } else {
+            Ok(())
+        }
+    }
+}
+
+impl Drop for FlushTrackingSocket {
+    fn drop(&mut self) {
+        // A reset discards what the kernel still holds: the peer must not receive it after the ends that are reported.
+        if self.signals.is_close_requested() {
+            let _ = self.stream.set_zero_linger();
+        }
+    }
+}
+
+impl AsyncRead for FlushTrackingSocket {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        self.signals.register_socket_reader(context.waker());
+        self.check_open()?;
+        Pin::new(&mut self.stream).poll_read(context, buffer)
+    }
+}
+
+impl AsyncWrite for FlushTrackingSocket {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.check_open()?;
+        Pin::new(&mut self.stream).poll_write(context, buffer)
+    }
+
+    /// Called by HTTP/2 once all that is queued has been written.
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.check_open()?;
+        ready!(Pin::new(&mut self.stream).poll_flush(context))?;
+        self.flushes.send_modify(|flushes| *flushes += 1);
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
+    }
+}
--- /dev/null
+++ b/src/engines/flight/result_collector.rs
@@ -0,0 +1,108 @@
+//! The result of a query as it arrives: buffered until it is complete, or streamed once it outgrows the buffer.
+
+use super::attempt_failure::AttemptFailure;
+use super::engine_link::EngineLink;
+use crate::core::{AttemptEvent, ResultBody, ResultChunk, ResultFormat};
+use crate::engines::context::AttemptId;
+use crate::limits::MemoryReservation;
+use bytes::Bytes;
+use tokio::sync::mpsc;
+
+/// Where the chunks of a result go.
+enum Destination {
+    /// Buffered, while the result is small.
+    Buffer(Vec<Bytes>),
+    /// To the client.
+    Stream(mpsc::Sender<ResultChunk>),
+}
+
+/// Collects one result.
+pub(super) struct ResultCollector<'a> {
+    link: &'a EngineLink,
+    attempt: AttemptId,
+    destination: Destination,
+    /// Bytes of all chunks so far.
+    bytes: usize,
+    reservation: MemoryReservation,
+}
+
+impl<'a> ResultCollector<'a> {
+    pub(super) fn new(link: &'a EngineLink, attempt: AttemptId) -> ResultCollector<'a> {
+        ResultCollector {
+            link,
+            attempt,
+            destination: Destination::Buffer(Vec::new()),
+            bytes: 0,
+            reservation: MemoryReservation::new(&link.context().partial_results),
+        }
+    }
+
+    /// Takes one chunk. The client of a stream sets the pace.
+    ///
+    /// # Errors
+    /// Fails where the client of a stream has disconnected, or incomplete results outgrow their memory.
+    pub(super) async fn push(&mut self, chunk: Bytes) -> Result<(), AttemptFailure> {
+        self.bytes += chunk.len();
+        let buffer = match &mut self.destination {
+            Destination::Stream(stream) => {
+                let sent = stream.send(ResultChunk::Data(chunk)).await;
+                return sent.map_err(|_| AttemptFailure::ClientDisconnected);
+            }
+            Destination::Buffer(buffer) => buffer,
+        };
+        buffer.push(chunk);
+        if !self.reserve(self.bytes) {
+            return Err(AttemptFailure::ResultMemoryExhausted);
+        }
+        if self.bytes > self.link.context().limits.flight_buffered_bytes {
+            self.begin_stream().await;
+        }
+        Ok(())
+    }
+
+    /// Reserves so much memory for the buffer; false where all incomplete results together would take too much.
+    fn reserve(&mut self, bytes: usize) -> bool {
+        let limits = &self.link.context().limits;
+        self.reservation
+            .set(bytes, limits.share(limits.partial_result_bytes))
+    }
+
+    /// Hands what is buffered to the client, which gets the rest as it arrives.
+    async fn begin_stream(&mut self) {
+        let limits = &self.link.context().limits;
+        let (stream, remaining_chunks) = mpsc::channel(limits.flight_chunks);
+        let streaming = Destination::Stream(stream);
+        let chunks = match std::mem::replace(&mut self.destination, streaming) {
+            Destination::Buffer(chunks) => chunks,
+            Destination::Stream(_) => Vec::new(),
+        };
+        let body = ResultBody {
+            format: ResultFormat::Arrow,
+            chunks,
+            remaining_chunks: Some(remaining_chunks),
+        };
+        let event = AttemptEvent::ResultStreaming(body);
+        self.link
+            .send_event_without_report(self.attempt, event)
+            .await;
+        self.reserve(0);
+    }
+
+    /// Ends the result after its last chunk; returns it unless it streamed. A stream ends well by this alone: a task
+    /// that fails or is aborted leaves its client with a result that is cut off.
+    ///
+    /// # Errors
+    /// Fails where the client of a stream has disconnected.
+    pub(super) async fn finish(self) -> Result<Option<ResultBody>, AttemptFailure> {
+        match self.destination {
+            Destination::Buffer(chunks) => {
+                Ok(Some(ResultBody::complete(ResultFormat::Arrow, chunks)))
+            }
+            Destination::Stream(stream) => {
+                let sent = stream.send(ResultChunk::End).await;
+                sent.map_err(|_| AttemptFailure::ClientDisconnected)?;
+                Ok(None)
+            }
+        }
+    }
+}
--- a/src/engines/flight/tests.rs
+++ b/src/engines/flight/tests.rs
@@ -1,12 +1,14 @@
 //! Tests of a Flight engine's actor against a peer that speaks no more than HTTP/2.
 
-use super::*;
+use crate::attempt::AttemptEnd;
+use crate::decision::Outcome;
 use crate::engines::context::AfterCancellation;
 use crate::engines::tests::test_bench::{
     EngineTestBench, LARGE, attempt, attempt_with_statement, cancel, is_cancelled, is_ended,
     run_test, start,
 };
 use crate::node_config::EngineProtocol;
+use bytes::Bytes;
 use std::future::poll_fn;
 use tokio::net::TcpStream;
 
