--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -2,22 +2,18 @@
 
 use super::service::FlightFrontend;
 use super::tracked_connection::{CloseSignal, TrackedConnection};
-use crate::clients::Frontend;
 use crate::clients::connection_slots::{ConnectionSlot, ConnectionSlots};
+use crate::clients::{ACCEPT_RETRY_DELAY, Frontend};
 use crate::limits::Limits;
 use crate::metrics::Metrics;
 use arrow_flight::flight_service_server::FlightServiceServer;
 use futures::stream;
 use std::io;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 use tonic::transport::Server;
 
-/// Pause after a failed `accept`, so that a lack of descriptors does not become a busy loop.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-
 /// Serves Flight SQL clients until the process ends.
 pub(crate) async fn listen(listener: TcpListener, frontend: Frontend) {
     let limits = frontend.limits.clone();
@@ -49,15 +45,9 @@
 
 impl Acceptor {
     fn new(listener: TcpListener, frontend: &Frontend) -> Acceptor {
-        let slots = ConnectionSlots::new(
-            frontend.limits.flight_connections,
-            frontend.limits.clone(),
-            frontend.metrics.clone(),
-        );
-        tokio::spawn(slots.clone().follow_lifecycle(frontend.lifecycle.clone()));
         Acceptor {
             listener,
-            slots,
+            slots: frontend.start_slots(frontend.limits.flight_connections),
             limits: frontend.limits.clone(),
             metrics: frontend.metrics.clone(),
         }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -10,6 +10,7 @@
 pub(crate) mod msgpack_rpc;
 mod pending;
 
+use self::connection_slots::ConnectionSlots;
 use crate::core::{Answer, Handle};
 use crate::decision::Millis;
 use crate::lifecycle::Lifecycle;
@@ -17,11 +18,15 @@
 use crate::metrics::{ClassOutcomes, Counter, Metrics};
 use crate::settings_json::{NamedClass, PlatformSettings};
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::watch;
 
 /// Digits of a request's reference: the engines take no other length.
 const REFERENCE_DIGITS: usize = 16;
 
+/// Pause after a failed `accept`, so that a lack of descriptors does not become a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+
 /// What the front ends share.
 #[derive(Clone)]
 pub(crate) struct Frontend {
@@ -45,6 +50,13 @@
 }
 
 impl Frontend {
+    /// Slots for `capacity` connections of one listener, which drain when the lifecycle says so.
+    pub(crate) fn start_slots(&self, capacity: usize) -> Arc<ConnectionSlots> {
+        let slots = ConnectionSlots::new(capacity, self.limits.clone(), self.metrics.clone());
+        tokio::spawn(slots.clone().follow_lifecycle(self.lifecycle.clone()));
+        slots
+    }
+
     /// Looks a class up by its name in the settings.
     pub(crate) fn class(&self, name: &[u8]) -> Option<Arc<NamedClass>> {
         self.settings
--- a/src/clients/msgpack_rpc/listener.rs
+++ b/src/clients/msgpack_rpc/listener.rs
@@ -1,23 +1,14 @@
 //! Accepts connections and starts an actor for each of them.
 
 use super::connection::Connection;
-use crate::clients::Frontend;
 use crate::clients::connection_slots::ConnectionSlots;
+use crate::clients::{ACCEPT_RETRY_DELAY, Frontend};
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed `accept`, so that a lack of descriptors does not become a busy loop.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-
 /// Accepts clients until the process ends or another process takes the listening socket over.
 pub(crate) async fn listen(listener: TcpListener, frontend: Frontend) {
-    let slots = ConnectionSlots::new(
-        frontend.limits.client_connections,
-        frontend.limits.clone(),
-        frontend.metrics.clone(),
-    );
-    tokio::spawn(slots.clone().follow_lifecycle(frontend.lifecycle.clone()));
+    let slots = frontend.start_slots(frontend.limits.client_connections);
     let mut lifecycle = frontend.lifecycle.subscribe();
     loop {
         let accepted = tokio::select! {
