--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,22 +1,22 @@
-//! The life of an attempt, from the decision to send it to the proof that it is over. Sans-I/O: what speaks to an
-//! engine tells a [`AttemptState`] what was queued, written, answered and closed; the core keeps the [`AttemptHistory`] of each
-//! request and lets a further attempt out only once the one before is proven over. `docs/ends.md` has the table
-//! of all ends.
+//! The states of an attempt, from the decision to send it to its confirmed end. Sans-I/O: the actor that talks to an
+//! engine records in an [`AttemptState`] what was queued, written, answered and closed. The core keeps the
+//! [`AttemptHistory`] of each request and allows a further attempt only once the end of the one before is confirmed.
+//! `docs/ends.md` has the table of all ends.
 
 use crate::decision::{EngineId, Millis, Outcome};
 
-/// How an attempt came to its end. No end leaves the attempt running at its engine.
+/// How an attempt ended. After none of these ends it still runs at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No engine ever had it whole.
+    /// No engine ever had it completely.
     NeverSent,
-    /// The engine said that it never ran.
+    /// The engine reported that it never ran.
     Rejected,
-    /// The engine said how it ended.
+    /// The engine reported how it ended.
     Answered,
     /// Its cancellation was sent; where another attempt may follow, the engine has confirmed it.
     Cancelled,
-    /// The engine had it whole, and its connection is closed, which gives it up.
+    /// The engine had it completely, and its connection is closed, which cancels it.
     ConnectionLost,
 }
 
@@ -35,77 +35,87 @@
     )
 }
 
-/// Where an attempt is. A mark counts what a connection has been given to write, in whatever unit its speech has.
+/// The phase of an attempt. A mark counts what a connection was given to write, in a unit of its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Nothing of it has been handed to a connection.
-    Waiting,
-    /// Its last part lies before this mark, which has not left yet.
-    Writing(u64),
-    /// The engine has it whole.
-    Out,
-    /// The engine has told its result; what is left to pass is the result alone.
-    Told,
-    /// Its last part lies before the mark `whole`, and its cancellation ends at the mark `cancelled`; whether the engine
-    /// has to confirm that it has read the cancellation.
-    GivingUp {
-        whole: u64,
-        cancelled: u64,
-        confirm: bool,
+    Queued,
+    /// It is complete once the connection has written up to this mark.
+    Writing { end_mark: u64 },
+    /// The engine has it completely.
+    Sent,
+    /// The engine has reported its result; only the result itself is left to forward.
+    ResultReceived,
+    /// Its cancellation is queued and not yet written.
+    Cancelling {
+        /// The end of the attempt itself.
+        end_mark: u64,
+        /// The end of the cancellation.
+        cancellation_mark: u64,
+        /// Whether the engine has to confirm that it has read the cancellation.
+        needs_confirmation: bool,
     },
     /// The cancellation was sent, and the engine has not confirmed it.
-    Unconfirmed,
+    CancellationUnconfirmed,
     /// It is over.
     Ended,
 }
 
-/// The life of one attempt, as the actor sees it that speaks to its engine.
+/// The state of one attempt, as kept by the actor that talks to its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptState(Phase);
 
 impl Default for AttemptState {
     fn default() -> Self {
-        AttemptState(Phase::Waiting)
+        AttemptState(Phase::Queued)
     }
 }
 
 impl AttemptState {
-    /// It is queued for the connection and ends at this mark.
-    pub fn begin_writing(&mut self, whole: u64) {
-        if self.0 == Phase::Waiting {
-            self.0 = Phase::Writing(whole);
+    /// It is queued for writing and ends at this mark.
+    pub fn begin_writing(&mut self, end_mark: u64) {
+        if self.0 == Phase::Queued {
+            self.0 = Phase::Writing { end_mark };
         }
     }
 
-    /// So much was written. The end, where its cancellation was written with that and needs no confirmation.
+    /// The connection has written up to this mark. Returns the end, if its cancellation was written with that and needs
+    /// no confirmation.
     pub fn wrote(&mut self, written: u64) -> Option<AttemptEnd> {
         match self.0 {
-            Phase::Writing(whole) if whole <= written => self.0 = Phase::Out,
-            Phase::GivingUp {
-                cancelled, confirm, ..
-            } if cancelled <= written => {
-                if !confirm {
+            Phase::Writing { end_mark } if end_mark <= written => self.0 = Phase::Sent,
+            Phase::Cancelling {
+                cancellation_mark,
+                needs_confirmation,
+                ..
+            } if cancellation_mark <= written => {
+                if !needs_confirmation {
                     return self.end(AttemptEnd::Cancelled);
                 }
-                self.0 = Phase::Unconfirmed;
+                self.0 = Phase::CancellationUnconfirmed;
             }
             _ => {}
         }
         None
     }
 
-    /// Whether it is being given up.
+    /// Whether it is being cancelled.
     pub fn is_cancelling(&self) -> bool {
-        matches!(self.0, Phase::GivingUp { .. } | Phase::Unconfirmed)
+        matches!(
+            self.0,
+            Phase::Cancelling { .. } | Phase::CancellationUnconfirmed
+        )
     }
 
-    /// The engine confirms that it has read all up to the cancellation. Guard: connections are read in no order among
-    /// each other, so an attempt that follows over another one could be read before a cancellation that was merely
-    /// written.
+    /// The engine confirms that it has read everything up to the cancellation. Writing it is not enough: engines read
+    /// connections in any order, so a retry on another one could be read before the cancellation.
     pub fn cancellation_confirmed(&mut self) -> Option<AttemptEnd> {
         if matches!(
             self.0,
-            Phase::GivingUp { confirm: true, .. } | Phase::Unconfirmed
+            Phase::Cancelling {
+                needs_confirmation: true,
+                ..
+            } | Phase::CancellationUnconfirmed
         ) {
             self.end(AttemptEnd::Cancelled)
         } else {
@@ -113,72 +123,79 @@
         }
     }
 
-    /// Whether the engine has told its result.
+    /// Whether the engine has reported its result.
     pub fn has_result(&self) -> bool {
-        self.0 == Phase::Told
+        self.0 == Phase::ResultReceived
     }
 
-    /// It is no longer wanted. `cancel` queues the cancellation for the engine and returns the mark at which that ends;
-    /// it is called where the engine may have or get the attempt. `again` is whether another attempt may follow, so that
-    /// the engine has to confirm the cancellation. The end, where there is nothing to wait for.
-    pub fn cancel(&mut self, again: bool, cancel: impl FnOnce() -> u64) -> Option<AttemptEnd> {
+    /// Cancels it. `cancel` queues the cancellation for the engine and returns its end mark; it is called if the engine
+    /// has the attempt or may get it. If a retry may follow, the engine has to confirm the cancellation. Returns the
+    /// end, if there is nothing to wait for.
+    pub fn cancel(
+        &mut self,
+        retry_may_follow: bool,
+        cancel: impl FnOnce() -> u64,
+    ) -> Option<AttemptEnd> {
         match self.0 {
-            Phase::Waiting => self.end(AttemptEnd::NeverSent),
-            // The engine is done with it: the message frees what it holds of the result.
-            Phase::Told => {
+            Phase::Queued => self.end(AttemptEnd::NeverSent),
+            // The engine has finished it: the message frees its buffered result.
+            Phase::ResultReceived => {
                 cancel();
                 self.end(AttemptEnd::Answered)
             }
-            Phase::Writing(whole) => {
-                self.0 = Phase::GivingUp {
-                    whole,
-                    cancelled: cancel(),
-                    confirm: again,
+            Phase::Writing { end_mark } => {
+                self.0 = Phase::Cancelling {
+                    end_mark,
+                    cancellation_mark: cancel(),
+                    needs_confirmation: retry_may_follow,
                 };
                 None
             }
-            Phase::Out => {
-                self.0 = Phase::GivingUp {
-                    whole: 0,
-                    cancelled: cancel(),
-                    confirm: again,
+            Phase::Sent => {
+                self.0 = Phase::Cancelling {
+                    end_mark: 0,
+                    cancellation_mark: cancel(),
+                    needs_confirmation: retry_may_follow,
                 };
                 None
             }
-            Phase::GivingUp { .. } | Phase::Unconfirmed | Phase::Ended => None,
+            Phase::Cancelling { .. } | Phase::CancellationUnconfirmed | Phase::Ended => None,
         }
     }
 
-    /// The engine began to tell a good result, of which more is to come. False where it is not wanted any more.
+    /// The engine begins to report a result. False if the attempt is being cancelled or has ended.
     pub fn begin_result(&mut self) -> bool {
-        let fine = matches!(self.0, Phase::Writing(_) | Phase::Out);
-        if fine {
-            self.0 = Phase::Told;
+        let wanted = matches!(self.0, Phase::Writing { .. } | Phase::Sent);
+        if wanted {
+            self.0 = Phase::ResultReceived;
         }
-        fine
+        wanted
     }
 
-    /// The engine told its end; `ran` is whether that leaves open that it ran.
-    pub fn answered(&mut self, ran: bool) -> AttemptEnd {
+    /// The engine reports its end, after which it may have run or not.
+    pub fn answered(&mut self, may_have_run: bool) -> AttemptEnd {
         self.0 = Phase::Ended;
-        if ran {
+        if may_have_run {
             AttemptEnd::Answered
         } else {
             AttemptEnd::Rejected
         }
     }
 
-    /// Its connection is closed, after so much had left.
+    /// Its connection is closed, after writing up to this mark.
     pub fn connection_closed(&mut self, written: u64) -> AttemptEnd {
         let end = match self.0 {
-            Phase::Waiting => AttemptEnd::NeverSent,
-            Phase::Writing(whole) | Phase::GivingUp { whole, .. } if written < whole => {
+            Phase::Queued => AttemptEnd::NeverSent,
+            Phase::Writing { end_mark } | Phase::Cancelling { end_mark, .. }
+                if written < end_mark =>
+            {
                 AttemptEnd::NeverSent
             }
-            Phase::Told | Phase::Ended => AttemptEnd::Answered,
-            Phase::Writing(_) | Phase::Out | Phase::GivingUp { .. } | Phase::Unconfirmed => {
-                AttemptEnd::ConnectionLost
-            }
+            Phase::ResultReceived | Phase::Ended => AttemptEnd::Answered,
+            Phase::Writing { .. }
+            | Phase::Sent
+            | Phase::Cancelling { .. }
+            | Phase::CancellationUnconfirmed => AttemptEnd::ConnectionLost,
         };
         self.0 = Phase::Ended;
         end
@@ -190,7 +207,7 @@
     }
 }
 
-/// Where and when an attempt was sent, for the group of engines that may drop a repeat of it.
+/// Where and when an attempt was sent: identifies the group of engines that drop a repeat of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SentTo {
     /// Its engine's zone.
@@ -201,16 +218,16 @@
     pub at_ms: Millis,
 }
 
-/// An attempt that is out, as its request sees it.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InFlight {
     /// Which attempt of its request, from 0.
     pub number: u16,
-    /// Where it is.
+    /// Its engine.
     pub engine: EngineId,
     /// When it was sent, and into which group of engines.
     pub sent_to: SentTo,
-    /// When its engine last said anything of it.
+    /// When its engine last reported anything of it, in Unix ms.
     pub last_heard_ms: Millis,
     /// Its cancellation, once that has begun.
     pub cancelling: Option<Cancellation>,
@@ -225,22 +242,22 @@
     pub outcome: Outcome,
 }
 
-/// Why no further attempt may go out.
+/// Why no further attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDenied {
-    /// Another one is out, or not proven over.
+    /// Another one is in flight, or its end is not confirmed.
     AttemptInFlight,
-    /// It may run once only, and may have run.
+    /// The request is not idempotent, and may have run.
     MayHaveRun,
-    /// It has had all that it may have.
+    /// The limit on attempts is reached.
     AttemptsExhausted,
 }
 
-/// The attempts of one request, and what their ends prove together.
+/// The attempts of one request, and whether one of them may have run.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptHistory {
     attempts_made: u16,
-    /// Of these, those that count as none.
+    /// Those of them that do not count.
     uncounted: u16,
     in_flight: Option<InFlight>,
     ended_may_have_run: bool,
@@ -249,51 +266,51 @@
 }
 
 impl AttemptHistory {
-    /// The attempt that is out.
+    /// The attempt in flight.
     pub fn in_flight(&self) -> Option<&InFlight> {
         self.in_flight.as_ref()
     }
 
-    /// The attempt that is out, if it is this one.
+    /// The attempt in flight, if it has this number and engine.
     pub fn in_flight_as(&mut self, number: u16, engine: Option<EngineId>) -> Option<&mut InFlight> {
         self.in_flight
             .as_mut()
             .filter(|o| o.number == number && engine.is_none_or(|at| at == o.engine))
     }
 
-    /// Attempts made, those included that were barred.
+    /// Attempts numbered, including denied ones.
     pub fn attempts_made(&self) -> u16 {
         self.attempts_made
     }
 
-    /// Attempts that count: those for which there was no descriptor were none.
+    /// Attempts that count. Those without a free connection slot do not.
     pub fn attempts_counted(&self) -> u16 {
         self.attempts_made.saturating_sub(self.uncounted)
     }
 
-    /// One that ended was no attempt.
+    /// The last attempt does not count.
     pub fn discount_last(&mut self) {
         self.uncounted = self.uncounted.saturating_add(1);
     }
 
-    /// Whether any attempt may have run, the one that is out included.
+    /// Whether any attempt may have run, including the one in flight.
     pub fn may_have_run(&self) -> bool {
         self.ended_may_have_run || self.in_flight.is_some()
     }
 
-    /// Whether one that is over may have run.
+    /// Whether an ended attempt may have run.
     pub fn ended_may_have_run(&self) -> bool {
         self.ended_may_have_run
     }
 
-    /// The first attempt that may have run, of those that are over.
+    /// The first ended attempt that may have run.
     pub fn first_possible_run(&self) -> Option<SentTo> {
         self.first_possible_run
     }
 
-    /// Numbers a further attempt, and says whether it may go out; `repeatable` is whether one may that follows another
-    /// which may have run.
-    pub fn next_attempt(&mut self, repeatable: bool, cap: u32) -> Result<u16, RetryDenied> {
+    /// Numbers the next attempt. `resend_allowed` is whether one may follow another that may have run. Errors: why it
+    /// may not be sent.
+    pub fn next_attempt(&mut self, resend_allowed: bool, cap: u32) -> Result<u16, RetryDenied> {
         let number = self.attempts_made;
         self.attempts_made = self.attempts_made.saturating_add(1);
         match self {
@@ -303,13 +320,13 @@
             AttemptHistory {
                 ended_may_have_run: true,
                 ..
-            } if !repeatable => Err(RetryDenied::MayHaveRun),
+            } if !resend_allowed => Err(RetryDenied::MayHaveRun),
             _ if u32::from(self.attempts_counted()) > cap => Err(RetryDenied::AttemptsExhausted),
             _ => Ok(number),
         }
     }
 
-    /// It went out.
+    /// An attempt was sent.
     pub fn record_sent(&mut self, number: u16, engine: EngineId, sent: SentTo) {
         self.in_flight = Some(InFlight {
             number,
@@ -320,28 +337,28 @@
         });
     }
 
-    /// The one that is out is given up, and counts as this once that is proven; none where none is, or it is being
-    /// given up already.
-    pub fn begin_cancellation(&mut self, now: Millis, as_what: Outcome) -> Option<InFlight> {
-        let out = self.in_flight.as_mut().filter(|o| o.cancelling.is_none())?;
-        out.cancelling = Some(Cancellation {
+    /// Begins to cancel the attempt in flight, which ends with this outcome. None if there is none, or it is being
+    /// cancelled already.
+    pub fn begin_cancellation(&mut self, now: Millis, outcome: Outcome) -> Option<InFlight> {
+        let in_flight = self.in_flight.as_mut().filter(|o| o.cancelling.is_none())?;
+        in_flight.cancelling = Some(Cancellation {
             since_ms: now,
-            outcome: as_what,
+            outcome,
         });
-        Some(*out)
+        Some(*in_flight)
     }
 
-    /// The attempt with this number is proven over.
+    /// The end of the attempt with this number is confirmed.
     pub fn record_end(&mut self, number: u16, may_have_run: bool) -> Option<InFlight> {
-        let out = self.in_flight.take_if(|o| o.number == number)?;
+        let in_flight = self.in_flight.take_if(|o| o.number == number)?;
         self.ended_may_have_run |= may_have_run;
         self.first_possible_run = self
             .first_possible_run
-            .or(may_have_run.then_some(out.sent_to));
-        Some(out)
+            .or(may_have_run.then_some(in_flight.sent_to));
+        Some(in_flight)
     }
 
-    /// Part of a result has gone to the client.
+    /// A part of the result was sent to the client.
     pub fn record_streaming(&mut self) {
         self.ended_may_have_run = true;
     }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,4 +1,4 @@
-//! The module's actor: one task with a mailbox round the core.
+//! The core's actor: one task that runs the core on the messages of its mailbox.
 
 use super::{Core, CoreMessage, EnginePort, PriorityMessage};
 use crate::decision::{EngineId, Millis, RequestId};
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// Unix time that never goes back: the system's clock at the start, carried on by the monotonic one.
+/// Unix time that never goes back: the system's clock at the start, continued by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix_ms: Millis,
@@ -44,23 +44,23 @@
     }
 }
 
-/// Orders of staff that wait at most.
-const URGENT: usize = 16;
+/// Priority messages that wait at most.
+const PRIORITY_MAILBOX_SIZE: usize = 16;
 
-/// Where the core's actor reads.
+/// The receiving end of the core's mailbox.
 pub struct Mailbox {
     messages: mpsc::Receiver<CoreMessage>,
     priority_messages: mpsc::Receiver<PriorityMessage>,
 }
 
 impl Mailbox {
-    /// The next ordinary input, for whoever drives a core without [`run`]; none once every [`Handle`] is dropped.
+    /// The next ordinary message, for callers that drive a core without [`run`]; none once every [`Handle`] is dropped.
     pub async fn next_message(&mut self) -> Option<CoreMessage> {
         self.messages.recv().await
     }
 }
 
-/// The way into the core's mailbox, for fronts, engines and the list.
+/// The sending end of the core's mailbox, for front ends, engines' actors and discovery.
 #[derive(Clone)]
 pub struct Handle {
     mailbox: mpsc::Sender<CoreMessage>,
@@ -70,10 +70,10 @@
 }
 
 impl Handle {
-    /// A mailbox of this size, and a small one that overtakes it; their receivers go to [`run`].
+    /// A mailbox for this many messages, and a small one for priority messages; the receiving end goes to [`run`].
     pub fn new(size: usize, clock: Clock) -> (Handle, Mailbox) {
         let (mailbox, inputs) = mpsc::channel(size);
-        let (urgent, orders) = mpsc::channel(URGENT);
+        let (urgent, orders) = mpsc::channel(PRIORITY_MAILBOX_SIZE);
         (
             Handle {
                 mailbox,
@@ -88,58 +88,57 @@
         )
     }
 
-    /// Takes an engine out or gives it back, past all that waits in the mailbox; false where nothing is known of
-    /// the engine. `told` is what need not be known, as it was said elsewhere.
+    /// Ejects an engine manually or returns it, ahead of the mailbox, as ordered at this Unix time in ms. False where
+    /// the engine is not known, which it need not be if a peer process passes the order on.
     pub async fn set_manual_ejection(
         &self,
         engine: EngineId,
-        out: bool,
-        at: Millis,
-        told: bool,
+        ejected: bool,
+        at_ms: Millis,
+        from_peer: bool,
     ) -> bool {
-        let (done, said) = oneshot::channel();
+        let (done, accepted) = oneshot::channel();
         let _ = self
             .priority
             .send(PriorityMessage::ManualEjection {
                 engine,
-                ejected: out,
-                at_ms: at,
-                from_peer: told,
+                ejected,
+                at_ms,
+                from_peer,
                 done,
             })
             .await;
-        said.await.unwrap_or(false)
+        accepted.await.unwrap_or(false)
     }
 
-    /// A new request's id.
+    /// An id for a new request.
     pub fn next_id(&self) -> RequestId {
+        // The counter orders no other memory: distinct values are enough.
         self.ids.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The clock that all deadlines are on.
+    /// The time on the clock of all deadlines, in Unix ms.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Puts one input into the mailbox, waiting while it is full. The core never waits for its peers, so this
-    /// cannot lock up.
-    pub async fn send(&self, input: CoreMessage) {
-        let _ = self.mailbox.send(input).await;
+    /// Puts a message into the mailbox, and waits while it is full. The core never waits for its peers, so this
+    /// cannot deadlock.
+    pub async fn send(&self, message: CoreMessage) {
+        let _ = self.mailbox.send(message).await;
     }
 
-    /// The same where nothing may wait: false where the mailbox is full.
-    pub fn try_send(&self, input: CoreMessage) -> bool {
-        self.mailbox.try_send(input).is_ok()
+    /// Puts a message into the mailbox without waiting; false where it is full.
+    pub fn try_send(&self, message: CoreMessage) -> bool {
+        self.mailbox.try_send(message).is_ok()
     }
-}
 
-impl Handle {
-    /// A place in the mailbox, for what has to be said at one moment to the core and to others.
+    /// Reserves a slot in the mailbox, for a message that must reach the core at the same time as other peers.
     pub async fn reserve(&self) -> Option<mpsc::Permit<'_, CoreMessage>> {
         self.mailbox.reserve().await.ok()
     }
 
-    /// The process ends at this time, in Unix ms.
+    /// Sets the time at which the process ends, in Unix ms.
     pub async fn set_shutdown_deadline(&self, at: Millis) {
         let _ = self
             .priority
@@ -147,33 +146,33 @@
             .await;
     }
 
-    /// Another process of this workload manager works beside this one, or no longer.
-    pub async fn set_peer_processes(&self, parts: f64) {
+    /// Sets the divisor of the engines' capacity: more than 1 while a peer process shares them.
+    pub async fn set_peer_processes(&self, capacity_divisor: f64) {
         let _ = self
             .priority
-            .send(PriorityMessage::PeerProcesses(parts))
+            .send(PriorityMessage::PeerProcesses(capacity_divisor))
             .await;
     }
 }
 
 /// Runs the core until its mailbox closes.
-pub async fn run<E: EnginePort>(mut core: Core<E>, from: Mailbox, clock: Clock) {
+pub async fn run<E: EnginePort>(mut core: Core<E>, mailbox: Mailbox, clock: Clock) {
     let Mailbox {
-        messages: mut inputs,
-        priority_messages: mut orders,
-    } = from;
+        mut messages,
+        mut priority_messages,
+    } = mailbox;
     core.start(clock.now());
     loop {
-        let alarm = core.next_timer().unwrap_or_else(|| clock.now() + 1000.0);
+        let next_timer = core.next_timer().unwrap_or_else(|| clock.now() + 1000.0);
         tokio::select! {
             biased;
-            // Guard: staff wait for a second, and a mailbox may stay full for as long as there is load.
-            Some(order) = orders.recv() => core.handle_priority(clock.now(), order),
-            input = inputs.recv() => match input {
-                Some(input) => core.handle(clock.now(), input),
+            // On-call staff wait for a second at most, and the mailbox may stay full under load.
+            Some(message) = priority_messages.recv() => core.handle_priority(clock.now(), message),
+            message = messages.recv() => match message {
+                Some(message) => core.handle(clock.now(), message),
                 None => return,
             },
-            () = sleep_until(clock.instant(alarm)) => {}
+            () = sleep_until(clock.instant(next_timer)) => {}
         }
         core.run_due_timers(clock.now());
     }
--- a/src/core/order_leases.rs
+++ b/src/core/order_leases.rs
@@ -1,69 +1,69 @@
-//! Leases on order keys. In an upgrade two processes are one workload manager, and each keeps the order of a key among
-//! its own requests alone. So a process takes a lease on a key before its decision module hears of a request of that
-//! key, and holds it until no request of the key is open here and the key has rested. Another process's requests of the
-//! key wait for that; the module does not know of them, and believes nothing wrong of an engine meanwhile.
+//! Leases on order keys. During a hot restart two processes are one workload manager, and each keeps the order of a
+//! key among its own requests only. A process therefore acquires a lease on a key before it submits a request with that
+//! key to its dispatcher, and holds the lease until no request of the key is open and the key's pause is over. Requests
+//! of the other process wait for that, unknown to its dispatcher, so that the wait affects no engine's statistics.
 //!
-//! Sans-I/O: what locks a key is a port, [`OrderLocks`].
+//! Sans-I/O: keys are locked through a port, [`OrderLocks`].
 
 use super::OrderKey;
 use crate::decision::{Millis, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// While another process lives, a key is held for so long, in ms, until further requests of it wait for the next lease.
-const TURN_MS: Millis = 500.0;
+/// While a peer process runs, requests that come later than this after the lease, in ms, wait for the next one.
+const MAX_LEASE_MS: Millis = 500.0;
 
-/// Once its turn is over, a process leaves the key alone for so long, in ms: the other one tries each 50 ms.
-const YIELD_MS: Millis = 120.0;
+/// A process that released a key does not acquire it for this long, in ms: the peer tries every 50 ms.
+const REACQUIRE_DELAY_MS: Millis = 120.0;
 
-/// The processes of one workload manager that live, this one left out: a bit for each place.
+/// The running peer processes of one workload manager: a bit for each slot in the lock file.
 pub type PeerProcesses = u64;
 
-/// Locks on keys that all processes of one workload manager share, and that end with the process that holds them. No
-/// call waits.
+/// Locks on order keys, shared by all processes of one workload manager and released when their holder ends. No call
+/// blocks.
 pub trait OrderLocks: Send {
-    /// Locks a key; false where another process has it.
+    /// Locks a key; false where another process holds it.
     fn try_lock(&mut self, key: OrderKey) -> bool;
-    /// Unlocks it.
+    /// Unlocks a key.
     fn unlock(&mut self, key: OrderKey);
-    /// The other processes that live.
+    /// The peer processes that run.
     fn live_peers(&mut self) -> PeerProcesses;
-    /// Whether any of these, which live no longer, may have held a key at its end.
+    /// Whether one of these processes, which have ended, may have held a key at that time.
     fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool;
-    /// Whether a process that was gone before this one started may have held a key at its end.
+    /// Whether a process that ended before this one started may have held a key at that time.
     fn may_be_left_behind(&self) -> bool;
 }
 
 /// A lease that this process holds.
 struct Lease {
-    /// Requests of the key that the module knows.
+    /// Requests of the key that the dispatcher has.
     open_requests: usize,
     acquired_at: Millis,
     paused_until: Millis,
 }
 
-/// Requests of a key that wait for a lease.
+/// Requests that wait for the lease on their key.
 #[derive(Default)]
 struct WaitingRequests {
     ids: VecDeque<RequestId>,
     not_before: Millis,
 }
 
-/// The leases of one process. Without locks there is no other process, and every request goes on at once.
+/// The leases of one process. Without locks there is no peer process, and every request is admitted at once.
 #[derive(Default)]
 pub(super) struct OrderLeases {
     locks: Option<Box<dyn OrderLocks>>,
     held: HashMap<OrderKey, Lease>,
-    /// Those of them that are held for the rest of their key alone.
+    /// The keys among them that are held only until their pause is over.
     pausing: BTreeSet<OrderKey>,
-    /// In the order of keys, so that plays can be repeated.
+    /// Ordered by key, so that runs can be repeated.
     waiting: BTreeMap<OrderKey, WaitingRequests>,
     peers: PeerProcesses,
-    /// All keys that are not held here rest until then: their holder may have died with an attempt out.
+    /// Until then no key is acquired: a holder may have ended with an attempt in flight.
     paused_until: Millis,
 }
 
 impl OrderLeases {
-    /// Leases that these locks keep apart from other processes'.
+    /// Leases by these locks.
     pub(super) fn new(mut locks: Box<dyn OrderLocks>) -> OrderLeases {
         let others = locks.live_peers();
         OrderLeases {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The process starts. What died a moment ago may have had attempts out, so the keys rest.
+    /// The process starts. A process that ended just before may have had attempts in flight, so all keys are paused.
     pub(super) fn start(&mut self, now: Millis, pause: Millis) {
         if self
             .locks
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A request of this key has come: whether it may go on now, or waits until [`OrderLeases::review`] names it.
+    /// Whether a new request of this key may be submitted now. If not, it waits until [`OrderLeases::review`] returns it.
     pub(super) fn admit(
         &mut self,
         now: Millis,
@@ -103,7 +103,7 @@
         false
     }
 
-    /// A request of this key is over: proven so, or it never went on.
+    /// A request of this key is over, or was never submitted.
     pub(super) fn request_closed(&mut self, now: Millis, key: OrderKey, id: RequestId) {
         if let Some(queue) = self.waiting.get_mut(&key)
             && let Some(at) = queue.ids.iter().position(|waiter| *waiter == id)
@@ -118,14 +118,15 @@
         }
     }
 
-    /// An attempt of this key ended that may still run.
+    /// Extends the pause of a key, as an attempt may still run.
     pub(super) fn pause_until(&mut self, key: OrderKey, until: Millis) {
         if let Some(lease) = self.held.get_mut(&key) {
             lease.paused_until = lease.paused_until.max(until);
         }
     }
 
-    /// Looks for other processes. One that died may have had attempts out, so the keys rest from now on; true then.
+    /// Checks which peer processes run. Returns true if one has ended that may have had attempts in flight; all keys are
+    /// paused from now on then.
     pub(super) fn check_peers(&mut self, now: Millis, pause: Millis) -> bool {
         let Some(locks) = &mut self.locks else {
             return false;
@@ -139,7 +140,7 @@
         rests
     }
 
-    /// Releases what has rested, and names the waiting requests that may go on now, in their order.
+    /// Releases the keys whose pause is over, and returns the waiting requests that may be submitted now, in order.
     pub(super) fn review(&mut self, now: Millis, pause: Millis) -> Vec<RequestId> {
         for key in self.pausing.iter().copied().collect::<Vec<_>>() {
             self.release_if_over(now, key);
@@ -162,7 +163,7 @@
         admitted
     }
 
-    /// Whether [`OrderLeases::review`] has something to look at later.
+    /// Whether a later [`OrderLeases::review`] is needed.
     pub(super) fn needs_review(&self) -> bool {
         !self.waiting.is_empty() || !self.pausing.is_empty()
     }
@@ -173,16 +174,16 @@
         self.held.len() + self.waiting.len()
     }
 
-    /// Whether this process has the key, or could take it, for one more request.
+    /// Whether this process holds the key, or could acquire it, for one more request.
     fn acquire(&mut self, now: Millis, pause: Millis, key: OrderKey) -> bool {
         if let Some(lease) = self.held.get(&key) {
-            // Guard: requests that never cease would keep the key from the other process for good.
-            return self.peers == 0 || now < lease.acquired_at + TURN_MS;
+            // A steady stream of requests would keep the key from the peer process forever.
+            return self.peers == 0 || now < lease.acquired_at + MAX_LEASE_MS;
         }
         if now < self.paused_until || !self.lock(key) {
             return false;
         }
-        // Guard: it may have been free only as its holder died a moment ago.
+        // The lock may be free only because its holder has just ended.
         if self.check_peers(now, pause) {
             self.unlock(key);
             return false;
@@ -210,11 +211,11 @@
         self.pausing.remove(&key);
         self.unlock(key);
         if let Some(queue) = self.waiting.get_mut(&key) {
-            queue.not_before = now + YIELD_MS;
+            queue.not_before = now + REACQUIRE_DELAY_MS;
         }
     }
 
-    /// So many more requests of a key that is held go on.
+    /// Counts requests of a held key as submitted.
     fn add_requests(&mut self, key: OrderKey, requests: usize) {
         if let Some(lease) = self.held.get_mut(&key) {
             lease.open_requests += requests;
--- a/src/core/order_leases/tests.rs
+++ b/src/core/order_leases/tests.rs
@@ -188,11 +188,11 @@
     let mut two = Two::new();
     assert!(two.old.admit(0.0, PAUSE, key(1), 1) && !two.admit(0.0, key(1), 1));
     assert!(
-        two.old.admit(TURN_MS - 1.0, PAUSE, key(1), 2),
+        two.old.admit(MAX_LEASE_MS - 1.0, PAUSE, key(1), 2),
         "within its turn"
     );
     assert!(
-        !two.old.admit(TURN_MS, PAUSE, key(1), 3),
+        !two.old.admit(MAX_LEASE_MS, PAUSE, key(1), 3),
         "its turn is over"
     );
     two.old.request_closed(600.0, key(1), 1);
@@ -203,7 +203,7 @@
     );
     assert_eq!(two.review(650.0), [1]);
     two.new.borrow_mut().request_closed(700.0, key(1), 1);
-    assert_eq!(two.old.review(610.0 + YIELD_MS, PAUSE), [3]);
+    assert_eq!(two.old.review(610.0 + REACQUIRE_DELAY_MS, PAUSE), [3]);
 }
 
 #[test]
@@ -211,7 +211,7 @@
     let mut two = Two::new();
     two.old_ends();
     two.new.borrow_mut().check_peers(0.0, PAUSE);
-    assert!(two.admit(0.0, key(1), 1) && two.admit(10.0 * TURN_MS, key(1), 2));
+    assert!(two.admit(0.0, key(1), 1) && two.admit(10.0 * MAX_LEASE_MS, key(1), 2));
 }
 
 #[test]
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -1,4 +1,4 @@
-//! What passes between the core and its peers: requests and answers, attempts and their news, orders of staff.
+//! The core's messages and ports: requests and answers, attempts and their events, settings and manual ejections.
 
 use crate::attempt::AttemptEnd;
 use crate::decision::{EngineId, LoadReport, Millis, Outcome, Progress, RequestId, Settings};
@@ -10,50 +10,50 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::{mpsc, oneshot};
 
-/// In which form the pieces of a result stand.
+/// The format of a result's chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultFormat {
     /// Rows as text: a tab between columns, a line feed after each row.
     Text,
-    /// Arrow data as the Flight format frames it, one message a piece.
+    /// Arrow data in Flight frames, one message a chunk.
     Arrow,
 }
 
-/// What follows of a result that streams. A channel that closes without [`ResultChunk::End`] is a result cut off.
+/// The further chunks of a streamed result. A channel that closes without [`ResultChunk::End`] is a truncated result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResultChunk {
-    /// The next piece.
+    /// The next chunk.
     Data(Bytes),
-    /// All pieces have come.
+    /// The result is complete.
     End,
 }
 
-/// What a statement is to its client.
+/// What a client expects of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// Rows are wanted.
+    /// Rows.
     Query,
-    /// A count of changed rows is wanted.
+    /// The number of changed rows.
     Update,
 }
 
-/// A result, in pieces that pass on unchanged.
+/// A result, in chunks that are forwarded unchanged.
 #[derive(Debug)]
 pub struct ResultBody {
-    /// Their form.
+    /// The format of the chunks.
     pub format: ResultFormat,
-    /// The pieces held.
+    /// The buffered chunks.
     pub chunks: Vec<Bytes>,
-    /// Further pieces of a result too large to hold.
+    /// Further chunks of a result that is too large to buffer.
     pub remaining_chunks: Option<mpsc::Receiver<ResultChunk>>,
 }
 
 impl ResultBody {
-    /// A result that is held whole.
-    pub fn complete(form: ResultFormat, pieces: Vec<Bytes>) -> ResultBody {
+    /// A completely buffered result.
+    pub fn complete(format: ResultFormat, chunks: Vec<Bytes>) -> ResultBody {
         ResultBody {
-            format: form,
-            chunks: pieces,
+            format,
+            chunks,
             remaining_chunks: None,
         }
     }
@@ -62,11 +62,11 @@
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// Served, with the result as the engine gave it.
+    /// Served, with the engine's result.
     Served(ResultBody),
-    /// Refused: trying again is harmless. The client may come back after this many milliseconds, if any.
+    /// Rejected: a retry is harmless.
     Rejected {
-        /// Advice to stay away this long; 0 for none.
+        /// When the client should retry, in ms; 0 for no advice.
         retry_after_ms: Millis,
     },
     /// Failed; it may have run.
@@ -76,21 +76,21 @@
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Its client's deadline.
+    /// The deadline passed.
     DeadlineExceeded,
-    /// Anything else: an engine's error, a lost attempt, a module that gave it up.
+    /// An engine's error, a lost attempt, or a request that the dispatcher dropped.
     AttemptFailed,
 }
 
-/// Where answers go: a client's connection, of whatever protocol.
+/// The client of a request: its connection, of any protocol.
 pub trait ClientPort: Send + Sync {
-    /// Takes the one final answer. It must not block; whether the client still is there is its own matter.
+    /// Takes the one final answer. Must not block. The client may have disconnected.
     fn answer(&self, id: RequestId, answer: Answer);
 }
 
-/// Names the requests of one key among all that keep order: a hash of the client's text, which any front may take.
-/// Two texts with one hash run in turn as well, which keeps every rule. The hash is FNV-1a, so that the processes of an
-/// upgrade, which may be of two builds, name a key alike.
+/// The key of requests that run one at a time: a hash of the client's text. Two texts with the same hash are ordered
+/// among each other, which is harmless. The hash is FNV-1a, so that the processes of a hot restart agree on it, even if
+/// their builds differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderKey(NonZeroU64);
 
@@ -105,56 +105,57 @@
         OrderKey(NonZeroU64::new(hash).unwrap_or(NonZeroU64::MIN))
     }
 
-    /// The module's form of it, in which 0 stands for a request without a key.
+    /// The dispatcher's form of the key, in which 0 stands for no key.
     pub fn get(self) -> u64 {
         self.0.get()
     }
 }
 
-/// A request as a front took it.
+/// A request as a front end accepted it.
 pub struct AcceptedRequest {
     /// The id that the core's handle gave out.
     pub id: RequestId,
-    /// The client's own name for it: passed to engines unchanged.
+    /// The client's reference, forwarded to engines unchanged.
     pub client_reference: Bytes,
     /// Its class.
     pub class: Arc<NamedClass>,
-    /// Unix time in ms at which the client gives up.
+    /// The client's deadline, in Unix ms.
     pub deadline_ms: Millis,
-    /// Estimated work over all threads.
+    /// Estimated work over all threads, in ms.
     pub estimated_work_ms: Option<f64>,
     /// Estimated memory in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// Its group of tables.
+    /// Its data set.
     pub data_set: u32,
-    /// Its member's name; empty where the platform names none.
+    /// The name of its member (tenant); empty where the platform names none.
     pub member: Bytes,
-    /// The front that it came over.
+    /// The front end that accepted it.
     pub frontend: crate::retry_policy::FrontendKind,
-    /// The key by which engines tell a repeat of it, where its class may be repeated by key.
+    /// The key by which engines recognize a repeat, for classes that are idempotent with a key.
     pub idempotency_key: Option<Bytes>,
-    /// The key whose requests run one at a time, where its class keeps order.
+    /// The order key, for classes that are ordered by key.
     pub order_key: Option<OrderKey>,
     /// The statement.
     pub statement: Bytes,
-    /// What its client wants of it.
+    /// What its client expects of it.
     pub statement_kind: StatementKind,
-    /// Where its answer goes.
+    /// Gets the answer.
     pub client: Arc<dyn ClientPort>,
 }
 
-/// Whether an attempt was given up: shared by the core and the actor that is to write the attempt, which reads it just
-/// before. So a client that has left is heeded also where the order that says so waits in a mailbox, or found it full.
+/// Whether an attempt is cancelled: shared by the core and the actor that is to write the attempt, which checks it just
+/// before. The cancellation takes effect even if its message still waits in a mailbox or found it full.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationFlag(Arc<AtomicBool>);
 
 impl CancellationFlag {
-    /// The attempt is not to begin any more.
+    /// Cancels the attempt, if it has not begun.
     pub fn cancel(&self) {
+        // The flag publishes no other memory; a late read is covered by the cancellation message.
         self.0.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it is not to begin any more.
+    /// Whether the attempt must not begin.
     pub fn is_cancelled(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -165,16 +166,16 @@
 pub struct AttemptRequest {
     /// The core's id of the request.
     pub id: RequestId,
-    /// Which attempt.
+    /// The number of the attempt, from 0.
     pub attempt: u16,
-    /// The client's name for the request.
+    /// The client's reference.
     pub client_reference: Bytes,
     /// Its class.
     pub class: Arc<NamedClass>,
-    /// Unix time in ms at which the attempt is over.
+    /// The deadline of the attempt, in Unix ms.
     pub deadline_ms: Millis,
-    /// Unix time in ms from which it may not be written any more, as engines drop a repeat only for a while; infinite
-    /// where it is none, or may be repeated at any time.
+    /// The time from which it may not be written, in Unix ms, as engines recognize a repeat only for a while. Infinite
+    /// for first attempts and idempotent requests.
     pub send_before_ms: Millis,
     /// Memory to grant in MB; 0 for the engine's choice.
     pub memory_mb: f64,
@@ -184,15 +185,15 @@
     pub idempotency_key: Option<Bytes>,
     /// The statement.
     pub statement: Bytes,
-    /// What its client wants of it.
+    /// What its client expects of it.
     pub statement_kind: StatementKind,
-    /// Whether it was given up meanwhile.
+    /// Whether it was cancelled meanwhile.
     pub cancellation: CancellationFlag,
 }
 
 impl AttemptRequest {
-    /// Why it may not be written any more, if so: it was given up, its request's time is over, or engines may have
-    /// forgotten the attempt that it repeats. It never ran then.
+    /// The end of an attempt that may not be written any more: it was cancelled, its deadline passed, or engines may
+    /// have forgotten the attempt that it repeats. It never ran then.
     pub fn expired(&self, now: Millis) -> Option<AttemptEvent> {
         if self.cancellation.is_cancelled() || now >= self.deadline_ms {
             return Some(AttemptEvent::Cancelled(AttemptEnd::NeverSent));
@@ -201,47 +202,55 @@
     }
 }
 
-/// Where attempts go: all engines, of whatever protocol. No call blocks.
+/// All engines, of any protocol. No call blocks.
 pub trait EnginePort: Send {
     /// Starts an attempt; false where it provably was not sent.
-    fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool;
-    /// Gives an attempt up. [`AttemptEvent::Cancelled`] comes back once that is proven, unless an end of its own does;
-    /// given twice it is done once. Where another attempt may follow, `again`, the proof is that the engine has read it.
-    fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, again: bool);
-    /// Names a new priority for an attempt that is out.
+    fn start_attempt(&mut self, engine: EngineId, attempt: AttemptRequest) -> bool;
+    /// Cancels an attempt. [`AttemptEvent::Cancelled`] follows once that is confirmed, unless the attempt ends by
+    /// itself; a repeated call has no effect. Where a retry may follow, the engine has to confirm that it has read the
+    /// cancellation.
+    fn cancel_attempt(
+        &mut self,
+        engine: EngineId,
+        id: RequestId,
+        attempt: u16,
+        retry_may_follow: bool,
+    );
+    /// Changes the priority of an attempt in flight.
     fn set_priority(&mut self, engine: EngineId, id: RequestId, attempt: u16, priority: u8);
-    /// What the list says of an engine: nothing new may go where it is not ready.
-    fn engine_listed(&mut self, line: &EngineRecord);
-    /// The list names it no longer.
+    /// The endpoint list has a record of an engine. No new attempt may be sent to one that is not ready.
+    fn engine_listed(&mut self, record: &EngineRecord);
+    /// The endpoint list has no record of an engine any more.
     fn engine_removed(&mut self, engine: EngineId);
-    /// Staff took it out, or gave it back: nothing new, not even what waits for a connection.
-    fn set_manually_ejected(&mut self, engine: EngineId, out: bool);
+    /// Ejects an engine manually or returns it. An ejected engine gets no attempts, not even those that wait for a
+    /// connection.
+    fn set_manually_ejected(&mut self, engine: EngineId, ejected: bool);
 }
 
-/// What an engine's actor tells the core of an attempt.
+/// What an engine's actor reports of an attempt.
 #[derive(Debug)]
 pub enum AttemptEvent {
-    /// A running attempt's note, or a mere sign of life.
+    /// The progress of a running attempt; without figures it is a heartbeat.
     Progress(Option<Progress>),
-    /// The result outgrew what is held and streams to the client from now on.
+    /// The result is too large to buffer and streams to the client from now on.
     ResultStreaming(ResultBody),
-    /// What was given up is proven over.
+    /// The cancellation is confirmed.
     Cancelled(AttemptEnd),
-    /// The end of an attempt.
+    /// The attempt ended.
     Ended {
-        /// How.
+        /// Its outcome.
         outcome: Outcome,
-        /// The work it needed, where told.
+        /// The work that it needed, in ms, where reported.
         measured_work_ms: Option<f64>,
-        /// The memory it needed in MB, where told.
+        /// The memory that it needed, in MB, where reported.
         measured_memory_mb: Option<f64>,
-        /// The result, where it ended well and did not stream.
+        /// The result, where it succeeded and did not stream.
         body: Option<ResultBody>,
     },
 }
 
 impl AttemptEvent {
-    /// An end that brings neither a result nor figures.
+    /// An end without a result or measurements.
     pub fn end(outcome: Outcome) -> AttemptEvent {
         AttemptEvent::Ended {
             outcome,
@@ -252,54 +261,54 @@
     }
 }
 
-/// What comes into the core's mailbox.
+/// A message in the core's mailbox.
 pub enum CoreMessage {
     /// A client's request.
     Request(AcceptedRequest),
-    /// The client of a request left or no longer waits.
+    /// The client of a request disconnected or no longer waits.
     ClientDisconnected(RequestId),
-    /// News of an attempt.
+    /// An event of an attempt.
     Attempt {
-        /// Which engine.
+        /// The engine.
         engine: EngineId,
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u16,
-        /// The engine's load report, if one came along.
+        /// The engine's load report; the default where none was sent.
         load_report: LoadReport,
-        /// The news.
+        /// What happened.
         event: AttemptEvent,
     },
-    /// An event of the list.
+    /// An update of the endpoint list.
     EndpointList(EndpointListEvent),
-    /// New settings and policy of attempts, swapped together: in the mailbox's order, so that what came under the
-    /// old ones is taken under them.
+    /// New settings and retry policy, replaced together and in the order of the mailbox: earlier requests are admitted
+    /// under the old ones.
     Settings {
         /// The platform's settings, where they changed.
         settings: Option<Box<Settings>>,
-        /// The operators' policy of attempts.
+        /// The operators' retry policy.
         policy: Arc<crate::retry_policy::Policy>,
     },
 }
 
-/// What overtakes the mailbox.
+/// A message that overtakes the mailbox.
 pub enum PriorityMessage {
-    /// Another process of this workload manager works beside this one, or no longer; see [`PeerProcesses`](crate::decision::Event::PeerProcesses).
+    /// The divisor of the engines' capacity, shared with peer processes; see [`PeerProcesses`](crate::decision::Event::PeerProcesses).
     PeerProcesses(f64),
-    /// The process is ended at this Unix time in ms: what is not answered by then is lost.
+    /// The process ends at this time, in Unix ms; requests that are open then are lost.
     ShutdownDeadline(Millis),
-    /// Staff take an engine out, or give it back.
+    /// Ejects an engine manually, or returns it.
     ManualEjection {
-        /// Which engine.
+        /// The engine.
         engine: EngineId,
-        /// Taken out, or given back.
+        /// Ejected, or returned.
         ejected: bool,
-        /// Unix time in ms at which it was said.
+        /// When it was ordered, in Unix ms.
         at_ms: Millis,
-        /// It was said elsewhere, and holds for an engine that is not known here too.
+        /// A peer process passes it on, so it holds for an engine that is not known here too.
         from_peer: bool,
-        /// Whether it was known, once the module has it.
+        /// Gets whether the engine was known, once the dispatcher is notified.
         done: oneshot::Sender<bool>,
     },
 }
