--- a/tests/order_keys_hot_restart.rs
+++ b/tests/order_keys_hot_restart.rs
@@ -295,7 +295,7 @@
     });
 }
 
-/// The old process, told to end, serves what it accepted; what it holds of the key goes first.
+/// The old process, while it shuts down, serves what it accepted; its request of the key goes first.
 #[test]
 fn graceful_shutdown_hands_the_key_over() {
     run(async {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -173,7 +173,7 @@
         "{}",
         starts[0]
     );
-    // Each comes back, and is told what it missed and no whole list.
+    // Each reconnects, and gets what it missed and no full list.
     assert!(
         returns[0]["feed_connections"].as_u64() >= Some(12),
         "{}",
--- a/tests/scenarios/process_lifecycle.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -10,124 +10,164 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr};
+use std::time::Duration;
 use workload_manager::node_config::OptionalFronts;
 
-/// The program on a listening socket that the platform holds, once it says where it is operated.
-fn start_and_await_admin_address(
-    listener: &TcpListener,
-    config: &Path,
-    folder: &Path,
-) -> (Child, BufReader<ChildStderr>, SocketAddr) {
-    let mut child = start_with_listener(listener, config, folder);
-    let mut said = stderr_of(&mut child);
-    let (_, ops) = addresses(&mut said);
-    (child, said, ops)
+/// The interval and number of polls until a process has a figure: 4 s in all.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// See [`POLL_INTERVAL`].
+const POLLS: usize = 400;
+
+/// A workload manager whose processes share a listening socket and a folder.
+struct HotRestart {
+    listener: TcpListener,
+    folder: PathBuf,
+    config: PathBuf,
+}
+
+/// One process of it.
+struct Process {
+    child: Child,
+    stderr: BufReader<ChildStderr>,
+    admin: SocketAddr,
+}
+
+impl HotRestart {
+    /// An empty folder, and a configuration with two engines.
+    fn new() -> HotRestart {
+        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("upgrade");
+        let _ = std::fs::remove_dir_all(&folder);
+        std::fs::create_dir_all(&folder).expect("folder");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
+        let member = |n: u32| {
+            format!(
+                r#"{{"instanceId":"s-{n:08x}","hostPort":"127.0.0.1:1","zone":"hall-a","machineType":"std-8c"}}"#
+            )
+        };
+        let known = format!(
+            r#"{{"n":1,"members":{{"reset":true,"instances":[{},{}]}}}}"#,
+            member(1),
+            member(2)
+        );
+        let config = folder.join("config.json");
+        let feed = "127.0.0.1:1".parse().expect("address");
+        std::fs::write(&config, configuration(feed, &known)).expect("file");
+        HotRestart {
+            listener,
+            folder,
+            config,
+        }
+    }
+
+    /// Starts a process, and waits until it prints its admin address.
+    fn start(&self) -> Process {
+        let mut child = start_with_listener(&self.listener, &self.config, &self.folder);
+        let mut stderr = stderr_of(&mut child);
+        let (_, admin) = addresses(&mut stderr);
+        Process {
+            child,
+            stderr,
+            admin,
+        }
+    }
+
+    fn connect(&self) -> TcpStream {
+        let address = self.listener.local_addr().expect("address");
+        TcpStream::connect(address).expect("connect")
+    }
+
+    /// The file in which the processes keep manual ejections.
+    fn state_file(&self) -> PathBuf {
+        self.folder.join("magpiechute-n1.state")
+    }
+}
+
+impl Process {
+    /// Whether the process accepts a command.
+    fn accepts(&self, command: &str) -> bool {
+        admin_call(self.admin, command).starts_with("200")
+    }
+
+    /// Whether the process comes to skip this many engines.
+    fn comes_to_skip(&self, engines: usize) -> bool {
+        let wanted = format!("node.skipped_engines={engines}\n");
+        (0..POLLS).any(|_| {
+            std::thread::sleep(POLL_INTERVAL);
+            admin_call(self.admin, "STATS").contains(&wanted)
+        })
+    }
+
+    /// Sends SIGTERM; the process has to exit with 0.
+    fn end(mut self) {
+        signal(&self.child, "TERM");
+        assert!(self.child.wait().expect("end").success());
+    }
 }
 
-/// Two processes are one workload manager: what staff said to one holds in both and in the next, the old one leaves
-/// the socket to its successor, serves what it accepted and ends.
+/// Whether the process behind a connection answers that it is healthy.
+fn is_healthy(stream: &mut TcpStream) -> bool {
+    let mut answer = [0; 7];
+    stream
+        .write_all(b"\x94\x00\x01\xa6health\x91\x80")
+        .expect("write");
+    stream.read_exact(&mut answer).expect("an answer");
+    answer[5] == 0xc3
+}
+
+/// Two processes are one workload manager: a manual ejection at one holds in both and in the next. The old one leaves the
+/// socket to its successor, serves what it accepted and ends.
 #[test]
-#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn hot_restart_shares_manual_ejections_and_hands_the_socket_over() {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("upgrade");
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("folder");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-    let at = listener.local_addr().expect("address");
-    let member = |n: u32| {
-        format!(
-            r#"{{"instanceId":"s-{n:08x}","hostPort":"127.0.0.1:1","zone":"hall-a","machineType":"std-8c"}}"#
-        )
-    };
-    let known = format!(
-        r#"{{"n":1,"members":{{"reset":true,"instances":[{},{}]}}}}"#,
-        member(1),
-        member(2)
-    );
-    let config = folder.join("config.json");
-    std::fs::write(
-        &config,
-        configuration("127.0.0.1:1".parse().expect("address"), &known),
-    )
-    .expect("file");
-    let start = || start_and_await_admin_address(&listener, &config, &folder);
-    let skipped = |ops, n| {
-        let wanted = format!("node.skipped_engines={n}\n");
-        (0..400).any(|_| {
-            std::thread::sleep(std::time::Duration::from_millis(10));
-            admin_call(ops, "STATS").contains(&wanted)
-        })
-    };
-    let health = b"\x94\x00\x01\xa6health\x91\x80";
-    let fit = |stream: &mut TcpStream| {
-        let mut answer = [0; 7];
-        stream.write_all(health).expect("write");
-        stream.read_exact(&mut answer).expect("an answer");
-        answer[5] == 0xc3
-    };
-    let end = |mut child: Child| {
-        signal(&child, "TERM");
-        assert!(child.wait().expect("end").success());
-    };
-    let (old, mut old_said, old_ops) = start();
-    assert!(admin_call(old_ops, "READY").starts_with("200"));
-    assert!(admin_call(old_ops, "DISABLE s-00000001").starts_with("200"));
-    // Accepted by the old one, for certain: nobody else is there.
-    let mut kept = TcpStream::connect(at).expect("connect");
-    assert!(fit(&mut kept));
-    let (new, mut new_said, new_ops) = start();
-    wait_for_line(&mut old_said, "peer process started");
-    assert!(admin_call(new_ops, "READY").starts_with("200"));
-    assert!(
-        skipped(new_ops, 1),
-        "the successor knows what was taken out before it came"
-    );
-    assert!(admin_call(old_ops, "DISABLE s-00000002").starts_with("200"));
-    assert!(skipped(new_ops, 2), "and what is taken out at the old one");
-    assert!(admin_call(new_ops, "ENABLE s-00000001").starts_with("200"));
-    assert!(skipped(old_ops, 1), "and the other way round");
-    end(old);
-    assert_eq!(
-        kept.read(&mut [0; 9]).expect("the end"),
-        0,
-        "a kept connection is closed"
-    );
-    wait_for_line(&mut new_said, "peer process ended");
-    assert!(fit(&mut TcpStream::connect(at).expect("connect")));
-    end(new);
-    // What is lying about in the folder stops no start.
-    let state = folder.join("magpiechute-n1.state");
-    assert!(
-        std::fs::read_to_string(&state)
-            .expect("state")
-            .contains("s-00000002")
-    );
-    std::fs::write(&state, "{\"version\":1,").expect("file");
-    let (last, _said, ops) = start();
-    assert!(admin_call(ops, "READY").starts_with("200") && skipped(ops, 0));
-    end(last);
+    let manager = HotRestart::new();
+    let mut old = manager.start();
+    assert!(old.accepts("READY"));
+    assert!(old.accepts("DISABLE s-00000001"));
+    // No other process runs, so the old one accepts this connection.
+    let mut kept = manager.connect();
+    assert!(is_healthy(&mut kept));
+    let mut new = manager.start();
+    wait_for_line(&mut old.stderr, "peer process started");
+    assert!(new.accepts("READY"));
+    assert!(new.comes_to_skip(1), "an ejection before its start");
+    assert!(old.accepts("DISABLE s-00000002"));
+    assert!(new.comes_to_skip(2), "an ejection at the old process");
+    assert!(new.accepts("ENABLE s-00000001"));
+    assert!(old.comes_to_skip(1), "a return at the new process");
+    old.end();
+    let read = kept.read(&mut [0; 9]).expect("the end");
+    assert_eq!(read, 0, "a kept connection is closed");
+    wait_for_line(&mut new.stderr, "peer process ended");
+    assert!(is_healthy(&mut manager.connect()));
+    new.end();
+    // A state file that cannot be read does not prevent a start.
+    let state = std::fs::read_to_string(manager.state_file()).expect("state");
+    assert!(state.contains("s-00000002"));
+    std::fs::write(manager.state_file(), "{\"version\":1,").expect("file");
+    let last = manager.start();
+    assert!(last.accepts("READY") && last.comes_to_skip(0));
+    last.end();
 }
 
-fn good() -> String {
+fn usable_configuration() -> String {
     configuration(
         "127.0.0.1:1".parse().expect("address"),
         r#"{"n":1,"members":{"reset":true}}"#,
     )
 }
 
-/// What cannot be used is a plain message and a code that is not zero.
+/// An unusable configuration gives a plain message and a non-zero exit code.
 #[rstest]
 #[case::not_json("not_json", "{", "", "configuration: EOF")]
-#[case::no_class("no_class", &good().replace("\"classes\":[", "\"classes\":[],\"was\":["), "", "no request class")]
-#[case::bad_figure("bad_figure", &good().replace("\"coldMs\":15000", "\"coldMs\":-1"), "", "impossible figure")]
-#[case::no_managers("no_managers", &good().replace("\"nInstances\":1", "\"nInstances\":0"), "", "no workload manager instance")]
-#[case::negative_managers("negative_managers", &good().replace("\"nInstances\":1", "\"nInstances\":-1"), "", "settings: ")]
-#[case::managers_missing("managers_missing", &good().replace("\"nInstances\":1,", ""), "", "nInstances")]
-#[case::bad_seed("bad_seed", &good().replace("8c1f30d27a5be964", "xyz"), "", "seed")]
-#[case::bad_listen("bad_listen", &good().replace("127.0.0.1:0", "here"), "", "configuration: invalid socket")]
-#[case::not_loopback("not_loopback", &good(), "[flight]\nlisten = \"192.0.2.1:1\"", "not a loopback address")]
-#[case::unknown_key("unknown_key", &good(), "[flght]\nlisten = \"127.0.0.1:0\"", "unknown field")]
-#[case::bad_protocol("bad_protocol", &good(), "[flight]\nlisten = \"127.0.0.1:0\"\nengines = \"x\"", "unknown variant")]
+#[case::no_class("no_class", &usable_configuration().replace("\"classes\":[", "\"classes\":[],\"was\":["), "", "no request class")]
+#[case::bad_figure("bad_figure", &usable_configuration().replace("\"coldMs\":15000", "\"coldMs\":-1"), "", "impossible figure")]
+#[case::no_managers("no_managers", &usable_configuration().replace("\"nInstances\":1", "\"nInstances\":0"), "", "no workload manager instance")]
+#[case::negative_managers("negative_managers", &usable_configuration().replace("\"nInstances\":1", "\"nInstances\":-1"), "", "settings: ")]
+#[case::managers_missing("managers_missing", &usable_configuration().replace("\"nInstances\":1,", ""), "", "nInstances")]
+#[case::bad_seed("bad_seed", &usable_configuration().replace("8c1f30d27a5be964", "xyz"), "", "seed")]
+#[case::bad_listen("bad_listen", &usable_configuration().replace("127.0.0.1:0", "here"), "", "configuration: invalid socket")]
+#[case::not_loopback("not_loopback", &usable_configuration(), "[flight]\nlisten = \"192.0.2.1:1\"", "not a loopback address")]
+#[case::unknown_key("unknown_key", &usable_configuration(), "[flght]\nlisten = \"127.0.0.1:0\"", "unknown field")]
+#[case::bad_protocol("bad_protocol", &usable_configuration(), "[flight]\nlisten = \"127.0.0.1:0\"\nengines = \"x\"", "unknown variant")]
 fn an_unusable_configuration_ends_the_program_with_a_message(
     #[case] name: &str,
     #[case] config: &str,
@@ -148,7 +188,7 @@
 /// A graceful shutdown prints the counters and exits 0; so does SIGUSR1 in between.
 #[test]
 fn signals_print_counters_reload_and_end_the_program() {
-    let mut child = KillOnDrop(start_program("signals", &good(), ""));
+    let mut child = KillOnDrop(start_program("signals", &usable_configuration(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut line = String::new();
     let signal = |name: &str| signal(&child, name);
@@ -165,7 +205,7 @@
             "reload refused, the old configuration stays in force error=configuration: EOF",
         ),
         (
-            good().replace("127.0.0.1:1", "127.0.0.1:2"),
+            usable_configuration().replace("127.0.0.1:1", "127.0.0.1:2"),
             "reload complete feed=127.0.0.1:2",
         ),
     ] {
@@ -212,13 +252,13 @@
 /// A client that takes none of its answers does not block the shutdown.
 #[test]
 fn a_client_that_reads_nothing_does_not_block_the_shutdown() {
-    let mut child = KillOnDrop(start_program("reads_nothing", &good(), ""));
+    let mut child = KillOnDrop(start_program("reads_nothing", &usable_configuration(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut client = client_of(&mut said, 2048);
     client
-        .set_write_timeout(Some(std::time::Duration::from_millis(500)))
+        .set_write_timeout(Some(Duration::from_millis(500)))
         .expect("option");
-    // Until neither side takes anything more.
+    // Until the buffers of both sides are full.
     let call = |id: u32| {
         [
             b"\x94\x00\xce",
@@ -245,18 +285,18 @@
         }
         assert!(
             since.elapsed().as_secs() < 15,
-            "it waits for a client that reads nothing"
+            "the shutdown waits for a client that reads nothing"
         );
-        std::thread::sleep(std::time::Duration::from_millis(10));
+        std::thread::sleep(Duration::from_millis(10));
     };
     assert!(ended.success());
 }
 
-/// A graceful shutdown reads a new configuration, as what is open goes by the list until it is over. A client keeps half a
+/// A graceful shutdown reads a new configuration, as open requests follow the list until they are over. A client keeps half a
 /// request open, so that the program has not ended when the file is read.
 #[test]
 fn a_reload_during_shutdown_moves_the_feed() {
-    let mut child = KillOnDrop(start_program("feed_moves", &good(), ""));
+    let mut child = KillOnDrop(start_program("feed_moves", &usable_configuration(), ""));
     let mut said = BufReader::new(child.stderr.take().expect("stderr"));
     let mut client = client_of(&mut said, 65_536);
     client
@@ -267,7 +307,11 @@
     let feed = TcpListener::bind("127.0.0.1:0").expect("bind");
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("feed_moves.json");
     let address = feed.local_addr().expect("address").to_string();
-    std::fs::write(&path, good().replace("127.0.0.1:1", &address)).expect("file");
+    std::fs::write(
+        &path,
+        usable_configuration().replace("127.0.0.1:1", &address),
+    )
+    .expect("file");
     ["TERM", "HUP"]
         .into_iter()
         .for_each(|name| signal(&child, name));
--- a/tests/service_guarantees/client_disconnect.rs
+++ b/tests/service_guarantees/client_disconnect.rs
@@ -154,7 +154,7 @@
 
 /// The same for a further attempt, whose engine broke the connection of the first one.
 #[rstest]
-fn a_further_attempt_that_waits_for_its_connection(
+fn disconnect_cancels_a_retry_that_waits_for_its_connection(
     #[values(CLOSES, CANCELS, ENDS_ITS_SIDE)] leaves: &str,
 ) {
     let setup = SceneSetup {
--- a/tests/service_guarantees/fake_engine.rs
+++ b/tests/service_guarantees/fake_engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine that serves whatever it is asked.
+//! A fake engine that serves every request.
 
 use crate::scene::engine_fleet::label;
 use std::sync::Arc;
@@ -7,8 +7,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Hears the label of each request as it has come whole, and says how long that takes and how much work it is, in ms on
-/// one core.
+/// Gets the label of each complete request. Returns its service time, and its work in ms on one core.
 pub(crate) type RequestHandler = Arc<dyn Fn(&str) -> (Duration, f64) + Send + Sync>;
 
 /// Serves on this listener.
--- a/tests/service_guarantees/main.rs
+++ b/tests/service_guarantees/main.rs
@@ -1,5 +1,5 @@
-//! The operators' standing terms, each forced on loopback sockets against whole workload managers. `docs/service-guarantees.md`
-//! names the guard behind each test, and how the test was seen to fail without it.
+//! The operators' four service guarantees, each forced on loopback sockets against complete workload managers. `docs/service-guarantees.md`
+//! names the guard behind each test, and how the test failed without it.
 
 #[path = "../scene/mod.rs"]
 #[allow(dead_code, reason = "each test target uses a part of the scene")]
--- a/tests/service_guarantees/restart_readiness.rs
+++ b/tests/service_guarantees/restart_readiness.rs
@@ -91,12 +91,12 @@
 /// held up by them.
 fn await_admin_address(child: &mut Child, within: Duration) -> Option<SocketAddr> {
     let mut said = stderr_of(child);
-    let (tell, told) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
-        let _ = tell.send(addresses(&mut said).1);
+        let _ = sender.send(addresses(&mut said).1);
         let _ = said.read_to_end(&mut Vec::new());
     });
-    told.recv_timeout(within).ok()
+    receiver.recv_timeout(within).ok()
 }
 
 /// Starts one manager; how long it took to be ready, if it was in time.
@@ -161,7 +161,7 @@
             std::thread::spawn(move || restart(&name, address, before))
         })
         .collect();
-    // All are over before any fault is told, or the processes of the others would be left behind.
+    // All are joined before any fails the test, or the processes of the others would be left behind.
     let over: Vec<_> = starts
         .into_iter()
         .map(std::thread::JoinHandle::join)
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -1,6 +1,6 @@
-//! The cold ramp holds for the sum of twenty to thirty managers: a cold engine falls when, within the time that the
+//! The cold ramp holds for the sum of twenty to thirty managers: a cold engine is overloaded when, within the time that the
 //! settings name, it gets more than N + 2 root N + 2 requests of mean work, N being what the settings allow it then. The
-//! managers are whole ones on loopback sockets, in one runtime with paused time; the stand-in engine counts what reaches
+//! managers are complete ones on loopback sockets, in one runtime with paused time; the fake engine counts what reaches
 //! it. Clients ask for far more than it may get.
 
 use crate::fake_engine::{RequestHandler, serve};
@@ -19,14 +19,14 @@
 use workload_manager::node::Node;
 use workload_manager::node_config::{NodeConfig, OptionalFronts};
 
-/// The settings of the scene: how long an engine is cold, what it can do at first, and when it falls.
+/// The settings of the scene: how long an engine is cold, what it can do at first, and when it is overloaded.
 const SLOW_START_MS: f64 = 15_000.0;
 const SLOW_START_INITIAL_SHARE: f64 = 0.3;
 const CORES: f64 = 8.0;
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 const WINDOW_MS: f64 = 1500.0;
 
-/// Of what falls the rule blames the managers that had been told, where they sent more than this share.
+/// The rule blames the notified managers if they sent more than this share of an overload.
 const NOTIFIED_SHARE: f64 = 2.0 / 3.0;
 
 /// Requests that each client keeps open, and how long the engine takes for one.
@@ -61,15 +61,16 @@
 struct Arrival {
     at: f64,
     work: f64,
-    told: bool,
+    /// Whether its manager had been notified of the engine's start.
+    notified: bool,
 }
 
-/// What the cold engine got within the last window, and the first time that it was too much.
+/// Requests that the cold engine got within the last window, and its first overload.
 struct Meter {
     clock: Clock,
     started: f64,
     mix: Mix,
-    /// When each manager was told of the start, in Unix ms.
+    /// When each manager was notified of the start, in Unix ms.
     notified_at_ms: Vec<f64>,
     window: VecDeque<Arrival>,
     /// The most that it got, as a share of N.
@@ -92,37 +93,40 @@
         if at < self.started {
             return;
         }
-        let told = self.notified_at_ms[manager] <= at;
+        let notified = self.notified_at_ms[manager] <= at;
         self.window.push_back(Arrival {
             at,
             work: self.mix.work(id),
-            told,
+            notified,
         });
         while self
             .window
             .pop_front_if(|first| first.at + WINDOW_MS < at)
             .is_some()
         {}
-        let requests = |told_only: bool| {
-            let counted = self.window.iter().filter(|a| a.told || !told_only);
-            counted.map(|a| a.work).sum::<f64>() / self.mix.mean()
+        let requests = |notified_only: bool| {
+            let counted = self
+                .window
+                .iter()
+                .filter(|arrival| arrival.notified || !notified_only);
+            counted.map(|arrival| arrival.work).sum::<f64>() / self.mix.mean()
         };
-        let (all, told) = (requests(false), requests(true));
+        let (all, notified) = (requests(false), requests(true));
         let allowed = self.allowed(at - WINDOW_MS);
-        let falls = allowed + 2.0 * allowed.sqrt() + 2.0;
-        self.most = self.most.max(told / allowed);
-        // Managers that were told may not push it over alone, nor be to blame where others helped.
-        if told > falls || all > falls && told > NOTIFIED_SHARE * all {
+        let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
+        self.most = self.most.max(notified / allowed);
+        // The notified managers must not overload it alone, and are not to blame if the others sent a large part.
+        if notified > limit || all > limit && notified > NOTIFIED_SHARE * all {
             let after = at - self.started;
             let text = format!(
-                "{all:.0} requests, {told:.0} of managers that knew, {falls:.0} fell it after {after:.0} ms"
+                "{all:.0} requests, {notified:.0} of notified managers, above {limit:.0} after {after:.0} ms"
             );
             self.overloaded.get_or_insert(text);
         }
     }
 }
 
-/// Has each request counted as it comes whole.
+/// Counts each request when it has arrived completely.
 fn counted(meter: Arc<Mutex<Meter>>) -> RequestHandler {
     Arc::new(move |label| {
         let (client, id) = label.split_once('.').expect("a label");
@@ -136,15 +140,15 @@
     })
 }
 
-/// Tells one manager of the engine's start after this time, and speaks each second.
+/// Notifies one manager of the engine's start after this time, and sends an empty frame each second.
 async fn feed(listener: TcpListener, after: Duration, start: Vec<u8>) {
     let (mut stream, _) = listener.accept().await.expect("accept");
     assert_eq!(stream.read_u64().await.expect("the last event"), 1);
-    let mut told = std::pin::pin!(sleep(after));
+    let mut notification = std::pin::pin!(sleep(after));
     let (mut seconds, mut start) = (interval(Duration::from_secs(1)), Some(start));
     loop {
         tokio::select! {
-            () = &mut told, if start.is_some() => {
+            () = &mut notification, if start.is_some() => {
                 let frame = start.take().expect("a frame");
                 stream.write_all(&frame).await.expect("write");
             }
@@ -156,7 +160,7 @@
     }
 }
 
-/// A client that keeps some requests open, and heeds the advice to stay away.
+/// A client that keeps some requests open, and waits after a rejection.
 async fn client(manager: usize, at: SocketAddr, mix: Mix) {
     let mut client = Client::new(&format!("m{manager}"), at).await;
     let mut last = 0;
@@ -186,11 +190,11 @@
 
 /// How a fleet of managers sees the engine and itself.
 struct Managers {
-    /// So many instances does each manager's configuration name.
+    /// The number of instances in each manager's configuration.
     instances: Vec<u32>,
-    /// After so long is each told that the engine started.
+    /// How long after the start each manager is notified of it.
     notified_after: Vec<Duration>,
-    /// They know the engine as one that has long been up.
+    /// Whether they know the engine as one that started long ago.
     known_before: bool,
 }
 
@@ -205,7 +209,7 @@
     }
 }
 
-/// Lets these managers meet the engine; the most that those that were told sent it within a window, as a share of N.
+/// Plays these managers against the engine. Returns the most that the notified ones sent within a window, as a share of N.
 fn play(managers: &Managers, mix: Mix) -> f64 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -258,7 +262,7 @@
     tenth: 1500.0,
 };
 
-/// All managers hear of the start at once. They use the budget, too: an engine that gets nothing cannot fall.
+/// All managers are notified of the start at once. They use the budget, too: an engine that gets nothing cannot be overloaded.
 #[rstest]
 fn all_managers_together_respect_the_slow_start_budget(
     #[values(20, 30)] count: u32,
@@ -268,8 +272,8 @@
     assert!(most > 0.3, "{most:.2} of what it may get");
 }
 
-/// An engine that all know to be up comes back cold, and managers hear of it one after another, up to 4 s later. Those that
-/// were told are not to blame for its fall.
+/// An engine that all know to be up comes back cold, and managers are notified one after another, up to 4 s later. Those that
+/// were notified are not to blame for an overload.
 #[rstest]
 fn managers_notified_at_different_times_respect_the_slow_start_budget(
     #[values(LIGHT, HEAVY, MIXED)] mix: Mix,
@@ -284,7 +288,7 @@
     assert!(most > 0.3, "{most:.2} of what it may get");
 }
 
-/// The fleet grows from twenty to thirty managers, and the older ones have not been told: their configuration still names
+/// The fleet grows from twenty to thirty managers, and the older ones have not been notified: their configuration still names
 /// twenty.
 #[rstest]
 fn managers_with_different_fleet_sizes_respect_the_slow_start_budget(
