--- a/src/log.rs
+++ b/src/log.rs
@@ -12,7 +12,7 @@
 //! global bound on levels. Two kinds of lines are no events and come at every level: errors before the log is set up,
 //! and the counters that are printed on SIGUSR1 and at exit.
 
-use crate::operator_config::text::{Format, Level, LogText};
+use crate::operator_config::text::{LogFormat, LogLevel, LogTable};
 use std::fmt;
 use std::io;
 use tracing::level_filters::LevelFilter;
@@ -37,7 +37,7 @@
 }
 
 /// Sets up the log for the life of the process. Errors: a log was set up already.
-pub fn init(log: &LogText) -> Result<(), LogError> {
+pub fn init(log: &LogTable) -> Result<(), LogError> {
     let subscriber = subscriber(log, io::stderr);
     Ok(tracing::subscriber::set_global_default(subscriber)?)
 }
@@ -48,7 +48,7 @@
 }
 
 /// A subscriber with the operators' level and format.
-fn subscriber<W>(log: &LogText, writer: W) -> Box<dyn Subscriber + Send + Sync>
+fn subscriber<W>(log: &LogTable, writer: W) -> Box<dyn Subscriber + Send + Sync>
 where
     W: for<'writer> MakeWriter<'writer> + Send + Sync + 'static,
 {
@@ -57,8 +57,8 @@
         .with_max_level(level_filter(log.level))
         .with_ansi(false);
     match log.format {
-        Format::Text => Box::new(builder.event_format(TextLines::default()).finish()),
-        Format::Json => Box::new(
+        LogFormat::Text => Box::new(builder.event_format(TextLines::default()).finish()),
+        LogFormat::Json => Box::new(
             builder
                 .json()
                 .flatten_event(true)
@@ -68,13 +68,13 @@
     }
 }
 
-fn level_filter(level: Level) -> LevelFilter {
+fn level_filter(level: LogLevel) -> LevelFilter {
     match level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
-        Level::Trace => LevelFilter::TRACE,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
+        LogLevel::Trace => LevelFilter::TRACE,
     }
 }
 
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of this module.
 
 use super::subscriber;
-use crate::operator_config::text::{Format, Level, LogText};
+use crate::operator_config::text::{LogFormat, LogLevel, LogTable};
 use rstest::rstest;
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
@@ -28,10 +28,10 @@
     }
 }
 
-fn logged(level: Level, format: Format, log_events: impl FnOnce()) -> String {
+fn logged(level: LogLevel, format: LogFormat, log_events: impl FnOnce()) -> String {
     let output = CapturedOutput::default();
     let writer = output.clone();
-    let subscriber = subscriber(&LogText { level, format }, move || writer.clone());
+    let subscriber = subscriber(&LogTable { level, format }, move || writer.clone());
     // With a single subscriber, callsites that other tests' threads meet first would be switched off for all.
     let _second = tracing::Dispatch::new(subscriber_without_output());
     tracing::subscriber::with_default(subscriber, log_events);
@@ -44,7 +44,7 @@
 
 #[test]
 fn own_events_from_info_up_are_prefixed_lines_in_text_format() {
-    let text = logged(Level::Info, Format::Text, || {
+    let text = logged(LogLevel::Info, LogFormat::Text, || {
         info!("manager-1 serves on 127.0.0.1:1");
         info!(engine = %"s-1", state = "down", "engine changed state");
         warn!(reason = %"line 3", "settings rejected");
@@ -59,7 +59,7 @@
 
 #[test]
 fn debug_lines_begin_with_their_level_in_text_format() {
-    let text = logged(Level::Debug, Format::Text, || {
+    let text = logged(LogLevel::Debug, LogFormat::Text, || {
         debug!(id = 7, "attempt started");
     });
     assert_eq!(text, "DEBUG attempt started id=7\n");
@@ -67,7 +67,7 @@
 
 #[test]
 fn events_of_other_crates_begin_with_their_level_in_text_format() {
-    let text = logged(Level::Info, Format::Text, || {
+    let text = logged(LogLevel::Info, LogFormat::Text, || {
         info!(target: "workload_manager_client", "connected");
         info!(target: "h2::proto", "connected");
     });
@@ -76,7 +76,7 @@
 
 #[test]
 fn operational_lines_are_objects_in_json_format() {
-    let text = logged(Level::Info, Format::Json, || {
+    let text = logged(LogLevel::Info, LogFormat::Json, || {
         info!(ordinal = 2, "new settings in force");
     });
     let line: serde_json::Value = serde_json::from_str(&text).expect("one JSON object");
@@ -86,13 +86,13 @@
 }
 
 #[rstest]
-#[case(Level::Error, 1)]
-#[case(Level::Warn, 2)]
-#[case(Level::Info, 3)]
-#[case(Level::Debug, 4)]
-#[case(Level::Trace, 4)]
-fn a_level_lets_through_itself_and_what_is_graver(#[case] level: Level, #[case] lines: usize) {
-    let text = logged(level, Format::Text, || {
+#[case(LogLevel::Error, 1)]
+#[case(LogLevel::Warn, 2)]
+#[case(LogLevel::Info, 3)]
+#[case(LogLevel::Debug, 4)]
+#[case(LogLevel::Trace, 4)]
+fn a_level_lets_through_itself_and_what_is_graver(#[case] level: LogLevel, #[case] lines: usize) {
+    let text = logged(level, LogFormat::Text, || {
         error!("at error");
         warn!("at warn");
         info!("at info");
--- /dev/null
+++ b/src/operator_config/policy.rs
@@ -0,0 +1,240 @@
+//! The retry policy of an operators' file that was checked against the platform's settings.
+
+use super::constraints::{ClassConstraints, PlatformConstraints};
+use super::faults::{Fault, FaultCollector, fail_if_any};
+use super::settings_check::TableForClass;
+use super::suggestions::nearest_name;
+use super::tables::{FRONT_ENDS, Table, TableKind, all_tables, attempt_policy, class_path};
+use super::text::{OneOrMany, OperatorFile};
+use crate::retry_policy::{AttemptPolicy, FrontendKind, Policy, Route, RouteError, RouteMatch};
+use std::collections::BTreeSet;
+
+/// Builds the policy. `earlier` are the faults of the checks before.
+///
+/// # Errors
+///
+/// Every fault, in the order of the file.
+pub(super) fn build(
+    text: &OperatorFile,
+    source: &str,
+    platform: &PlatformConstraints,
+    earlier: Vec<Fault>,
+) -> Result<Policy, Vec<Fault>> {
+    let mut faults = FaultCollector::new(source, earlier);
+    check_class_names(text, platform, &mut faults);
+    let tables = all_tables(text);
+    let by_class = class_policies(text, platform);
+    let routes = routes(&tables, platform, &mut faults);
+    check_class_tables(&tables, &by_class, platform, &mut faults);
+    check_routes(&tables, &routes, &by_class, platform, &mut faults);
+    if faults.is_empty() {
+        let own_policy = |class: &ClassConstraints| {
+            let own = text.attempts.class.get(&class.name).map(attempt_policy);
+            (class.name.clone(), class.not_idempotent, own)
+        };
+        let classes = platform.classes.iter().map(own_policy).collect();
+        let default = attempt_policy(&text.attempts.default);
+        match Policy::new(default, classes, routes, platform.members.clone()) {
+            Ok(policy) => return Ok(policy),
+            Err(errors) => {
+                for error in &errors {
+                    add_route_error(error, &tables, &mut faults);
+                }
+            }
+        }
+    }
+    fail_if_any(faults.into_faults()).map(|()| Policy::default())
+}
+
+/// Each class table names a class of the settings.
+fn check_class_names(
+    text: &OperatorFile,
+    platform: &PlatformConstraints,
+    faults: &mut FaultCollector<'_>,
+) {
+    for name in text.attempts.class.keys() {
+        if platform.class_position(name).is_none() {
+            let problem = format!("{name:?} is no class of the settings");
+            let known_names = platform.classes.iter().map(|class| class.name.as_str());
+            let suggestion = nearest_name(name, known_names);
+            faults.add(&class_path(name), "", problem, suggestion);
+        }
+    }
+}
+
+/// The policy in force for each class, routes left out.
+fn class_policies(text: &OperatorFile, platform: &PlatformConstraints) -> Vec<AttemptPolicy> {
+    let default = attempt_policy(&text.attempts.default);
+    let effective = |class: &ClassConstraints| {
+        let mut policy = if class.not_idempotent {
+            default.for_non_idempotent()
+        } else {
+            default.clone()
+        };
+        if let Some(own) = text.attempts.class.get(&class.name) {
+            policy.override_with(&attempt_policy(own));
+        }
+        policy
+    };
+    platform.classes.iter().map(effective).collect()
+}
+
+/// The routes in the order of the file.
+fn routes(
+    tables: &[Table<'_>],
+    platform: &PlatformConstraints,
+    faults: &mut FaultCollector<'_>,
+) -> Vec<Route> {
+    route_tables(tables)
+        .map(|table| Route {
+            name: table.text.name.clone().unwrap_or_default(),
+            matches: route_match(table, platform, faults),
+            policy: attempt_policy(table.text),
+        })
+        .collect()
+}
+
+fn route_tables<'t, 'f>(tables: &'t [Table<'f>]) -> impl Iterator<Item = &'t Table<'f>> {
+    tables.iter().filter(|table| table.kind == TableKind::Route)
+}
+
+/// Checks the default and the class tables for each class that they reach.
+fn check_class_tables(
+    tables: &[Table<'_>],
+    by_class: &[AttemptPolicy],
+    platform: &PlatformConstraints,
+    faults: &mut FaultCollector<'_>,
+) {
+    for table in tables.iter().filter(|t| t.kind != TableKind::Route) {
+        let own = attempt_policy(table.text);
+        for (class, effective) in platform.classes.iter().zip(by_class) {
+            if table.is_default_or_of_class(&class.name) {
+                let applied = TableForClass {
+                    table,
+                    own: &own,
+                    effective,
+                    class,
+                    platform,
+                };
+                applied.check(faults);
+            }
+        }
+    }
+}
+
+/// Checks each route for each class that it matches.
+fn check_routes(
+    tables: &[Table<'_>],
+    routes: &[Route],
+    by_class: &[AttemptPolicy],
+    platform: &PlatformConstraints,
+    faults: &mut FaultCollector<'_>,
+) {
+    for (table, route) in route_tables(tables).zip(routes) {
+        for (position, class) in platform.classes.iter().enumerate() {
+            let classes = route.matches.class.as_ref();
+            if classes.is_some_and(|classes| !classes.contains(&position)) {
+                continue;
+            }
+            let mut effective = by_class[position].clone();
+            effective.override_with(&route.policy);
+            let applied = TableForClass {
+                table,
+                own: &route.policy,
+                effective: &effective,
+                class,
+                platform,
+            };
+            applied.check(faults);
+        }
+    }
+}
+
+/// What a route matches, by positions; unknown names are faults.
+fn route_match(
+    table: &Table<'_>,
+    platform: &PlatformConstraints,
+    faults: &mut FaultCollector<'_>,
+) -> RouteMatch {
+    let Some(matches) = &table.text.matches else {
+        return RouteMatch::default();
+    };
+    let class_names: Vec<&str> = platform.classes.iter().map(|c| c.name.as_str()).collect();
+    let member_names: Vec<&str> = platform.members.iter().map(String::as_str).collect();
+    let mut positions = |key: &str, names: &Option<Vec<String>>, known_names: &[&str]| {
+        let names = names.as_ref()?;
+        Some(known_positions(
+            &table.path,
+            key,
+            names,
+            known_names,
+            faults,
+        ))
+    };
+    let class = positions("class", &matches.class, &class_names);
+    let member = positions("member", &matches.member, &member_names);
+    let data_sets = matches.data_set.as_ref();
+    RouteMatch {
+        class,
+        member,
+        frontend: matches.front_ends.as_ref().map(known_front_ends),
+        data_set: data_sets.map(|sets| sets.iter().copied().collect()),
+    }
+}
+
+/// The positions of the names among the known ones; each unknown name is a fault of the route's key.
+fn known_positions(
+    path: &str,
+    key: &str,
+    names: &[String],
+    known_names: &[&str],
+    faults: &mut FaultCollector<'_>,
+) -> BTreeSet<usize> {
+    let mut positions = BTreeSet::new();
+    for name in names {
+        match known_names.iter().position(|known| known == name) {
+            Some(position) => {
+                positions.insert(position);
+            }
+            None => {
+                let problem = format!("{name:?} is no {key} of the settings");
+                let suggestion = nearest_name(name, known_names.iter().copied());
+                faults.add(path, &format!("match.{key}"), problem, suggestion);
+            }
+        }
+    }
+    positions
+}
+
+/// The front ends with these names. Unknown names are faults that the file's own check has found.
+fn known_front_ends<S: FromIterator<FrontendKind>>(names: &OneOrMany) -> S {
+    let known = |name: &str| FRONT_ENDS.iter().find(|(known, _)| *known == name);
+    names
+        .names()
+        .into_iter()
+        .filter_map(known)
+        .map(|(_, front_end)| *front_end)
+        .collect()
+}
+
+/// Adds a conflict between routes, with the line of the route that it names last.
+fn add_route_error(error: &RouteError, tables: &[Table<'_>], faults: &mut FaultCollector<'_>) {
+    let path_of = |name: &str| {
+        route_tables(tables)
+            .find(|table| table.text.name.as_deref() == Some(name))
+            .map(|table| table.path.clone())
+    };
+    let (path, suggestion) = match error {
+        RouteError::Empty(name) => (path_of(name), "name what it is to match"),
+        RouteError::Disagree(_, last, _) => (
+            path_of(last),
+            "let one route lie within the other, or agree",
+        ),
+        RouteError::TooMany(_) => (None, "leave some values out"),
+    };
+    let path = path.unwrap_or_else(|| "attempts.route".to_owned());
+    // The error's own text ends with a suggestion, which the fault has in other words.
+    let text = error.to_string();
+    let problem = text.split("; ").next().unwrap_or(&text);
+    faults.add(&path, "", problem, suggestion);
+}
--- /dev/null
+++ b/src/operator_config/read.rs
@@ -0,0 +1,125 @@
+//! Reads the operators' file, which may be replaced while it is read.
+
+use super::faults::Fault;
+use std::fs::{self, File, Metadata};
+use std::io::{self, Read};
+use std::path::Path;
+use std::string::FromUtf8Error;
+use std::time::SystemTime;
+use thiserror::Error;
+
+/// The largest file that is read, in bytes.
+pub const LARGEST: u64 = 1 << 20;
+
+/// Reads of a file that changes while it is read, before it is refused.
+const MAX_READS: usize = 3;
+
+/// Why a file cannot be read.
+#[derive(Debug, Error)]
+enum ReadError {
+    #[error("cannot be opened: {0}")]
+    Open(io::Error),
+    #[error("cannot be looked at: {0}")]
+    Metadata(io::Error),
+    #[error("is a folder")]
+    Folder,
+    #[error("cannot be read: {0}")]
+    Read(io::Error),
+    #[error("is larger than {LARGEST} bytes")]
+    TooLarge,
+    #[error("is not UTF-8 after byte {valid_bytes}")]
+    NotUtf8 { valid_bytes: usize, line: usize },
+    #[error("changed while it was read, three times")]
+    Unstable,
+}
+
+impl From<FromUtf8Error> for ReadError {
+    fn from(error: FromUtf8Error) -> Self {
+        let valid_bytes = error.utf8_error().valid_up_to();
+        let valid = &error.as_bytes()[..valid_bytes];
+        ReadError::NotUtf8 {
+            valid_bytes,
+            line: valid.iter().filter(|byte| **byte == b'\n').count() + 1,
+        }
+    }
+}
+
+impl From<ReadError> for Fault {
+    fn from(error: ReadError) -> Self {
+        let suggestion = match error {
+            ReadError::Unstable => "write it elsewhere and move it into place",
+            _ => "give the path of a readable TOML file of 1 MiB at most",
+        };
+        let line = match error {
+            ReadError::NotUtf8 { line, .. } => Some(line),
+            _ => None,
+        };
+        Fault {
+            line,
+            ..Fault::of_file(error.to_string(), suggestion)
+        }
+    }
+}
+
+/// One read of the file.
+struct Snapshot {
+    bytes: Vec<u8>,
+    /// The file did not change while it was read.
+    is_stable: bool,
+}
+
+/// Reads a file of at most [`LARGEST`] bytes; `None` where there is no such file.
+///
+/// # Errors
+///
+/// The file cannot be read, is a folder, too large or not UTF-8, or changes while it is read. The fault says what to do.
+pub fn read(path: &Path) -> Result<Option<String>, Fault> {
+    Ok(read_stable(path)?)
+}
+
+/// Reads again where the file was replaced or written meanwhile, as the bytes may be half of two files.
+fn read_stable(path: &Path) -> Result<Option<String>, ReadError> {
+    let mut previous: Option<Vec<u8>> = None;
+    for _ in 0..MAX_READS {
+        let Some(snapshot) = read_once(path)? else {
+            return Ok(None);
+        };
+        let as_before = previous
+            .as_ref()
+            .is_none_or(|bytes| *bytes == snapshot.bytes);
+        if snapshot.is_stable && as_before {
+            return Ok(Some(String::from_utf8(snapshot.bytes)?));
+        }
+        previous = Some(snapshot.bytes);
+    }
+    Err(ReadError::Unstable)
+}
+
+fn read_once(path: &Path) -> Result<Option<Snapshot>, ReadError> {
+    let mut file = match File::open(path) {
+        Ok(file) => file,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(ReadError::Open(error)),
+    };
+    let metadata_before = file.metadata().map_err(ReadError::Metadata)?;
+    if metadata_before.is_dir() {
+        return Err(ReadError::Folder);
+    }
+    let mut bytes = Vec::new();
+    // One byte more than allowed tells a file that is too large from one that just fits.
+    let mut bounded = file.by_ref().take(LARGEST + 1);
+    bounded.read_to_end(&mut bytes).map_err(ReadError::Read)?;
+    if bytes.len() as u64 > LARGEST {
+        return Err(ReadError::TooLarge);
+    }
+    let is_stable = fs::metadata(path).is_ok_and(|metadata_after| {
+        version_of(&metadata_after) == version_of(&metadata_before)
+            && metadata_after.len() == bytes.len() as u64
+    });
+    Ok(Some(Snapshot { bytes, is_stable }))
+}
+
+/// What differs between two contents of a file.
+fn version_of(metadata: &Metadata) -> (u64, Option<SystemTime>) {
+    (metadata.len(), metadata.modified().ok())
+}
--- /dev/null
+++ b/src/operator_config/startup.rs
@@ -0,0 +1,101 @@
+//! What the operators' files set at a start.
+
+use super::faults::Faults;
+use super::text::LogTable;
+use super::{Loaded, PlatformConstraints, load};
+use crate::node_config::{ConfigError, EngineProtocol, OptionalFronts};
+use crate::retry_policy::Policy;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use thiserror::Error;
+
+/// What the operators' files set at a start: fronts and policy, and where to read them again at SIGHUP.
+#[derive(Clone, Debug, Default)]
+pub struct OperatorConfig {
+    /// The further fronts.
+    pub front_ends: OptionalFronts,
+    /// The policy of attempts; without a file it sets nothing.
+    pub policy: Arc<Policy>,
+    /// The file, where there is one, read again at SIGHUP.
+    pub path: Option<PathBuf>,
+    /// What is logged, and how.
+    pub log: LogTable,
+}
+
+impl From<OptionalFronts> for OperatorConfig {
+    fn from(front_ends: OptionalFronts) -> OperatorConfig {
+        OperatorConfig {
+            front_ends,
+            ..OperatorConfig::default()
+        }
+    }
+}
+
+impl From<Loaded> for OperatorConfig {
+    fn from(loaded: Loaded) -> OperatorConfig {
+        OperatorConfig {
+            front_ends: OptionalFronts {
+                flight: loaded.text.flight,
+                snmp: loaded.text.snmp,
+            },
+            policy: Arc::new(loaded.policy),
+            path: None,
+            log: loaded.text.log,
+        }
+    }
+}
+
+/// Why the operators' files cannot be used at a start.
+#[derive(Debug, Error)]
+pub enum OperatorConfigError {
+    /// The operators' file has faults.
+    #[error(transparent)]
+    File(#[from] Faults),
+    /// The older file of front ends cannot be used.
+    #[error(transparent)]
+    FrontEnds(#[from] ConfigError),
+}
+
+impl OperatorConfig {
+    /// Reads the operators' file at `path` and checks it against these constraints. Where there is none, the older file
+    /// of front ends is read, with a warning, for one version.
+    ///
+    /// # Errors
+    ///
+    /// One of the files cannot be used; the error holds all faults.
+    pub fn load(
+        path: &Path,
+        front_ends: &Path,
+        constraints: &PlatformConstraints,
+    ) -> Result<OperatorConfig, OperatorConfigError> {
+        let from_file = match load(path, constraints)? {
+            Some(loaded) => OperatorConfig::from(loaded),
+            None => OperatorConfig::from(load_front_ends(front_ends, path)?),
+        };
+        Ok(OperatorConfig {
+            path: Some(path.to_owned()),
+            ..from_file
+        })
+    }
+
+    /// What the engines of the list speak.
+    pub(crate) fn engine_protocol(&self) -> EngineProtocol {
+        let flight = self.front_ends.flight.as_ref();
+        flight
+            .map(|front_end| front_end.engines)
+            .unwrap_or_default()
+    }
+}
+
+/// Reads the older file of front ends. The log is not set up yet, so the warning is written directly.
+fn load_front_ends(path: &Path, successor: &Path) -> Result<OptionalFronts, ConfigError> {
+    let front_ends = OptionalFronts::load(path)?;
+    if path.exists() {
+        eprintln!(
+            "workload-manager: {} is read for this version only: move its tables into {}",
+            path.display(),
+            successor.display()
+        );
+    }
+    Ok(front_ends)
+}
--- a/src/operator_config/tests.rs
+++ b/src/operator_config/tests.rs
@@ -1,6 +1,5 @@
-//! Tests of the operators' file: what a sound file sets, every fault with its line, and reads that go wrong.
+//! Tests of the operators' file: what a sound file sets, every fault with its line, and files that cannot be read.
 
-use super::check::ClassConstraints;
 use super::*;
 use crate::decision::Outcome;
 use crate::retry_policy::{FrontendKind, OutcomeSet, RequestAttributes};
@@ -61,7 +60,7 @@
 }
 
 #[test]
-fn a_sound_file_sets_key_by_key() {
+fn each_key_of_a_sound_file_comes_from_its_narrowest_table() {
     let policy = policy(GOOD, &known(true));
     let held = policy.resolve(&AT);
     assert_eq!(
@@ -81,9 +80,10 @@
         .with(Outcome::Rejected)
         .with(Outcome::NotSent);
     assert_eq!(load.retry_on, Some(never));
-    let told = policy.explain(&AT);
+    let explained = policy.explain(&AT);
     let from = |key: &str| {
-        told.iter()
+        explained
+            .iter()
             .find(|s| s.key == key)
             .map(|s| (s.value.clone(), s.from.clone()))
     };
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn no_file_sets_nothing() {
+fn an_empty_file_sets_no_policy() {
     let policy = policy("version = 1\n", &known(false));
     assert!(policy.is_empty());
     assert_eq!(
@@ -110,7 +110,7 @@
 
 /// Every fault of the issue's list at once, each with its line, in the order of the file.
 #[test]
-fn every_fault_at_once_with_its_line() {
+fn all_faults_are_found_at_once_each_with_its_line() {
     let text = r#"version = 1
 [attempts.default]
 second_copy = { after_ms = 150, ratio = 0.05 }
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn faults_that_only_the_settings_show() {
+fn contradictions_to_the_settings_are_faults() {
     // A copy where two attempts may be out, of a class that runs once; and back-off that outlasts the request.
     let text = r#"version = 1
 [attempts.class.log-load]
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn routes_that_disagree_or_match_nothing() {
+fn routes_that_conflict_or_match_nothing_are_faults() {
     let text = r#"version = 1
 [[attempts.route]]
 name = "by class"
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn what_the_file_cannot_say() {
+fn each_malformed_file_has_a_fault_with_its_line() {
     let cases = [
         ("", Some(1), "missing field `version`"),
         ("version = 2\n", Some(1), "is greater than 1"),
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn reads_that_go_wrong() {
+fn unreadable_files_are_faults() {
     let dir = std::env::temp_dir().join(format!("magpiechute-file-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("folder");
     assert_eq!(read(&dir.join("none.toml")), Ok(None));
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn the_schema_kept_in_deploy_is_the_programs() {
+fn the_schema_in_deploy_is_the_one_that_the_program_prints() {
     let kept = include_str!("../../deploy/magpiechute.schema.json");
     assert_eq!(
         kept,
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_second_copy_that_this_version_would_not_send_is_a_fault() {
+fn hedging_that_this_version_does_not_carry_out_is_a_fault() {
     let text = "version = 1\n[attempts.class.seat-check]\nsecond_copy = { after = \"p95\", ratio = 0.05 }\n";
     let all = faults(text, &known(true));
     assert_eq!(all.len(), 1);
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn the_example_in_deploy_is_sound() {
+fn the_example_in_deploy_has_no_faults() {
     let text = include_str!("../../deploy/magpiechute.example.toml");
     let policy = policy(text, &known(false));
     assert_eq!(policy.resolve(&AT).max_attempts, Some(2));
--- a/src/operator_config/text.rs
+++ b/src/operator_config/text.rs
@@ -1,26 +1,27 @@
-//! The operators' file as it is written: TOML, `version = 1`, every key known. Ranges that need nothing else to be
-//! judged are checked here by garde; what needs the platform's settings is checked in `check`. The JSON Schema of
-//! `workload-manager schema` is derived from the same types.
+//! The form of the operators' file: TOML with `version = 1` and no unknown keys. The bounds of single values stand here,
+//! checked by garde. The JSON Schema of `workload-manager schema` is derived from the same types: their doc comments are
+//! its descriptions, so a changed comment changes `deploy/magpiechute.schema.json`.
 
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The longest time in ms that any key of the file may name: an hour.
+/// The longest time that a key of the file may name, in ms: one hour.
 pub const LONGEST_MS: f64 = 3_600_000.0;
 
 /// The whole file.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct FileText {
+#[schemars(rename = "FileText")]
+pub struct OperatorFile {
     /// The form of the file; 1 is the only one.
     #[garde(range(min = 1, max = 1))]
     pub version: u32,
     /// What the program logs, and in what form.
     #[serde(default)]
     #[garde(dive)]
-    pub log: LogText,
+    pub log: LogTable,
     /// The Arrow Flight SQL front; off where it is left out.
     #[garde(skip)]
     pub flight: Option<crate::node_config::FlightFrontConfig>,
@@ -30,29 +31,31 @@
     /// Time-outs, repeated attempts and second copies.
     #[serde(default)]
     #[garde(dive)]
-    pub attempts: AttemptsText,
+    pub attempts: AttemptTables,
 }
 
 /// How much is logged, and how.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct LogText {
+#[schemars(rename = "LogText")]
+pub struct LogTable {
     /// The least that is logged: `error`, `warn`, `info` (without the file, the program's usual lines), `debug`
     /// (one line for each decision about a request) or `trace`.
     #[serde(default)]
     #[garde(skip)]
-    pub level: Level,
+    pub level: LogLevel,
     /// `text` lines, or one JSON object a line.
     #[serde(default)]
     #[garde(skip)]
-    pub format: Format,
+    pub format: LogFormat,
 }
 
 /// The least that is logged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
-pub enum Level {
+#[schemars(rename = "Level")]
+pub enum LogLevel {
     Error,
     Warn,
     #[default]
@@ -65,7 +68,8 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
-pub enum Format {
+#[schemars(rename = "Format")]
+pub enum LogFormat {
     #[default]
     Text,
     Json,
@@ -74,32 +78,34 @@
 /// The tables of attempts.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct AttemptsText {
+#[schemars(rename = "AttemptsText")]
+pub struct AttemptTables {
     /// What holds for every class that its own table and the routes leave alone.
     #[serde(default)]
     #[garde(dive)]
-    pub default: TableText,
+    pub default: AttemptTable,
     /// By the name of a class in the platform's settings.
     #[serde(default)]
     #[garde(dive)]
-    pub class: BTreeMap<String, TableText>,
+    pub class: BTreeMap<String, AttemptTable>,
     /// Routes by member, class, front and data set; the narrower goes over the broader.
     #[serde(default)]
     #[garde(dive)]
-    pub route: Vec<TableText>,
+    pub route: Vec<AttemptTable>,
 }
 
 /// One table: the default, a class or a route. `name` and `match` belong to routes alone.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct TableText {
+#[schemars(rename = "TableText")]
+pub struct AttemptTable {
     /// A route's name, as faults and `POLICY` name it.
     #[garde(length(min = 1, max = 128))]
     pub name: Option<String>,
     /// What a route matches; a list that is left out matches all.
     #[serde(rename = "match")]
     #[garde(dive)]
-    pub matches: Option<MatchText>,
+    pub matches: Option<MatchTable>,
     /// The whole request, in ms, from when it is taken.
     #[garde(range(min = 1.0, max = LONGEST_MS))]
     pub timeout_ms: Option<f64>,
@@ -115,19 +121,21 @@
     pub retry_on: Option<Vec<String>>,
     /// Waits before further attempts.
     #[garde(dive)]
-    pub backoff: Option<BackoffText>,
+    pub backoff: Option<BackoffTable>,
     /// Further attempts that all requests taking it from this table may make together.
     #[garde(dive)]
-    pub budget: Option<BudgetText>,
+    pub budget: Option<BudgetTable>,
     /// A second copy of an attempt that takes long; only where the platform's settings allow two attempts out.
     #[garde(dive)]
-    pub second_copy: Option<SecondCopyText>,
+    #[serde(rename = "second_copy")]
+    pub hedging: Option<HedgingTable>,
 }
 
 /// What a route matches.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct MatchText {
+#[schemars(rename = "MatchText")]
+pub struct MatchTable {
     /// Members by their names in the platform's settings.
     #[garde(length(max = 4096))]
     pub member: Option<Vec<String>>,
@@ -136,7 +144,8 @@
     pub class: Option<Vec<String>>,
     /// `platform` or `flight`, or a list of them.
     #[garde(skip)]
-    pub front: Option<OneOrMore>,
+    #[serde(rename = "front")]
+    pub front_ends: Option<OneOrMany>,
     /// Data sets by their numbers.
     #[garde(length(max = 4096))]
     pub data_set: Option<Vec<u32>>,
@@ -146,17 +155,18 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(untagged)]
 #[allow(missing_docs)]
-pub enum OneOrMore {
+#[schemars(rename = "OneOrMore")]
+pub enum OneOrMany {
     One(String),
     More(Vec<String>),
 }
 
-impl OneOrMore {
+impl OneOrMany {
     /// The names.
     pub fn names(&self) -> Vec<&str> {
         match self {
-            OneOrMore::One(name) => vec![name.as_str()],
-            OneOrMore::More(names) => names.iter().map(String::as_str).collect(),
+            OneOrMany::One(name) => vec![name.as_str()],
+            OneOrMany::More(names) => names.iter().map(String::as_str).collect(),
         }
     }
 }
@@ -164,7 +174,8 @@
 /// Waits between attempts.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct BackoffText {
+#[schemars(rename = "BackoffText")]
+pub struct BackoffTable {
     /// Before the second attempt, in ms; twice as long before each further one.
     #[garde(range(min = 0.0, max = 60_000.0))]
     pub base_ms: f64,
@@ -180,7 +191,8 @@
 /// Further attempts against first ones, over a sliding window.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct BudgetText {
+#[schemars(rename = "BudgetText")]
+pub struct BudgetTable {
     /// Further attempts for each first attempt of the window, from 0 to 1.
     #[garde(range(min = 0.0, max = 1.0))]
     pub ratio: f64,
@@ -196,7 +208,8 @@
 /// When a second copy goes out, and how many there may be.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct SecondCopyText {
+#[schemars(rename = "SecondCopyText")]
+pub struct HedgingTable {
     /// Past this share of the class's usual attempts, as `p95` or `p99.9`.
     #[garde(length(min = 2, max = 8))]
     pub after: Option<String>,
--- a/tests/source_size.rs
+++ b/tests/source_size.rs
@@ -10,7 +10,6 @@
 const NOT_SPLIT_YET: &[(&str, usize)] = &[
     ("src/engines/flight/mod.rs", 585),
     ("src/engines/lines/connection.rs", 620),
-    ("src/operator_config/check.rs", 563),
 ];
 
 fn source_files(folder: &Path, found: &mut Vec<PathBuf>) {
