--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -152,7 +152,7 @@
                 ordinal: 0,
             },
         );
-        listed.for_each(|id| subset.set(engine_id(id as u32), Some(zone(id))));
+        listed.for_each(|id| subset.set_ready_zone(engine_id(id as u32), Some(zone(id))));
         let mut fleet = Fleet {
             subset,
             managers,
@@ -264,8 +264,8 @@
     let from = usage::thread_time();
     for change in 0..CHANGES {
         let gone = (change as usize * 7919) % listed;
-        own.set(engine_id(gone as u32), None);
-        own.set(engine_id(SUCCESSORS + change), Some(zone(gone)));
+        own.set_ready_zone(engine_id(gone as u32), None);
+        own.set_ready_zone(engine_id(SUCCESSORS + change), Some(zone(gone)));
         own.members();
     }
     (usage::thread_time() - from).as_secs_f64() * 1e6 / f64::from(CHANGES)
@@ -346,9 +346,9 @@
             old: engine_id(id as u32),
             new: engine_id(SUCCESSORS + id as u32),
         };
-        fleet.subset.set(replacement.old, None);
+        fleet.subset.set_ready_zone(replacement.old, None);
         let gone = fleet.members_of_all();
-        fleet.subset.set(replacement.new, Some(zone(id)));
+        fleet.subset.set_ready_zone(replacement.new, Some(zone(id)));
         let after = fleet.members_of_all();
         for ((before, gone), after) in fleet.held.iter().zip(&gone).zip(&after) {
             let members = MembersByStep {
--- a/src/command.rs
+++ b/src/command.rs
@@ -1,102 +1,58 @@
 //! The sub-commands of `workload-manager` besides serving: `check`, `schema` and `explain`. Each returns what it prints
-//! and its exit code, so that tests need no process.
+//! and its exit code, so that `main` alone writes to the standard streams.
 
-use crate::node_config::NodeConfig;
+use crate::node_config::{ConfigError, NodeConfig};
 use crate::operator_config::{self, Fault, Faults, PlatformConstraints};
 use crate::retry_policy::{FrontendKind, RequestAttributes};
-use std::path::Path;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// What a command printed, and how it ends.
+/// The exit code of a command that cannot use its file or its arguments.
+const EXIT_REFUSED: u8 = 2;
+
+/// What a command prints, and how it ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Done {
-    /// 0 where all is well, 2 where the file or the call cannot be used.
-    pub code: u8,
-    /// Standard output.
-    pub out: String,
-    /// Standard error.
-    pub err: String,
+#[must_use]
+pub struct CommandOutput {
+    /// 0 where all is well, 2 where the file or the arguments cannot be used.
+    pub exit_code: u8,
+    /// For standard output.
+    pub stdout: String,
+    /// For standard error.
+    pub stderr: String,
 }
 
-impl Done {
-    fn refused(err: String) -> Done {
-        Done {
-            code: 2,
-            out: String::new(),
-            err,
+impl CommandOutput {
+    fn success(stdout: String) -> Self {
+        CommandOutput {
+            stdout,
+            ..CommandOutput::default()
         }
     }
-}
-
-/// What the settings of a platform's configuration tell; without one, nothing.
-fn known(config: Option<&Path>) -> Result<Option<PlatformConstraints>, String> {
-    config
-        .map(|path| {
-            NodeConfig::load(path)
-                .map(|c| PlatformConstraints::from_settings(&c.settings))
-                .map_err(|e| e.to_string())
-        })
-        .transpose()
-}
 
-fn shown(faults: &Faults, json: bool) -> String {
-    if !json {
-        return format!("{faults}\n");
-    }
-    let each = |f: &Fault| serde_json::json!({"file": faults.file, "line": f.line, "key": f.key, "what": f.problem, "mend": f.suggestion});
-    let all: Vec<serde_json::Value> = faults.faults.iter().map(each).collect();
-    format!("{}\n", serde_json::Value::Array(all))
-}
-
-/// `check [--config JSON] FILE`: the file alone, or held against the settings of the configuration as well.
-pub fn check(config: Option<&Path>, path: &Path, json: bool) -> Done {
-    let known = match known(config) {
-        Ok(known) => known,
-        Err(e) => return Done::refused(format!("workload-manager: {e}\n")),
-    };
-    let named = |all| Faults {
-        file: path.display().to_string(),
-        faults: all,
-    };
-    let source = match operator_config::read(path) {
-        Ok(Some(source)) => source,
-        Ok(None) => {
-            return Done::refused(format!(
-                "workload-manager: there is no file {}\n",
-                path.display()
-            ));
+    fn refused(stderr: String) -> Self {
+        CommandOutput {
+            exit_code: EXIT_REFUSED,
+            stderr,
+            ..CommandOutput::default()
         }
-        Err(fault) => return Done::refused(shown(&named(vec![fault]), json)),
-    };
-    let checked = operator_config::parse_and_check(&source, known.as_ref()).map(|_| ());
-    match checked {
-        Ok(()) => {
-            let against = if known.is_some() {
-                " and the settings"
-            } else {
-                "; the settings were not given"
-            };
-            Done {
-                code: 0,
-                out: format!("{}: sound in itself{against}\n", path.display()),
-                err: String::new(),
-            }
-        }
-        Err(all) => Done::refused(shown(&named(all), json)),
     }
 }
 
-/// `schema`: the JSON Schema of the file.
-pub fn schema() -> Done {
-    Done {
-        code: 0,
-        out: operator_config::schema(),
-        err: String::new(),
-    }
+/// How `check` writes faults.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum FaultFormat {
+    /// One line each.
+    #[default]
+    Text,
+    /// One JSON array.
+    Json,
 }
 
 /// What `explain` is asked about.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct ExplainQuery {
     /// A class by name.
     pub class: String,
     /// A member by name.
@@ -107,59 +63,131 @@
     pub data_set: Option<u32>,
 }
 
-/// `explain --config JSON FILE --class C ...`: the keys that hold for such a request, each with its table.
-pub fn explain(config: &Path, path: &Path, asked: &Asked) -> Done {
-    let known = match known(Some(config)) {
-        Ok(Some(known)) => known,
-        Ok(None) => unreachable!("a configuration was given"),
-        Err(e) => return Done::refused(format!("workload-manager: {e}\n")),
-    };
-    let loaded = match operator_config::load(path, &known) {
-        Ok(loaded) => loaded.unwrap_or_default(),
-        Err(faults) => return Done::refused(shown(&faults, false)),
+/// Why a command cannot be carried out.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error("workload-manager: {0}")]
+    Config(#[from] ConfigError),
+    #[error("workload-manager: there is no file {}", .0.display())]
+    NoFile(PathBuf),
+    #[error(transparent)]
+    Faults(#[from] Faults),
+    #[error("workload-manager: {0:?} is no class of the settings")]
+    UnknownClass(String),
+    #[error("workload-manager: {0:?} is no member of the settings")]
+    UnknownMember(String),
+    #[error("workload-manager: {0:?} is no front: platform or flight")]
+    UnknownFront(String),
+}
+
+/// `check [--config JSON] FILE`: checks the file by itself, or against the settings of the configuration as well.
+pub fn check(config: Option<&Path>, path: &Path, format: FaultFormat) -> CommandOutput {
+    match check_file(config, path) {
+        Ok(scope) => {
+            let file = path.display();
+            CommandOutput::success(format!("{file}: sound in itself{scope}\n"))
+        }
+        Err(CommandError::Faults(faults)) if format == FaultFormat::Json => {
+            CommandOutput::refused(format!("{}\n", faults_as_json(&faults)))
+        }
+        Err(error) => CommandOutput::refused(format!("{error}\n")),
+    }
+}
+
+/// Checks the file; returns what it was checked against besides itself.
+fn check_file(config: Option<&Path>, path: &Path) -> Result<&'static str, CommandError> {
+    let constraints = config.map(load_constraints).transpose()?;
+    let in_file = |faults| Faults {
+        file: path.display().to_string(),
+        faults,
     };
-    let Some(class) = known.classes.iter().position(|c| c.name == asked.class) else {
-        return Done::refused(format!(
-            "workload-manager: {:?} is no class of the settings\n",
-            asked.class
-        ));
+    let source = operator_config::read(path)
+        .map_err(|fault| in_file(vec![fault]))?
+        .ok_or_else(|| CommandError::NoFile(path.to_owned()))?;
+    operator_config::parse_and_check(&source, constraints.as_ref()).map_err(in_file)?;
+    Ok(match constraints {
+        Some(_) => " and the settings",
+        None => "; the settings were not given",
+    })
+}
+
+fn load_constraints(config: &Path) -> Result<PlatformConstraints, ConfigError> {
+    let config = NodeConfig::load(config)?;
+    Ok(PlatformConstraints::from_settings(&config.settings))
+}
+
+fn faults_as_json(faults: &Faults) -> serde_json::Value {
+    let as_json = |fault: &Fault| {
+        serde_json::json!({
+            "file": faults.file,
+            "line": fault.line,
+            "key": fault.key,
+            "what": fault.problem,
+            "mend": fault.suggestion,
+        })
     };
-    let member = match &asked.member {
+    faults.faults.iter().map(as_json).collect()
+}
+
+/// `schema`: prints the JSON Schema of the file.
+pub fn schema() -> CommandOutput {
+    CommandOutput::success(operator_config::schema())
+}
+
+/// `explain --config JSON FILE --class C ...`: prints the keys in force for such a request, each with its table.
+pub fn explain(config: &Path, path: &Path, query: &ExplainQuery) -> CommandOutput {
+    match explain_request(config, path, query) {
+        Ok(lines) => CommandOutput::success(lines),
+        Err(error) => CommandOutput::refused(format!("{error}\n")),
+    }
+}
+
+fn explain_request(
+    config: &Path,
+    path: &Path,
+    query: &ExplainQuery,
+) -> Result<String, CommandError> {
+    let constraints = load_constraints(config)?;
+    let loaded = operator_config::load(path, &constraints)?.unwrap_or_default();
+    let request = request_attributes(query, &constraints)?;
+    let mut lines = String::new();
+    for value in loaded.policy.explain(&request) {
+        // Writing to a string cannot fail.
+        let _ = writeln!(
+            lines,
+            "{:<20} {:<60} {}",
+            value.key, value.value, value.from
+        );
+    }
+    Ok(lines)
+}
+
+/// The request that a query describes, by positions in the settings.
+fn request_attributes(
+    query: &ExplainQuery,
+    constraints: &PlatformConstraints,
+) -> Result<RequestAttributes, CommandError> {
+    let class = constraints
+        .class_position(&query.class)
+        .ok_or_else(|| CommandError::UnknownClass(query.class.clone()))?;
+    let member = match &query.member {
+        // A member of no name: routes to members do not match it.
         None => usize::MAX,
-        Some(name) => match known.members.iter().position(|m| m == name) {
-            Some(at) => at,
-            None => {
-                return Done::refused(format!(
-                    "workload-manager: {name:?} is no member of the settings\n"
-                ));
-            }
-        },
+        Some(name) => constraints
+            .members
+            .iter()
+            .position(|member| member == name)
+            .ok_or_else(|| CommandError::UnknownMember(name.clone()))?,
     };
-    let front = match asked.front.as_deref() {
+    let frontend = match query.front.as_deref() {
         None | Some("platform") => FrontendKind::Platform,
         Some("flight") => FrontendKind::Flight,
-        Some(other) => {
-            return Done::refused(format!(
-                "workload-manager: {other:?} is no front: platform or flight\n"
-            ));
-        }
+        Some(other) => return Err(CommandError::UnknownFront(other.to_owned())),
     };
-    let at = RequestAttributes {
+    Ok(RequestAttributes {
         class,
         member,
-        frontend: front,
-        data_set: asked.data_set.unwrap_or(0),
-    };
-    let mut out = String::new();
-    for source in loaded.policy.explain(&at) {
-        out.push_str(&format!(
-            "{:<20} {:<60} {}\n",
-            source.key, source.value, source.from
-        ));
-    }
-    Done {
-        code: 0,
-        out,
-        err: String::new(),
-    }
+        frontend,
+        data_set: query.data_set.unwrap_or(0),
+    })
 }
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -74,7 +74,7 @@
     pub(super) fn check_membership(&self, membership: Membership) {
         let Membership { instances, ordinal } = membership;
         self.metrics.ordinal.set(ordinal as usize);
-        if membership.out_of_range() {
+        if membership.is_out_of_range() {
             self.metrics.subset_ordinal_out_of_range.increment();
             tracing::info!(
                 ordinal,
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -82,7 +82,7 @@
             self.reported_subset
                 .as_ref()
                 .map_or(self.engines.len(), BTreeMap::len),
-            self.subset.zones(),
+            self.subset.ready_zones(),
         )
     }
 
@@ -125,7 +125,8 @@
                 .engines
                 .get(id)
                 .filter(|line| line.entry.state == EngineState::Ready);
-            self.subset.set(*id, ready.map(|line| line.entry.zone));
+            self.subset
+                .set_ready_zone(*id, ready.map(|line| line.entry.zone));
         }
         let entries = step.records.iter().map(|line| line.entry.clone()).collect();
         step.subset_change = self.subset_change(event.kind, entries);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,13 @@
-//! magpiechute decides, for a workload manager, when and on which shared SQL engine each query runs, and is that
-//! workload manager on real sockets.
+//! A workload manager for shared SQL engines: it decides when and on which engine each query runs, and serves clients
+//! and engines on real sockets.
 //!
-//! The decisions are sans-I/O: [`Dispatcher::new`] takes [`Settings`] and a seed, and [`Dispatcher::handle`] takes the
-//! time and one [`Event`] and appends [`Action`]s. It reads no clock, starts no thread, and two dispatchers share
-//! nothing. All decisions, and the types of their events and actions, are in the `decision` module.
-//!
-//! Round them stands the [`core`], which knows no wire, and round that one module for each kind of peer.
+//! - The `decision` module decides. It is sans-I/O: [`Dispatcher::new`] takes [`Settings`] and a seed, and
+//!   [`Dispatcher::handle`] takes the time and one [`Event`] and appends [`Action`]s. It reads no clock and starts no
+//!   thread, and two dispatchers share nothing.
+//! - [`core`] owns the requests and one dispatcher. It knows no wire format and opens no socket.
+//! - Around it stands one module for each kind of peer: `clients`, `engines`, [`discovery`], `admin`, `snmp` and
+//!   `hot_restart`.
+//! - [`node`] puts them together from a [`node_config`] and an [`operator_config`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,6 @@
-//! The workload manager on real sockets.
+//! The program `workload-manager`: serves clients, or carries out a sub-command on the operators' file.
+//!
+//! `run` reads the configuration, starts a [`Node`] and handles signals until one asks for the end.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
@@ -8,7 +10,7 @@
 use std::pin::pin;
 use std::process::ExitCode;
 use thiserror::Error;
-use workload_manager::command::{self, Asked, Done};
+use workload_manager::command::{self, CommandOutput, ExplainQuery, FaultFormat};
 use workload_manager::log::LogError;
 use workload_manager::node::{Node, StartError};
 use workload_manager::node_config::{ConfigError, NodeConfig};
@@ -33,8 +35,8 @@
         #[arg(long)]
         config: Option<PathBuf>,
         /// How faults are written.
-        #[arg(long, value_enum, default_value_t = Form::Text)]
-        format: Form,
+        #[arg(long, value_enum, default_value_t = FormatArgument::Text)]
+        format: FormatArgument,
         /// The operators' file (TOML).
         file: PathBuf,
     },
@@ -63,19 +65,28 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Form {
+enum FormatArgument {
     Text,
     Json,
 }
 
+impl From<FormatArgument> for FaultFormat {
+    fn from(format: FormatArgument) -> Self {
+        match format {
+            FormatArgument::Text => FaultFormat::Text,
+            FormatArgument::Json => FaultFormat::Json,
+        }
+    }
+}
+
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let output = match Cli::parse().command {
         None | Some(Command::Run) => return serve(),
         Some(Command::Check {
             config,
             format,
             file,
-        }) => command::check(config.as_deref(), &file, matches!(format, Form::Json)),
+        }) => command::check(config.as_deref(), &file, format.into()),
         Some(Command::Schema) => command::schema(),
         Some(Command::Explain {
             config,
@@ -84,25 +95,24 @@
             member,
             front,
             data_set,
-        }) => command::explain(
-            &config,
-            &file,
-            &Asked {
+        }) => {
+            let query = ExplainQuery {
                 class,
                 member,
                 front,
                 data_set,
-            },
-        ),
+            };
+            command::explain(&config, &file, &query)
+        }
     };
-    print(&done);
-    ExitCode::from(done.code)
+    print(&output);
+    ExitCode::from(output.exit_code)
 }
 
-fn print(done: &Done) {
-    // Guard: a closed pipe to a pager changes nothing of the verdict.
-    let _ = std::io::stdout().write_all(done.out.as_bytes());
-    let _ = std::io::stderr().write_all(done.err.as_bytes());
+/// Writes a command's output. A pipe that a pager has closed does not change the exit code.
+fn print(output: &CommandOutput) {
+    let _ = io::stdout().write_all(output.stdout.as_bytes());
+    let _ = io::stderr().write_all(output.stderr.as_bytes());
 }
 
 /// Why the program ends with an error.
--- a/src/operator_config/constraints.rs
+++ b/src/operator_config/constraints.rs
@@ -46,7 +46,7 @@
     }
 
     /// The position of a class.
-    pub(super) fn class_position(&self, name: &str) -> Option<usize> {
+    pub(crate) fn class_position(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,9 +1,9 @@
-//! The signals that the program heeds, heard without a Unix socket.
+//! The signals that the program handles, received without a Unix socket.
 //!
 //! The runtime's own signal driver opens a pair of Unix sockets when it starts, whether or not a signal is ever
-//! asked for; the fleet's deployment allows TCP and UDP over IPv4 only (docs/fleet.md). Here each signal sets a
-//! flag and then writes a byte to one pipe, the self-pipe pattern of signal-hook's `low_level::pipe`; the reader
-//! empties the pipe first and then takes the flags, so that no signal is lost between the two.
+//! awaited; the fleet's deployment allows TCP and UDP over IPv4 only (docs/fleet.md). Here each signal sets a flag and
+//! then writes a byte to one pipe: the self-pipe pattern of signal-hook's `low_level::pipe`. The reader empties the pipe
+//! first and then takes the flags, so that no signal is lost between the two.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io;
@@ -16,39 +16,47 @@
 /// What a signal asks of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGHUP: read the configuration anew.
+    /// SIGHUP: read the configuration again.
     Reload,
-    /// SIGTERM: end as planned.
+    /// SIGTERM: shut down gracefully.
     Terminate,
-    /// SIGINT: end as planned, as from a terminal.
+    /// SIGINT: shut down gracefully, as from a terminal.
     Interrupt,
     /// SIGUSR1: print the counters.
     Print,
 }
 
-/// The signals, in the order in which they are taken when several came at once.
-const HEARD: [(Signal, i32); 4] = [
+/// Number of signals that are handled.
+const SIGNALS: usize = 4;
+
+/// The signals with their numbers, in the order in which they are returned when several came at once.
+const BY_PRIORITY: [(Signal, i32); SIGNALS] = [
     (Signal::Terminate, SIGTERM),
     (Signal::Interrupt, SIGINT),
     (Signal::Reload, SIGHUP),
     (Signal::Print, SIGUSR1),
 ];
 
-/// Four flags behind one pipe; five descriptors in all, held for the life of the process.
+/// Receiver of the signals: a flag each, behind one pipe. It holds five descriptors for the life of the process.
 pub struct Signals {
     pipe: pipe::Receiver,
-    flags: [Arc<AtomicBool>; 4],
-    /// Taken from the flags and not yet handed out.
-    pending: [bool; 4],
+    /// Set by the handlers, by priority.
+    flags: [Arc<AtomicBool>; SIGNALS],
+    /// Taken from the flags and not returned yet, by priority.
+    pending: [bool; SIGNALS],
 }
 
 impl Signals {
-    /// Installs the handlers. Errors: the pipe cannot be made or a handler cannot be set (the message says which).
+    /// Installs the handlers.
+    ///
+    /// # Errors
+    ///
+    /// The pipe cannot be created, or a handler cannot be installed.
     pub fn install() -> io::Result<Signals> {
         let (reader, writer) = io::pipe()?;
-        let flags = [(); 4].map(|()| Arc::new(AtomicBool::new(false)));
-        for ((_, signal), flag) in HEARD.iter().zip(&flags) {
-            // Guard: the flag is set before the byte is written, so a reader woken by the byte finds it.
+        let flags = [(); SIGNALS].map(|()| Arc::new(AtomicBool::new(false)));
+        for ((_, signal), flag) in BY_PRIORITY.iter().zip(&flags) {
+            // Handlers run in the order of registration: a reader that the byte wakes finds the flag set.
             signal_hook::flag::register(*signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(*signal, OwnedFd::from(writer.try_clone()?))?;
         }
@@ -56,37 +64,63 @@
         Ok(Signals {
             pipe,
             flags,
-            pending: [false; 4],
+            pending: [false; SIGNALS],
         })
     }
 
-    /// The next signal heard. Errors: the pipe can no longer be read, which leaves the program deaf to signals.
+    /// The next signal. Cancel safe: a dropped call loses no signal.
+    ///
+    /// # Errors
+    ///
+    /// The pipe can no longer be read; no signal is received from then on.
     pub async fn next(&mut self) -> io::Result<Signal> {
-        let mut bytes = [0u8; 64];
         loop {
-            if let Some(at) = self.pending.iter().position(|p| *p) {
-                self.pending[at] = false;
-                return Ok(HEARD[at].0);
+            if let Some(signal) = self.take_pending() {
+                return Ok(signal);
             }
-            let read = self.pipe.read(&mut bytes).await?;
+            self.wait_for_byte().await?;
+            self.drain_pipe();
+            self.take_flags();
+        }
+    }
+
+    fn take_pending(&mut self) -> Option<Signal> {
+        let position = self.pending.iter().position(|pending| *pending)?;
+        self.pending[position] = false;
+        Some(BY_PRIORITY[position].0)
+    }
+
+    async fn wait_for_byte(&mut self) -> io::Result<()> {
+        let mut bytes = [0; PIPE_READ_BYTES];
+        match self.pipe.read(&mut bytes).await? {
+            0 => Err(io::Error::new(
+                io::ErrorKind::UnexpectedEof,
+                "the pipe of signals closed",
+            )),
+            _ => Ok(()),
+        }
+    }
+
+    /// Empties the pipe before the flags are taken, so that a signal that arrives in between wakes the reader again.
+    fn drain_pipe(&mut self) {
+        let mut bytes = [0; PIPE_READ_BYTES];
+        while let Ok(read) = self.pipe.try_read(&mut bytes) {
             if read == 0 {
-                return Err(io::Error::new(
-                    io::ErrorKind::UnexpectedEof,
-                    "the pipe of signals closed",
-                ));
-            }
-            // Guard: empty the pipe before the flags, so that a signal that comes in between wakes us again.
-            while let Ok(more) = self.pipe.try_read(&mut bytes) {
-                if more == 0 {
-                    break;
-                }
-            }
-            for (pending, flag) in self.pending.iter_mut().zip(&self.flags) {
-                *pending |= flag.swap(false, Ordering::SeqCst);
+                return;
             }
         }
     }
+
+    fn take_flags(&mut self) {
+        for (pending, flag) in self.pending.iter_mut().zip(&self.flags) {
+            // The handlers of signal-hook store with the same ordering; nothing else is published through the flag.
+            *pending |= flag.swap(false, Ordering::SeqCst);
+        }
+    }
 }
 
+/// Bytes read from the pipe at once; each signal writes one.
+const PIPE_READ_BYTES: usize = 64;
+
 #[cfg(test)]
 mod tests;
--- a/src/signals/tests.rs
+++ b/src/signals/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of the signal receiver, with signals that the process raises itself.
 
 use super::{Signal, Signals};
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
@@ -7,14 +7,14 @@
 
 async fn next(signals: &mut Signals) -> Signal {
     let bound = Duration::from_secs(10);
-    let heard = tokio::time::timeout(bound, signals.next())
+    let received = tokio::time::timeout(bound, signals.next())
         .await
         .expect("a signal within the bound");
-    heard.expect("the pipe of signals")
+    received.expect("the pipe of signals")
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn each_signal_is_heard_once_and_in_order_when_several_came_together() {
+async fn each_signal_is_received_once_and_in_order_when_several_arrive_together() {
     let mut signals = Signals::install().expect("handlers");
     raise(SIGUSR1).expect("raise");
     assert_eq!(next(&mut signals).await, Signal::Print);
--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of the subsets alone: balance, zones, churn, shares, and settings and lists that make little sense.
 
+use super::ring::GOLDEN_RATIO_STEP;
 use super::*;
 use crate::node_config::engine_id;
 use proptest::prelude::*;
@@ -15,16 +16,16 @@
         .collect()
 }
 
-fn subset(most_whole: usize, instances: u32, list: &[(EngineId, u8)]) -> Subset {
+fn subset(max_complete_list: usize, instances: u32, list: &[(EngineId, u8)]) -> Subset {
     let mut subset = Subset::new(
-        most_whole,
+        max_complete_list,
         Membership {
             instances,
             ordinal: 0,
         },
     );
     list.iter()
-        .for_each(|(engine, zone)| subset.set(*engine, Some(*zone)));
+        .for_each(|(engine, zone)| subset.set_ready_zone(*engine, Some(*zone)));
     subset
 }
 
@@ -63,11 +64,11 @@
 
 /// Short lists are taken whole, and so are long ones where managers are few: they have to hold all between them.
 #[test]
-fn which_lists_are_taken_whole() {
+fn short_lists_and_lists_of_few_managers_are_taken_complete() {
     let size = |engines, instances| {
         let mut one = subset(512, instances, &list(engines, 3, 7));
         (
-            one.size(),
+            one.target_size(),
             one.members()
                 .map_or(engines as usize, |members| members.len()),
         )
@@ -89,7 +90,7 @@
 
 /// At a quarter of the fleet's size, with as many holders an engine: their number, and the zones of the subsets.
 #[test]
-fn balance_of_a_large_fleet() {
+fn a_large_fleet_is_balanced_over_engines_and_zones() {
     let list = list(5500, 14, 1);
     let fleet = subset(512, 925, &list);
     let held = all_held(&fleet);
@@ -122,16 +123,16 @@
 /// One engine less moves one place in those that held it; one replaced moves no other manager's; and a manager more or less
 /// moves nobody's.
 #[test]
-fn churn_of_a_large_fleet() {
+fn one_change_moves_at_most_one_place_of_the_managers_concerned() {
     let list = list(5500, 14, 2);
     let fleet = subset(512, 925, &list);
     let before = all_held(&fleet);
     let (mut held, mut newly) = (0, 0);
     for (n, (engine, zone)) in list.iter().enumerate().step_by(2200) {
         let (mut replaced, successor) = (fleet.clone(), engine_id(0xFFFF_0000 + n as u32));
-        replaced.set(*engine, None);
+        replaced.set_ready_zone(*engine, None);
         let gone = all_held(&replaced);
-        replaced.set(successor, Some(*zone));
+        replaced.set_ready_zone(successor, Some(*zone));
         let after = all_held(&replaced);
         for (ordinal, ((before, gone), after)) in before.iter().zip(&gone).zip(&after).enumerate() {
             let held_it = before.contains_key(engine);
@@ -163,7 +164,7 @@
 /// The parts of one engine's budget that managers take whose lists differ: never more than all of it, though one list lacks
 /// six engines in ten. In turn at once are never more than may be while lists differ by a tenth, and twice as many beyond.
 #[test]
-fn shares_while_lists_differ() {
+fn shares_of_an_engine_never_exceed_one_while_lists_differ() {
     const IN_TURN: u32 = 3;
     let list = list(2200, 5, 3);
     for (keep, in_turn_most) in [(2200, 3), (2050, 3), (1980, 3), (1540, 6), (880, 6)] {
@@ -194,7 +195,7 @@
 /// An ordinal at or over the number of managers, and one that two managers have: each is a holder more, and all stay
 /// within their parts.
 #[test]
-fn ordinals_that_cannot_be() {
+fn duplicate_and_out_of_range_ordinals_stay_within_their_shares() {
     let list = list(2200, 5, 4);
     let fleet = subset(128, 370, &list);
     let over = Membership {
@@ -202,12 +203,12 @@
         ordinal: 370,
     };
     assert!(
-        over.out_of_range()
+        over.is_out_of_range()
             && !Membership {
                 ordinal: 369,
                 ..over
             }
-            .out_of_range()
+            .is_out_of_range()
     );
     let mut held = all_held(&fleet);
     held.extend(held_by(&fleet, [370, 1 << 20, u32::MAX, 5]));
@@ -231,7 +232,7 @@
 /// All engines of a subset gone in one event: the next in order are held. No engine at all: nothing is.
 #[test]
 #[expect(clippy::similar_names, reason = "not split yet")]
-fn the_next_in_order_follow() {
+fn the_next_engines_follow_when_a_whole_subset_is_removed() {
     let list = list(2200, 1, 5);
     let mut own = subset(128, 370, &list);
     let before = own.members().expect("a long list");
@@ -240,20 +241,30 @@
         "one zone: {}",
         before.len()
     );
-    before.keys().for_each(|engine| own.set(*engine, None));
+    before
+        .keys()
+        .for_each(|engine| own.set_ready_zone(*engine, None));
     let after = own.members().expect("a long list");
     assert!(before.keys().all(|engine| !after.contains_key(engine)));
     assert!((100..=140).contains(&after.len()), "{}", after.len());
     // The first of those that follow are the next on the ring.
-    let last = before.keys().map(|e| position(*e)).max();
+    let last = before.keys().map(|e| engine_position(*e)).max();
     let next = list
         .iter()
-        .map(|(e, _)| position(*e))
+        .map(|(e, _)| engine_position(*e))
         .filter(|at| Some(*at) > last)
         .min();
-    assert!(after.keys().any(|engine| Some(position(*engine)) == next));
-    list.iter().for_each(|(engine, _)| own.set(*engine, None));
-    assert_eq!((own.members(), own.ready(), own.zones()), (None, 0, 0));
+    assert!(
+        after
+            .keys()
+            .any(|engine| Some(engine_position(*engine)) == next)
+    );
+    list.iter()
+        .for_each(|(engine, _)| own.set_ready_zone(*engine, None));
+    assert_eq!(
+        (own.members(), own.ready_engines(), own.ready_zones()),
+        (None, 0, 0)
+    );
 }
 
 proptest! {
@@ -261,12 +272,12 @@
 
     /// Whatever the sizes: no engine is without a manager, the bound on holders holds, and their places differ.
     #[test]
-    fn every_engine_has_its_holders(
-        engines in 130u32..1500, instances in 5u32..120, zones in 1u8..15, seed: u32, most_whole in 32usize..128,
+    fn every_engine_has_managers_within_the_bound(
+        engines in 130u32..1500, instances in 5u32..120, zones in 1u8..15, seed: u32, max_complete_list in 32usize..128,
     ) {
         let list = list(engines, zones, seed);
-        let fleet = subset(most_whole, instances, &list);
-        prop_assume!(fleet.size() < fleet.ready());
+        let fleet = subset(max_complete_list, instances, &list);
+        prop_assume!(fleet.target_size() < fleet.ready_engines());
         let held = all_held(&fleet);
         let arc = f64::from(instances) * fleet.arcs().share;
         for (engine, holders) in holders_of(&held, &list) {
@@ -287,7 +298,7 @@
 
     /// The same list gives the same subset, in whatever order and by whatever way it came.
     #[test]
-    fn the_way_to_a_list_does_not_matter(
+    fn equal_lists_give_equal_subsets_in_whatever_order_they_came(
         seed: u32, ordinal in 0u32..50, order in Just((0..600usize).collect::<Vec<_>>()).prop_shuffle(),
     ) {
         let list = list(600, 4, seed);
@@ -296,24 +307,24 @@
         let mut other = Subset::new(64, Membership { instances: 9, ordinal: 3 });
         for (step, n) in order.iter().enumerate() {
             let (engine, zone) = list[*n];
-            other.set(engine, Some(zone ^ 1));
-            other.set(engine, Some(zone));
+            other.set_ready_zone(engine, Some(zone ^ 1));
+            other.set_ready_zone(engine, Some(zone));
             if step % 50 == 0 {
                 other.members();
             }
         }
-        list[500..].iter().for_each(|(engine, _)| other.set(*engine, None));
+        list[500..].iter().for_each(|(engine, _)| other.set_ready_zone(*engine, None));
         other.set_membership(Membership { instances: 50, ordinal });
         prop_assert_eq!(direct.members(), other.members());
     }
 
     /// Managers on an arc, counted one by one.
     #[test]
-    fn managers_between(managers in 1u32..3000, end: u32, length: u32) {
-        let before = |ordinal: u32| end.wrapping_sub(ordinal.wrapping_mul(GOLDEN));
+    fn managers_on_an_arc_equal_a_count_one_by_one(managers in 1u32..3000, end: u32, length: u32) {
+        let before = |ordinal: u32| end.wrapping_sub(ordinal.wrapping_mul(GOLDEN_RATIO_STEP));
         let counted = (0..managers).filter(|ordinal| before(*ordinal) < length).count();
         prop_assert_eq!(managers_on_arc(managers, end, length) as usize, counted);
-        let even = f64::from(managers) * f64::from(length) / RING as f64;
+        let even = f64::from(managers) * f64::from(length) / RING_POSITIONS as f64;
         prop_assert!((counted as f64 - even).abs() <= ARC_EXCESS);
     }
 }
