--- a/src/operator_config/startup.rs
+++ b/src/operator_config/startup.rs
@@ -9,16 +9,16 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What the operators' files set at a start: fronts and policy, and where to read them again at SIGHUP.
+/// What the operators' files set at a start, and where to read them again at a reload.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    /// The further fronts.
+    /// The front ends besides that of the platform's protocol.
     pub front_ends: OptionalFronts,
-    /// The policy of attempts; without a file it sets nothing.
+    /// The retry policy; without a file it sets nothing.
     pub policy: Arc<Policy>,
-    /// The file, where there is one, read again at SIGHUP.
+    /// The path of the operators' file, read again at each reload; the file need not exist.
     pub path: Option<PathBuf>,
-    /// What is logged, and how.
+    /// What is logged, and in what form.
     pub log: LogTable,
 }
 
--- a/src/operator_config/text.rs
+++ b/src/operator_config/text.rs
@@ -28,18 +28,18 @@
     /// The SNMP agent; off where it is left out.
     #[garde(skip)]
     pub snmp: Option<crate::node_config::SnmpAgentConfig>,
-    /// Time-outs, repeated attempts and second copies.
+    /// Timeouts, retries and hedged requests.
     #[serde(default)]
     #[garde(dive)]
     pub attempts: AttemptTables,
 }
 
-/// How much is logged, and how.
+/// What is logged, and in what form.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "LogText")]
 pub struct LogTable {
-    /// The least that is logged: `error`, `warn`, `info` (without the file, the program's usual lines), `debug`
+    /// The lowest level that is logged: `error`, `warn`, `info` (the usual level), `debug`
     /// (one line for each decision about a request) or `trace`.
     #[serde(default)]
     #[garde(skip)]
@@ -50,10 +50,13 @@
     pub format: LogFormat,
 }
 
-/// The least that is logged.
+/// The lowest level that is logged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-#[allow(missing_docs)]
+#[expect(
+    missing_docs,
+    reason = "documented variants would change the form of the JSON Schema"
+)]
 #[schemars(rename = "Level")]
 pub enum LogLevel {
     Error,
@@ -67,7 +70,10 @@
 /// The form of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-#[allow(missing_docs)]
+#[expect(
+    missing_docs,
+    reason = "documented variants would change the form of the JSON Schema"
+)]
 #[schemars(rename = "Format")]
 pub enum LogFormat {
     #[default]
@@ -80,7 +86,7 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "AttemptsText")]
 pub struct AttemptTables {
-    /// What holds for every class that its own table and the routes leave alone.
+    /// Keys of every request, unless the table of its class or a route sets them.
     #[serde(default)]
     #[garde(dive)]
     pub default: AttemptTable,
@@ -88,7 +94,7 @@
     #[serde(default)]
     #[garde(dive)]
     pub class: BTreeMap<String, AttemptTable>,
-    /// Routes by member, class, front and data set; the narrower goes over the broader.
+    /// Routes by member, class, front end and data set; a narrower route overrides a broader one.
     #[serde(default)]
     #[garde(dive)]
     pub route: Vec<AttemptTable>,
@@ -99,39 +105,39 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "TableText")]
 pub struct AttemptTable {
-    /// A route's name, as faults and `POLICY` name it.
+    /// A route's name, as faults and `POLICY` show it.
     #[garde(length(min = 1, max = 128))]
     pub name: Option<String>,
-    /// What a route matches; a list that is left out matches all.
+    /// The requests that a route matches; a list that is left out matches all.
     #[serde(rename = "match")]
     #[garde(dive)]
     pub matches: Option<MatchTable>,
-    /// The whole request, in ms, from when it is taken.
+    /// Longest time of the request, in ms, from its acceptance.
     #[garde(range(min = 1.0, max = LONGEST_MS))]
     pub timeout_ms: Option<f64>,
-    /// One attempt, in ms, from when it is sent.
+    /// Longest time of one attempt, in ms, from when it is sent.
     #[garde(range(min = 1.0, max = LONGEST_MS))]
     pub attempt_timeout_ms: Option<f64>,
     /// Attempts in all, the first included.
     #[garde(range(min = 1, max = 64))]
     pub max_attempts: Option<u32>,
-    /// The ends after which another attempt may follow: `no-connection`, `full`, `never-sent`, `reset`, `error`,
+    /// The outcomes after which a retry may follow: `no-connection`, `full`, `never-sent`, `reset`, `error`,
     /// `timed-out`.
     #[garde(length(max = 6))]
     pub retry_on: Option<Vec<String>>,
-    /// Waits before further attempts.
+    /// Waits before retries.
     #[garde(dive)]
     pub backoff: Option<BackoffTable>,
-    /// Further attempts that all requests taking it from this table may make together.
+    /// Retries that all requests with this budget may make together.
     #[garde(dive)]
     pub budget: Option<BudgetTable>,
-    /// A second copy of an attempt that takes long; only where the platform's settings allow two attempts out.
+    /// Hedging of attempts that take long; only where the platform's settings allow two attempts in flight.
     #[garde(dive)]
     #[serde(rename = "second_copy")]
     pub hedging: Option<HedgingTable>,
 }
 
-/// What a route matches.
+/// The requests that a route matches.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "MatchText")]
@@ -154,7 +160,10 @@
 /// One name, or a list.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(untagged)]
-#[allow(missing_docs)]
+#[expect(
+    missing_docs,
+    reason = "documented variants would change the form of the JSON Schema"
+)]
 #[schemars(rename = "OneOrMore")]
 pub enum OneOrMany {
     One(String),
@@ -171,32 +180,32 @@
     }
 }
 
-/// Waits between attempts.
+/// Waits between attempts, doubled with each.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "BackoffText")]
 pub struct BackoffTable {
-    /// Before the second attempt, in ms; twice as long before each further one.
+    /// The wait before the first retry, in ms; twice as long before each further one.
     #[garde(range(min = 0.0, max = 60_000.0))]
     pub base_ms: f64,
     /// The longest wait, in ms.
     #[garde(range(min = 0.0, max = 600_000.0))]
     pub max_ms: f64,
-    /// The share of a wait, from 0 to 1, that chance may take off.
+    /// The largest part of a wait, from 0 to 1, by which it is shortened at random.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1.0))]
     pub jitter: f64,
 }
 
-/// Further attempts against first ones, over a sliding window.
+/// Retries against first attempts, over a sliding window.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "BudgetText")]
 pub struct BudgetTable {
-    /// Further attempts for each first attempt of the window, from 0 to 1.
+    /// Retries for each first attempt of the window, from 0 to 1.
     #[garde(range(min = 0.0, max = 1.0))]
     pub ratio: f64,
-    /// Further attempts a second that are allowed besides.
+    /// Retries a second that are allowed in addition.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub min_per_s: f64,
@@ -205,18 +214,18 @@
     pub window_s: f64,
 }
 
-/// When a second copy goes out, and how many there may be.
+/// When a hedged request is sent, and how many there may be.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "SecondCopyText")]
 pub struct HedgingTable {
-    /// Past this share of the class's usual attempts, as `p95` or `p99.9`.
+    /// After the time within which this share of the class's attempts end, as `p95` or `p99.9`.
     #[garde(length(min = 2, max = 8))]
     pub after: Option<String>,
-    /// Or past this time, in ms.
+    /// Or after this time, in ms.
     #[garde(range(min = 1.0, max = LONGEST_MS))]
     pub after_ms: Option<f64>,
-    /// Copies for each first attempt, from 0 to 1.
+    /// Hedged requests for each first attempt, from 0 to 1.
     #[garde(range(min = 0.0, max = 1.0))]
     pub ratio: f64,
 }
