--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -37,8 +37,8 @@
     )
 }
 
-/// A measured figure, if it makes sense.
-fn sane(figure: Option<f64>) -> Option<f64> {
+/// A measured figure, if it is finite and above 0.
+fn positive(figure: Option<f64>) -> Option<f64> {
     figure.filter(|figure| figure.is_finite() && *figure > 0.0)
 }
 
@@ -89,7 +89,9 @@
     fn learn_memory(&mut self, id: RequestId, measured_memory_mb: Option<f64>) {
         let request = &self.requests[&id];
         let estimated_mb = request.estimated_memory_mb;
-        if let (Some(measured_mb), Some(estimated_mb)) = (sane(measured_memory_mb), estimated_mb) {
+        if let (Some(measured_mb), Some(estimated_mb)) =
+            (positive(measured_memory_mb), estimated_mb)
+        {
             let statistics = &mut self.class_statistics[request.class];
             statistics
                 .memory_error
@@ -187,7 +189,7 @@
         }
         let attempt = &served.attempt;
         let thread_time_ms = served.elapsed_ms.max(MIN_ELAPSED_MS) * self.threads(served.class);
-        let measured_work_ms = sane(served.measured_work_ms);
+        let measured_work_ms = positive(served.measured_work_ms);
         self.work_is_measured |= measured_work_ms.is_some();
         let work_ms = measured_work_ms.unwrap_or(attempt.work_ms);
         let log_slowdown = (thread_time_ms / work_ms.max(MIN_WORK_MS))
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -15,8 +15,8 @@
     least.max(1.0 - (-age_ms / time_constant_ms).exp())
 }
 
-/// A reported figure, if it makes sense.
-fn sane(figure: Option<f64>) -> Option<f64> {
+/// A reported figure, if it is finite and not negative.
+fn non_negative(figure: Option<f64>) -> Option<f64> {
     figure.filter(|figure| figure.is_finite() && *figure >= 0.0)
 }
 
@@ -133,14 +133,14 @@
     pub(super) fn on_load_report(&mut self, engine_id: EngineId, report: LoadReport) {
         // Hung queries hold memory while cores and disks idle: their engine must not look free (29742104).
         let shares = [report.cpu_busy, report.disk_busy, report.memory_granted];
-        let busiest = shares.into_iter().filter_map(sane).reduce(f64::max);
+        let busiest = shares.into_iter().filter_map(non_negative).reduce(f64::max);
         let threads_per_query = self.threads_per_query.mean();
         let full_threads_per_core = START_THREADS_PER_CORE * self.pooled_limit.limit();
         let Some(engine) = self.engines.get_mut(&engine_id) else {
             return;
         };
-        let waiting = sane(report.memory_queue).unwrap_or(0.0) * threads_per_query;
-        let counted = sane(report.inflight)
+        let waiting = non_negative(report.memory_queue).unwrap_or(0.0) * threads_per_query;
+        let counted = non_negative(report.inflight)
             .map(|queries| (queries - engine.running.len() as f64) * threads_per_query);
         self.reports_count_queries |= counted.is_some();
         // Busy cores or disks stand in for threads; at the ceiling, where more do not show, for all that fit.
@@ -169,7 +169,7 @@
         }
         // Where queries are counted, the other shares tell nothing more.
         let busy = if counted.is_some() {
-            sane(report.cpu_busy)
+            non_negative(report.cpu_busy)
         } else {
             busiest
         };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -236,16 +236,32 @@
     assert_eq!(sends, 13, "two free and a tenth of ten");
 }
 
+/// Pause of an order key in ms, as the shared settings have it.
+const KEY_PAUSE_MS: f64 = 300.0;
+/// The retry budget of the random test.
+const FREE_RETRIES: f64 = 3.0;
+const RETRIES_PER_REQUEST: f64 = 0.3;
+const RETRY_WINDOW_MS: f64 = 3000.0;
+
+/// Where and when a request may have run first.
+#[derive(Clone, Copy)]
+struct FirstExecution {
+    engine: EngineId,
+    sent_at: f64,
+}
+
 /// What the random test knows of one request.
 #[derive(Default)]
 struct TrackedRequest {
     class: usize,
     key: u64,
-    due: f64,
+    deadline: f64,
     attempts: u16,
-    out: Option<EngineId>,
+    /// The engine of its attempt in flight.
+    engine: Option<EngineId>,
+    /// Answered, or its client has left.
     over: bool,
-    first_ran: Option<(EngineId, f64)>,
+    first_execution: Option<FirstExecution>,
     sent_at: f64,
 }
 
@@ -333,9 +349,9 @@
             },
         ];
         let extra = Some(RetryBudget {
-            free_retries: 3.0,
-            retries_per_request: 0.3,
-            window_ms: 3000.0,
+            free_retries: FREE_RETRIES,
+            retries_per_request: RETRIES_PER_REQUEST,
+            window_ms: RETRY_WINDOW_MS,
         });
         let bench = TestBench::new(
             Settings {
@@ -375,11 +391,10 @@
     }
 
     fn ask(&mut self, id: u32, class: usize, key: u64, left: f64, cost: f64) -> Vec<Action> {
-        let due = self.bench.now + left;
         let tracked = TrackedRequest {
             class,
             key,
-            due,
+            deadline: self.bench.now + left,
             ..TrackedRequest::default()
         };
         self.requests.insert(id, tracked);
@@ -397,7 +412,7 @@
     }
 
     fn end_one(&mut self, pick: usize, outcome: Outcome) -> Vec<Action> {
-        let in_flight = self.ids(|request| request.out.is_some());
+        let in_flight = self.ids(|request| request.engine.is_some());
         if in_flight.is_empty() {
             return Vec::new();
         }
@@ -437,54 +452,49 @@
         Vec::new()
     }
 
+    /// Ends the attempt in flight of a request.
     fn end(&mut self, id: u32, outcome: Outcome) -> Vec<Action> {
         let now = self.bench.now;
-        let s = self.requests.get_mut(&id).unwrap();
-        let at = s.out.take().unwrap();
+        let request = self.requests.get_mut(&id).unwrap();
+        let engine = request.engine.take().unwrap();
         if may_have_run(outcome) {
-            let first = (at, s.sent_at);
-            s.first_ran.get_or_insert(first);
+            let sent_at = request.sent_at;
+            request
+                .first_execution
+                .get_or_insert(FirstExecution { engine, sent_at });
         }
         let pauses = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
-        if pauses && self.classes[s.class].ordered_by_key {
-            self.paused_until.insert(s.key, now + 300.0);
+        if pauses && self.classes[request.class].ordered_by_key {
+            self.paused_until.insert(request.key, now + KEY_PAUSE_MS);
         }
-        let (attempt, finished) = (s.attempts - 1, s.over || outcome == Outcome::Ok);
-        s.over |= finished;
-        let report = LoadReport {
-            inflight: Some(f64::NAN),
-            cpu_busy: Some(-3.0),
-            ..LoadReport::default()
-        };
-        let (took_ms, billed_ms) = (now - s.sent_at, None);
-        self.bench.event(Event::AttemptEnded(AttemptEnded {
+        request.over |= outcome == Outcome::Ok;
+        let ended = AttemptEnded {
             id,
-            attempt,
-            engine: at,
+            attempt: request.attempts - 1,
+            engine,
             outcome,
-            elapsed_ms: took_ms,
-            answered: finished,
-            measured_work_ms: billed_ms,
+            elapsed_ms: now - request.sent_at,
+            answered: request.over,
+            measured_work_ms: None,
             measured_memory_mb: None,
-            load_report: report,
-        }))
+            load_report: LoadReport {
+                inflight: Some(f64::NAN),
+                cpu_busy: Some(-3.0),
+                ..LoadReport::default()
+            },
+        };
+        self.bench.event(Event::AttemptEnded(ended))
     }
 
     /// At its deadline an attempt times out; a waiting request must have been answered by then.
     fn deadlines(&mut self) {
         let now = self.bench.now;
-        let due: Vec<u32> = self
-            .requests
-            .iter()
-            .filter(|(_, s)| !s.over && s.due <= now)
-            .map(|(id, _)| *id)
-            .collect();
-        for id in due {
+        for id in self.ids(|request| !request.over && request.deadline <= now) {
             assert!(
-                self.requests[&id].out.is_some(),
+                self.requests[&id].engine.is_some(),
                 "rule 1: {id} waits past its deadline"
             );
             let actions = self.end(id, Outcome::TimedOut);
@@ -497,85 +507,126 @@
     }
 
     fn check(&mut self, actions: &[Action]) {
-        let now = self.bench.now;
         for action in actions {
             match action {
-                Action::StartAttempt { id, engine, .. } => self.check_send(*id, *engine, now),
-                Action::Reject { id, .. } | Action::Fail { id } => {
-                    let s = self.requests.get_mut(id).expect("known");
-                    assert!(!s.over, "rule 1: {id} is answered twice");
-                    s.over = true;
-                    let refused = matches!(action, Action::Reject { .. });
-                    let harmless =
-                        matches!(self.classes[s.class].idempotency, Idempotency::Idempotent);
-                    assert!(
-                        !refused || harmless || s.first_ran.is_none(),
-                        "rule 2: {id} refused"
-                    );
+                Action::StartAttempt { id, engine, .. } => self.check_send(*id, *engine),
+                Action::Reject { id, .. } => {
+                    self.check_rejection(*id);
+                    self.check_answer(*id);
                 }
+                Action::Fail { id } => self.check_answer(*id),
                 _ => {}
             }
         }
     }
 
-    fn check_send(&mut self, id: u32, at: EngineId, now: f64) {
-        let s = &self.requests[&id];
-        let c = &self.classes[s.class];
-        assert!(!s.over, "rule 1: {id} is sent after its end");
-        assert!(s.out.is_none(), "rule 2: {id} is out twice");
-        if let Some((first, sent)) = s.first_ran {
-            match c.idempotency {
-                Idempotency::Idempotent => {}
-                Idempotency::WithKey(_) => {
-                    assert!(
-                        first.addr[3] % 2 == at.addr[3] % 2,
-                        "rule 2: {id} leaves its group"
-                    );
-                    assert!(
-                        now <= sent + c.dedup_window_ms,
-                        "rule 2: {id} is past its span"
-                    );
-                }
-                Idempotency::NonIdempotent => panic!("rule 2: {id} may run twice"),
-            }
-        }
+    fn check_answer(&mut self, id: u32) {
+        let request = self.requests.get_mut(&id).expect("known");
+        assert!(!request.over, "rule 1: {id} is answered twice");
+        request.over = true;
+    }
+
+    fn check_rejection(&self, id: u32) {
+        let request = &self.requests[&id];
+        let class = &self.classes[request.class];
+        let is_harmless = class.idempotency == Idempotency::Idempotent;
+        assert!(
+            is_harmless || request.first_execution.is_none(),
+            "rule 2: {id} rejected"
+        );
+    }
+
+    fn check_send(&mut self, id: u32, engine: EngineId) {
+        let request = &self.requests[&id];
+        assert!(!request.over, "rule 1: {id} is sent after its end");
+        assert!(
+            request.engine.is_none(),
+            "rule 2: {id} has two attempts in flight"
+        );
+        self.check_repeat(id, engine);
         assert_eq!(
-            self.states[&at],
+            self.states[&engine],
             EngineState::Ready,
             "rule 3: {id} to an engine that drains"
         );
-        if c.ordered_by_key && s.key != 0 {
-            let same = |o: &TrackedRequest| self.classes[o.class].ordered_by_key && o.key == s.key;
-            let earlier = self
-                .requests
-                .range(..id)
-                .any(|(_, o)| same(o) && (!o.over || o.out.is_some()));
-            assert!(!earlier, "rule 5: {id} overtakes");
-            let rests = s.attempts == 0 && self.paused_until.get(&s.key).is_some_and(|r| now < *r);
-            let other = self
-                .requests
-                .range(..id)
-                .any(|(_, o)| same(o) && o.first_ran.is_some());
-            assert!(!(rests && other), "rule 5: {id} while its key rests");
-        }
+        self.check_order(id);
+        let class = &self.classes[self.requests[&id].class];
+        let zone = engine.addr[3] % 2;
+        let zones = class.allowed_zones.as_ref();
         assert!(
-            c.allowed_zones
-                .as_ref()
-                .is_none_or(|z| z.contains(&(at.addr[3] % 2))),
+            zones.is_none_or(|zones| zones.contains(&zone)),
             "rule 6: {id}"
         );
-        let s = self.requests.get_mut(&id).unwrap();
-        if s.attempts > 0 {
-            self.retried_at.push_back(now);
-            let from = now - 3000.0;
-            let spent = self.retried_at.iter().filter(|t| **t > from).count() as f64;
-            let taken = self.accepted_at.iter().filter(|t| **t > from).count() as f64;
-            assert!(
-                spent <= 3.0 + 0.3 * taken,
-                "rule 7: {spent} further attempts of {taken}"
-            );
+        if self.requests[&id].attempts > 0 {
+            self.check_retry_budget();
+        }
+        let now = self.bench.now;
+        let request = self.requests.get_mut(&id).unwrap();
+        request.attempts += 1;
+        request.engine = Some(engine);
+        request.sent_at = now;
+    }
+
+    /// Rule 2: what may have run is repeated only where that is harmless.
+    fn check_repeat(&self, id: u32, engine: EngineId) {
+        let request = &self.requests[&id];
+        let class = &self.classes[request.class];
+        let Some(first) = request.first_execution else {
+            return;
+        };
+        match class.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::WithKey(_) => {
+                assert!(
+                    first.engine.addr[3] % 2 == engine.addr[3] % 2,
+                    "rule 2: {id} leaves its dedup scope"
+                );
+                assert!(
+                    self.bench.now <= first.sent_at + class.dedup_window_ms,
+                    "rule 2: {id} is past its dedup window"
+                );
+            }
+            Idempotency::NonIdempotent => panic!("rule 2: {id} may run twice"),
+        }
+    }
+
+    /// Rule 5: requests of one key run one at a time, in order, with a pause where an attempt may still run.
+    fn check_order(&self, id: u32) {
+        let request = &self.requests[&id];
+        if !self.classes[request.class].ordered_by_key || request.key == 0 {
+            return;
         }
-        (s.attempts, s.out, s.sent_at) = (s.attempts + 1, Some(at), now);
+        let is_same_key = |other: &TrackedRequest| {
+            self.classes[other.class].ordered_by_key && other.key == request.key
+        };
+        let earlier: Vec<&TrackedRequest> = self
+            .requests
+            .range(..id)
+            .map(|(_, other)| other)
+            .filter(|other| is_same_key(other))
+            .collect();
+        let is_unfinished = |other: &&TrackedRequest| !other.over || other.engine.is_some();
+        assert!(!earlier.iter().any(is_unfinished), "rule 5: {id} overtakes");
+        let paused_until = self.paused_until.get(&request.key);
+        let is_paused = paused_until.is_some_and(|until| self.bench.now < *until);
+        let other_ran = earlier.iter().any(|other| other.first_execution.is_some());
+        assert!(
+            !(request.attempts == 0 && is_paused && other_ran),
+            "rule 5: {id} while its key is paused"
+        );
+    }
+
+    /// Rule 7: retries stay within their budget.
+    fn check_retry_budget(&mut self) {
+        let now = self.bench.now;
+        self.retried_at.push_back(now);
+        let from = now - RETRY_WINDOW_MS;
+        let retries = self.retried_at.iter().filter(|at| **at > from).count() as f64;
+        let requests = self.accepted_at.iter().filter(|at| **at > from).count() as f64;
+        assert!(
+            retries <= FREE_RETRIES + RETRIES_PER_REQUEST * requests,
+            "rule 7: {retries} retries of {requests} requests"
+        );
     }
 }
 
