--- a/src/core/order_lease_admission/tests.rs
+++ b/src/core/order_lease_admission/tests.rs
@@ -86,16 +86,16 @@
     settings_json::parse(text.as_bytes()).expect("settings")
 }
 
-struct Rig {
+struct TestBench {
     core: Core<Engines>,
     elsewhere: Elsewhere,
     client: Arc<Client>,
     classes: Vec<Arc<NamedClass>>,
 }
 
-impl Rig {
+impl TestBench {
     /// A core with a ready engine; another process has every key.
-    fn new() -> Rig {
+    fn new() -> TestBench {
         let (parsed, elsewhere) = (parsed(&["load", "count"]), Elsewhere::default());
         elsewhere.0.store(true, Ordering::Relaxed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
@@ -119,7 +119,7 @@
                 unusable_engines: Vec::new(),
             }),
         );
-        Rig {
+        TestBench {
             core,
             elsewhere,
             client: Arc::default(),
@@ -149,7 +149,7 @@
 
 #[test]
 fn the_module_hears_of_a_request_with_its_lease() {
-    let mut rig = Rig::new();
+    let mut rig = TestBench::new();
     rig.take(10.0, 1, 0, 9000.0);
     rig.take(20.0, 2, 0, 9000.0);
     rig.core.run_due_timers(100.0);
@@ -193,7 +193,7 @@
 
 #[test]
 fn a_held_request_has_its_deadline_and_its_client_may_leave() {
-    let mut rig = Rig::new();
+    let mut rig = TestBench::new();
     rig.take(10.0, 1, 0, 400.0);
     rig.take(10.0, 2, 0, 9000.0);
     rig.core.run_due_timers(400.0);
@@ -216,7 +216,7 @@
 /// Guard: settings may change meanwhile; a class goes by its name, and one that went is refused, as nothing has run.
 #[test]
 fn settings_may_change_while_a_request_is_held() {
-    let mut rig = Rig::new();
+    let mut rig = TestBench::new();
     rig.take(10.0, 1, 0, 9000.0);
     rig.take(10.0, 2, 1, 9000.0);
     let settings = Some(Box::new(parsed(&["count"]).settings));
--- a/src/core/retry/tests.rs
+++ b/src/core/retry/tests.rs
@@ -55,7 +55,7 @@
     "guarantees":{"coldMs":1,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
     "limits":{"attemptsCap":6,"cancel":true},"shapes":["std-8c"],"specifics":{"sizeCores":[8]}}"#;
 
-struct Rig {
+struct TestBench {
     core: Core<Engines>,
     metrics: Arc<Metrics>,
     client: Arc<Client>,
@@ -69,9 +69,9 @@
     Arc::new(policy.expect("a policy"))
 }
 
-impl Rig {
+impl TestBench {
     /// A core with two ready engines and this file.
-    fn new(text: &str) -> Rig {
+    fn new(text: &str) -> TestBench {
         let parsed = settings_json::parse(SETTINGS.as_bytes()).expect("settings");
         let known = PlatformConstraints::from_settings(&parsed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
@@ -108,7 +108,7 @@
                 unusable_engines: Vec::new(),
             }),
         );
-        Rig {
+        TestBench {
             core,
             metrics,
             client: Arc::default(),
@@ -164,7 +164,7 @@
 
 #[test]
 fn no_attempt_beyond_the_policy_and_the_answer_at_once() {
-    let mut rig = Rig::new("version = 1\n[attempts.default]\nmax_attempts = 1\n");
+    let mut rig = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 1\n");
     rig.take(0.0, 1, 0);
     assert_eq!(rig.asked(), 1);
     rig.ends(10.0, Outcome::Error);
@@ -175,7 +175,7 @@
 
 #[test]
 fn only_after_the_ends_that_the_policy_names() {
-    let mut rig = Rig::new("version = 1\n[attempts.default]\nretry_on = [\"full\"]\n");
+    let mut rig = TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\"]\n");
     rig.take(0.0, 1, 0);
     rig.ends(10.0, Outcome::Rejected);
     assert_eq!(rig.asked(), 2, "full may be followed");
@@ -189,8 +189,9 @@
 
 #[test]
 fn a_back_off_delays_what_may_have_run_and_not_what_never_did_elsewhere() {
-    let mut rig =
-        Rig::new("version = 1\n[attempts.default]\nbackoff = { base_ms = 100, max_ms = 100 }\n");
+    let mut rig = TestBench::new(
+        "version = 1\n[attempts.default]\nbackoff = { base_ms = 100, max_ms = 100 }\n",
+    );
     rig.take(0.0, 1, 0);
     rig.ends(10.0, Outcome::Reset);
     assert_eq!(
@@ -218,7 +219,7 @@
 #[test]
 fn a_budget_that_is_spent_ends_requests_at_once() {
     let text = "version = 1\n[attempts.default]\nbudget = { ratio = 0.0, min_per_s = 0.1, window_s = 10 }\n";
-    let mut rig = Rig::new(text);
+    let mut rig = TestBench::new(text);
     rig.take(0.0, 1, 0);
     rig.ends(10.0, Outcome::Error);
     assert_eq!(rig.asked(), 2, "one further attempt in ten seconds");
@@ -233,7 +234,7 @@
 
 #[test]
 fn an_attempt_has_its_time_and_then_another_goes() {
-    let mut rig = Rig::new("version = 1\n[attempts.default]\nattempt_timeout_ms = 500\n");
+    let mut rig = TestBench::new("version = 1\n[attempts.default]\nattempt_timeout_ms = 500\n");
     rig.take(0.0, 1, 0);
     rig.core.run_due_timers(499.0);
     assert!(rig.core.engines.quits.is_empty());
@@ -264,7 +265,7 @@
 #[test]
 fn the_deadline_in_a_back_off_leaves_nothing_behind() {
     let text = "version = 1\n[attempts.default]\nmax_attempts = 2\nbackoff = { base_ms = 10000, max_ms = 10000 }\n";
-    let mut rig = Rig::new(text);
+    let mut rig = TestBench::new(text);
     rig.take(0.0, 1, 0);
     rig.ends(6000.0, Outcome::Reset);
     assert_eq!(rig.metrics.retries_delayed_by_backoff.get(), 1);
@@ -284,7 +285,7 @@
 
 #[test]
 fn a_reload_lowers_the_attempts_of_what_is_open() {
-    let mut rig = Rig::new("version = 1\n[attempts.default]\nmax_attempts = 5\n");
+    let mut rig = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 5\n");
     rig.take(0.0, 1, 0);
     let lower = policy(
         &rig.known,
@@ -313,7 +314,7 @@
         ("log-load".into(), false, None),
     ];
     let policy = Policy::new(keys, classes, Vec::new(), Vec::new()).expect("policy");
-    let mut rig = Rig::new("version = 1\n");
+    let mut rig = TestBench::new("version = 1\n");
     rig.core.handle(
         0.0,
         CoreMessage::Settings {
@@ -332,7 +333,8 @@
 
 #[test]
 fn a_call_off_that_nothing_may_follow_is_not_carried_out() {
-    let mut rig = Rig::new("version = 1\n[attempts.default]\nretry_on = [\"full\", \"error\"]\n");
+    let mut rig =
+        TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\", \"error\"]\n");
     rig.take(0.0, 1, 0);
     rig.core.cancel_attempt(10.0, 1, 0);
     assert_eq!(
@@ -342,7 +344,7 @@
         ),
         (0, 1)
     );
-    let mut rig = Rig::new("version = 1\n");
+    let mut rig = TestBench::new("version = 1\n");
     rig.take(0.0, 1, 0);
     rig.core.cancel_attempt(10.0, 1, 0);
     assert_eq!(rig.core.engines.quits.len(), 1, "without the file it is");
@@ -378,7 +380,7 @@
             .with_writer(move || writer.clone());
         let subscriber = json.with_max_level(level).finish();
         tracing::subscriber::with_default(subscriber, || {
-            let mut rig = Rig::new(
+            let mut rig = TestBench::new(
                 "version = 1\n[attempts.default]\nmax_attempts = 2\nretry_on = [\"full\"]\n",
             );
             rig.take(0.0, 1, 0);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -19,13 +19,13 @@
 
 /// Engines that take attempts and say nothing; what they are told to give up, and what the list says of them, is kept.
 #[derive(Default)]
-struct Silent(
+struct SilentEngines(
     Vec<EngineId>,
     Vec<(EngineId, RequestId, u16)>,
     Vec<(EngineId, EngineState)>,
 );
 
-impl EnginePort for Silent {
+impl EnginePort for SilentEngines {
     fn start_attempt(&mut self, engine: EngineId, _: AttemptRequest) -> bool {
         self.0.push(engine);
         true
@@ -41,9 +41,9 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
-pub(super) struct Nobody;
+pub(super) struct NullClient;
 
-impl ClientPort for Nobody {
+impl ClientPort for NullClient {
     fn answer(&self, _: RequestId, _: Answer) {}
 }
 
@@ -118,7 +118,7 @@
     let mut core = Core::new(
         parsed.settings,
         7,
-        Silent::default(),
+        SilentEngines::default(),
         limits,
         Arc::default(),
     )
@@ -152,7 +152,13 @@
         for n in 0..20 {
             let id = round * 20 + n;
             let due = now + if n < 5 { 300.0 } else { 20_000.0 };
-            let one = taken(id, &classes[(n % 2) as usize], due, 50.0, Arc::new(Nobody));
+            let one = taken(
+                id,
+                &classes[(n % 2) as usize],
+                due,
+                50.0,
+                Arc::new(NullClient),
+            );
             core.handle(
                 now,
                 CoreMessage::Request(AcceptedRequest {
@@ -245,7 +251,7 @@
         let mut core = Core::new(
             parsed.settings,
             7,
-            Silent::default(),
+            SilentEngines::default(),
             limits,
             Arc::default(),
         )
@@ -266,7 +272,7 @@
                 unusable_engines: Vec::new(),
             }),
         );
-        let mut one = taken(1, &class, 20_000.0, 50.0, Arc::new(Nobody));
+        let mut one = taken(1, &class, 20_000.0, 50.0, Arc::new(NullClient));
         one.idempotency_key = key.then(|| Bytes::from_static(b"k"));
         core.handle(0.0, CoreMessage::Request(one));
         let open = core.requests.get_mut(1).expect("open");
@@ -315,7 +321,7 @@
     let mut core = Core::new(
         parsed.settings,
         7,
-        Silent::default(),
+        SilentEngines::default(),
         limits,
         metrics.clone(),
     )
@@ -330,8 +336,8 @@
             unusable_engines: Vec::new(),
         }),
     );
-    let ask = |core: &mut Core<Silent>, now: f64, id: u32, cost| {
-        let one = taken(id, &class, now + 20_000.0, cost, Arc::new(Nobody));
+    let ask = |core: &mut Core<SilentEngines>, now: f64, id: u32, cost| {
+        let one = taken(id, &class, now + 20_000.0, cost, Arc::new(NullClient));
         core.handle(now, CoreMessage::Request(one));
     };
     ask(&mut core, 1000.0, 1, 50.0);
@@ -371,7 +377,7 @@
     let mut core = Core::new(
         parsed.settings,
         7,
-        Silent::default(),
+        SilentEngines::default(),
         limits,
         metrics.clone(),
     )
@@ -387,7 +393,7 @@
         }),
     );
     let ask = |id: u32| {
-        let one = taken(id, &class, 15_000.0, 900.0, Arc::new(Nobody));
+        let one = taken(id, &class, 15_000.0, 900.0, Arc::new(NullClient));
         CoreMessage::Request(AcceptedRequest {
             client_reference: Bytes::from_static(b"one name"),
             ..one
@@ -464,7 +470,7 @@
     let mut core = Core::new(
         parsed.settings,
         7,
-        Silent::default(),
+        SilentEngines::default(),
         limits,
         Arc::default(),
     )
@@ -513,7 +519,7 @@
     let mut core = Core::new(
         parsed.settings,
         7,
-        Silent::default(),
+        SilentEngines::default(),
         limits,
         metrics.clone(),
     )
--- a/src/core/tests/engine_subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -16,15 +16,15 @@
 
 /// Engines that take every attempt, and keep what they were asked.
 #[derive(Clone, Default)]
-struct Asked(Arc<Mutex<Vec<(EngineId, RequestId, u16)>>>);
+struct RecordingEngines(Arc<Mutex<Vec<(EngineId, RequestId, u16)>>>);
 
-impl Asked {
+impl RecordingEngines {
     fn take(&self) -> Vec<(EngineId, RequestId, u16)> {
         std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-impl EnginePort for Asked {
+impl EnginePort for RecordingEngines {
     fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool {
         self.0
             .lock()
@@ -54,8 +54,8 @@
 
 /// One manager, with the names of its classes.
 struct Manager {
-    core: Core<Asked>,
-    asked: Asked,
+    core: Core<RecordingEngines>,
+    asked: RecordingEngines,
     metrics: Arc<Metrics>,
     class: Arc<NamedClass>,
     next_id: RequestId,
@@ -66,7 +66,7 @@
         let parsed = fleet_settings(instances, ordinal);
         let mut limits = Limits::new(256, 64, false, &parsed);
         limits.subset_engines = MOST_WHOLE;
-        let (asked, metrics): (Asked, Arc<Metrics>) = Default::default();
+        let (asked, metrics): (RecordingEngines, Arc<Metrics>) = Default::default();
         let made = Core::new(
             parsed.settings.clone(),
             u64::from(ordinal),
@@ -99,7 +99,13 @@
     fn request(&mut self, now: Millis, work_ms: f64) -> Vec<(EngineId, RequestId, u16)> {
         let id = self.next_id;
         self.next_id += 1;
-        let one = taken(id, &self.class, now + 20_000.0, work_ms, Arc::new(Nobody));
+        let one = taken(
+            id,
+            &self.class,
+            now + 20_000.0,
+            work_ms,
+            Arc::new(NullClient),
+        );
         self.core.handle(now, CoreMessage::Request(one));
         self.asked.take()
     }
--- a/src/retry_policy/mod.rs
+++ b/src/retry_policy/mod.rs
@@ -2,17 +2,17 @@
 //! long to wait before, and how much of that all requests may do together. Decisions and state alone: no I/O, and no
 //! clock but the times handed in. The design is in `docs/attempts-design.md`.
 
+mod attempt_policy;
 mod budget;
-mod keys;
 mod latency;
 mod policy;
 mod routes;
 
-pub use budget::{Budget, BudgetUsage};
-pub use keys::{
+pub use attempt_policy::{
     AttemptPolicy, Backoff, HedgingDelay, HedgingPolicy, OutcomeSet, RETRYABLE_OUTCOMES,
     RetryDecision, Shown,
 };
+pub use budget::{Budget, BudgetUsage};
 pub use latency::Latency;
 pub use policy::{EffectiveValue, Policy};
 pub use routes::{FrontendKind, RequestAttributes, Route, RouteError, RouteMatch, Routes};
--- a/src/retry_policy/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -1,7 +1,7 @@
 //! The policy of attempts in force: the index of the tables, and the tables themselves for telling where each value
 //! of a request's keys comes from.
 
-use super::keys::{AttemptPolicy, OutcomeSet, RETRYABLE_OUTCOMES};
+use super::attempt_policy::{AttemptPolicy, OutcomeSet, RETRYABLE_OUTCOMES};
 use super::routes::{RequestAttributes, Route, RouteError, Routes};
 use crate::attempt::never_ran;
 use std::cmp::Reverse;
--- a/src/retry_policy/routes.rs
+++ b/src/retry_policy/routes.rs
@@ -1,7 +1,7 @@
 //! Which keys hold for a request: the default's, its class's, and those of the routes that match it, the narrower over
 //! the broader. An index of cells answers in a time that does not grow with the number of routes.
 
-use super::keys::AttemptPolicy;
+use super::attempt_policy::AttemptPolicy;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
