--- a/src/clients/flight/result_stream.rs
+++ b/src/clients/flight/result_stream.rs
@@ -23,7 +23,7 @@
 ) -> Result<FlightDataStream, Status> {
     let remaining_chunks = body.remaining_chunks.take();
     let arrived =
-        rows::arrow(&body).map_err(|_| Status::internal("a result that cannot be read"))?;
+        rows::to_arrow(&body).map_err(|_| Status::internal("a result that cannot be read"))?;
     let arrived = stream::iter(arrived.into_iter().map(Ok));
     Ok(match remaining_chunks {
         None => arrived.boxed(),
--- a/src/clients/flight/service.rs
+++ b/src/clients/flight/service.rs
@@ -131,7 +131,7 @@
         let kind = StatementKind::Update;
         let (body, _response) = serve(&self.frontend, call, kind, &metadata, slot).await?;
         let result = DoPutUpdateResult {
-            record_count: rows::count(&body),
+            record_count: rows::changed_row_count(&body),
         };
         Ok(PutResult {
             app_metadata: result.encode_to_vec().into(),
--- a/src/clients/flight/statement_call.rs
+++ b/src/clients/flight/statement_call.rs
@@ -66,7 +66,7 @@
             class: self.class,
             estimated_work_ms: self.estimated_work_ms,
             estimated_memory_mb: self.estimated_memory_mb,
-            data_set: sql::dataset(&self.statement).unwrap_or(0),
+            data_set: sql::data_set(&self.statement).unwrap_or(0),
             member: self.tenant,
             frontend: retry_policy::FrontendKind::Flight,
             idempotency_key: None,
--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -200,7 +200,7 @@
         if body.remaining_chunks.is_some() {
             return Err(UndeliverableResult::UnsupportedForm);
         }
-        let chunks = rows::text(body).map_err(|_| UndeliverableResult::UnsupportedForm)?;
+        let chunks = rows::to_text(body).map_err(|_| UndeliverableResult::UnsupportedForm)?;
         let bytes = total_bytes(&chunks);
         let limit = self.limits.result_bytes;
         if bytes > limit {
--- a/src/clients/msgpack_rpc/call.rs
+++ b/src/clients/msgpack_rpc/call.rs
@@ -88,7 +88,7 @@
         class,
         estimated_work_ms: estimate(frontend, &fields, field::WORK_MS)?,
         estimated_memory_mb: estimate(frontend, &fields, field::MEMORY_MB)?,
-        data_set: sql::dataset(&statement).unwrap_or(0),
+        data_set: sql::data_set(&statement).unwrap_or(0),
         member: Bytes::copy_from_slice(tenant),
         frontend: retry_policy::FrontendKind::Platform,
         statement_kind: statement_kind(&statement),
@@ -185,7 +185,7 @@
 }
 
 fn statement_kind(statement: &[u8]) -> StatementKind {
-    if sql::reads(statement) {
+    if sql::is_read_only(statement) {
         StatementKind::Query
     } else {
         StatementKind::Update
--- a/src/clients/msgpack_rpc/input.rs
+++ b/src/clients/msgpack_rpc/input.rs
@@ -71,7 +71,7 @@
     ///
     /// Those of the socket.
     pub(super) fn receive(&mut self, stream: &TcpStream) -> io::Result<bool> {
-        net::read(stream, &mut self.buffer, self.limits.message_bytes)
+        net::read_available(stream, &mut self.buffer, self.limits.message_bytes)
     }
 
     /// Takes the next complete message out of the buffer.
--- a/src/engines/flight/attempt.rs
+++ b/src/engines/flight/attempt.rs
@@ -140,7 +140,7 @@
         let result = result.ok_or(AttemptFailure::MissingUpdateResult)?;
         let count = DoPutUpdateResult::decode(result.app_metadata)?;
         while results.message().await?.is_some() {}
-        Ok(rows::counted(count.record_count))
+        Ok(rows::changed_rows_body(count.record_count))
     }
 
     /// Executes a query; returns the rows of all its endpoints.
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -276,7 +276,7 @@
     /// Reads what is there and handles its answers; closes at the end of the stream.
     async fn receive(&mut self, stream: &TcpStream) -> Result<Flow, ConnectionError> {
         let max_bytes = self.context.limits.page_bytes * PAGES_PER_READ;
-        let is_open = net::read(stream, &mut self.input, max_bytes);
+        let is_open = net::read_available(stream, &mut self.input, max_bytes);
         // Answers that were complete before the connection failed count.
         self.handle_input().await?;
         match is_open? {
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,116 +1,130 @@
-//! Bytes on their way out, shared by all connections: pieces are queued as they are and leave in gathered
-//! writes; what the socket does not take stays for the next time.
+//! Helpers for TCP connections: an output queue with gathered writes, a bounded read, and a lingering close.
+//!
+//! Nothing here waits but [`linger`]; the connections' actors decide when a socket is read or written.
 
-use bytes::{Buf, Bytes};
+use bytes::{Buf, Bytes, BytesMut};
 use std::collections::VecDeque;
-use std::io::{self, IoSlice};
+use std::io::{self, ErrorKind, IoSlice};
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Pieces that one gathered write takes at most.
-const GATHERED: usize = 64;
+/// Chunks of one gathered write: some kernels take 1,024, and a few dozen fill a socket's buffer.
+const MAX_CHUNKS_PER_WRITE: usize = 64;
 
-/// The queue of one connection.
+/// Free bytes that a read buffer has at least before each read.
+const MIN_READ_BYTES: usize = 4096;
+
+/// Bytes that are read and discarded at once while a connection lingers.
+const DISCARD_BUFFER_BYTES: usize = 1024;
+
+/// The output queue of one connection: chunks are queued as they are and leave in gathered writes. What the socket
+/// does not accept stays queued.
 #[derive(Default)]
 pub(crate) struct Outbox {
-    pieces: VecDeque<Bytes>,
-    queued: u64,
-    written: u64,
+    chunks: VecDeque<Bytes>,
+    queued_bytes: u64,
+    written_bytes: u64,
 }
 
 impl Outbox {
-    /// Queues a piece; returns the count of bytes queued so far, which `written` reaches once it is out.
-    pub(crate) fn push(&mut self, piece: impl Into<Bytes>) -> u64 {
-        let piece = piece.into();
-        self.queued += piece.len() as u64;
-        if !piece.is_empty() {
-            self.pieces.push_back(piece);
+    /// Queues a chunk. Returns the count of bytes queued so far, which [`written`](Outbox::written) reaches once the
+    /// chunk is written.
+    pub(crate) fn push(&mut self, chunk: impl Into<Bytes>) -> u64 {
+        let chunk = chunk.into();
+        self.queued_bytes += chunk.len() as u64;
+        if !chunk.is_empty() {
+            self.chunks.push_back(chunk);
         }
-        self.queued
+        self.queued_bytes
     }
 
-    /// Bytes handed to the socket so far.
+    /// Bytes written to the socket so far.
     pub(crate) fn written(&self) -> u64 {
-        self.written
+        self.written_bytes
     }
 
     /// Bytes queued and not yet written.
     pub(crate) fn waiting(&self) -> u64 {
-        self.queued - self.written
+        self.queued_bytes - self.written_bytes
     }
 
+    /// Whether all that was queued is written.
     pub(crate) fn is_empty(&self) -> bool {
-        self.pieces.is_empty()
+        self.chunks.is_empty()
     }
 
-    /// Takes what the socket took off the front, which may end inside a piece.
-    fn advance(&mut self, mut taken: usize) {
-        self.written += taken as u64;
-        while let Some(first) = self.pieces.front_mut() {
-            if taken < first.len() {
-                return first.advance(taken);
+    /// Removes bytes that the socket accepted from the front; their end may lie inside a chunk.
+    fn advance(&mut self, mut accepted: usize) {
+        self.written_bytes += accepted as u64;
+        while let Some(first) = self.chunks.front_mut() {
+            if accepted < first.len() {
+                first.advance(accepted);
+                return;
             }
-            taken -= first.len();
-            self.pieces.pop_front();
+            accepted -= first.len();
+            self.chunks.pop_front();
         }
     }
 
-    /// Writes as much as the socket takes now.
+    /// Writes as much as the socket accepts now. Errors: the connection is lost.
     pub(crate) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
         while !self.is_empty() {
             let slices: Vec<IoSlice<'_>> = self
-                .pieces
+                .chunks
                 .iter()
-                .take(GATHERED)
-                .map(|p| IoSlice::new(p))
+                .take(MAX_CHUNKS_PER_WRITE)
+                .map(|chunk| IoSlice::new(chunk))
                 .collect();
             match stream.try_write_vectored(&slices) {
-                Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(n) => self.advance(n),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(accepted) => self.advance(accepted),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
         Ok(())
     }
 }
 
-/// Reads what is there into `buffer`. `Ok(false)` at the end of the stream.
-pub(crate) fn read(
+/// Reads what has arrived into `buffer`, and stops once it has `enough` bytes, so that these are parsed before more is
+/// read. `Ok(false)` at the end of the stream. Errors: the connection is lost.
+pub(crate) fn read_available(
     stream: &TcpStream,
-    buffer: &mut bytes::BytesMut,
-    most: usize,
+    buffer: &mut BytesMut,
+    enough: usize,
 ) -> io::Result<bool> {
     loop {
-        buffer.reserve(4096);
+        buffer.reserve(MIN_READ_BYTES);
         match stream.try_read_buf(buffer) {
             Ok(0) => return Ok(false),
-            // Enough for one round: what is read is parsed before more is taken in.
-            Ok(_) if buffer.len() >= most => return Ok(true),
+            Ok(_) if buffer.len() >= enough => return Ok(true),
             Ok(_) => {}
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(true),
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(true),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
 }
 
-/// Waits so long for the peer's end of a connection whose own is over, and throws away what still comes. Guard:
-/// a close with bytes unread, or one that bytes still reach, resets the connection and the answer with it.
+/// Waits up to `longest` for the peer's end of a connection that this side has shut down for writing, and discards what
+/// still arrives. A close with unread bytes, or one that bytes still reach, would reset the connection, and the answer
+/// could be lost with it.
 pub(crate) async fn linger(stream: &TcpStream, longest: Duration) {
-    let rest = async {
-        let mut rest = [0; 1024];
-        while stream.readable().await.is_ok() {
-            match stream.try_read(&mut rest) {
-                Ok(0) => return,
-                Err(e) if e.kind() != io::ErrorKind::WouldBlock => return,
-                _ => {}
-            }
+    // The close follows in any case, so it does not matter which of the two ended the wait.
+    let _ = timeout(longest, discard_until_end(stream)).await;
+}
+
+async fn discard_until_end(stream: &TcpStream) {
+    let mut discarded = [0; DISCARD_BUFFER_BYTES];
+    while stream.readable().await.is_ok() {
+        match stream.try_read(&mut discarded) {
+            Ok(0) => return,
+            Err(error) if error.kind() != ErrorKind::WouldBlock => return,
+            _ => {}
         }
-    };
-    let _ = timeout(longest, rest).await;
+    }
 }
 
 #[cfg(test)]
--- a/src/rows.rs
+++ b/src/rows.rs
@@ -1,5 +1,8 @@
-//! Results in the two forms that engines give: rows as text, and Arrow data. A client gets the form of its
-//! protocol whichever the engine spoke.
+//! Results in the two formats of engines, rows of text and Arrow data, and their conversion: a client gets the format
+//! of its protocol, whichever the engine sent.
+//!
+//! A row of text is its cells with a tab between and a line feed at the end. An update's answer is a row whose first
+//! cell is the count of changed rows.
 
 use crate::core::{ResultBody, ResultFormat};
 use arrow_array::{ArrayRef, RecordBatch, StringArray};
@@ -11,108 +14,119 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// Why a result cannot be had in another form.
-#[derive(Debug)]
-pub(crate) struct Unfit;
-
-impl From<ArrowError> for Unfit {
-    fn from(_: ArrowError) -> Unfit {
-        Unfit
-    }
+/// Why a result cannot be converted to another format.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ConversionError {
+    /// A chunk of an Arrow result is no Flight message.
+    #[error("a result chunk is no Flight message: {0}")]
+    FlightMessage(#[from] prost::DecodeError),
+    /// The Arrow data does not fit its schema, or has a type without a text form.
+    #[error("Arrow data cannot be converted: {0}")]
+    Arrow(#[from] ArrowError),
+    /// Rows of text are not UTF-8.
+    #[error("rows of text are not UTF-8: {0}")]
+    Text(#[from] std::str::Utf8Error),
 }
 
-impl From<prost::DecodeError> for Unfit {
-    fn from(_: prost::DecodeError) -> Unfit {
-        Unfit
+/// The columns of rows of text as Arrow data; further cells of a row stay in the last column.
+const TEXT_COLUMNS: [&str; 3] = ["column_1", "column_2", "column_3"];
+
+/// The count that Flight SQL has for an unknown number of changed rows.
+const UNKNOWN_ROW_COUNT: i64 = -1;
+
+/// A complete result as Flight messages, the schema first.
+pub(crate) fn to_arrow(body: &ResultBody) -> Result<Vec<FlightData>, ConversionError> {
+    match body.format {
+        ResultFormat::Arrow => decode_flight_messages(body),
+        ResultFormat::Text => text_to_arrow(&body.chunks.concat()),
     }
 }
 
-/// The columns of rows that came as text.
-const COLUMNS: [&str; 3] = ["column_1", "column_2", "column_3"];
+fn decode_flight_messages(body: &ResultBody) -> Result<Vec<FlightData>, ConversionError> {
+    body.chunks
+        .iter()
+        .map(|chunk| Ok(FlightData::decode(chunk.clone())?))
+        .collect()
+}
 
-/// A whole result as Flight messages, the schema first. Text becomes three columns of text.
-pub(crate) fn arrow(body: &ResultBody) -> Result<Vec<FlightData>, Unfit> {
-    if body.format == ResultFormat::Arrow {
-        return body
-            .chunks
-            .iter()
-            .map(|p| Ok(FlightData::decode(p.clone())?))
-            .collect();
-    }
-    let text = body.chunks.concat();
-    let text = std::str::from_utf8(&text).map_err(|_| Unfit)?;
-    let mut columns: [Vec<Option<&str>>; 3] = Default::default();
+fn text_to_arrow(text: &[u8]) -> Result<Vec<FlightData>, ConversionError> {
+    let text = std::str::from_utf8(text)?;
+    let mut columns: [Vec<Option<&str>>; TEXT_COLUMNS.len()] = Default::default();
     for row in text.split_terminator('\n') {
-        let mut cells = row.splitn(COLUMNS.len(), '\t');
-        columns.iter_mut().for_each(|c| c.push(cells.next()));
+        let mut cells = row.splitn(TEXT_COLUMNS.len(), '\t');
+        for column in &mut columns {
+            column.push(cells.next());
+        }
     }
-    let fields: Vec<Field> = COLUMNS
-        .iter()
-        .map(|name| Field::new(*name, DataType::Utf8, true))
-        .collect();
-    let schema = Arc::new(Schema::new(fields));
+    let schema = Arc::new(Schema::new(
+        TEXT_COLUMNS
+            .map(|name| Field::new(name, DataType::Utf8, true))
+            .to_vec(),
+    ));
     let arrays = columns
         .into_iter()
-        .map(|c| Arc::new(StringArray::from(c)) as ArrayRef)
+        .map(|cells| Arc::new(StringArray::from(cells)) as ArrayRef)
         .collect();
     let batch = RecordBatch::try_new(schema.clone(), arrays)?;
     Ok(batches_to_flight_data(&schema, [&batch])?)
 }
 
-/// A whole result as rows of text.
-pub(crate) fn text(body: &ResultBody) -> Result<Vec<Bytes>, Unfit> {
+/// A complete result as rows of text.
+pub(crate) fn to_text(body: &ResultBody) -> Result<Vec<Bytes>, ConversionError> {
     if body.format == ResultFormat::Text {
         return Ok(body.chunks.clone());
     }
-    let data = arrow(body)?;
-    if data.is_empty() {
+    let messages = to_arrow(body)?;
+    if messages.is_empty() {
         return Ok(Vec::new());
     }
     let mut text = String::new();
+    for batch in flight_data_to_batches(&messages)? {
+        push_rows(&mut text, &batch)?;
+    }
+    Ok(vec![text.into()])
+}
+
+fn push_rows(text: &mut String, batch: &RecordBatch) -> Result<(), ConversionError> {
     let options = FormatOptions::default();
-    for batch in flight_data_to_batches(&data)? {
-        let columns: Result<Vec<_>, _> = batch
-            .columns()
-            .iter()
-            .map(|c| ArrayFormatter::try_new(c.as_ref(), &options))
-            .collect();
-        let columns = columns?;
-        for row in 0..batch.num_rows() {
-            for (i, column) in columns.iter().enumerate() {
-                text.push_str(if i > 0 { "\t" } else { "" });
-                // A tab or line feed in a cell would read as the end of it.
-                text.push_str(
-                    &column
-                        .value(row)
-                        .try_to_string()?
-                        .replace(['\t', '\n'], " "),
-                );
+    let columns = batch
+        .columns()
+        .iter()
+        .map(|column| ArrayFormatter::try_new(column.as_ref(), &options))
+        .collect::<Result<Vec<_>, _>>()?;
+    for row in 0..batch.num_rows() {
+        for (index, column) in columns.iter().enumerate() {
+            if index > 0 {
+                text.push('\t');
             }
-            text.push('\n');
+            // A tab or line feed inside a cell would read as its end.
+            let cell = column.value(row).try_to_string()?;
+            text.push_str(&cell.replace(['\t', '\n'], " "));
         }
+        text.push('\n');
     }
-    Ok(vec![text.into()])
+    Ok(())
 }
 
-/// The count of rows that an update changed; -1, as Flight SQL has it, where the engine did not tell.
-pub(crate) fn count(body: &ResultBody) -> i64 {
-    let first = text(body)
+/// The count of rows that an update changed; -1, as in Flight SQL, where the engine's answer has none.
+pub(crate) fn changed_row_count(body: &ResultBody) -> i64 {
+    let first_chunk = to_text(body)
         .ok()
-        .and_then(|p| p.first().cloned())
+        .and_then(|chunks| chunks.first().cloned())
         .unwrap_or_default();
-    let line = first
-        .split(|b| *b == b'\n' || *b == b'\t')
+    let first_cell = first_chunk
+        .split(|byte| *byte == b'\n' || *byte == b'\t')
         .next()
         .unwrap_or_default();
-    std::str::from_utf8(line)
+    std::str::from_utf8(first_cell)
         .ok()
-        .and_then(|n| n.trim().parse().ok())
-        .unwrap_or(-1)
+        .and_then(|count| count.trim().parse().ok())
+        .unwrap_or(UNKNOWN_ROW_COUNT)
 }
 
-/// The body of an update's answer.
-pub(crate) fn counted(records: i64) -> ResultBody {
-    ResultBody::complete(ResultFormat::Text, vec![format!("{records}\t\t\n").into()])
+/// The answer to an update that changed so many rows.
+pub(crate) fn changed_rows_body(count: i64) -> ResultBody {
+    ResultBody::complete(ResultFormat::Text, vec![format!("{count}\t\t\n").into()])
 }
 
 #[cfg(test)]
--- a/src/rows/tests.rs
+++ b/src/rows/tests.rs
@@ -1,13 +1,13 @@
 //! Tests of this module.
 
-use super::{arrow, count, counted, text};
+use super::{changed_row_count, changed_rows_body, to_arrow, to_text};
 use crate::core::{ResultBody, ResultFormat};
 use prost::Message;
 
 #[test]
-fn rows_survive_the_way_there_and_back() {
+fn rows_are_the_same_after_conversion_to_arrow_and_back() {
     let rows = "a\tb\tc\nd\te\tf\n";
-    let there = arrow(&ResultBody::complete(
+    let there = to_arrow(&ResultBody::complete(
         ResultFormat::Text,
         vec!["a\tb\tc\nd\t".into(), "e\tf\n".into()],
     ))
@@ -16,22 +16,22 @@
         .into_iter()
         .map(|d| d.encode_to_vec().into())
         .collect();
-    let back = text(&ResultBody::complete(ResultFormat::Arrow, pieces)).expect("text");
+    let back = to_text(&ResultBody::complete(ResultFormat::Arrow, pieces)).expect("text");
     assert_eq!(back.concat(), rows.as_bytes());
 }
 
 #[test]
-fn counts_and_what_is_no_count() {
-    assert_eq!(count(&counted(42)), 42);
+fn an_answer_without_a_count_of_rows_is_minus_one_and_malformed_arrow_an_error() {
+    assert_eq!(changed_row_count(&changed_rows_body(42)), 42);
     assert_eq!(
-        count(&ResultBody::complete(
+        changed_row_count(&ResultBody::complete(
             ResultFormat::Text,
             vec!["done\t\t\n".into()]
         )),
         -1
     );
     assert!(
-        arrow(&ResultBody::complete(
+        to_arrow(&ResultBody::complete(
             ResultFormat::Arrow,
             vec!["\u{7f}junk".into()]
         ))
--- a/src/sql/tests.rs
+++ b/src/sql/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of this module.
 
-use super::{dataset, reads};
+use super::{data_set, is_read_only};
 use rstest::rstest;
 
 #[rstest]
@@ -17,8 +17,8 @@
 #[case::cut("SELECT 'a_1.b", None)]
 #[case::number("SELECT 1_2.a FROM b_3.c", Some(3))]
 #[case::empty("", None)]
-fn group_of_tables(#[case] sql: &str, #[case] group: Option<u32>) {
-    assert_eq!(dataset(sql.as_bytes()), group);
+fn a_statement_names_its_data_set(#[case] sql: &str, #[case] number: Option<u32>) {
+    assert_eq!(data_set(sql.as_bytes()), number);
 }
 
 #[rstest]
@@ -27,6 +27,6 @@
 #[case("with a as (select 1) select * from a", true)]
 #[case("WITH a AS (SELECT 'delete') INSERT INTO b SELECT * FROM a", false)]
 #[case("", false)]
-fn statements_that_read(#[case] sql: &str, #[case] reading: bool) {
-    assert_eq!(reads(sql.as_bytes()), reading);
+fn a_statement_that_changes_nothing_is_read_only(#[case] sql: &str, #[case] read_only: bool) {
+    assert_eq!(is_read_only(sql.as_bytes()), read_only);
 }
