--- a/src/admin.rs
+++ b/src/admin.rs
@@ -75,7 +75,7 @@
 }
 
 impl AdminServer {
-    /// Ends the longest calls while there is no place for another. A complete call is answered within a moment, so
+    /// Ends the longest calls while there is no slot for another. A complete call is answered within a moment, so
     /// these are connections that never complete one.
     fn evict_for_new_call(&self, calls: &mut VecDeque<JoinHandle<()>>) {
         calls.retain(|call| !call.is_finished());
--- a/src/metrics/histogram.rs
+++ b/src/metrics/histogram.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The shortest latency that is told apart, in microseconds.
+/// The shortest latency that is recorded as such, in microseconds.
 const SHORTEST_US: u64 = 1;
 
 /// The longest latency, in milliseconds; what is longer counts as this long.
--- a/src/metrics/table.rs
+++ b/src/metrics/table.rs
@@ -153,7 +153,7 @@
     retries_delayed_by_backoff: Counter,
     /// Attempts cancelled at their policy's attempt timeout.
     attempt_timeouts: Counter,
-    /// Attempts that the dispatcher would have cancelled, kept as their policy allows no attempt after them.
+    /// Cancellations by the dispatcher that were not made, as the policy allows no attempt after the cancelled one.
     cancellations_denied_by_policy: Counter,
     /// Operators' files put in force, at the start and by a reload.
     operator_config_loads: Counter,
