--- a/tests/source_size.rs
+++ b/tests/source_size.rs
@@ -6,10 +6,6 @@
 /// Lines of a source file of the program, tests left out.
 const MAX_LINES: usize = 400;
 
-/// Files that are still to be split, each with a bound that only ever falls.
-const NOT_SPLIT_YET: &[(&str, usize)] = &[
-];
-
 fn source_files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("folder") {
         let path = entry.expect("entry").path();
@@ -34,14 +30,10 @@
     assert!(files.len() > 20, "the source is in src");
     for path in files.iter().filter(|path| !is_test(path)) {
         let name = path.strip_prefix(root).expect("below the root");
-        let bound = NOT_SPLIT_YET
-            .iter()
-            .find(|(listed, _)| name == Path::new(listed))
-            .map_or(MAX_LINES, |(_, lines)| *lines);
         let lines = fs::read_to_string(path).expect("file").lines().count();
         assert!(
-            lines <= bound,
-            "{}: {lines} lines, {bound} allowed",
+            lines <= MAX_LINES,
+            "{}: {lines} lines, {MAX_LINES} allowed",
             name.display()
         );
     }
