--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -5,8 +5,8 @@
 use crate::decision::Outcome;
 use crate::engines::context::AfterCancellation;
 use crate::engines::tests::test_bench::{
-    EngineTestBench, LARGE, attempt, attempt_with_statement, cancel, is_cancelled, is_ended,
-    run_test, start,
+    EngineTestBench, LARGE, TEST_TIMEOUT, attempt, attempt_with_statement, cancel, is_cancelled,
+    is_ended, run_test, start,
 };
 use crate::node_config::EngineProtocol;
 use std::time::Duration;
@@ -244,7 +244,11 @@
 #[test]
 fn cancellation_ends_no_sooner_than_it_is_written() {
     run_test(async {
-        let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
+        // The peer needs longer than the usual timeout on a busy machine, and a timeout would end the attempt another way.
+        let mut bench = EngineTestBench::with_limits(EngineProtocol::Lines, |limits| {
+            limits.cancellation_write_timeout = TEST_TIMEOUT;
+        })
+        .await;
         bench.send(start(attempt_with_statement(1, LARGE))).await;
         let mut peer = bench.accept().await;
         let mut first = [0; 4];
--- a/src/engines/tests/test_bench.rs
+++ b/src/engines/tests/test_bench.rs
@@ -9,6 +9,7 @@
 use crate::engines::admission::Admission;
 use crate::engines::context::{AfterCancellation, AttemptId, EngineContext, EngineMessage};
 use crate::engines::{flight, line_protocol};
+use crate::limits::Limits;
 use crate::node_config::{EngineProtocol, EngineRecord, engine_id};
 use bytes::Bytes;
 use std::future::Future;
@@ -35,10 +36,19 @@
 
 impl EngineTestBench {
     pub(in crate::engines) async fn new(protocol: EngineProtocol) -> EngineTestBench {
+        EngineTestBench::with_limits(protocol, |_| {}).await
+    }
+
+    /// The same with changed limits.
+    pub(in crate::engines) async fn with_limits(
+        protocol: EngineProtocol,
+        change: impl FnOnce(&mut Limits),
+    ) -> EngineTestBench {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let (core, core_messages) = Handle::new(64, Clock::new());
-        let context = EngineContext::for_tests(core);
+        let mut context = EngineContext::for_tests(core);
+        change(Arc::make_mut(&mut context.limits));
         let admission = Arc::<Admission>::default();
         let (mailbox, messages) = mpsc::channel(64);
         let engine = EngineId::default();
