--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -231,7 +231,6 @@
 
 /// All engines of a subset gone in one event: the next in order are held. No engine at all: nothing is.
 #[test]
-#[expect(clippy::similar_names, reason = "not split yet")]
 fn the_next_engines_follow_when_a_whole_subset_is_removed() {
     let list = list(2200, 1, 5);
     let mut own = subset(128, 370, &list);
@@ -248,16 +247,16 @@
     assert!(before.keys().all(|engine| !after.contains_key(engine)));
     assert!((100..=140).contains(&after.len()), "{}", after.len());
     // The first of those that follow are the next on the ring.
-    let last = before.keys().map(|e| engine_position(*e)).max();
-    let next = list
+    let highest_position = before.keys().map(|e| engine_position(*e)).max();
+    let next_position = list
         .iter()
         .map(|(e, _)| engine_position(*e))
-        .filter(|at| Some(*at) > last)
+        .filter(|at| Some(*at) > highest_position)
         .min();
     assert!(
         after
             .keys()
-            .any(|engine| Some(engine_position(*engine)) == next)
+            .any(|engine| Some(engine_position(*engine)) == next_position)
     );
     list.iter()
         .for_each(|(engine, _)| own.set_ready_zone(*engine, None));
@@ -290,9 +289,9 @@
         }
         // What a manager takes for the mean makes its parts of all that it holds one part of the fleet.
         for members in &held {
-            let told = members.values().next().expect("some").mean_managers;
+            let reported = members.values().next().expect("some").mean_managers;
             let mean = f64::from(instances) * members.len() as f64 / f64::from(engines);
-            prop_assert!((told / mean - 1.0).abs() < 0.03, "{told} told, {mean} counted");
+            prop_assert!((reported / mean - 1.0).abs() < 0.03, "{reported} reported, {mean} counted");
         }
     }
 
