--- a/src/core/attempt_start.rs
+++ b/src/core/attempt_start.rs
@@ -2,6 +2,7 @@
 
 use super::requests::{DelayedAttempt, LastEnd};
 use super::retry::RetryCheck;
+use super::roster::EngineLocation;
 use super::timers::Timer;
 use super::{
     AttemptRequest, CancellationFlag, Core, EnginePort, Event, Millis, Outcome, RequestId,
@@ -83,7 +84,7 @@
             return None;
         };
         let first = request.history.first_possible_run()?;
-        let (zone, cell) = self.roster.location(engine)?;
+        let EngineLocation { zone, cell } = self.roster.location(engine)?;
         let same_group = match scope {
             DedupScope::All => true,
             DedupScope::Zone => zone == first.zone,
@@ -111,7 +112,7 @@
         let Some(send_before_ms) = self.resend_deadline(now, id, engine) else {
             return Err(Outcome::NotSent);
         };
-        let (zone, cell) = self.roster.location(engine).unwrap_or_default();
+        let EngineLocation { zone, cell } = self.roster.location(engine).unwrap_or_default();
         let Some(request) = self.requests.get_mut(id) else {
             return Ok(());
         };
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -26,9 +26,9 @@
             }
         }
         let metrics = &self.metrics;
-        let (held, waiting) = self.roster.sizes();
-        metrics.engines.set(held);
-        metrics.engines_waiting.set(waiting);
+        let sizes = self.roster.sizes();
+        metrics.engines.set(sizes.engines);
+        metrics.engines_waiting.set(sizes.waiting);
         metrics.engines_without_slot.add(update.without_slot.len());
         metrics.list_unknown_removals.add(update.unknown_removals);
         metrics.list_duplicate_records.add(update.duplicate_records);
@@ -88,10 +88,10 @@
     /// Notifies the dispatcher of a change and publishes the size of its engine set.
     fn apply_subset_change(&mut self, now: Millis, change: SubsetChange) {
         let metrics = &self.metrics;
-        let (size, zones) = self.roster.subset_sizes();
+        let sizes = self.roster.subset_sizes();
         let all = f64::from(self.dispatcher.settings().instances);
-        metrics.subset_size.set(size);
-        metrics.subset_zones.set(zones);
+        metrics.subset_size.set(sizes.engines);
+        metrics.subset_zones.set(sizes.ready_zones);
         metrics
             .subset_managers_per_engine
             .set(self.roster.managers_per_engine().unwrap_or(all).round() as usize);
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -38,6 +38,10 @@
     line
 }
 
+fn sizes(engines: usize, waiting: usize) -> RosterSizes {
+    RosterSizes { engines, waiting }
+}
+
 fn ready(roster: &Roster, ids: impl Iterator<Item = u32>) -> usize {
     ids.filter(|id| roster.is_ready(engine_id(*id))).count()
 }
@@ -53,7 +57,7 @@
     ));
     assert_eq!(
         (step.records.len(), step.without_slot.len(), roster.sizes()),
-        (1024, 0, (1024, 0))
+        (1024, 0, sizes(1024, 0))
     );
     for round in 0..20 {
         let (old, new) = (
@@ -64,12 +68,15 @@
         changes.extend(lines(new.clone(), EngineState::Ready));
         let step = roster.apply(&event(ListUpdateKind::Delta, changes));
         assert!(step.without_slot.is_empty() && ready(&roster, old.clone()) == 0);
-        assert_eq!((ready(&roster, new), roster.sizes().0), (614, 1638));
+        assert_eq!((ready(&roster, new), roster.sizes().engines), (614, 1638));
         roster.apply(&event(
             ListUpdateKind::Delta,
             lines(old, EngineState::Removed),
         ));
-        assert_eq!((roster.sizes(), roster.state_size()), ((1024, 0), 2048));
+        assert_eq!(
+            (roster.sizes(), roster.state_size()),
+            (sizes(1024, 0), 2048)
+        );
     }
 }
 
@@ -93,35 +100,35 @@
     ));
     assert_eq!(
         (step.records.len(), step.without_slot.len(), roster.sizes()),
-        (0, 0, (4, 2))
+        (0, 0, sizes(4, 2))
     );
     let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(1..2, EngineState::Removed),
     ));
     assert_eq!(step.records.len(), 2, "the end, and who takes the place");
-    assert!(roster.is_ready(engine_id(6)) && roster.sizes() == (4, 1));
+    assert!(roster.is_ready(engine_id(6)) && roster.sizes() == sizes(4, 1));
     let step = roster.apply(&event(
         ListUpdateKind::Delta,
         lines(5..6, EngineState::Removed),
     ));
     assert_eq!(
         (step.records.len(), step.unknown_removals, roster.sizes()),
-        (0, 0, (4, 0))
+        (0, 0, sizes(4, 0))
     );
     // A list of ten with the same four in it: four wait, and two are beyond.
     let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(2..12, EngineState::Ready),
     ));
-    assert_eq!((step.without_slot.len(), roster.sizes()), (6, (4, 4)));
+    assert_eq!((step.without_slot.len(), roster.sizes()), (6, sizes(4, 4)));
     let step = roster.apply(&event(
         ListUpdateKind::Full,
         lines(8..12, EngineState::Ready),
     ));
     assert_eq!(
         (step.removed.len(), ready(&roster, 8..12), roster.sizes()),
-        (4, 4, (4, 0))
+        (4, 4, sizes(4, 0))
     );
     assert_eq!(roster.state_size(), 8);
 }
@@ -272,7 +279,7 @@
         "half of them"
     );
     let step = roster.apply(&event(ListUpdateKind::Full, Vec::new()));
-    assert_eq!((step.large_removal, roster.sizes()), (true, (0, 0)));
+    assert_eq!((step.large_removal, roster.sizes()), (true, sizes(0, 0)));
     assert!(
         !roster
             .apply(&event(ListUpdateKind::Full, Vec::new()))
@@ -328,7 +335,10 @@
         lines(0..300, EngineState::Ready),
     ));
     heard.take(&step.subset_change);
-    let (size, zones) = roster.subset_sizes();
+    let SubsetSizes {
+        engines: size,
+        ready_zones: zones,
+    } = roster.subset_sizes();
     assert!((12..=18).contains(&size) && zones == 1, "{size}");
     assert_eq!(
         (step.records.len(), heard.0.len(), ready(&roster, 0..300)),
@@ -376,7 +386,7 @@
     heard.take(&step.subset_change);
     assert!(heard.0.len() == 16 && heard.0.values().all(|entry| entry.sharing.is_none()));
     assert_eq!(
-        (roster.subset_sizes().0, roster.managers_per_engine()),
+        (roster.subset_sizes().engines, roster.managers_per_engine()),
         (16, None)
     );
     for end in [40, 200] {
@@ -385,7 +395,9 @@
             lines(16..end, EngineState::Ready),
         ));
         heard.take(&step.subset_change);
-        assert!((10..=18).contains(&heard.0.len()) && roster.subset_sizes().0 == heard.0.len());
+        assert!(
+            (10..=18).contains(&heard.0.len()) && roster.subset_sizes().engines == heard.0.len()
+        );
         assert!(
             heard.0.values().all(|entry| entry.sharing.is_some())
                 && roster.managers_per_engine().is_some()
@@ -466,7 +478,11 @@
         step.large_removal
             && step.subset_change.all_unavailable
             && heard.0.is_empty()
-            && roster.subset_sizes() == (0, 0)
+            && roster.subset_sizes()
+                == SubsetSizes {
+                    engines: 0,
+                    ready_zones: 0,
+                }
     );
     heard.take(&roster.apply(&complete).subset_change);
     assert_eq!(heard.ready(), held, "the same list, the same subset");
