--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -2,19 +2,23 @@
 
 use super::*;
 
-/// Every phase, and what giving up, an answer and a closed connection prove in it.
+/// An attempt of ten bytes that is being written.
+fn writing() -> AttemptState {
+    let mut state = AttemptState::default();
+    state.begin_writing(10);
+    state
+}
+
+/// An attempt that is completely written.
+fn sent() -> AttemptState {
+    let mut state = writing();
+    assert_eq!(state.wrote(10), None);
+    state
+}
+
+/// What a cancellation, an answer and a closed connection prove in each state of an attempt.
 #[test]
-fn what_each_end_proves() {
-    let writing = || {
-        let mut life = AttemptState::default();
-        life.begin_writing(10);
-        life
-    };
-    let out = || {
-        let mut life = writing();
-        assert_eq!(life.wrote(10), None);
-        life
-    };
+fn each_attempt_state_ends_with_what_cancel_answer_and_close_prove() {
     assert_eq!(
         AttemptState::default().cancel(false, || unreachable!()),
         Some(AttemptEnd::NeverSent)
@@ -27,53 +31,59 @@
         (AttemptEnd::NeverSent, AttemptEnd::NeverSent)
     );
     assert_eq!(
-        (writing().connection_closed(10), out().connection_closed(10)),
+        (
+            writing().connection_closed(10),
+            sent().connection_closed(10)
+        ),
         (AttemptEnd::ConnectionLost, AttemptEnd::ConnectionLost)
     );
-    for mut life in [writing(), out()] {
+    for mut state in [writing(), sent()] {
         assert_eq!(
-            life.cancel(false, || 20),
+            state.cancel(false, || 20),
             None,
             "not before the cancellation was sent"
         );
-        assert!(life.is_cancelling() && life.wrote(19).is_none() && !life.begin_result());
+        assert!(state.is_cancelling() && state.wrote(19).is_none() && !state.begin_result());
         assert_eq!(
-            (life.wrote(20), life.wrote(20)),
+            (state.wrote(20), state.wrote(20)),
             (Some(AttemptEnd::Cancelled), None)
         );
     }
-    let mut life = out();
-    assert_eq!(life.cancel(true, || 20), None);
+    let mut state = sent();
+    assert_eq!(state.cancel(true, || 20), None);
     assert_eq!(
-        (life.wrote(20), life.is_cancelling()),
+        (state.wrote(20), state.is_cancelling()),
         (None, true),
         "it may be read late"
     );
     assert_eq!(
-        (life.cancellation_confirmed(), life.cancellation_confirmed()),
+        (
+            state.cancellation_confirmed(),
+            state.cancellation_confirmed()
+        ),
         (Some(AttemptEnd::Cancelled), None)
     );
-    assert_eq!(out().cancellation_confirmed(), None);
-    // Half of the cancellation was sent: the engine has the attempt whole. Half of the attempt: it has not.
+    assert_eq!(sent().cancellation_confirmed(), None);
+    // With half of the cancellation sent, the engine has the complete attempt; with half of the attempt, it has not.
     for (written, end) in [(15, AttemptEnd::ConnectionLost), (9, AttemptEnd::NeverSent)] {
-        let mut life = writing();
-        life.cancel(false, || 20);
-        assert_eq!(life.connection_closed(written), end);
+        let mut state = writing();
+        state.cancel(false, || 20);
+        assert_eq!(state.connection_closed(written), end);
     }
-    let mut told = out();
-    assert!(told.begin_result() && !told.begin_result());
-    assert_eq!(told.cancel(false, || 20), Some(AttemptEnd::Answered));
-    assert!(!out().answered(false).may_have_run() && out().answered(true).may_have_run());
+    let mut answering = sent();
+    assert!(answering.begin_result() && !answering.begin_result());
+    assert_eq!(answering.cancel(false, || 20), Some(AttemptEnd::Answered));
+    assert!(!sent().answered(false).may_have_run() && sent().answered(true).may_have_run());
 }
 
 #[test]
-fn one_attempt_at_a_time() {
-    let at = EngineId::default();
+fn a_second_attempt_starts_only_after_the_first_is_proven_over() {
+    let engine = EngineId::default();
     let mut history = AttemptHistory::default();
     assert_eq!(history.next_attempt(true, 6), Ok(0));
     history.record_sent(
         0,
-        at,
+        engine,
         SentTo {
             at_ms: 5.0,
             ..SentTo::default()
@@ -99,7 +109,7 @@
     assert_eq!(history.next_attempt(false, 6), Ok(3));
     history.record_sent(
         3,
-        at,
+        engine,
         SentTo {
             at_ms: 8.0,
             ..SentTo::default()
--- a/src/core/order_lease_admission/tests.rs
+++ b/src/core/order_lease_admission/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of this module: the module hears nothing of a request whose key another process has.
+//! Tests of the lease admission: the dispatcher does not know a request whose key another process has leased.
 
-use super::super::tests::{listed, taken};
+use super::super::tests::{attempt_message, listed, taken};
 use super::*;
 use crate::core::AttemptEvent;
 use crate::core::AttemptRequest;
@@ -10,7 +10,6 @@
 use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
-use crate::decision::LoadReport;
 use crate::limits::Limits;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass, PlatformSettings};
@@ -20,11 +19,11 @@
 
 const PAUSE: Millis = 300.0;
 
-/// Locks on keys of which another process has all, or none.
+/// Locks of which a peer process holds all or none.
 #[derive(Clone, Default)]
-struct Elsewhere(Arc<AtomicBool>);
+struct LocksOfPeer(Arc<AtomicBool>);
 
-impl OrderLocks for Elsewhere {
+impl OrderLocks for LocksOfPeer {
     fn try_lock(&mut self, _: OrderKey) -> bool {
         !self.0.load(Ordering::Relaxed)
     }
@@ -40,7 +39,7 @@
     }
 }
 
-/// Engines that take every attempt.
+/// Fake engines that accept every attempt.
 #[derive(Default)]
 struct Engines(Vec<(EngineId, RequestId, u16)>);
 
@@ -61,15 +60,15 @@
 
 impl ClientPort for Client {
     fn answer(&self, id: RequestId, answer: Answer) {
-        let refused = matches!(answer, Answer::Rejected { .. });
+        let rejected = matches!(answer, Answer::Rejected { .. });
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push((id, refused));
+            .push((id, rejected));
     }
 }
 
-/// Settings with these classes, all of which keep order.
+/// Settings with these classes, all ordered by key.
 fn parsed(classes: &[&str]) -> PlatformSettings {
     let class = |name| {
         format!(
@@ -88,16 +87,16 @@
 
 struct TestBench {
     core: Core<Engines>,
-    elsewhere: Elsewhere,
+    locks: LocksOfPeer,
     client: Arc<Client>,
     classes: Vec<Arc<NamedClass>>,
 }
 
 impl TestBench {
-    /// A core with a ready engine; another process has every key.
+    /// A core with one ready engine; a peer process holds every lock.
     fn new() -> TestBench {
-        let (parsed, elsewhere) = (parsed(&["load", "count"]), Elsewhere::default());
-        elsewhere.0.store(true, Ordering::Relaxed);
+        let (parsed, locks) = (parsed(&["load", "count"]), LocksOfPeer::default());
+        locks.0.store(true, Ordering::Relaxed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
         let core = Core::new(
             parsed.settings,
@@ -107,7 +106,7 @@
             Arc::default(),
         )
         .expect("core");
-        let mut core = core.with_order_locks(Some(Box::new(elsewhere.clone())));
+        let mut core = core.with_order_locks(Some(Box::new(locks.clone())));
         core.start(0.0);
         let entries = vec![listed(1, EngineState::Ready)];
         core.handle(
@@ -121,7 +120,7 @@
         );
         TestBench {
             core,
-            elsewhere,
+            locks,
             client: Arc::default(),
             classes: parsed.classes,
         }
@@ -133,102 +132,97 @@
         self.core.handle(now, CoreMessage::Request(taken));
     }
 
-    fn free(&self) {
-        self.elsewhere.0.store(false, Ordering::Relaxed);
+    fn release_locks(&self) {
+        self.locks.0.store(false, Ordering::Relaxed);
     }
 
     fn answers(&self) -> Vec<(RequestId, bool)> {
         self.client.0.lock().expect("answers").clone()
     }
 
-    /// The requests that the module knows.
-    fn known(&self) -> usize {
+    /// Number of requests that the dispatcher knows.
+    fn dispatcher_requests(&self) -> usize {
         self.core.state_sizes().dispatcher[0]
     }
 }
 
 #[test]
-fn the_module_hears_of_a_request_with_its_lease() {
-    let mut rig = TestBench::new();
-    rig.take(10.0, 1, 0, 9000.0);
-    rig.take(20.0, 2, 0, 9000.0);
-    rig.core.run_due_timers(100.0);
+fn a_request_reaches_the_dispatcher_once_its_order_key_is_leased() {
+    let mut bench = TestBench::new();
+    bench.take(10.0, 1, 0, 9000.0);
+    bench.take(20.0, 2, 0, 9000.0);
+    bench.core.run_due_timers(100.0);
     assert_eq!(
         (
-            rig.known(),
-            rig.core.open_requests(),
-            rig.core.engines.0.len()
+            bench.dispatcher_requests(),
+            bench.core.open_requests(),
+            bench.core.engines.0.len()
         ),
         (0, 2, 0)
     );
-    assert_eq!(rig.core.metrics.requests_held_for_order_key.get(), 2);
-    rig.free();
-    rig.core.run_due_timers(149.0);
-    assert_eq!(rig.known(), 0, "it looks every 50 ms");
-    rig.core.run_due_timers(160.0);
+    assert_eq!(bench.core.metrics.requests_held_for_order_key.get(), 2);
+    bench.release_locks();
+    bench.core.run_due_timers(149.0);
+    assert_eq!(
+        bench.dispatcher_requests(),
+        0,
+        "leases are reviewed every 50 ms"
+    );
+    bench.core.run_due_timers(160.0);
     let first = (engine_id(1), 1, 0);
     assert_eq!(
-        (rig.known(), &rig.core.engines.0[..]),
+        (bench.dispatcher_requests(), &bench.core.engines.0[..]),
         (2, &[first][..]),
-        "the first of the key is out"
-    );
-    let news = AttemptEvent::end(Outcome::Error);
-    let (id, attempt, report) = (1, 0, LoadReport::default());
-    rig.core.handle(
-        170.0,
-        CoreMessage::Attempt {
-            engine: first.0,
-            id,
-            attempt,
-            load_report: report,
-            event: news,
-        },
+        "the first request of the key is sent"
     );
+    let event = AttemptEvent::end(Outcome::Error);
+    bench.core.handle(170.0, attempt_message(first, event));
     assert_eq!(
-        rig.core.engines.0.len(),
+        bench.core.engines.0.len(),
         2,
-        "and then the second, as its first attempt"
+        "then the second request, as its first attempt"
     );
 }
 
 #[test]
-fn a_held_request_has_its_deadline_and_its_client_may_leave() {
-    let mut rig = TestBench::new();
-    rig.take(10.0, 1, 0, 400.0);
-    rig.take(10.0, 2, 0, 9000.0);
-    rig.core.run_due_timers(400.0);
-    assert_eq!(rig.answers(), [(1, false)]);
-    rig.core.handle(410.0, CoreMessage::ClientDisconnected(2));
-    rig.free();
-    rig.core.run_due_timers(1000.0);
-    let sizes = rig.core.state_sizes();
+fn a_request_held_for_a_lease_ends_at_its_deadline_or_client_disconnect() {
+    let mut bench = TestBench::new();
+    bench.take(10.0, 1, 0, 400.0);
+    bench.take(10.0, 2, 0, 9000.0);
+    bench.core.run_due_timers(400.0);
+    assert_eq!(bench.answers(), [(1, false)]);
+    bench.core.handle(410.0, CoreMessage::ClientDisconnected(2));
+    bench.release_locks();
+    bench.core.run_due_timers(1000.0);
+    let sizes = bench.core.state_sizes();
     assert_eq!(
         (
-            rig.core.open_requests(),
+            bench.core.open_requests(),
             [sizes.requests, sizes.client_references],
             &sizes.dispatcher[..3]
         ),
         (0, [0; 2], &[0; 3][..])
     );
-    assert!(rig.core.engines.0.is_empty() && !rig.core.order_leases.needs_review());
+    assert!(bench.core.engines.0.is_empty() && !bench.core.order_leases.needs_review());
 }
 
-/// Guard: settings may change meanwhile; a class goes by its name, and one that went is refused, as nothing has run.
+/// Classes are found by name after a settings change. A held request of a removed class is rejected, as nothing of it
+/// has run.
 #[test]
-fn settings_may_change_while_a_request_is_held() {
-    let mut rig = TestBench::new();
-    rig.take(10.0, 1, 0, 9000.0);
-    rig.take(10.0, 2, 1, 9000.0);
+fn a_held_request_whose_class_was_removed_is_rejected() {
+    let mut bench = TestBench::new();
+    bench.take(10.0, 1, 0, 9000.0);
+    bench.take(10.0, 2, 1, 9000.0);
     let settings = Some(Box::new(parsed(&["count"]).settings));
-    rig.core.handle(
+    bench.core.handle(
         20.0,
         CoreMessage::Settings {
             settings,
             policy: Arc::default(),
         },
     );
-    rig.free();
-    rig.core.run_due_timers(100.0);
-    assert_eq!(rig.answers(), [(1, true)]);
-    assert_eq!(rig.core.engines.0, [(engine_id(1), 2, 0)]);
+    bench.release_locks();
+    bench.core.run_due_timers(100.0);
+    assert_eq!(bench.answers(), [(1, true)]);
+    assert_eq!(bench.core.engines.0, [(engine_id(1), 2, 0)]);
 }
--- a/src/core/order_leases/tests.rs
+++ b/src/core/order_leases/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module: two processes' leases on locks in memory, and what a process dies with.
+//! Tests of the order leases of two processes on locks in memory, and of the death of a lease holder.
 
 use super::*;
 use rstest::rstest;
@@ -8,35 +8,36 @@
 
 const PAUSE: Millis = 300.0;
 
-/// What both processes see.
+/// The lock state that both processes share.
 #[derive(Default)]
-struct Shared {
+struct SharedLocks {
     keys: HashMap<OrderKey, u32>,
-    living: HashSet<u32>,
+    live: HashSet<u32>,
     unclean: HashSet<u32>,
 }
 
 /// The locks of one process.
-struct InMemory(Arc<Mutex<Shared>>, u32);
+struct InMemoryLocks(Arc<Mutex<SharedLocks>>, u32);
 
-impl InMemory {
-    fn shared<T>(&self, with: impl FnOnce(&mut Shared) -> T) -> T {
+impl InMemoryLocks {
+    fn shared<T>(&self, with: impl FnOnce(&mut SharedLocks) -> T) -> T {
         with(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-impl OrderLocks for InMemory {
+impl OrderLocks for InMemoryLocks {
     fn try_lock(&mut self, key: OrderKey) -> bool {
         let me = self.1;
-        self.shared(|all| *all.keys.entry(key).or_insert(me) == me)
+        self.shared(|shared| *shared.keys.entry(key).or_insert(me) == me)
     }
     fn unlock(&mut self, key: OrderKey) {
-        self.shared(|all| all.keys.remove(&key));
+        self.shared(|shared| shared.keys.remove(&key));
     }
     fn live_peers(&mut self) -> PeerProcesses {
         let me = self.1;
-        self.shared(|all| {
-            all.living
+        self.shared(|shared| {
+            shared
+                .live
                 .iter()
                 .filter(|p| **p != me)
                 .map(|p| 1 << p)
@@ -44,40 +45,40 @@
         })
     }
     fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool {
-        self.shared(|all| all.unclean.iter().any(|p| gone >> p & 1 == 1))
+        self.shared(|shared| shared.unclean.iter().any(|p| gone >> p & 1 == 1))
     }
     fn may_be_left_behind(&self) -> bool {
-        self.shared(|all| !all.unclean.is_empty())
+        self.shared(|shared| !shared.unclean.is_empty())
     }
 }
 
 /// Two processes of one workload manager.
-struct Two {
-    shared: Arc<Mutex<Shared>>,
+struct TwoProcesses {
+    shared: Arc<Mutex<SharedLocks>>,
     old: OrderLeases,
     new: RefCell<OrderLeases>,
 }
 
-impl Two {
-    fn new() -> Two {
-        let shared: Arc<Mutex<Shared>> = Arc::default();
-        shared.lock().expect("lock").living.extend([0, 1]);
-        let leases = |n| OrderLeases::new(Box::new(InMemory(shared.clone(), n)));
-        Two {
+impl TwoProcesses {
+    fn new() -> TwoProcesses {
+        let shared: Arc<Mutex<SharedLocks>> = Arc::default();
+        shared.lock().expect("lock").live.extend([0, 1]);
+        let leases = |n| OrderLeases::new(Box::new(InMemoryLocks(shared.clone(), n)));
+        TwoProcesses {
             old: leases(0),
             new: leases(1).into(),
             shared: shared.clone(),
         }
     }
 
-    /// The old process ends, by a kill where it holds keys.
-    fn old_ends(&mut self) {
-        let mut all = self.shared.lock().expect("lock");
-        all.living.remove(&0);
-        if all.keys.values().any(|holder| *holder == 0) {
-            all.unclean.insert(0);
+    /// The old process ends; its exit is unclean if it holds keys.
+    fn end_old_process(&mut self) {
+        let mut shared = self.shared.lock().expect("lock");
+        shared.live.remove(&0);
+        if shared.keys.values().any(|holder| *holder == 0) {
+            shared.unclean.insert(0);
         }
-        all.keys.retain(|_, holder| *holder != 0);
+        shared.keys.retain(|_, holder| *holder != 0);
     }
 
     fn review(&self, now: Millis) -> Vec<RequestId> {
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn without_locks_everything_goes_on_and_nothing_is_kept() {
+fn without_locks_every_request_is_admitted_and_no_state_is_kept() {
     let mut leases = OrderLeases::default();
     assert!(leases.admit(0.0, PAUSE, key(1), 1) && leases.admit(0.0, PAUSE, key(1), 2));
     leases.pause_until(key(1), 100.0);
@@ -103,129 +104,144 @@
 }
 
 #[test]
-fn a_key_goes_to_the_other_process_once_no_request_of_it_is_open() {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1) && two.old.admit(0.0, PAUSE, key(1), 2));
-    assert!(!two.admit(0.0, key(1), 1), "the other process has the key");
-    assert!(two.admit(0.0, key(2), 2), "another key is free");
-    two.old.request_closed(10.0, key(1), 1);
-    assert!(two.review(50.0).is_empty(), "one more is open");
-    assert!(!two.admit(60.0, key(1), 3));
-    two.old.request_closed(70.0, key(1), 2);
-    assert_eq!(two.review(100.0), [1, 3], "in the order in which they came");
-    assert!(!two.old.admit(100.0, PAUSE, key(1), 3));
+fn a_lease_moves_to_the_other_process_once_no_request_of_its_key_is_open() {
+    let mut processes = TwoProcesses::new();
+    assert!(
+        processes.old.admit(0.0, PAUSE, key(1), 1) && processes.old.admit(0.0, PAUSE, key(1), 2)
+    );
+    assert!(
+        !processes.admit(0.0, key(1), 1),
+        "the other process has the key"
+    );
+    assert!(processes.admit(0.0, key(2), 2), "another key is free");
+    processes.old.request_closed(10.0, key(1), 1);
+    assert!(processes.review(50.0).is_empty(), "one more is open");
+    assert!(!processes.admit(60.0, key(1), 3));
+    processes.old.request_closed(70.0, key(1), 2);
+    assert_eq!(
+        processes.review(100.0),
+        [1, 3],
+        "in the order in which they came"
+    );
+    assert!(!processes.old.admit(100.0, PAUSE, key(1), 3));
 }
 
 #[test]
-fn a_key_is_held_while_it_rests() {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1) && !two.admit(0.0, key(1), 1));
-    two.old.pause_until(key(1), 310.0);
-    two.old.request_closed(10.0, key(1), 1);
+fn a_lease_is_held_while_its_key_is_paused() {
+    let mut processes = TwoProcesses::new();
+    assert!(processes.old.admit(0.0, PAUSE, key(1), 1) && !processes.admit(0.0, key(1), 1));
+    processes.old.pause_until(key(1), 310.0);
+    processes.old.request_closed(10.0, key(1), 1);
     assert!(
-        two.old.needs_review()
-            && two.old.review(300.0, PAUSE).is_empty()
-            && two.review(300.0).is_empty()
+        processes.old.needs_review()
+            && processes.old.review(300.0, PAUSE).is_empty()
+            && processes.review(300.0).is_empty()
     );
     assert!(
-        two.old.review(310.0, PAUSE).is_empty()
-            && !two.old.needs_review()
-            && two.old.entries() == 0
+        processes.old.review(310.0, PAUSE).is_empty()
+            && !processes.old.needs_review()
+            && processes.old.entries() == 0
     );
-    assert_eq!(two.review(311.0), [1]);
+    assert_eq!(processes.review(311.0), [1]);
 }
 
-/// A request of its own that comes meanwhile goes on: the module makes it wait out the rest.
+/// A further request of the lease holder is admitted: the dispatcher delays it until the pause is over.
 #[test]
-fn a_resting_key_takes_requests_of_its_holder() {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1));
-    two.old.pause_until(key(1), 310.0);
-    two.old.request_closed(10.0, key(1), 1);
-    assert!(two.old.admit(20.0, PAUSE, key(1), 2));
-    assert!(!two.old.needs_review() && two.old.review(400.0, PAUSE).is_empty());
-    assert!(!two.admit(400.0, key(1), 1), "its second request is open");
+fn a_paused_key_admits_requests_of_its_lease_holder() {
+    let mut processes = TwoProcesses::new();
+    assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
+    processes.old.pause_until(key(1), 310.0);
+    processes.old.request_closed(10.0, key(1), 1);
+    assert!(processes.old.admit(20.0, PAUSE, key(1), 2));
+    assert!(!processes.old.needs_review() && processes.old.review(400.0, PAUSE).is_empty());
+    assert!(
+        !processes.admit(400.0, key(1), 1),
+        "its second request is open"
+    );
 }
 
 #[rstest]
-#[case::seen_first_by_a_look(true)]
-#[case::seen_first_by_a_lock(false)]
-fn keys_rest_after_a_process_that_died_with_one(#[case] looks: bool) {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1));
-    two.old_ends();
-    if looks {
-        assert!(two.new.borrow_mut().check_peers(1000.0, PAUSE));
+#[case::detected_by_a_peer_check(true)]
+#[case::detected_by_a_lock_attempt(false)]
+fn keys_are_paused_after_a_process_died_with_a_lease(#[case] checks_peers: bool) {
+    let mut processes = TwoProcesses::new();
+    assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
+    processes.end_old_process();
+    if checks_peers {
+        assert!(processes.new.borrow_mut().check_peers(1000.0, PAUSE));
     }
-    assert!(!two.admit(1000.0, key(1), 1), "its attempt may still run");
-    assert!(two.review(1299.0).is_empty());
-    assert_eq!(two.review(1300.0), [1]);
+    assert!(
+        !processes.admit(1000.0, key(1), 1),
+        "its attempt may still run"
+    );
+    assert!(processes.review(1299.0).is_empty());
+    assert_eq!(processes.review(1300.0), [1]);
 }
 
 #[test]
-fn keys_rest_after_a_process_that_died_before_the_start() {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1));
-    two.old_ends();
-    two.new = OrderLeases::new(Box::new(InMemory(two.shared.clone(), 1))).into();
-    two.new.borrow_mut().start(1000.0, PAUSE);
-    assert!(!two.admit(1299.0, key(1), 1));
-    assert_eq!(two.review(1300.0), [1]);
+fn keys_are_paused_at_start_after_a_process_died_with_a_lease() {
+    let mut processes = TwoProcesses::new();
+    assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
+    processes.end_old_process();
+    processes.new = OrderLeases::new(Box::new(InMemoryLocks(processes.shared.clone(), 1))).into();
+    processes.new.borrow_mut().start(1000.0, PAUSE);
+    assert!(!processes.admit(1299.0, key(1), 1));
+    assert_eq!(processes.review(1300.0), [1]);
 }
 
 #[test]
-fn nothing_rests_after_a_process_that_ended_without_a_key() {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1));
-    two.old.request_closed(10.0, key(1), 1);
-    two.old_ends();
-    assert!(two.admit(20.0, key(1), 1));
+fn no_key_is_paused_after_a_process_exited_without_a_lease() {
+    let mut processes = TwoProcesses::new();
+    assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
+    processes.old.request_closed(10.0, key(1), 1);
+    processes.end_old_process();
+    assert!(processes.admit(20.0, key(1), 1));
 }
 
-/// Guard: requests that never cease do not keep a key from the other process.
+/// An unbroken sequence of requests does not keep the lease from the other process.
 #[test]
-fn a_key_in_steady_use_goes_back_and_forth() {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1) && !two.admit(0.0, key(1), 1));
+fn a_lease_in_continuous_use_alternates_between_two_processes() {
+    let mut processes = TwoProcesses::new();
+    assert!(processes.old.admit(0.0, PAUSE, key(1), 1) && !processes.admit(0.0, key(1), 1));
     assert!(
-        two.old.admit(MAX_LEASE_MS - 1.0, PAUSE, key(1), 2),
+        processes.old.admit(MAX_LEASE_MS - 1.0, PAUSE, key(1), 2),
         "within its turn"
     );
     assert!(
-        !two.old.admit(MAX_LEASE_MS, PAUSE, key(1), 3),
+        !processes.old.admit(MAX_LEASE_MS, PAUSE, key(1), 3),
         "its turn is over"
     );
-    two.old.request_closed(600.0, key(1), 1);
-    two.old.request_closed(610.0, key(1), 2);
+    processes.old.request_closed(600.0, key(1), 1);
+    processes.old.request_closed(610.0, key(1), 2);
     assert!(
-        two.old.review(650.0, PAUSE).is_empty(),
+        processes.old.review(650.0, PAUSE).is_empty(),
         "it leaves the key alone for a while"
     );
-    assert_eq!(two.review(650.0), [1]);
-    two.new.borrow_mut().request_closed(700.0, key(1), 1);
-    assert_eq!(two.old.review(610.0 + REACQUIRE_DELAY_MS, PAUSE), [3]);
+    assert_eq!(processes.review(650.0), [1]);
+    processes.new.borrow_mut().request_closed(700.0, key(1), 1);
+    assert_eq!(processes.old.review(610.0 + REACQUIRE_DELAY_MS, PAUSE), [3]);
 }
 
 #[test]
-fn a_key_in_steady_use_stays_where_no_other_process_lives() {
-    let mut two = Two::new();
-    two.old_ends();
-    two.new.borrow_mut().check_peers(0.0, PAUSE);
-    assert!(two.admit(0.0, key(1), 1) && two.admit(10.0 * MAX_LEASE_MS, key(1), 2));
+fn a_lease_in_continuous_use_stays_without_a_live_peer() {
+    let mut processes = TwoProcesses::new();
+    processes.end_old_process();
+    processes.new.borrow_mut().check_peers(0.0, PAUSE);
+    assert!(processes.admit(0.0, key(1), 1) && processes.admit(10.0 * MAX_LEASE_MS, key(1), 2));
 }
 
 #[test]
-fn a_waiting_request_that_is_over_is_forgotten() {
-    let mut two = Two::new();
-    assert!(two.old.admit(0.0, PAUSE, key(1), 1));
-    assert!(!two.admit(0.0, key(1), 1) && !two.admit(0.0, key(1), 2));
-    two.new.borrow_mut().request_closed(10.0, key(1), 1);
-    two.old.request_closed(20.0, key(1), 1);
-    assert_eq!(two.review(50.0), [2]);
-    two.new.borrow_mut().request_closed(60.0, key(1), 2);
+fn a_waiting_request_that_closes_is_removed() {
+    let mut processes = TwoProcesses::new();
+    assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
+    assert!(!processes.admit(0.0, key(1), 1) && !processes.admit(0.0, key(1), 2));
+    processes.new.borrow_mut().request_closed(10.0, key(1), 1);
+    processes.old.request_closed(20.0, key(1), 1);
+    assert_eq!(processes.review(50.0), [2]);
+    processes.new.borrow_mut().request_closed(60.0, key(1), 2);
     assert!(
-        !two.new.borrow().needs_review()
-            && two.new.borrow().entries() == 0
-            && two.old.entries() == 0
+        !processes.new.borrow().needs_review()
+            && processes.new.borrow().entries() == 0
+            && processes.old.entries() == 0
     );
 }
--- a/src/core/retry/tests.rs
+++ b/src/core/retry/tests.rs
@@ -1,32 +1,32 @@
-//! Tests of the operators' policy in the core: each guard is seen to hold against a module that would do more.
+//! Tests of the operators' retry policy in the core: it limits a dispatcher that would start more attempts.
 
+use super::super::tests::attempt_message;
 use super::super::*;
 use crate::attempt::AttemptEnd;
 use crate::decision::EngineEntry;
 use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
-use crate::decision::LoadReport;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::operator_config::{self, PlatformConstraints};
 use crate::settings_json::{self, NamedClass};
 use bytes::Bytes;
 use std::sync::Mutex;
 
-/// Engines that take every attempt and say nothing of themselves.
+/// Fake engines that accept every attempt and report nothing.
 #[derive(Default)]
 struct Engines {
-    asked: Vec<(EngineId, RequestId, u16)>,
-    quits: Vec<(EngineId, RequestId, u16)>,
+    started: Vec<(EngineId, RequestId, u16)>,
+    cancelled: Vec<(EngineId, RequestId, u16)>,
 }
 
 impl EnginePort for Engines {
-    fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool {
-        self.asked.push((engine, ask.id, ask.attempt));
+    fn start_attempt(&mut self, engine: EngineId, request: AttemptRequest) -> bool {
+        self.started.push((engine, request.id, request.attempt));
         true
     }
     fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, _: bool) {
-        self.quits.push((engine, id, attempt));
+        self.cancelled.push((engine, id, attempt));
     }
     fn set_priority(&mut self, _: EngineId, _: RequestId, _: u16, _: u8) {}
     fn engine_listed(&mut self, _: &EngineRecord) {}
@@ -34,7 +34,7 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
-/// A client that writes its answers down, with the time of the core's clock when they came.
+/// A fake client that records its answers.
 #[derive(Default)]
 struct Client(Mutex<Vec<(RequestId, &'static str)>>);
 
@@ -65,12 +65,12 @@
 
 fn policy(known: &PlatformConstraints, text: &str) -> Arc<Policy> {
     let (_, policy) = operator_config::parse_and_check(text, Some(known))
-        .unwrap_or_else(|faults| panic!("{faults:?}"));
+        .unwrap_or_else(|errors| panic!("{errors:?}"));
     Arc::new(policy.expect("a policy"))
 }
 
 impl TestBench {
-    /// A core with two ready engines and this file.
+    /// A core with two ready engines and this operator file.
     fn new(text: &str) -> TestBench {
         let parsed = settings_json::parse(SETTINGS.as_bytes()).expect("settings");
         let known = PlatformConstraints::from_settings(&parsed);
@@ -137,24 +137,16 @@
         self.core.handle(now, CoreMessage::Request(taken));
     }
 
-    /// The last attempt asked of an engine ends so.
+    /// Ends the attempt started last with this outcome.
     fn ends(&mut self, now: Millis, outcome: Outcome) {
-        let (engine, id, attempt) = *self.core.engines.asked.last().expect("an attempt");
-        let news = AttemptEvent::end(outcome);
-        self.core.handle(
-            now,
-            CoreMessage::Attempt {
-                engine,
-                id,
-                attempt,
-                load_report: LoadReport::default(),
-                event: news,
-            },
-        );
+        let (engine, id, attempt) = *self.core.engines.started.last().expect("an attempt");
+        let event = AttemptEvent::end(outcome);
+        self.core
+            .handle(now, attempt_message((engine, id, attempt), event));
     }
 
-    fn asked(&self) -> usize {
-        self.core.engines.asked.len()
+    fn started(&self) -> usize {
+        self.core.engines.started.len()
     }
 
     fn answers(&self) -> Vec<(RequestId, &'static str)> {
@@ -163,148 +155,158 @@
 }
 
 #[test]
-fn no_attempt_beyond_the_policy_and_the_answer_at_once() {
-    let mut rig = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 1\n");
-    rig.take(0.0, 1, 0);
-    assert_eq!(rig.asked(), 1);
-    rig.ends(10.0, Outcome::Error);
-    // The module reads the request's own number and sends nothing more.
-    assert_eq!((rig.asked(), rig.answers()), (1, vec![(1, "refused")]));
-    assert_eq!(rig.core.open_requests(), 0);
+fn a_request_is_answered_at_once_when_its_policy_allows_no_further_attempt() {
+    let mut bench = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 1\n");
+    bench.take(0.0, 1, 0);
+    assert_eq!(bench.started(), 1);
+    bench.ends(10.0, Outcome::Error);
+    // The dispatcher applies the request's own limit and starts no further attempt.
+    assert_eq!(
+        (bench.started(), bench.answers()),
+        (1, vec![(1, "refused")])
+    );
+    assert_eq!(bench.core.open_requests(), 0);
 }
 
 #[test]
-fn only_after_the_ends_that_the_policy_names() {
-    let mut rig = TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\"]\n");
-    rig.take(0.0, 1, 0);
-    rig.ends(10.0, Outcome::Rejected);
-    assert_eq!(rig.asked(), 2, "full may be followed");
-    rig.ends(20.0, Outcome::Error);
+fn a_retry_follows_only_the_outcomes_that_the_policy_names() {
+    let mut bench = TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\"]\n");
+    bench.take(0.0, 1, 0);
+    bench.ends(10.0, Outcome::Rejected);
+    assert_eq!(bench.started(), 2, "a retry may follow full");
+    bench.ends(20.0, Outcome::Error);
     assert_eq!(
-        (rig.asked(), rig.answers().len()),
+        (bench.started(), bench.answers().len()),
         (2, 1),
-        "an error may not, and the request ends"
+        "none may follow an error, and the request ends"
     );
 }
 
 #[test]
-fn a_back_off_delays_what_may_have_run_and_not_what_never_did_elsewhere() {
-    let mut rig = TestBench::new(
+fn backoff_delays_retries_except_of_unstarted_attempts_on_another_engine() {
+    let mut bench = TestBench::new(
         "version = 1\n[attempts.default]\nbackoff = { base_ms = 100, max_ms = 100 }\n",
     );
-    rig.take(0.0, 1, 0);
-    rig.ends(10.0, Outcome::Reset);
+    bench.take(0.0, 1, 0);
+    bench.ends(10.0, Outcome::Reset);
     assert_eq!(
-        (rig.asked(), rig.metrics.retries_delayed_by_backoff.get()),
+        (
+            bench.started(),
+            bench.metrics.retries_delayed_by_backoff.get()
+        ),
         (1, 1),
         "a reset may have loaded the engine"
     );
-    rig.core.run_due_timers(109.0);
-    assert_eq!(rig.asked(), 1);
-    rig.core.run_due_timers(110.0);
-    assert_eq!(rig.asked(), 2, "the wait is over");
-    let first = rig.core.engines.asked[1].0;
-    rig.ends(120.0, Outcome::Rejected);
-    let (second, _, _) = *rig.core.engines.asked.last().expect("sent");
-    // Full never ran: on another engine it goes at once; on the same one it waits.
-    let waited = rig.metrics.retries_delayed_by_backoff.get() == 2;
+    bench.core.run_due_timers(109.0);
+    assert_eq!(bench.started(), 1);
+    bench.core.run_due_timers(110.0);
+    assert_eq!(bench.started(), 2, "the backoff is over");
+    let first = bench.core.engines.started[1].0;
+    bench.ends(120.0, Outcome::Rejected);
+    let (second, _, _) = *bench.core.engines.started.last().expect("sent");
+    // A rejected attempt never ran: its retry starts at once on another engine and waits on the same one.
+    let waited = bench.metrics.retries_delayed_by_backoff.get() == 2;
     assert_eq!(
         waited,
-        second == first && rig.asked() == 2,
+        second == first && bench.started() == 2,
         "{first} {second} {}",
-        rig.asked()
+        bench.started()
     );
 }
 
 #[test]
-fn a_budget_that_is_spent_ends_requests_at_once() {
+fn an_exhausted_retry_budget_answers_requests_at_once() {
     let text = "version = 1\n[attempts.default]\nbudget = { ratio = 0.0, min_per_s = 0.1, window_s = 10 }\n";
-    let mut rig = TestBench::new(text);
-    rig.take(0.0, 1, 0);
-    rig.ends(10.0, Outcome::Error);
-    assert_eq!(rig.asked(), 2, "one further attempt in ten seconds");
-    rig.take(20.0, 2, 0);
-    rig.ends(30.0, Outcome::Error);
+    let mut bench = TestBench::new(text);
+    bench.take(0.0, 1, 0);
+    bench.ends(10.0, Outcome::Error);
+    assert_eq!(bench.started(), 2, "one retry in ten seconds");
+    bench.take(20.0, 2, 0);
+    bench.ends(30.0, Outcome::Error);
     assert_eq!(
-        (rig.asked(), rig.metrics.retries_denied_by_budget.get()),
+        (
+            bench.started(),
+            bench.metrics.retries_denied_by_budget.get()
+        ),
         (3, 1)
     );
-    assert_eq!(rig.answers(), [(2, "refused")], "held is answered at once");
+    assert_eq!(
+        bench.answers(),
+        [(2, "refused")],
+        "the denied request is answered at once"
+    );
 }
 
 #[test]
-fn an_attempt_has_its_time_and_then_another_goes() {
-    let mut rig = TestBench::new("version = 1\n[attempts.default]\nattempt_timeout_ms = 500\n");
-    rig.take(0.0, 1, 0);
-    rig.core.run_due_timers(499.0);
-    assert!(rig.core.engines.quits.is_empty());
-    rig.core.run_due_timers(500.0);
+fn an_attempt_that_exceeds_its_timeout_is_cancelled_and_retried() {
+    let mut bench = TestBench::new("version = 1\n[attempts.default]\nattempt_timeout_ms = 500\n");
+    bench.take(0.0, 1, 0);
+    bench.core.run_due_timers(499.0);
+    assert!(bench.core.engines.cancelled.is_empty());
+    bench.core.run_due_timers(500.0);
     assert_eq!(
         (
-            rig.core.engines.quits.len(),
-            rig.metrics.attempt_timeouts.get()
+            bench.core.engines.cancelled.len(),
+            bench.metrics.attempt_timeouts.get()
         ),
         (1, 1)
     );
-    assert_eq!(rig.asked(), 1, "nothing before the end is proven");
-    let (engine, id, attempt) = rig.core.engines.quits[0];
-    let news = AttemptEvent::Cancelled(AttemptEnd::Cancelled);
-    rig.core.handle(
-        510.0,
-        CoreMessage::Attempt {
-            engine,
-            id,
-            attempt,
-            load_report: LoadReport::default(),
-            event: news,
-        },
-    );
-    assert_eq!(rig.asked(), 2);
+    assert_eq!(bench.started(), 1, "no retry before the end is confirmed");
+    let (engine, id, attempt) = bench.core.engines.cancelled[0];
+    let event = AttemptEvent::Cancelled(AttemptEnd::Cancelled);
+    bench
+        .core
+        .handle(510.0, attempt_message((engine, id, attempt), event));
+    assert_eq!(bench.started(), 2);
 }
 
 #[test]
-fn the_deadline_in_a_back_off_leaves_nothing_behind() {
+fn a_deadline_during_backoff_leaves_no_state() {
     let text = "version = 1\n[attempts.default]\nmax_attempts = 2\nbackoff = { base_ms = 10000, max_ms = 10000 }\n";
-    let mut rig = TestBench::new(text);
-    rig.take(0.0, 1, 0);
-    rig.ends(6000.0, Outcome::Reset);
-    assert_eq!(rig.metrics.retries_delayed_by_backoff.get(), 1);
-    rig.core.run_due_timers(15_000.0);
-    assert_eq!(rig.answers(), [(1, "failed")]);
-    rig.core.run_due_timers(30_000.0);
-    assert_eq!(rig.asked(), 1, "the waiting attempt died with its request");
+    let mut bench = TestBench::new(text);
+    bench.take(0.0, 1, 0);
+    bench.ends(6000.0, Outcome::Reset);
+    assert_eq!(bench.metrics.retries_delayed_by_backoff.get(), 1);
+    bench.core.run_due_timers(15_000.0);
+    assert_eq!(bench.answers(), [(1, "failed")]);
+    bench.core.run_due_timers(30_000.0);
+    assert_eq!(
+        bench.started(),
+        1,
+        "the delayed attempt ended with its request"
+    );
     assert_eq!(
         (
-            rig.core.state_sizes().requests,
-            rig.core.state_sizes().dispatcher[0]
+            bench.core.state_sizes().requests,
+            bench.core.state_sizes().dispatcher[0]
         ),
         (0, 0),
-        "neither the core nor the module holds it"
+        "neither the core nor the dispatcher keeps state of it"
     );
 }
 
 #[test]
-fn a_reload_lowers_the_attempts_of_what_is_open() {
-    let mut rig = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 5\n");
-    rig.take(0.0, 1, 0);
+fn a_settings_reload_lowers_the_attempt_limit_of_open_requests() {
+    let mut bench = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 5\n");
+    bench.take(0.0, 1, 0);
     let lower = policy(
-        &rig.known,
+        &bench.known,
         "version = 1\n[attempts.default]\nmax_attempts = 1\n",
     );
-    rig.core.handle(
+    bench.core.handle(
         5.0,
         CoreMessage::Settings {
             settings: None,
             policy: lower,
         },
     );
-    rig.ends(10.0, Outcome::Rejected);
-    assert_eq!((rig.asked(), rig.answers().len()), (1, 1));
+    bench.ends(10.0, Outcome::Rejected);
+    assert_eq!((bench.started(), bench.answers().len()), (1, 1));
 }
 
 #[test]
-fn what_may_run_once_and_may_have_run_is_not_sent_again_whatever_the_policy() {
-    // Built by hand, as no file can say this: every end may be followed, for every class.
+fn a_non_idempotent_request_that_may_have_run_is_never_retried() {
+    // No operator file can express this policy: a retry may follow every outcome, for every class.
     let keys = crate::retry_policy::AttemptPolicy {
         retry_on: Some(crate::retry_policy::OutcomeSet::all()),
         ..Default::default()
@@ -316,47 +318,51 @@
     };
     let classes = vec![class("seat-check"), class("log-load")];
     let policy = Policy::new(keys, classes, Vec::new(), Vec::new()).expect("policy");
-    let mut rig = TestBench::new("version = 1\n");
-    rig.core.handle(
+    let mut bench = TestBench::new("version = 1\n");
+    bench.core.handle(
         0.0,
         CoreMessage::Settings {
             settings: None,
             policy: Arc::new(policy),
         },
     );
-    rig.take(0.0, 1, 1);
-    rig.ends(10.0, Outcome::Reset);
-    assert_eq!((rig.asked(), rig.answers()), (1, vec![(1, "failed")]));
-    // One that was refused before it ran may go again.
-    rig.take(20.0, 2, 1);
-    rig.ends(30.0, Outcome::Rejected);
-    assert_eq!(rig.asked(), 3);
+    bench.take(0.0, 1, 1);
+    bench.ends(10.0, Outcome::Reset);
+    assert_eq!((bench.started(), bench.answers()), (1, vec![(1, "failed")]));
+    // A request that was rejected before it ran may be retried.
+    bench.take(20.0, 2, 1);
+    bench.ends(30.0, Outcome::Rejected);
+    assert_eq!(bench.started(), 3);
 }
 
 #[test]
-fn a_call_off_that_nothing_may_follow_is_not_carried_out() {
-    let mut rig =
+fn an_attempt_that_no_retry_may_follow_is_not_cancelled_for_a_retry() {
+    let mut bench =
         TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\", \"error\"]\n");
-    rig.take(0.0, 1, 0);
-    rig.core.cancel_attempt(10.0, 1, 0);
+    bench.take(0.0, 1, 0);
+    bench.core.cancel_attempt(10.0, 1, 0);
     assert_eq!(
         (
-            rig.core.engines.quits.len(),
-            rig.metrics.cancellations_denied_by_policy.get()
+            bench.core.engines.cancelled.len(),
+            bench.metrics.cancellations_denied_by_policy.get()
         ),
         (0, 1)
     );
-    let mut rig = TestBench::new("version = 1\n");
-    rig.take(0.0, 1, 0);
-    rig.core.cancel_attempt(10.0, 1, 0);
-    assert_eq!(rig.core.engines.quits.len(), 1, "without the file it is");
+    let mut bench = TestBench::new("version = 1\n");
+    bench.take(0.0, 1, 0);
+    bench.core.cancel_attempt(10.0, 1, 0);
+    assert_eq!(
+        bench.core.engines.cancelled.len(),
+        1,
+        "without a policy it is cancelled"
+    );
 }
 
 /// A writer of log lines into a shared buffer.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl std::io::Write for Lines {
+impl std::io::Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("lines").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -367,41 +373,41 @@
 }
 
 #[test]
-fn each_decision_is_a_line_with_its_fields_at_debug_and_none_at_the_usual_level() {
-    let lines = Lines::default();
-    // Guard: while there is one subscriber only, what other tests' threads meet first is switched off for all.
+fn each_retry_decision_is_logged_at_debug_and_not_at_info() {
+    let lines = LogBuffer::default();
+    // With a single subscriber, a callsite that another test's thread reaches first is disabled for all threads.
     let _second = tracing::Dispatch::new(
         tracing_subscriber::fmt()
             .with_writer(std::io::sink)
             .finish(),
     );
-    let play = |level| {
+    let run_at = |level| {
         let writer = lines.clone();
         let json = tracing_subscriber::fmt()
             .json()
             .with_writer(move || writer.clone());
         let subscriber = json.with_max_level(level).finish();
         tracing::subscriber::with_default(subscriber, || {
-            let mut rig = TestBench::new(
+            let mut bench = TestBench::new(
                 "version = 1\n[attempts.default]\nmax_attempts = 2\nretry_on = [\"full\"]\n",
             );
-            rig.take(0.0, 1, 0);
-            rig.ends(10.0, Outcome::Rejected);
-            rig.ends(20.0, Outcome::Error);
+            bench.take(0.0, 1, 0);
+            bench.ends(10.0, Outcome::Rejected);
+            bench.ends(20.0, Outcome::Error);
         })
     };
-    play(tracing::Level::INFO);
+    run_at(tracing::Level::INFO);
     assert!(
         lines.0.lock().expect("lines").is_empty(),
-        "nothing at the usual level"
+        "nothing at the default level"
     );
-    play(tracing::Level::DEBUG);
+    run_at(tracing::Level::DEBUG);
     let text = String::from_utf8(lines.0.lock().expect("lines").clone()).expect("text");
     let events: Vec<serde_json::Value> = text
         .lines()
         .map(|l| serde_json::from_str(l).expect("JSON"))
         .collect();
-    let said = |what: &str| {
+    let count = |what: &str| {
         events
             .iter()
             .filter(|e| e["fields"]["message"] == what)
@@ -409,10 +415,10 @@
     };
     assert_eq!(
         (
-            said("request admitted"),
-            said("attempt sent"),
-            said("attempt ended"),
-            said("request answered")
+            count("request admitted"),
+            count("attempt sent"),
+            count("attempt ended"),
+            count("request answered")
         ),
         (1, 2, 2, 1),
         "{text}"
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the core alone: engines and clients that say nothing.
+//! Tests of the core alone, with fake engines and clients that report nothing.
 
 mod attempt_interleavings;
 mod engine_subsets;
@@ -14,28 +14,28 @@
 use crate::decision::ListUpdateKind;
 use crate::decision::LoadReport;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
-use crate::settings_json::{self, NamedClass};
+use crate::settings_json::{self, NamedClass, PlatformSettings};
 use bytes::Bytes;
 
-/// Engines that take attempts and say nothing; what they are told to give up, and what the list says of them, is kept.
+/// Fake engines that accept every attempt and report nothing. They record what the core sends them.
 #[derive(Default)]
-struct SilentEngines(
-    Vec<EngineId>,
-    Vec<(EngineId, RequestId, u16)>,
-    Vec<(EngineId, EngineState)>,
-);
+struct SilentEngines {
+    started: Vec<EngineId>,
+    cancelled: Vec<(EngineId, RequestId, u16)>,
+    listed: Vec<(EngineId, EngineState)>,
+}
 
 impl EnginePort for SilentEngines {
     fn start_attempt(&mut self, engine: EngineId, _: AttemptRequest) -> bool {
-        self.0.push(engine);
+        self.started.push(engine);
         true
     }
     fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, _: bool) {
-        self.1.push((engine, id, attempt));
+        self.cancelled.push((engine, id, attempt));
     }
     fn set_priority(&mut self, _: EngineId, _: RequestId, _: u16, _: u8) {}
-    fn engine_listed(&mut self, line: &EngineRecord) {
-        self.2.push((line.entry.engine, line.entry.state));
+    fn engine_listed(&mut self, record: &EngineRecord) {
+        self.listed.push((record.entry.engine, record.entry.state));
     }
     fn engine_removed(&mut self, _: EngineId) {}
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
@@ -47,7 +47,7 @@
     fn answer(&self, _: RequestId, _: Answer) {}
 }
 
-/// An engine as the list has it.
+/// The record of an engine in the endpoint list.
 pub(super) fn listed(n: u32, state: EngineState) -> EngineRecord {
     let entry = EngineEntry {
         engine: engine_id(n),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A request of this class and effort.
+/// A request of this class with this deadline and estimated work, both in ms.
 pub(crate) fn taken(
     id: RequestId,
     class: &Arc<NamedClass>,
@@ -87,6 +87,73 @@
     }
 }
 
+/// The report of an attempt's event by its engine, with an empty load report.
+pub(super) fn attempt_message(
+    (engine, id, attempt): (EngineId, RequestId, u16),
+    event: AttemptEvent,
+) -> CoreMessage {
+    CoreMessage::Attempt {
+        engine,
+        id,
+        attempt,
+        load_report: LoadReport::default(),
+        event,
+    }
+}
+
+/// A core with fake engines.
+struct TestCore {
+    core: Core<SilentEngines>,
+    metrics: Arc<Metrics>,
+    classes: Vec<Arc<NamedClass>>,
+}
+
+impl TestCore {
+    /// A core with these settings and this memory in MB.
+    fn new(parsed: PlatformSettings, memory_mb: usize) -> TestCore {
+        let limits = Arc::new(Limits::new(256, memory_mb, true, &parsed));
+        let metrics: Arc<Metrics> = Arc::default();
+        let engines = SilentEngines::default();
+        let core = Core::new(parsed.settings, 7, engines, limits, metrics.clone());
+        TestCore {
+            core: core.expect("core"),
+            metrics,
+            classes: parsed.classes,
+        }
+    }
+
+    fn from_json(settings: &str) -> TestCore {
+        let parsed = settings_json::parse(settings.as_bytes()).expect("settings");
+        TestCore::new(parsed, 32)
+    }
+
+    fn apply_list(&mut self, now: Millis, kind: ListUpdateKind, records: Vec<EngineRecord>) {
+        let event = EndpointListEvent {
+            number: 1,
+            kind,
+            records,
+            unusable_engines: Vec::new(),
+        };
+        self.core.handle(now, CoreMessage::EndpointList(event));
+    }
+
+    fn report_attempt(
+        &mut self,
+        now: Millis,
+        attempt: (EngineId, RequestId, u16),
+        event: AttemptEvent,
+    ) {
+        self.core.handle(now, attempt_message(attempt, event));
+    }
+
+    fn confirm_cancellations(&mut self, now: Millis) {
+        for attempt in std::mem::take(&mut self.core.engines.cancelled) {
+            let event = AttemptEvent::Cancelled(AttemptEnd::Cancelled);
+            self.report_attempt(now, attempt, event);
+        }
+    }
+}
+
 fn all_sizes(sizes: &StateSizes) -> [usize; 8] {
     let core = [
         sizes.requests,
@@ -103,120 +170,77 @@
     [sizes.requests, sizes.client_references]
 }
 
-/// Guard: nothing grows with what was ever seen. A long day in which engines are replaced, some left out of a
-/// whole list and never told gone, and clients leave, time out or are served.
+/// Replaces the engine of the round before, in every second round by a complete list that omits it.
+fn replace_engine(bench: &mut TestCore, now: Millis, engine: u32) {
+    if engine.is_multiple_of(2) {
+        let records = vec![listed(engine, EngineState::Ready)];
+        bench.apply_list(now, ListUpdateKind::Full, records);
+    } else {
+        let records = vec![
+            listed(engine, EngineState::Ready),
+            listed(engine - 1, EngineState::Removed),
+        ];
+        bench.apply_list(now, ListUpdateKind::Delta, records);
+    }
+}
+
+/// Submits twenty requests: five time out, five are served and ten clients disconnect at once.
+fn submit_requests(bench: &mut TestCore, now: Millis, round: u32) {
+    for n in 0..20 {
+        let id = round * 20 + n;
+        let deadline_ms = now + if n < 5 { 300.0 } else { 20_000.0 };
+        let class = bench.classes[(n % 2) as usize].clone();
+        let request = AcceptedRequest {
+            data_set: id,
+            ..taken(id, &class, deadline_ms, 50.0, Arc::new(NullClient))
+        };
+        bench.core.handle(now, CoreMessage::Request(request));
+        if n >= 10 {
+            bench.core.handle(now, CoreMessage::ClientDisconnected(id));
+        } else if let (5.., Some(engine)) = (n, bench.core.engines.started.last().copied()) {
+            let event = AttemptEvent::Ended {
+                outcome: Outcome::Ok,
+                measured_work_ms: None,
+                measured_memory_mb: None,
+                body: Some(ResultBody::complete(ResultFormat::Text, Vec::new())),
+            };
+            bench.report_attempt(now, (engine, id, 0), event);
+            bench.core.handle(now, CoreMessage::ClientDisconnected(id));
+        }
+    }
+}
+
+/// Over a long day engines are replaced, some omitted from a complete list without a removal record, and clients
+/// disconnect, time out or are served.
 #[test]
-#[expect(clippy::too_many_lines, reason = "not split yet")]
-fn nothing_grows_with_a_long_day() {
+fn state_stays_bounded_over_a_long_day_of_replacements_and_disconnects() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":500,"giveUpMs":20000},
         {"name":"b","effect":"repeatable","promiseMs":500,"giveUpMs":20000}],
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6,"cancel":true},"shapes":["std-8c"],"specifics":{"sizeCores":[8],"progressMs":500}}"#;
-    let parsed = settings_json::parse(text.as_bytes()).expect("settings");
-    let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-    let classes = parsed.classes;
-    let mut core = Core::new(
-        parsed.settings,
-        7,
-        SilentEngines::default(),
-        limits,
-        Arc::default(),
-    )
-    .expect("core");
-    core.start(0.0);
-    let (mut now, mut most) = (0.0, StateSizes::default());
+    let mut bench = TestCore::from_json(text);
+    bench.core.start(0.0);
+    let (mut now, mut early) = (0.0, StateSizes::default());
     for round in 0..3000 {
         now += 20.0;
-        core.run_due_timers(now);
-        let next = round / 10 + 1;
-        let (kind, entries) = match round % 10 {
-            0 if next % 2 == 0 => (ListUpdateKind::Full, vec![listed(next, EngineState::Ready)]),
-            0 => (
-                ListUpdateKind::Delta,
-                vec![
-                    listed(next, EngineState::Ready),
-                    listed(next - 1, EngineState::Removed),
-                ],
-            ),
-            _ => (ListUpdateKind::Delta, Vec::new()),
-        };
-        core.handle(
-            now,
-            CoreMessage::EndpointList(EndpointListEvent {
-                number: 0,
-                kind,
-                records: entries,
-                unusable_engines: Vec::new(),
-            }),
-        );
-        for n in 0..20 {
-            let id = round * 20 + n;
-            let due = now + if n < 5 { 300.0 } else { 20_000.0 };
-            let one = taken(
-                id,
-                &classes[(n % 2) as usize],
-                due,
-                50.0,
-                Arc::new(NullClient),
-            );
-            core.handle(
-                now,
-                CoreMessage::Request(AcceptedRequest {
-                    data_set: id,
-                    ..one
-                }),
-            );
-            if n >= 10 {
-                core.handle(now, CoreMessage::ClientDisconnected(id));
-            } else if let (5.., Some(engine)) = (n, core.engines.0.last().copied()) {
-                let body = Some(ResultBody::complete(ResultFormat::Text, Vec::new()));
-                let news = AttemptEvent::Ended {
-                    outcome: Outcome::Ok,
-                    measured_work_ms: None,
-                    measured_memory_mb: None,
-                    body,
-                };
-                let report = LoadReport::default();
-                core.handle(
-                    now,
-                    CoreMessage::Attempt {
-                        engine,
-                        id,
-                        attempt: 0,
-                        load_report: report,
-                        event: news,
-                    },
-                );
-                core.handle(now, CoreMessage::ClientDisconnected(id));
-            }
-        }
-        for (engine, id, attempt) in std::mem::take(&mut core.engines.1) {
-            let (report, news) = (
-                LoadReport::default(),
-                AttemptEvent::Cancelled(AttemptEnd::Cancelled),
-            );
-            core.handle(
-                now,
-                CoreMessage::Attempt {
-                    engine,
-                    id,
-                    attempt,
-                    load_report: report,
-                    event: news,
-                },
-            );
+        bench.core.run_due_timers(now);
+        if round % 10 == 0 {
+            replace_engine(&mut bench, now, round / 10 + 1);
+        } else {
+            bench.apply_list(now, ListUpdateKind::Delta, Vec::new());
         }
-        let held = core.state_sizes();
+        submit_requests(&mut bench, now, round);
+        bench.confirm_cancellations(now);
         if round == 999 {
-            most = held;
+            early = bench.core.state_sizes();
         }
     }
-    let end = core.state_sizes();
-    for (end, most) in all_sizes(&end).iter().zip(all_sizes(&most)) {
+    let end = bench.core.state_sizes();
+    for (end, early) in all_sizes(&end).iter().zip(all_sizes(&early)) {
         assert!(
-            *end <= most + most / 2 + 8,
-            "{:?} grew from {most:?}",
-            core.state_sizes()
+            *end <= early + early / 2 + 8,
+            "{:?} grew from {early:?}",
+            bench.core.state_sizes()
         );
     }
     assert!(
@@ -225,56 +249,41 @@
     );
 }
 
-/// Guard: what may have run is repeated by key alone, at engines of the group that drop it, and while they do. The core
-/// holds the module to it, also after a wait.
-#[test]
-#[expect(clippy::too_many_lines, reason = "not split yet")]
-fn repeats_by_key_stay_in_their_group_and_time() {
-    let class = |scope| {
-        let text = format!(
-            r#"{{"nInstances":1,"classes":[{{"name":"a","effect":"by_key","dedupScope":"{scope}","memorySpanMs":700,
+/// Settings with a class of requests with an idempotency key, which engines keep for 700 ms in this scope.
+fn idempotency_key_settings(scope: &str) -> PlatformSettings {
+    let text = format!(
+        r#"{{"nInstances":1,"classes":[{{"name":"a","effect":"by_key","dedupScope":"{scope}","memorySpanMs":700,
             "promiseMs":500,"giveUpMs":20000}}],
             "guarantees":{{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3}},
             "limits":{{"attemptsCap":6}},"shapes":["std-8c"],"zones":["x","y"],"specifics":{{"sizeCores":[8]}}}}"#
-        );
-        settings_json::parse(text.as_bytes()).expect("settings")
-    };
+    );
+    settings_json::parse(text.as_bytes()).expect("settings")
+}
+
+/// A request that may have run is retried only with an idempotency key, only on engines of the dedup scope and only
+/// within the dedup window. The core enforces this against the dispatcher, also after a backoff.
+#[test]
+fn retries_with_an_idempotency_key_stay_within_dedup_scope_and_window() {
     for (scope, key, reach) in [
         ("all", true, [1, 2, 3]),
         ("zone", true, [1, 2, 0]),
         ("cell", true, [1, 0, 0]),
         ("all", false, [0; 3]),
     ] {
-        let parsed = class(scope);
-        let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-        let class = parsed.classes[0].clone();
-        let mut core = Core::new(
-            parsed.settings,
-            7,
-            SilentEngines::default(),
-            limits,
-            Arc::default(),
-        )
-        .expect("core");
-        // The first two share a zone, the first alone its cell.
-        let line = |n: u32| {
-            let mut line = listed(n, EngineState::Ready);
-            (line.entry.zone, line.entry.cell) = (u8::from(n > 2), n as u16);
-            line
-        };
-        let entries = vec![line(1), line(2), line(3)];
-        core.handle(
-            0.0,
-            CoreMessage::EndpointList(EndpointListEvent {
-                number: 0,
-                kind: ListUpdateKind::Full,
-                records: entries,
-                unusable_engines: Vec::new(),
-            }),
-        );
-        let mut one = taken(1, &class, 20_000.0, 50.0, Arc::new(NullClient));
-        one.idempotency_key = key.then(|| Bytes::from_static(b"k"));
-        core.handle(0.0, CoreMessage::Request(one));
+        let mut bench = TestCore::new(idempotency_key_settings(scope), 32);
+        // Engines 1 and 2 share a zone; each engine has its own cell.
+        let records = [1, 2, 3].map(|n| {
+            let mut record = listed(n, EngineState::Ready);
+            (record.entry.zone, record.entry.cell) = (u8::from(n > 2), n as u16);
+            record
+        });
+        bench.apply_list(0.0, ListUpdateKind::Full, records.to_vec());
+        let TestCore {
+            mut core, classes, ..
+        } = bench;
+        let mut request = taken(1, &classes[0], 20_000.0, 50.0, Arc::new(NullClient));
+        request.idempotency_key = key.then(|| Bytes::from_static(b"k"));
+        core.handle(0.0, CoreMessage::Request(request));
         let open = core.requests.get_mut(1).expect("open");
         open.history = AttemptHistory::default();
         open.history.record_sent(
@@ -303,117 +312,87 @@
         assert_eq!(
             core.send_attempt(800.0, 1, delayed),
             Err(Outcome::NotSent),
-            "after a back-off"
+            "after a backoff"
         );
     }
 }
 
-/// Guard: what comes while the process ends is answered before that, or turned away at once.
+/// Requests before the shutdown deadline are started, and answered at the deadline; later ones are rejected.
 #[test]
-fn nothing_outlives_the_end() {
+fn the_shutdown_deadline_answers_open_requests_and_rejects_new_ones() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":500,"giveUpMs":20000}],
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6},"shapes":["std-8c"],"specifics":{"sizeCores":[8]}}"#;
-    let parsed = settings_json::parse(text.as_bytes()).expect("settings");
-    let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-    let metrics: Arc<Metrics> = Arc::default();
-    let class = parsed.classes[0].clone();
-    let mut core = Core::new(
-        parsed.settings,
-        7,
-        SilentEngines::default(),
-        limits,
-        metrics.clone(),
-    )
-    .expect("core");
-    let entries = vec![listed(1, EngineState::Ready)];
-    core.handle(
-        0.0,
-        CoreMessage::EndpointList(EndpointListEvent {
-            number: 1,
-            kind: ListUpdateKind::Full,
-            records: entries,
-            unusable_engines: Vec::new(),
-        }),
-    );
-    let ask = |core: &mut Core<SilentEngines>, now: f64, id: u32, cost| {
-        let one = taken(id, &class, now + 20_000.0, cost, Arc::new(NullClient));
-        core.handle(now, CoreMessage::Request(one));
+    let mut bench = TestCore::from_json(text);
+    let records = vec![listed(1, EngineState::Ready)];
+    bench.apply_list(0.0, ListUpdateKind::Full, records);
+    let TestCore {
+        mut core,
+        metrics,
+        classes,
+    } = bench;
+    let submit = |core: &mut Core<SilentEngines>, now: Millis, id: u32| {
+        let request = taken(id, &classes[0], now + 20_000.0, 50.0, Arc::new(NullClient));
+        core.handle(now, CoreMessage::Request(request));
     };
-    ask(&mut core, 1000.0, 1, 50.0);
+    submit(&mut core, 1000.0, 1);
     core.handle_priority(1000.0, PriorityMessage::ShutdownDeadline(6000.0));
-    ask(&mut core, 5000.0, 2, 50.0);
+    submit(&mut core, 5000.0, 2);
     assert_eq!(
-        (core.open_requests(), core.engines.0.len()),
+        (core.open_requests(), core.engines.started.len()),
         (2, 2),
-        "what comes before is begun"
+        "a request before the deadline is started"
     );
     core.run_due_timers(6000.0);
     assert_eq!(
         (core.open_requests(), metrics.requests_failed.get()),
         (0, 2),
-        "what is not done is answered"
+        "open requests are answered at the deadline"
     );
-    ask(&mut core, 6001.0, 3, 50.0);
+    submit(&mut core, 6001.0, 3);
     assert_eq!(
         (core.open_requests(), metrics.requests_rejected.get()),
         (0, 1),
-        "and what comes then is turned away"
+        "a request after the deadline is rejected"
     );
 }
 
-/// Guard: an order to give up that got lost is given again; an end that nothing proves ends its request in time, and
-/// nothing follows. A client that leaves or comes back under the same name meanwhile changes nothing.
+/// A lost cancellation is repeated. A request whose cancellation nothing confirms fails in time and is not retried, and
+/// neither a disconnect nor a request with the same client reference changes that.
 #[test]
-#[expect(clippy::too_many_lines, reason = "not split yet")]
-fn without_a_proof_nothing_follows() {
+fn an_unconfirmed_cancellation_is_repeated_and_allows_no_retry() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"repeatable","promiseMs":9000,"giveUpMs":20000}],
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6,"cancel":true},"shapes":["std-8c"],"specifics":{"sizeCores":[8],"progressMs":500}}"#;
-    let parsed = settings_json::parse(text.as_bytes()).expect("settings");
-    let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-    let metrics: Arc<Metrics> = Arc::default();
-    let class = parsed.classes[0].clone();
-    let mut core = Core::new(
-        parsed.settings,
-        7,
-        SilentEngines::default(),
-        limits,
-        metrics.clone(),
-    )
-    .expect("core");
-    let entries = [1, 2].map(|n| listed(n, EngineState::Ready)).to_vec();
-    core.handle(
-        0.0,
-        CoreMessage::EndpointList(EndpointListEvent {
-            number: 1,
-            kind: ListUpdateKind::Full,
-            records: entries,
-            unusable_engines: Vec::new(),
-        }),
-    );
-    let ask = |id: u32| {
-        let one = taken(id, &class, 15_000.0, 900.0, Arc::new(NullClient));
+    let mut bench = TestCore::from_json(text);
+    let records = [1, 2].map(|n| listed(n, EngineState::Ready)).to_vec();
+    bench.apply_list(0.0, ListUpdateKind::Full, records);
+    let class = bench.classes[0].clone();
+    let request = |id: u32| {
         CoreMessage::Request(AcceptedRequest {
             client_reference: Bytes::from_static(b"one name"),
-            ..one
+            ..taken(id, &class, 15_000.0, 900.0, Arc::new(NullClient))
         })
     };
-    core.handle(0.0, ask(1));
-    // No engine says anything: the attempt is given up for its silence.
+    let TestCore { core, metrics, .. } = &mut bench;
+    core.handle(0.0, request(1));
+    // No engine reports anything: the attempt is cancelled for its silence.
     core.run_due_timers(3001.0);
     assert_eq!(
-        (core.engines.0.len(), core.engines.1.len()),
+        (core.engines.started.len(), core.engines.cancelled.len()),
         (1, 1),
-        "nothing goes out before the proof"
+        "no retry before the cancellation is confirmed"
     );
     core.run_due_timers(3100.0);
-    assert!(core.engines.1.len() > 1, "the order is given again");
-    core.handle(3200.0, ask(2));
+    assert!(
+        core.engines.cancelled.len() > 1,
+        "the cancellation is repeated"
+    );
+    core.handle(3200.0, request(2));
     assert_eq!(
         metrics.requests_failed.get(),
         1,
-        "the name is taken as long as its attempt may be out"
+        "the reference is in use while its attempt may run"
     );
     core.run_due_timers(4990.0);
     assert_eq!(
@@ -422,9 +401,9 @@
     );
     core.run_due_timers(5100.0);
     assert_eq!(
-        (core.open_requests(), core.engines.0.len()),
+        (core.open_requests(), core.engines.started.len()),
         (0, 1),
-        "it ends, and nothing follows"
+        "the request ends without a retry"
     );
     assert_eq!(
         (
@@ -434,144 +413,79 @@
         ),
         (2, 1, 0)
     );
-    // A client that leaves is owed nothing, and its name is held until the proof.
-    core.handle(6000.0, ask(3));
+    // After a disconnect the client reference stays in use until the cancellation is confirmed.
+    core.handle(6000.0, request(3));
     core.handle(6001.0, CoreMessage::ClientDisconnected(3));
-    assert_eq!(
-        (
-            core.open_requests(),
-            requests_and_references(&core) == [1, 1]
-        ),
-        (0, true)
-    );
-    let (engine, id, attempt) = *core.engines.1.last().expect("quit");
-    let (report, news) = (
-        LoadReport::default(),
-        AttemptEvent::Cancelled(AttemptEnd::Cancelled),
-    );
-    core.handle(
-        6002.0,
-        CoreMessage::Attempt {
-            engine,
-            id,
-            attempt,
-            load_report: report,
-            event: news,
-        },
-    );
-    assert_eq!(requests_and_references(&core), [0, 0]);
+    assert_eq!(core.open_requests(), 0);
+    assert_eq!(requests_and_references(core), [1, 1]);
+    let attempt = *core.engines.cancelled.last().expect("a cancellation");
+    let event = AttemptEvent::Cancelled(AttemptEnd::Cancelled);
+    bench.report_attempt(6002.0, attempt, event);
+    assert_eq!(requests_and_references(&bench.core), [0, 0]);
 }
 
-/// Staff may take out as many engines as the list has places: of a thousand listed ones all, and each comes back.
+/// The on-call staff can eject as many engines as are listed, and return each to service.
 #[test]
-fn a_thousand_engines_out_by_hand() {
+fn a_thousand_engines_can_be_ejected_manually_and_returned_to_service() {
     let parsed = crate::engines::EngineContext::settings_for_tests();
-    let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-    let mut core = Core::new(
-        parsed.settings,
-        7,
-        SilentEngines::default(),
-        limits,
-        Arc::default(),
-    )
-    .expect("core");
-    let entries = (1..=1024).map(|n| listed(n, EngineState::Ready)).collect();
-    core.handle(
-        0.0,
-        CoreMessage::EndpointList(EndpointListEvent {
-            number: 1,
-            kind: ListUpdateKind::Full,
-            records: entries,
-            unusable_engines: Vec::new(),
-        }),
-    );
-    let mut say = |n: u32, out| {
-        let (done, mut said) = tokio::sync::oneshot::channel();
-        core.handle_priority(
-            1.0,
-            PriorityMessage::ManualEjection {
-                engine: engine_id(n),
-                ejected: out,
-                at_ms: 1.0,
-                from_peer: false,
-                done,
-            },
-        );
-        said.try_recv().expect("an answer")
+    let mut bench = TestCore::new(parsed, 32);
+    let records = (1..=1024).map(|n| listed(n, EngineState::Ready)).collect();
+    bench.apply_list(0.0, ListUpdateKind::Full, records);
+    let mut set_ejected = |n: u32, ejected| {
+        let (done, mut answer) = tokio::sync::oneshot::channel();
+        let message = PriorityMessage::ManualEjection {
+            engine: engine_id(n),
+            ejected,
+            at_ms: 1.0,
+            from_peer: false,
+            done,
+        };
+        bench.core.handle_priority(1.0, message);
+        answer.try_recv().expect("an answer")
     };
-    assert!((1..=1024).all(|n| say(n, true)) && !say(2000, true));
-    assert!((1..=1024).all(|n| say(n, false)));
+    assert!((1..=1024).all(|n| set_ejected(n, true)) && !set_ejected(2000, true));
+    assert!((1..=1024).all(|n| set_ejected(n, false)));
 }
 
-/// Guard: with the memory of the large fleet's managers each of its 22,000 engines is known, each drain and each end
-/// reaches its engine's actor, and nothing of them stays.
+/// With the memory of a manager of the large fleet, each of its 22,000 engines gets a slot, each drain and each removal
+/// reaches its engine's actor, and no state of them stays.
 #[test]
-#[expect(
-    clippy::similar_names,
-    clippy::too_many_lines,
-    reason = "not split yet"
-)]
-fn drains_and_ends_of_a_large_list_are_heard() {
+fn every_drain_and_removal_of_a_large_list_reaches_the_engine_actors() {
     const LISTED: u32 = 22_000;
     let parsed = crate::engines::EngineContext::settings_for_tests();
-    let limits = Arc::new(Limits::new(256, 256, true, &parsed));
-    let metrics: Arc<Metrics> = Arc::default();
-    let mut core = Core::new(
-        parsed.settings,
-        7,
-        SilentEngines::default(),
-        limits,
-        metrics.clone(),
-    )
-    .expect("core");
-    core.start(0.0);
-    let line = |n: u32, state| {
-        let mut line = listed(n, state);
-        line.address = ([127, 1, (n >> 8) as u8, n as u8], 5050).into();
-        line
+    let mut bench = TestCore::new(parsed, 256);
+    bench.core.start(0.0);
+    let record = |n: u32, state| {
+        let mut record = listed(n, state);
+        record.address = ([127, 1, (n >> 8) as u8, n as u8], 5050).into();
+        record
     };
-    let states = [
-        EngineState::Ready,
-        EngineState::Draining,
-        EngineState::Removed,
-    ];
-    for (number, state) in (1..).zip(states) {
-        let kind = if state == EngineState::Ready {
-            ListUpdateKind::Full
-        } else {
-            ListUpdateKind::Delta
-        };
-        let entries = (0..LISTED).map(|n| line(n, state)).collect();
-        let event = EndpointListEvent {
-            number,
-            kind,
-            records: entries,
-            unusable_engines: Vec::new(),
-        };
-        core.handle(number as Millis, CoreMessage::EndpointList(event));
-        let heard = std::mem::take(&mut core.engines.2);
-        let each: Vec<_> = (0..LISTED).map(|n| (engine_id(n), state)).collect();
+    for (now, state, kind, with_slot) in [
+        (1.0, EngineState::Ready, ListUpdateKind::Full, LISTED),
+        (2.0, EngineState::Draining, ListUpdateKind::Delta, LISTED),
+        (3.0, EngineState::Removed, ListUpdateKind::Delta, 0),
+    ] {
+        let records = (0..LISTED).map(|n| record(n, state)).collect();
+        bench.apply_list(now, kind, records);
+        let notified = std::mem::take(&mut bench.core.engines.listed);
+        let expected: Vec<_> = (0..LISTED).map(|n| (engine_id(n), state)).collect();
         assert!(
-            heard == each,
-            "{state:?}: {} of {LISTED} heard",
-            heard.len()
+            notified == expected,
+            "{state:?}: {} of {LISTED} notified",
+            notified.len()
         );
-        let known = if state == EngineState::Removed {
-            0
-        } else {
-            u64::from(LISTED)
-        };
-        let passed = (
-            metrics.engines.get(),
-            metrics.engines_without_slot.get(),
-            metrics.engines_waiting.get(),
+        let slots = (
+            bench.metrics.engines.get(),
+            bench.metrics.engines_without_slot.get(),
+            bench.metrics.engines_waiting.get(),
         );
-        assert_eq!(passed, (known, 0, 0), "{state:?}");
+        assert_eq!(slots, (u64::from(with_slot), 0, 0), "{state:?}");
     }
-    core.run_due_timers(1000.0);
+    bench.core.run_due_timers(1000.0);
+    let sizes = bench.core.state_sizes();
     assert_eq!(
-        (core.state_sizes().roster, core.state_sizes().dispatcher[3]),
+        (sizes.roster, sizes.dispatcher[3]),
         (0, 0),
-        "in the roster and in the module"
+        "in the roster and in the dispatcher"
     );
 }
--- a/src/core/tests/attempt_interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -1,6 +1,6 @@
-//! A property test: whatever the order in which the core, engines' actors, their connections and the engines get
-//! their turns, no engine has an attempt of a request while another one may be running, and what may run once only
-//! runs once. Connections are modelled round the real [`Life`]; the core and the module are the real ones.
+//! A property test: in every interleaving of the core, the engines' actors, their connections and the engines, no engine
+//! receives an attempt of a request while another one may be running, and a non-idempotent request runs once. The model
+//! of a connection uses the real [`AttemptState`]; the core and the dispatcher are the real ones.
 
 use super::*;
 use crate::attempt::never_ran;
@@ -8,7 +8,6 @@
 use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
-use crate::decision::LoadReport;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json;
 use proptest::prelude::*;
@@ -17,220 +16,229 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 const ENGINES: u32 = 2;
-/// Connections to one engine at most.
-const CONNS: usize = 2;
-/// Bytes of an attempt and of a cancellation, in the model's unit: each may leave in parts.
-const PARTS: u64 = 2;
+/// Most connections to one engine.
+const MAX_CONNECTIONS: usize = 2;
+/// Size of each message in the model's unit. A message may be written in parts.
+const MESSAGE_UNITS: u64 = 2;
 
-type Key = (RequestId, u16);
+type AttemptKey = (RequestId, u16);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Sent {
-    Ask(Key),
-    Quit(Key),
-    Noop(Key),
+enum Message {
+    Attempt(AttemptKey),
+    Cancellation(AttemptKey),
+    Ping(AttemptKey),
 }
 
 struct Attempt {
-    life: AttemptState,
-    again: bool,
+    state: AttemptState,
+    retry_follows: bool,
 }
 
 /// A connection and the engine's side of it.
 #[derive(Default)]
-struct Conn {
-    /// What is queued, with the mark at which it has left whole.
-    queue: VecDeque<(u64, Sent)>,
+struct Connection {
+    /// Queued messages, each with the write position at which it is completely written.
+    queue: VecDeque<(u64, Message)>,
     queued: u64,
     written: u64,
-    attempts: BTreeMap<Key, Attempt>,
-    /// What has left and is not read.
-    unread: VecDeque<Sent>,
-    /// What the engine runs of it.
-    running: BTreeSet<Key>,
-    /// What the engine has answered and the actor has not read.
-    said: VecDeque<(Key, Option<Outcome>)>,
+    attempts: BTreeMap<AttemptKey, Attempt>,
+    /// Messages that are written and that the engine has not received.
+    arrived: VecDeque<Message>,
+    /// Attempts of this connection that the engine runs.
+    running: BTreeSet<AttemptKey>,
+    /// Answers that the actor has not received; `None` answers a ping.
+    answers: VecDeque<(AttemptKey, Option<Outcome>)>,
 }
 
-impl Conn {
-    fn push(&mut self, what: Sent) -> u64 {
-        self.queued += PARTS;
-        self.queue.push_back((self.queued, what));
+impl Connection {
+    fn push(&mut self, message: Message) -> u64 {
+        self.queued += MESSAGE_UNITS;
+        self.queue.push_back((self.queued, message));
         self.queued
     }
 }
 
-/// All engines, their actors' mailboxes and what is on its way to the core.
+/// All engines, their actors' mailboxes and the events on their way to the core.
 #[derive(Default)]
 struct World {
-    orders: VecDeque<(EngineId, Key, Option<bool>)>,
-    conns: Vec<(EngineId, Conn)>,
-    news: VecDeque<(EngineId, Key, AttemptEvent)>,
-    /// Orders that found their mailbox full.
+    commands: VecDeque<(EngineId, AttemptKey, Option<bool>)>,
+    connections: Vec<(EngineId, Connection)>,
+    events: VecDeque<(EngineId, AttemptKey, AttemptEvent)>,
+    /// Whether the next command finds its mailbox full.
     dropped: bool,
-    once: BTreeSet<RequestId>,
-    /// Requests that an engine has begun to run, once or more.
+    non_idempotent: BTreeSet<RequestId>,
+    /// Requests that an engine has started to run.
     ran: BTreeSet<RequestId>,
 }
 
 impl World {
-    fn ends(&mut self, at: usize, key: Key, news: AttemptEvent) {
-        let (engine, conn) = &mut self.conns[at];
-        if conn.attempts.remove(&key).is_some() {
-            self.news.push_back((*engine, key, news));
+    fn report(&mut self, at: usize, key: AttemptKey, event: AttemptEvent) {
+        let (engine, connection) = &mut self.connections[at];
+        if connection.attempts.remove(&key).is_some() {
+            self.events.push_back((*engine, key, event));
         }
     }
 
-    /// The next order reaches the connection that it is for.
-    fn order(&mut self, pick: usize) {
-        let Some((engine, key, quit)) = self.orders.pop_front() else {
+    /// Delivers the next command to its connection.
+    fn deliver_command(&mut self, pick: usize) {
+        let Some((engine, key, cancellation)) = self.commands.pop_front() else {
             return;
         };
-        let Some(again) = quit else {
-            let mine: Vec<usize> = (0..self.conns.len())
-                .filter(|i| self.conns[*i].0 == engine)
+        let Some(retry_follows) = cancellation else {
+            let mine: Vec<usize> = (0..self.connections.len())
+                .filter(|i| self.connections[*i].0 == engine)
                 .collect();
-            // A new connection now and then.
+            // Some picks open a new connection.
             let at = mine
-                .get(pick % (mine.len() + 1).min(CONNS))
+                .get(pick % (mine.len() + 1).min(MAX_CONNECTIONS))
                 .copied()
                 .unwrap_or_else(|| {
-                    self.conns.push((engine, Conn::default()));
-                    self.conns.len() - 1
+                    self.connections.push((engine, Connection::default()));
+                    self.connections.len() - 1
                 });
-            let conn = &mut self.conns[at].1;
-            let mut life = AttemptState::default();
-            life.begin_writing(conn.push(Sent::Ask(key)));
-            conn.attempts.insert(key, Attempt { life, again: false });
+            let connection = &mut self.connections[at].1;
+            let mut state = AttemptState::default();
+            state.begin_writing(connection.push(Message::Attempt(key)));
+            connection.attempts.insert(
+                key,
+                Attempt {
+                    state,
+                    retry_follows: false,
+                },
+            );
             return;
         };
-        for at in 0..self.conns.len() {
-            let conn = &mut self.conns[at].1;
-            let Some(mut attempt) = conn.attempts.remove(&key) else {
+        for at in 0..self.connections.len() {
+            let connection = &mut self.connections[at].1;
+            let Some(mut attempt) = connection.attempts.remove(&key) else {
                 continue;
             };
-            let end = attempt.life.cancel(again, || {
-                attempt.again = again;
-                let mark = conn.push(Sent::Quit(key));
-                if again {
-                    conn.push(Sent::Noop(key));
+            let end = attempt.state.cancel(retry_follows, || {
+                attempt.retry_follows = retry_follows;
+                let end_position = connection.push(Message::Cancellation(key));
+                if retry_follows {
+                    connection.push(Message::Ping(key));
                 }
-                mark
+                end_position
             });
-            conn.attempts.insert(key, attempt);
+            connection.attempts.insert(key, attempt);
             if let Some(end) = end {
-                self.ends(at, key, AttemptEvent::Cancelled(end));
+                self.report(at, key, AttemptEvent::Cancelled(end));
             }
         }
     }
 
-    /// A part of what is queued leaves.
+    /// Writes one unit of the queue.
     fn flush(&mut self, at: usize) {
-        let conn = &mut self.conns[at].1;
-        conn.written = (conn.written + 1).min(conn.queued);
-        while let Some((_, what)) = conn.queue.pop_front_if(|(mark, _)| *mark <= conn.written) {
-            conn.unread.push_back(what);
+        let connection = &mut self.connections[at].1;
+        connection.written = (connection.written + 1).min(connection.queued);
+        while let Some((_, message)) = connection
+            .queue
+            .pop_front_if(|(end_position, _)| *end_position <= connection.written)
+        {
+            connection.arrived.push_back(message);
         }
-        let written = conn.written;
-        let left = conn
+        let written = connection.written;
+        let left = connection
             .attempts
             .iter_mut()
-            .filter_map(|(key, a)| a.life.wrote(written).map(|end| (*key, end)));
+            .filter_map(|(key, a)| a.state.wrote(written).map(|end| (*key, end)));
         for (key, end) in left.collect::<Vec<_>>() {
-            self.ends(at, key, AttemptEvent::Cancelled(end));
+            self.report(at, key, AttemptEvent::Cancelled(end));
         }
     }
 
-    /// The engine reads one thing that it was sent.
-    fn read(&mut self, at: usize) {
-        let Some(what) = self.conns[at].1.unread.pop_front() else {
+    /// The engine receives one message.
+    fn receive_message(&mut self, at: usize) {
+        let Some(message) = self.connections[at].1.arrived.pop_front() else {
             return;
         };
-        match what {
-            Sent::Ask(key) => {
+        match message {
+            Message::Attempt(key) => {
                 let id = key.0;
-                let other = |c: &Conn| c.running.iter().any(|k| k.0 == id);
+                let other = |c: &Connection| c.running.iter().any(|k| k.0 == id);
                 assert!(
-                    !self.conns.iter().any(|(_, c)| other(c)),
-                    "{id} has two attempts out"
+                    !self.connections.iter().any(|(_, c)| other(c)),
+                    "{id} has two attempts in flight"
                 );
                 assert!(
-                    self.ran.insert(id) || !self.once.contains(&id),
+                    self.ran.insert(id) || !self.non_idempotent.contains(&id),
                     "{id} ran twice"
                 );
-                self.conns[at].1.running.insert(key);
+                self.connections[at].1.running.insert(key);
             }
-            Sent::Quit(key) => _ = self.conns[at].1.running.remove(&key),
-            Sent::Noop(key) => self.conns[at].1.said.push_back((key, None)),
+            Message::Cancellation(key) => _ = self.connections[at].1.running.remove(&key),
+            Message::Ping(key) => self.connections[at].1.answers.push_back((key, None)),
         }
     }
 
-    /// The engine ends something that it runs.
+    /// The engine ends one attempt with this outcome.
     fn answer(&mut self, at: usize, outcome: Outcome) {
-        let conn = &mut self.conns[at].1;
-        let Some(key) = conn.running.pop_first() else {
+        let connection = &mut self.connections[at].1;
+        let Some(key) = connection.running.pop_first() else {
             return;
         };
         if never_ran(outcome) {
             self.ran.remove(&key.0);
         }
-        conn.said.push_back((key, Some(outcome)));
+        connection.answers.push_back((key, Some(outcome)));
     }
 
-    /// The actor reads one answer.
-    fn hear(&mut self, at: usize) {
-        let conn = &mut self.conns[at].1;
-        let Some((key, said)) = conn.said.pop_front() else {
+    /// The actor receives one answer.
+    fn receive_answer(&mut self, at: usize) {
+        let connection = &mut self.connections[at].1;
+        let Some((key, answers)) = connection.answers.pop_front() else {
             return;
         };
-        let Some(attempt) = conn.attempts.get_mut(&key) else {
+        let Some(attempt) = connection.attempts.get_mut(&key) else {
             return;
         };
-        let given_up = attempt.life.is_cancelling();
-        let told = match said {
+        let cancelling = attempt.state.is_cancelling();
+        let event = match answers {
             None => attempt
-                .life
+                .state
                 .cancellation_confirmed()
                 .map(AttemptEvent::Cancelled),
             Some(outcome) => {
-                let end = attempt.life.answered(!never_ran(outcome));
+                let end = attempt.state.answered(!never_ran(outcome));
                 let body = (outcome == Outcome::Ok)
                     .then(|| ResultBody::complete(ResultFormat::Text, Vec::new()));
-                let news = AttemptEvent::Ended {
+                let event = AttemptEvent::Ended {
                     outcome,
                     measured_work_ms: None,
                     measured_memory_mb: None,
                     body,
                 };
-                Some(if given_up && outcome != Outcome::Ok {
+                Some(if cancelling && outcome != Outcome::Ok {
                     AttemptEvent::Cancelled(end)
                 } else {
-                    news
+                    event
                 })
             }
         };
-        if let Some(told) = told {
-            self.ends(at, key, told);
+        if let Some(event) = event {
+            self.report(at, key, event);
         }
     }
 
-    /// The connection breaks, and the engine gives up what is open on it.
+    /// The connection is lost, and the engine stops its attempts.
     fn close(&mut self, at: usize) {
-        let (engine, mut conn) = self.conns.remove(at);
-        for (key, mut attempt) in std::mem::take(&mut conn.attempts) {
-            let given_up = attempt.life.is_cancelling();
-            let end = attempt.life.connection_closed(conn.written);
+        let (engine, mut connection) = self.connections.remove(at);
+        for (key, mut attempt) in std::mem::take(&mut connection.attempts) {
+            let cancelling = attempt.state.is_cancelling();
+            let end = attempt.state.connection_closed(connection.written);
             let outcome = if end == AttemptEnd::NeverSent {
                 Outcome::NoConnection
             } else {
                 Outcome::Reset
             };
-            let news = if given_up {
+            let event = if cancelling {
                 AttemptEvent::Cancelled(end)
             } else {
                 AttemptEvent::end(outcome)
             };
-            self.news.push_back((engine, key, news));
+            self.events.push_back((engine, key, event));
         }
     }
 }
@@ -243,22 +251,28 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn give(&self, engine: EngineId, key: Key, quit: Option<bool>) -> bool {
+    fn send(&self, engine: EngineId, key: AttemptKey, cancellation: Option<bool>) -> bool {
         let mut world = self.world();
         let full = std::mem::take(&mut world.dropped);
         if !full {
-            world.orders.push_back((engine, key, quit));
+            world.commands.push_back((engine, key, cancellation));
         }
         !full
     }
 }
 
 impl EnginePort for Port {
-    fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool {
-        self.give(engine, (ask.id, ask.attempt), None)
+    fn start_attempt(&mut self, engine: EngineId, request: AttemptRequest) -> bool {
+        self.send(engine, (request.id, request.attempt), None)
     }
-    fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, again: bool) {
-        self.give(engine, (id, attempt), Some(again));
+    fn cancel_attempt(
+        &mut self,
+        engine: EngineId,
+        id: RequestId,
+        attempt: u16,
+        retry_follows: bool,
+    ) {
+        self.send(engine, (id, attempt), Some(retry_follows));
     }
     fn set_priority(&mut self, _: EngineId, _: RequestId, _: u16, _: u8) {}
     fn engine_listed(&mut self, _: &EngineRecord) {}
@@ -267,17 +281,17 @@
 }
 
 #[derive(Default)]
-struct Told(Mutex<BTreeMap<RequestId, u32>>);
+struct AnswerLog(Mutex<BTreeMap<RequestId, u32>>);
 
-impl ClientPort for Told {
+impl ClientPort for AnswerLog {
     fn answer(&self, id: RequestId, _: Answer) {
-        let mut told = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        *told.entry(id).or_default() += 1;
-        assert_eq!(told[&id], 1, "{id} was answered twice");
+        let mut answers = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        *answers.entry(id).or_default() += 1;
+        assert_eq!(answers[&id], 1, "{id} was answered twice");
     }
 }
 
-fn ready(core: &mut Core<Port>, now: Millis, n: u32, state: EngineState) {
+fn list_engine(core: &mut Core<Port>, now: Millis, n: u32, state: EngineState) {
     let entries = vec![listed(n, state)];
     core.handle(
         now,
@@ -290,130 +304,165 @@
     );
 }
 
-/// Plays one order of turns; each step is what gets its turn, and a choice within that.
-#[expect(clippy::too_many_lines, reason = "not split yet")]
-fn play(steps: &[(u8, u8)]) {
-    let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"repeatable","promiseMs":8000,"giveUpMs":9000},
+/// The core with two engines, driven step by step.
+struct Simulation {
+    core: Core<Port>,
+    port: Port,
+    answers: Arc<AnswerLog>,
+    classes: Vec<Arc<NamedClass>>,
+    settings: Settings,
+    now: Millis,
+    next_id: RequestId,
+    disconnected: usize,
+}
+
+impl Simulation {
+    fn new() -> Simulation {
+        let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"repeatable","promiseMs":8000,"giveUpMs":9000},
         {"name":"b","effect":"once","promiseMs":8000,"giveUpMs":9000}],
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6,"cancel":true},"shapes":["s"],"specifics":{"sizeCores":[8],"progressMs":200}}"#;
-    let parsed = settings_json::parse(text.as_bytes()).expect("settings");
-    let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-    let metrics = Arc::<Metrics>::default();
-    let (port, told, classes) = (Port::default(), Arc::<Told>::default(), parsed.classes);
-    let usual = parsed.settings.clone();
-    let mut core =
-        Core::new(parsed.settings, 7, port.clone(), limits, metrics.clone()).expect("core");
-    let (mut now, mut next) = (1000.0, 1);
-    core.start(now);
-    (1..=ENGINES).for_each(|n| ready(&mut core, now, n, EngineState::Ready));
-    let mut left = 0;
-    for (what, pick) in steps.iter().copied() {
-        let (pick, conns) = (usize::from(pick), port.world().conns.len());
-        let at = if conns > 0 { pick % conns } else { 0 };
-        match what {
-            0 if pick < 48 => {
-                if pick % 2 == 1 {
-                    port.world().once.insert(next);
-                }
-                let due = now + 2000.0 + 20.0 * pick as f64;
-                let one = taken(next, &classes[pick % 2], due, 30.0, told.clone());
-                next += 1;
-                core.handle(now, CoreMessage::Request(one));
-            }
-            1 if next > 1 && pick % 4 == 0 => {
-                core.handle(
-                    now,
-                    CoreMessage::ClientDisconnected(1 + pick as u32 % (next - 1)),
-                );
-                left += 1;
+        let parsed = settings_json::parse(text.as_bytes()).expect("settings");
+        let limits = Arc::new(Limits::new(256, 32, true, &parsed));
+        let port = Port::default();
+        let settings = parsed.settings.clone();
+        let core = Core::new(parsed.settings, 7, port.clone(), limits, Arc::default());
+        let mut simulation = Simulation {
+            core: core.expect("core"),
+            port,
+            answers: Arc::default(),
+            classes: parsed.classes,
+            settings,
+            now: 1000.0,
+            next_id: 1,
+            disconnected: 0,
+        };
+        simulation.core.start(simulation.now);
+        for engine in 1..=ENGINES {
+            list_engine(
+                &mut simulation.core,
+                simulation.now,
+                engine,
+                EngineState::Ready,
+            );
+        }
+        simulation
+    }
+
+    /// Runs one step; `pick` is a choice within it. The choices of rare steps are narrowed by `pick` too.
+    fn step(&mut self, step: u8, pick: u8) {
+        let pick = usize::from(pick);
+        let connections = self.port.world().connections.len();
+        match step {
+            0 if pick < 48 => self.submit_request(pick),
+            1 if self.next_id > 1 && pick % 4 == 0 => {
+                let id = 1 + pick as u32 % (self.next_id - 1);
+                self.core
+                    .handle(self.now, CoreMessage::ClientDisconnected(id));
+                self.disconnected += 1;
             }
             2 if pick % 4 == 0 => {
-                now += [20.0, 60.0, 300.0, 900.0][pick / 8 % 4];
-                core.run_due_timers(now);
+                self.now += [20.0, 60.0, 300.0, 900.0][pick / 8 % 4];
+                self.core.run_due_timers(self.now);
             }
-            5 if pick % 4 == 0 => ready(
-                &mut core,
-                now,
-                1 + pick as u32 % ENGINES,
-                [EngineState::Draining, EngineState::Ready][pick / 8 % 2],
-            ),
-            6 => port.world().dropped = pick % 4 == 0,
-            19 if pick % 16 == 0 => {
-                let (done, _) = tokio::sync::oneshot::channel();
-                let (engine, out) = (engine_id(1 + pick as u32 / 64 % ENGINES), pick & 16 == 0);
-                core.handle_priority(
-                    now,
-                    PriorityMessage::ManualEjection {
-                        engine,
-                        ejected: out,
-                        at_ms: now,
-                        from_peer: true,
-                        done,
-                    },
-                );
-            }
-            20 if pick % 16 == 0 => {
-                let attempts_cap = 1 + pick as u32 / 32 % 6;
-                let settings = Some(Box::new(Settings {
-                    max_attempts: attempts_cap,
-                    ..usual.clone()
-                }));
-                core.handle(
-                    now,
-                    CoreMessage::Settings {
-                        settings,
-                        policy: Arc::default(),
-                    },
-                );
+            5 if pick % 4 == 0 => {
+                let state = [EngineState::Draining, EngineState::Ready][pick / 8 % 2];
+                list_engine(&mut self.core, self.now, 1 + pick as u32 % ENGINES, state);
             }
-            7 if conns > 0 && pick % 32 == 0 => port.world().close(at),
-            8 if conns > 0 && pick % 8 == 0 => {
-                let all = [
+            6 => self.port.world().dropped = pick % 4 == 0,
+            19 if pick % 16 == 0 => self.set_manual_ejection(pick),
+            20 if pick % 16 == 0 => self.change_max_attempts(pick),
+            7..=17 if connections > 0 => self.connection_step(step, pick, pick % connections),
+            18..=20 => self.port.world().deliver_command(pick),
+            _ => self.deliver_event(),
+        }
+    }
+
+    /// Runs one step of the connection at this position.
+    fn connection_step(&mut self, step: u8, pick: usize, at: usize) {
+        match step {
+            7 if pick.is_multiple_of(32) => self.port.world().close(at),
+            8 if pick.is_multiple_of(8) => {
+                let outcomes = [
                     Outcome::Ok,
                     Outcome::Error,
                     Outcome::Rejected,
                     Outcome::NotSent,
                 ];
-                port.world().answer(at, all[pick / 64 % 4]);
-            }
-            9..=12 if conns > 0 => port.world().flush(at),
-            13..=15 if conns > 0 => port.world().read(at),
-            16..=17 if conns > 0 => port.world().hear(at),
-            18..=20 => port.world().order(pick),
-            _ => {
-                let news = port.world().news.pop_front();
-                if let Some((engine, (id, attempt), news)) = news {
-                    let report = LoadReport::default();
-                    core.handle(
-                        now,
-                        CoreMessage::Attempt {
-                            engine,
-                            id,
-                            attempt,
-                            load_report: report,
-                            event: news,
-                        },
-                    );
-                }
+                self.port.world().answer(at, outcomes[pick / 64 % 4]);
             }
+            9..=12 => self.port.world().flush(at),
+            13..=15 => self.port.world().receive_message(at),
+            16..=17 => self.port.world().receive_answer(at),
+            _ => self.deliver_event(),
         }
     }
-    // In the end each has its answer, though nothing is proven any more.
-    for _ in 0..400 {
-        now += 50.0;
-        core.run_due_timers(now);
+
+    fn submit_request(&mut self, pick: usize) {
+        let id = self.next_id;
+        self.next_id += 1;
+        if pick % 2 == 1 {
+            self.port.world().non_idempotent.insert(id);
+        }
+        let deadline_ms = self.now + 2000.0 + 20.0 * pick as f64;
+        let class = &self.classes[pick % 2];
+        let request = taken(id, class, deadline_ms, 30.0, self.answers.clone());
+        self.core.handle(self.now, CoreMessage::Request(request));
+    }
+
+    fn set_manual_ejection(&mut self, pick: usize) {
+        let (done, _) = tokio::sync::oneshot::channel();
+        let message = PriorityMessage::ManualEjection {
+            engine: engine_id(1 + pick as u32 / 64 % ENGINES),
+            ejected: pick & 16 == 0,
+            at_ms: self.now,
+            from_peer: true,
+            done,
+        };
+        self.core.handle_priority(self.now, message);
+    }
+
+    fn change_max_attempts(&mut self, pick: usize) {
+        let settings = Settings {
+            max_attempts: 1 + pick as u32 / 32 % 6,
+            ..self.settings.clone()
+        };
+        let message = CoreMessage::Settings {
+            settings: Some(Box::new(settings)),
+            policy: Arc::default(),
+        };
+        self.core.handle(self.now, message);
+    }
+
+    /// Delivers the next event of an attempt to the core.
+    fn deliver_event(&mut self) {
+        let next = self.port.world().events.pop_front();
+        if let Some((engine, (id, attempt), event)) = next {
+            let message = attempt_message((engine, id, attempt), event);
+            self.core.handle(self.now, message);
+        }
+    }
+
+    /// Every request is answered in the end, although no further event arrives.
+    fn finish(mut self) {
+        for _ in 0..400 {
+            self.now += 50.0;
+            self.core.run_due_timers(self.now);
+        }
+        let answers = &self.answers.0;
+        let answered = answers.lock().unwrap_or_else(PoisonError::into_inner).len();
+        let (disconnected, next_id) = (self.disconnected, self.next_id);
+        assert!(
+            answered + disconnected >= next_id as usize - 1
+                && self.core.state_sizes().requests == 0,
+            "{answered} and {disconnected} of {next_id}"
+        );
     }
-    let answered = told.0.lock().unwrap_or_else(PoisonError::into_inner).len();
-    assert!(
-        answered + left >= next as usize - 1 && core.state_sizes().requests == 0,
-        "{answered} and {left} of {next}"
-    );
 }
 
-/// The same orders at every run.
+/// Runs the same sequences of steps every time.
 #[test]
-fn no_two_attempts_at_once() {
+fn no_interleaving_runs_two_attempts_of_a_request_at_once() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
@@ -422,9 +471,13 @@
     let mut runner =
         TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let steps = prop::collection::vec((0..22u8, any::<u8>()), 200..3000);
-    let kept = runner.run(&steps, |steps| {
-        play(&steps);
+    let result = runner.run(&steps, |steps| {
+        let mut simulation = Simulation::new();
+        for (step, pick) in steps {
+            simulation.step(step, pick);
+        }
+        simulation.finish();
         Ok(())
     });
-    kept.unwrap_or_else(|e| panic!("{e}"));
+    result.unwrap_or_else(|failure| panic!("{failure}"));
 }
--- a/src/core/tests/engine_subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -1,20 +1,19 @@
-//! Tests of engine subsets in the core: what changes of them leave alone, what the counters show, and the budget of cold
-//! engines over a whole fleet of decision modules whose lists differ.
+//! Tests of engine subsets in the core: attempts during a change, the metrics, and the slow start budget of a fleet of
+//! dispatchers whose endpoint lists differ.
 
 use super::*;
 use crate::decision::EngineId;
 use crate::decision::EngineState;
 use crate::decision::ListUpdateKind;
-use crate::decision::LoadReport;
 use crate::metrics::Gauge;
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
 use crate::settings_json::{self, NamedClass, PlatformSettings};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 
-const MOST_WHOLE: usize = 32;
+const SUBSET_ENGINES: usize = 32;
 
-/// Engines that take every attempt, and keep what they were asked.
+/// Fake engines that accept every attempt and record it.
 #[derive(Clone, Default)]
 struct RecordingEngines(Arc<Mutex<Vec<(EngineId, RequestId, u16)>>>);
 
@@ -33,7 +32,7 @@
         true
     }
     fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, _: bool) {
-        panic!("attempt {attempt} of {id} at {engine} is given up");
+        panic!("attempt {attempt} of {id} at {engine} is cancelled");
     }
     fn set_priority(&mut self, _: EngineId, _: RequestId, _: u16, _: u8) {}
     fn engine_listed(&mut self, _: &EngineRecord) {}
@@ -41,7 +40,7 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
-/// The settings of one manager of a fleet, whose engines have one core and are cold for ten seconds.
+/// The settings of one manager of a fleet whose engines have one CPU core and a slow start of ten seconds.
 fn fleet_settings(instances: u32, ordinal: u32) -> PlatformSettings {
     let text = format!(
         r#"{{"nInstances":{instances},"ordinal":{ordinal},
@@ -52,10 +51,10 @@
     settings_json::parse(text.as_bytes()).expect("settings")
 }
 
-/// One manager, with the names of its classes.
+/// One manager of the fleet, with fake engines.
 struct Manager {
     core: Core<RecordingEngines>,
-    asked: RecordingEngines,
+    engines: RecordingEngines,
     metrics: Arc<Metrics>,
     class: Arc<NamedClass>,
     next_id: RequestId,
@@ -65,12 +64,12 @@
     fn new(instances: u32, ordinal: u32) -> Manager {
         let parsed = fleet_settings(instances, ordinal);
         let mut limits = Limits::new(256, 64, false, &parsed);
-        limits.subset_engines = MOST_WHOLE;
-        let (asked, metrics): (RecordingEngines, Arc<Metrics>) = Default::default();
+        limits.subset_engines = SUBSET_ENGINES;
+        let (engines, metrics): (RecordingEngines, Arc<Metrics>) = Default::default();
         let made = Core::new(
             parsed.settings.clone(),
             u64::from(ordinal),
-            asked.clone(),
+            engines.clone(),
             Arc::new(limits),
             metrics.clone(),
         );
@@ -78,7 +77,7 @@
         core.start(0.0);
         Manager {
             core,
-            asked,
+            engines,
             metrics,
             class: parsed.classes[0].clone(),
             next_id: 1,
@@ -95,7 +94,7 @@
         self.core.handle(now, CoreMessage::EndpointList(event));
     }
 
-    /// Takes a request of this work, in ms of one core, and tells where it went.
+    /// Submits a request of this work, in ms of one CPU core; returns the attempts started.
     fn request(&mut self, now: Millis, work_ms: f64) -> Vec<(EngineId, RequestId, u16)> {
         let id = self.next_id;
         self.next_id += 1;
@@ -107,36 +106,26 @@
             Arc::new(NullClient),
         );
         self.core.handle(now, CoreMessage::Request(one));
-        self.asked.take()
+        self.engines.take()
     }
 
-    fn served(&mut self, now: Millis, (engine, id, attempt): (EngineId, RequestId, u16)) {
+    fn served(&mut self, now: Millis, attempt: (EngineId, RequestId, u16)) {
         let body = Some(ResultBody::complete(ResultFormat::Text, Vec::new()));
-        let news = AttemptEvent::Ended {
+        let event = AttemptEvent::Ended {
             outcome: Outcome::Ok,
             measured_work_ms: None,
             measured_memory_mb: None,
             body,
         };
-        let report = LoadReport::default();
-        self.core.handle(
-            now,
-            CoreMessage::Attempt {
-                engine,
-                id,
-                attempt,
-                load_report: report,
-                event: news,
-            },
-        );
+        self.core.handle(now, attempt_message(attempt, event));
     }
 }
 
-fn lines(ids: impl Iterator<Item = u32>, state: EngineState) -> Vec<EngineRecord> {
+fn records(ids: impl Iterator<Item = u32>, state: EngineState) -> Vec<EngineRecord> {
     ids.map(|id| listed(id, state)).collect()
 }
 
-fn shown(metrics: &Metrics) -> [u64; 4] {
+fn subset_metrics(metrics: &Metrics) -> [u64; 4] {
     [
         &metrics.subset_size,
         &metrics.subset_zones,
@@ -146,12 +135,16 @@
     .map(Gauge::get)
 }
 
-/// Guard: what leaves the subset while it runs an attempt ends it as any other. It gets nothing more, and is forgotten
-/// once nothing runs there.
+/// An engine that leaves the subset completes its attempts. It gets no further attempt and is forgotten once its last
+/// one has ended.
 #[test]
-fn a_change_of_the_subset_ends_no_attempt() {
+fn attempts_continue_on_engines_that_leave_the_subset() {
     let mut manager = Manager::new(100, 7);
-    manager.list(0.0, ListUpdateKind::Full, lines(0..400, EngineState::Ready));
+    manager.list(
+        0.0,
+        ListUpdateKind::Full,
+        records(0..400, EngineState::Ready),
+    );
     let mut out = Vec::new();
     for _ in 0..60 {
         out.extend(manager.request(10.0, 50.0));
@@ -162,7 +155,7 @@
         "{} sent to {held}",
         out.len()
     );
-    // Another ordinal: another subset altogether.
+    // Another ordinal: an entirely different subset.
     let settings = Box::new(fleet_settings(100, 57).settings);
     manager.core.handle(
         20.0,
@@ -178,7 +171,7 @@
     );
     assert!(
         manager.core.state_sizes().dispatcher[3] > held,
-        "those that still run something, and the new ones"
+        "engines with attempts in flight, and the new subset"
     );
     let before: Vec<EngineId> = out.iter().map(|(engine, ..)| *engine).collect();
     for _ in 0..60 {
@@ -197,17 +190,25 @@
     );
 }
 
-/// What STATS and the MIB show of a subset, of a list that is taken whole, and of settings that cannot be.
+/// The metrics of a subset, of a complete list and of an ordinal out of range.
 #[test]
-fn what_the_counters_show() {
+fn metrics_show_subset_sizes_complete_lists_and_ordinals_out_of_range() {
     let mut manager = Manager::new(100, 7);
-    manager.list(0.0, ListUpdateKind::Full, lines(0..20, EngineState::Ready));
-    assert_eq!(shown(&manager.metrics), [20, 1, 100, 7]);
-    manager.list(0.0, ListUpdateKind::Full, lines(0..400, EngineState::Ready));
-    let [size, zones, holders, ordinal] = shown(&manager.metrics);
+    manager.list(
+        0.0,
+        ListUpdateKind::Full,
+        records(0..20, EngineState::Ready),
+    );
+    assert_eq!(subset_metrics(&manager.metrics), [20, 1, 100, 7]);
+    manager.list(
+        0.0,
+        ListUpdateKind::Full,
+        records(0..400, EngineState::Ready),
+    );
+    let [size, zones, managers_per_engine, ordinal] = subset_metrics(&manager.metrics);
     assert!(
-        (24..=36).contains(&size) && (6..=9).contains(&holders),
-        "{size} and {holders}"
+        (24..=36).contains(&size) && (6..=9).contains(&managers_per_engine),
+        "{size} and {managers_per_engine}"
     );
     assert_eq!((zones, ordinal, manager.metrics.engines.get()), (1, 7, 400));
     manager.list(0.0, ListUpdateKind::Full, Vec::new());
@@ -219,87 +220,104 @@
         (1, 1)
     );
     assert_eq!(manager.metrics.subset_size.get(), 0);
-    let over = Manager::new(100, 100);
+    let out_of_range = Manager::new(100, 100);
     assert_eq!(
         (
-            over.metrics.subset_ordinal_out_of_range.get(),
-            over.metrics.ordinal.get()
+            out_of_range.metrics.subset_ordinal_out_of_range.get(),
+            out_of_range.metrics.ordinal.get()
         ),
         (1, 100)
     );
 }
 
-/// Work that a fleet sends to each engine in any window of a second, while managers learn of changes up to five seconds
-/// apart: no cold one gets more than the multiple of its capacity that it stands.
-#[test]
-#[expect(clippy::too_many_lines, reason = "not split yet")]
-fn a_fleet_whose_lists_differ_tips_no_cold_engine() {
-    const MANAGERS: u32 = 40;
-    const WORK_MS: f64 = 40.0;
-    const BEGUN: Millis = 20_000.0;
-    let mut managers: Vec<Manager> = (0..MANAGERS)
-        .map(|ordinal| Manager::new(MANAGERS, ordinal))
-        .collect();
-    managers
-        .iter_mut()
-        .for_each(|m| m.list(0.0, ListUpdateKind::Full, lines(0..150, EngineState::Ready)));
-    // A third of all engines drain, and as many start cold in their place.
-    let mut changes = lines(0..50, EngineState::Draining);
-    changes.extend(
-        lines(150..200, EngineState::Ready)
-            .into_iter()
-            .map(|mut line| {
-                line.entry.started_at_ms = BEGUN;
-                line
-            }),
-    );
+const MANAGERS: u32 = 40;
+const WORK_MS: f64 = 40.0;
+const STARTED: Millis = 20_000.0;
+
+/// Runs the fleet for eleven seconds while each manager learns of `changes` at its own time. Returns the work in ms sent
+/// to each engine, with the time of sending.
+fn run_fleet(
+    managers: &mut [Manager],
+    changes: &[EngineRecord],
+) -> BTreeMap<EngineId, Vec<(Millis, f64)>> {
     let mut sent: BTreeMap<EngineId, Vec<(Millis, f64)>> = BTreeMap::new();
-    let mut in_hand: Vec<(Millis, usize, (EngineId, RequestId, u16))> = Vec::new();
-    let mut now = BEGUN;
-    while now < BEGUN + 11_000.0 {
-        for (place, manager) in managers.iter_mut().enumerate() {
-            // Each hears of it at a time of its own, in no order of theirs.
-            let heard_at =
-                BEGUN + f64::from((place as u32 * 17) % MANAGERS) * 5000.0 / f64::from(MANAGERS);
-            if (heard_at..heard_at + 50.0).contains(&now) {
-                manager.list(now, ListUpdateKind::Delta, changes.clone());
+    let mut in_flight: Vec<(Millis, usize, (EngineId, RequestId, u16))> = Vec::new();
+    let mut now = STARTED;
+    while now < STARTED + 11_000.0 {
+        for (ordinal, manager) in managers.iter_mut().enumerate() {
+            // The managers are notified over five seconds, in an order unlike that of their ordinals.
+            let notified_at = STARTED
+                + f64::from((ordinal as u32 * 17) % MANAGERS) * 5000.0 / f64::from(MANAGERS);
+            if (notified_at..notified_at + 50.0).contains(&now) {
+                manager.list(now, ListUpdateKind::Delta, changes.to_vec());
             }
             manager.core.run_due_timers(now);
-            let mut out = Vec::new();
+            let mut started = Vec::new();
             for _ in 0..5 {
-                out.extend(manager.request(now, WORK_MS));
+                started.extend(manager.request(now, WORK_MS));
             }
-            out.extend(manager.asked.take());
-            for one in out {
-                sent.entry(one.0).or_default().push((now, WORK_MS));
-                in_hand.push((now + 400.0, place, one));
+            started.extend(manager.engines.take());
+            for attempt in started {
+                sent.entry(attempt.0).or_default().push((now, WORK_MS));
+                in_flight.push((now + 400.0, ordinal, attempt));
             }
         }
-        let (over, rest): (Vec<_>, Vec<_>) = in_hand.into_iter().partition(|(at, ..)| *at <= now);
-        in_hand = rest;
-        over.into_iter()
-            .for_each(|(_, place, one)| managers[place].served(now, one));
+        let (ended, rest): (Vec<_>, Vec<_>) = in_flight
+            .into_iter()
+            .partition(|(ends_at, ..)| *ends_at <= now);
+        in_flight = rest;
+        ended
+            .into_iter()
+            .for_each(|(_, ordinal, attempt)| managers[ordinal].served(now, attempt));
         now += 50.0;
     }
-    let mut cold = 0.0;
+    sent
+}
+
+/// A fleet whose managers learn of changes up to five seconds apart: in any window of a second, no engine in slow start
+/// gets more work than the permitted multiple of its capacity.
+#[test]
+fn managers_with_differing_lists_keep_the_slow_start_budget_together() {
+    let mut managers: Vec<Manager> = (0..MANAGERS)
+        .map(|ordinal| Manager::new(MANAGERS, ordinal))
+        .collect();
+    for manager in &mut managers {
+        manager.list(
+            0.0,
+            ListUpdateKind::Full,
+            records(0..150, EngineState::Ready),
+        );
+    }
+    // A third of all engines drain, and as many start in their place.
+    let mut changes = records(0..50, EngineState::Draining);
+    changes.extend(
+        records(150..200, EngineState::Ready)
+            .into_iter()
+            .map(|mut record| {
+                record.entry.started_at_ms = STARTED;
+                record
+            }),
+    );
+    let sent = run_fleet(&mut managers, &changes);
+    let mut warming_up = 0.0;
     for id in 150..200 {
         let sends = sent.get(&engine_id(id)).map_or(&[][..], Vec::as_slice);
-        for (at, _) in sends.iter().filter(|(at, _)| *at < BEGUN + 9_000.0) {
-            let age = ((at - BEGUN) / 10_000.0).clamp(0.0, 1.0);
-            let stands = 2.0 * (0.3 + 0.7 * age * age) * 1000.0;
+        for (at, _) in sends.iter().filter(|(at, _)| *at < STARTED + 9_000.0) {
+            let age = ((at - STARTED) / 10_000.0).clamp(0.0, 1.0);
+            let allowed_ms = 2.0 * (0.3 + 0.7 * age * age) * 1000.0;
             let window = sends
                 .iter()
-                .filter(|(t, _)| (0.0..1000.0).contains(&(t - at)));
+                .filter(|(time, _)| (0.0..1000.0).contains(&(time - at)));
             let work: f64 = window.map(|(_, work)| work).sum();
             assert!(
-                work <= stands,
-                "engine {id} got {work} ms at {at}, and stands {stands}"
+                work <= allowed_ms,
+                "engine {id} got {work} ms at {at}, and {allowed_ms} are allowed"
             );
-            cold += WORK_MS;
+            warming_up += WORK_MS;
         }
     }
     assert!(
-        cold > 0.2 * 9_000.0 * 50.0 * 0.3,
-        "cold engines take part: {cold}"
+        warming_up > 0.2 * 9_000.0 * 50.0 * 0.3,
+        "engines in slow start take part: {warming_up}"
     );
 }
