--- a/src/core/attempt_end.rs
+++ b/src/core/attempt_end.rs
@@ -10,7 +10,7 @@
     ResultBody, ResultFormat,
 };
 use crate::attempt::InFlight;
-use crate::decision::{AttemptEnded, LoadReport};
+use crate::decision::{AttemptEnded, EngineId, LoadReport};
 use crate::metrics::Counter;
 
 /// What an engine measured of an attempt, where it reports that.
@@ -40,11 +40,7 @@
         attempt: u16,
         body: ResultBody,
     ) {
-        let Some(request) = self
-            .requests
-            .get_mut(id)
-            .filter(|request| !request.streaming)
-        else {
+        let Some(request) = self.requests.get_not_streaming_mut(id) else {
             return;
         };
         request.streaming = true;
@@ -206,11 +202,7 @@
         attempt: u16,
         timer_due: Millis,
     ) {
-        let Some(request) = self
-            .requests
-            .get_mut(id)
-            .filter(|request| !request.streaming)
-        else {
+        let Some(request) = self.requests.get_not_streaming_mut(id) else {
             return;
         };
         let Some(in_flight) = request.history.in_flight_as(attempt, None) else {
@@ -235,6 +227,18 @@
         let (engine, attempt) = (in_flight.engine, in_flight.number);
         request.cancellation.cancel();
         let retry_may_follow = !request.answered;
+        self.send_cancellation(now, engine, id, attempt, retry_may_follow);
+    }
+
+    /// Sends a cancellation to the engine's actor, and checks later whether it is confirmed.
+    fn send_cancellation(
+        &mut self,
+        now: Millis,
+        engine: EngineId,
+        id: RequestId,
+        attempt: u16,
+        retry_may_follow: bool,
+    ) {
         self.engines
             .cancel_attempt(engine, id, attempt, retry_may_follow);
         self.set_timer(
@@ -257,11 +261,7 @@
             return;
         };
         if now - cancellation.since_ms < self.limits.cancellation_timeout_ms {
-            self.engines.cancel_attempt(engine, id, attempt, !answered);
-            return self.set_timer(
-                now + self.limits.cancellation_resend_ms,
-                Timer::CancellationCheck { id, attempt },
-            );
+            return self.send_cancellation(now, engine, id, attempt, !answered);
         }
         self.metrics.cancellations_timed_out.increment();
         if !answered && !streaming {
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -106,6 +106,11 @@
         self.by_id.get_mut(&id)
     }
 
+    /// A request whose result does not stream to its client.
+    pub(super) fn get_not_streaming_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
+        self.get_mut(id).filter(|request| !request.streaming)
+    }
+
     pub(super) fn contains(&self, id: RequestId) -> bool {
         self.by_id.contains_key(&id)
     }
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -128,11 +128,7 @@
     /// The dispatcher cancels an attempt to send another one. Where the policy allows none after it, the attempt
     /// goes on, as it may still succeed.
     pub(super) fn cancel_attempt(&mut self, now: Millis, id: RequestId, attempt: u16) {
-        let Some(request) = self
-            .requests
-            .get_mut(id)
-            .filter(|request| !request.streaming)
-        else {
+        let Some(request) = self.requests.get_not_streaming_mut(id) else {
             return;
         };
         if request.history.in_flight_as(attempt, None).is_none() {
--- a/src/operator_config/policy.rs
+++ b/src/operator_config/policy.rs
@@ -25,18 +25,16 @@
     let mut faults = FaultCollector::new(source, earlier);
     check_class_names(text, platform, &mut faults);
     let tables = all_tables(text);
-    let by_class = class_policies(text, platform);
+    let default = attempt_policy(&text.attempts.default);
+    let classes = class_policies(text, platform);
+    let by_class: Vec<AttemptPolicy> = classes
+        .iter()
+        .map(|class| class.effective(&default))
+        .collect();
     let routes = routes(&tables, platform, &mut faults);
     check_class_tables(&tables, &by_class, platform, &mut faults);
     check_routes(&tables, &routes, &by_class, platform, &mut faults);
     if faults.is_empty() {
-        let own_policy = |class: &ClassConstraints| ClassPolicy {
-            name: class.name.clone(),
-            not_idempotent: class.not_idempotent,
-            own: text.attempts.class.get(&class.name).map(attempt_policy),
-        };
-        let classes = platform.classes.iter().map(own_policy).collect();
-        let default = attempt_policy(&text.attempts.default);
         match Policy::new(default, classes, routes, platform.members.clone()) {
             Ok(policy) => return Ok(policy),
             Err(errors) => {
@@ -65,21 +63,14 @@
     }
 }
 
-/// The policy in force for each class, routes left out.
-fn class_policies(text: &OperatorFile, platform: &PlatformConstraints) -> Vec<AttemptPolicy> {
-    let default = attempt_policy(&text.attempts.default);
-    let effective = |class: &ClassConstraints| {
-        let mut policy = if class.not_idempotent {
-            default.for_non_idempotent()
-        } else {
-            default.clone()
-        };
-        if let Some(own) = text.attempts.class.get(&class.name) {
-            policy.override_with(&attempt_policy(own));
-        }
-        policy
+/// The classes of the settings, each with its own table of the file.
+fn class_policies(text: &OperatorFile, platform: &PlatformConstraints) -> Vec<ClassPolicy> {
+    let class_policy = |class: &ClassConstraints| ClassPolicy {
+        name: class.name.clone(),
+        not_idempotent: class.not_idempotent,
+        own: text.attempts.class.get(&class.name).map(attempt_policy),
     };
-    platform.classes.iter().map(effective).collect()
+    platform.classes.iter().map(class_policy).collect()
 }
 
 /// The routes in the order of the file.
--- a/src/retry_policy/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -33,6 +33,19 @@
     pub own: Option<AttemptPolicy>,
 }
 
+impl ClassPolicy {
+    /// Returns the policy in force for the class, routes left out.
+    #[must_use]
+    pub fn effective(&self, default: &AttemptPolicy) -> AttemptPolicy {
+        let own = self.own.as_ref();
+        if self.not_idempotent {
+            default.for_non_idempotent().overridden_by(own)
+        } else {
+            default.overridden_by(own)
+        }
+    }
+}
+
 /// All tables of one operators' file, ready to resolve requests. The default value, without a file, limits nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
@@ -67,7 +80,7 @@
     ) -> Result<Policy, Vec<RouteError>> {
         let effective: Vec<Option<AttemptPolicy>> = classes
             .iter()
-            .map(|class| Some(effective_class_policy(&default, class)))
+            .map(|class| Some(class.effective(&default)))
             .collect();
         let index = Routes::new(&AttemptPolicy::default(), &effective, &routes)?;
         Ok(Policy {
@@ -157,16 +170,6 @@
     }
 }
 
-/// The policy of a class, without routes.
-fn effective_class_policy(default: &AttemptPolicy, class: &ClassPolicy) -> AttemptPolicy {
-    let own = class.own.as_ref();
-    if class.not_idempotent {
-        default.for_non_idempotent().overridden_by(own)
-    } else {
-        default.overridden_by(own)
-    }
-}
-
 /// Finds the last table that sets a key.
 fn effective_value(key_value: KeyValue, tables: &[ApplicableTable<'_>]) -> EffectiveValue {
     let KeyValue { key, value } = key_value;
