--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -11,7 +11,7 @@
 /// Unix time that never goes back: the system's clock at the start, continued by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix_ms: Millis,
+    start_unix_ms: Millis,
     start: Instant,
 }
 
@@ -19,29 +19,29 @@
     /// Reads the system's clock once.
     pub fn new() -> Clock {
         Clock {
-            unix_ms: unix_ms(),
+            start_unix_ms: system_unix_ms(),
             start: Instant::now(),
         }
     }
 
     /// Unix time in ms.
     pub fn now(&self) -> Millis {
-        self.unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
+        self.start_unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
     /// By how much the system's clock is ahead of this one, in ms: it was stepped by so much since.
     pub fn wall_clock_step_ms(&self) -> Millis {
-        unix_ms() - self.now()
+        system_unix_ms() - self.now()
     }
 
-    fn instant(&self, at: Millis) -> Instant {
-        let after = (at - self.unix_ms).clamp(0.0, 1e12);
-        self.start + Duration::from_micros((after * 1000.0).ceil() as u64)
+    fn instant_at(&self, at_ms: Millis) -> Instant {
+        let after_start_ms = (at_ms - self.start_unix_ms).clamp(0.0, 1e12);
+        self.start + Duration::from_micros((after_start_ms * 1000.0).ceil() as u64)
     }
 }
 
 /// The system's clock, in Unix ms.
-fn unix_ms() -> Millis {
+fn system_unix_ms() -> Millis {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH);
     unix.unwrap_or_default().as_secs_f64() * 1000.0
 }
@@ -73,25 +73,25 @@
 pub struct Handle {
     mailbox: mpsc::Sender<CoreMessage>,
     priority: mpsc::Sender<PriorityMessage>,
-    ids: Arc<AtomicU32>,
+    next_request_id: Arc<AtomicU32>,
     clock: Clock,
 }
 
 impl Handle {
     /// A mailbox for this many messages, and a small one for priority messages; the receiving end goes to [`run`].
     pub fn new(size: usize, clock: Clock) -> (Handle, Mailbox) {
-        let (mailbox, inputs) = mpsc::channel(size);
-        let (urgent, orders) = mpsc::channel(PRIORITY_MAILBOX_SIZE);
+        let (mailbox, mailbox_receiver) = mpsc::channel(size);
+        let (priority_sender, priority_receiver) = mpsc::channel(PRIORITY_MAILBOX_SIZE);
         (
             Handle {
                 mailbox,
-                priority: urgent,
-                ids: Arc::new(AtomicU32::new(1)),
+                priority: priority_sender,
+                next_request_id: Arc::new(AtomicU32::new(1)),
                 clock,
             },
             Mailbox {
-                messages: inputs,
-                priority_messages: orders,
+                messages: mailbox_receiver,
+                priority_messages: priority_receiver,
             },
         )
     }
@@ -105,7 +105,7 @@
         at_ms: Millis,
         from_peer: bool,
     ) -> bool {
-        let (done, accepted) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         let _ = self
             .priority
             .send(PriorityMessage::ManualEjection {
@@ -113,16 +113,16 @@
                 ejected,
                 at_ms,
                 from_peer,
-                done,
+                reply,
             })
             .await;
-        accepted.await.unwrap_or(false)
+        reply_receiver.await.unwrap_or(false)
     }
 
     /// An id for a new request.
     pub fn next_id(&self) -> RequestId {
         // The counter orders no other memory: distinct values are enough.
-        self.ids.fetch_add(1, Ordering::Relaxed)
+        self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// The time on the clock of all deadlines, in Unix ms.
@@ -152,10 +152,10 @@
     }
 
     /// Sets the time at which the process ends, in Unix ms.
-    pub async fn set_shutdown_deadline(&self, at: Millis) {
+    pub async fn set_shutdown_deadline(&self, deadline_ms: Millis) {
         let _ = self
             .priority
-            .send(PriorityMessage::ShutdownDeadline(at))
+            .send(PriorityMessage::ShutdownDeadline(deadline_ms))
             .await;
     }
 
@@ -185,7 +185,7 @@
                 Some(message) => core.handle(clock.now(), message),
                 None => return,
             },
-            () = sleep_until(clock.instant(next_timer)) => {}
+            () = sleep_until(clock.instant_at(next_timer)) => {}
         }
         core.run_due_timers(clock.now());
     }
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -15,7 +15,7 @@
 
 impl<E: EnginePort> Core<E> {
     /// Takes an event of an attempt. Events of attempts whose end is known already are dropped.
-    pub(super) fn attempt_event(
+    pub(super) fn handle_attempt_event(
         &mut self,
         now: Millis,
         source: AttemptRef,
@@ -38,7 +38,7 @@
         let cancelling = in_flight.cancelling;
         match event {
             AttemptEvent::Progress(progress) if cancelling.is_none() => {
-                self.attempt_progress(now, id, attempt, progress);
+                self.report_progress(now, id, attempt, progress);
             }
             AttemptEvent::Progress(_) => {}
             AttemptEvent::ResultStreaming(_) if answered || cancelling.is_some() => {}
@@ -65,12 +65,12 @@
                     since_ms: now,
                     outcome: Outcome::Cancelled,
                 });
-                self.cancellation_ended(now, source, cancellation, end, load_report);
+                self.cancellation_confirmed(now, source, cancellation, end, load_report);
             }
         }
     }
 
-    fn attempt_progress(
+    fn report_progress(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -103,7 +103,7 @@
         }
     }
 
-    fn cancellation_ended(
+    fn cancellation_confirmed(
         &mut self,
         now: Millis,
         source: AttemptRef,
--- a/src/core/attempt_start.rs
+++ b/src/core/attempt_start.rs
@@ -1,6 +1,6 @@
 //! The start of attempts: the checks that hold whatever the dispatcher asks for, and the hand-over to an engine's actor.
 
-use super::requests::{DelayedAttempt, LastEnd};
+use super::requests::{LastEnd, PlannedAttempt};
 use super::retry::RetryCheck;
 use super::roster::EngineLocation;
 use super::timers::Timer;
@@ -28,27 +28,27 @@
         timeout_ms: Option<Millis>,
     ) -> Result<(), Outcome> {
         let resend_allowed = self.resend_deadline(now, id, engine).is_some();
-        let engine_accepts = self.accepts_attempts(engine);
+        let engine_accepts_attempts = self.accepts_attempts(engine);
         let max_attempts = self.dispatcher.settings().max_attempts;
         let Some(request) = self.requests.get_mut(id) else {
             return Ok(());
         };
         // One attempt at a time, counting one in backoff; no second run of a non-idempotent request; none beyond the
         // limit; none for an answered request.
-        let numbered = request.history.next_attempt(resend_allowed, max_attempts);
+        let next_number = request.history.next_attempt(resend_allowed, max_attempts);
         let is_due = !request.answered && request.backoff.is_none();
-        let Some(number) = numbered.ok().filter(|_| is_due) else {
-            let denied = numbered.err();
+        let Some(number) = next_number.ok().filter(|_| is_due) else {
+            let denied = next_number.err();
             tracing::debug!(id, engine = %format_engine_id(engine), ?denied, is_due, "attempt blocked by a guard");
             self.metrics.sends_blocked_by_guard.increment();
             return Err(Outcome::NotSent);
         };
-        if !engine_accepts {
+        if !engine_accepts_attempts {
             tracing::debug!(id, engine = %format_engine_id(engine), attempt = number, "attempt blocked: its engine takes none");
             self.metrics.sends_blocked_by_guard.increment();
             return Err(Outcome::NoConnection);
         }
-        let attempt = DelayedAttempt {
+        let attempt = PlannedAttempt {
             number,
             engine,
             timeout_ms,
@@ -85,16 +85,16 @@
         let Idempotency::WithKey(scope) = class.idempotency else {
             return None;
         };
-        let first = request.history.first_possible_run()?;
+        let first_run = request.history.first_possible_run()?;
         let EngineLocation { zone, cell } = self.roster.location(engine)?;
-        let same_group = match scope {
+        let in_dedup_scope = match scope {
             DedupScope::All => true,
-            DedupScope::Zone => zone == first.zone,
-            DedupScope::Cell => cell == first.cell,
+            DedupScope::Zone => zone == first_run.zone,
+            DedupScope::Cell => cell == first_run.cell,
         };
-        let deduplicated = same_group && request.accepted.idempotency_key.is_some();
+        let deduplicated = in_dedup_scope && request.accepted.idempotency_key.is_some();
         deduplicated
-            .then_some(first.at_ms + class.dedup_window_ms - DEDUP_MARGIN_MS)
+            .then_some(first_run.at_ms + class.dedup_window_ms - DEDUP_MARGIN_MS)
             .filter(|deadline_ms| now < *deadline_ms)
     }
 
@@ -103,9 +103,9 @@
         &mut self,
         now: Millis,
         id: RequestId,
-        attempt: DelayedAttempt,
+        attempt: PlannedAttempt,
     ) -> Result<(), Outcome> {
-        let DelayedAttempt {
+        let PlannedAttempt {
             number,
             engine,
             timeout_ms,
@@ -125,7 +125,7 @@
             (now + ms).min(request_deadline_ms)
         });
         request.cancellation = CancellationFlag::default();
-        let outgoing = AttemptRequest {
+        let attempt_request = AttemptRequest {
             id,
             attempt: number,
             client_reference: request.accepted.client_reference.clone(),
@@ -139,7 +139,7 @@
             statement_kind: request.accepted.statement_kind,
             cancellation: request.cancellation.clone(),
         };
-        if !self.engines.start_attempt(engine, outgoing) {
+        if !self.engines.start_attempt(engine, attempt_request) {
             return Err(Outcome::NoConnection);
         }
         let at_ms = now;
--- a/src/core/manual_ejection.rs
+++ b/src/core/manual_ejection.rs
@@ -4,7 +4,7 @@
 use crate::decision::EngineId;
 
 /// An order to eject an engine or to return it.
-pub(super) struct EjectionOrder {
+pub(super) struct EjectionCommand {
     pub(super) engine: EngineId,
     pub(super) ejected: bool,
     /// When it was given, in Unix ms.
@@ -15,13 +15,13 @@
 
 impl<E: EnginePort> Core<E> {
     /// Applies an order. Returns whether the engine is known and the ejection could be recorded.
-    pub(super) fn apply_manual_ejection(&mut self, now: Millis, order: &EjectionOrder) -> bool {
-        let &EjectionOrder {
+    pub(super) fn apply_manual_ejection(&mut self, now: Millis, command: &EjectionCommand) -> bool {
+        let &EjectionCommand {
             engine,
             ejected,
             from_peer,
             ..
-        } = order;
+        } = command;
         let ejections = self.dispatcher.manual_ejections();
         let already_ejected = ejections.contains(&engine);
         let known = already_ejected || self.roster.is_listed(engine) || from_peer && ejected;
@@ -29,18 +29,18 @@
         let within_limit = !ejected || already_ejected || ejections.len() < self.limits.engines;
         let accepted = known && within_limit;
         if accepted || from_peer && !ejected {
-            self.set_manual_ejection(now, order);
+            self.set_manual_ejection(now, command);
         }
         accepted
     }
 
-    fn set_manual_ejection(&mut self, now: Millis, order: &EjectionOrder) {
-        let &EjectionOrder {
+    fn set_manual_ejection(&mut self, now: Millis, command: &EjectionCommand) {
+        let &EjectionCommand {
             engine,
             ejected,
             at_ms,
             ..
-        } = order;
+        } = command;
         // A peer's time may be ahead where the clock was stepped back: a slow start begins now at the latest.
         let at_ms = at_ms.min(now);
         self.notify_dispatcher(
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -34,7 +34,7 @@
 use crate::retry_policy::{Policy, RequestAttributes};
 use crate::subset::{Membership, Subset};
 use attempt_events::AttemptRef;
-use manual_ejection::EjectionOrder;
+use manual_ejection::EjectionCommand;
 use order_leases::OrderLeases;
 use requests::RequestTable;
 use roster::Roster;
@@ -59,7 +59,7 @@
     policy: Arc<Policy>,
     order_leases: OrderLeases,
     /// A [`Timer::LeaseReview`] is pending.
-    lease_review_set: bool,
+    lease_review_pending: bool,
 }
 
 /// Sizes of the state of a core and its dispatcher, in entries.
@@ -100,7 +100,7 @@
             actions: Vec::new(),
             policy: Arc::default(),
             order_leases: OrderLeases::default(),
-            lease_review_set: false,
+            lease_review_pending: false,
         };
         core.check_membership(membership);
         Ok(core)
@@ -128,7 +128,7 @@
     pub fn state_sizes(&self) -> StateSizes {
         StateSizes {
             requests: self.requests.len(),
-            client_references: self.requests.reference_count(),
+            client_references: self.requests.client_reference_count(),
             roster: self.roster.state_size(),
             timers: self.timers.len(),
             dispatcher: self.dispatcher.state_sizes(),
@@ -159,7 +159,7 @@
                     attempt,
                     engine,
                 };
-                self.attempt_event(now, source, load_report, event);
+                self.handle_attempt_event(now, source, load_report, event);
             }
         }
     }
@@ -167,7 +167,9 @@
     /// Handles a message that overtakes the mailbox.
     pub fn handle_priority(&mut self, now: Millis, message: PriorityMessage) {
         match message {
-            PriorityMessage::ShutdownDeadline(at) => self.set_shutdown_deadline(at),
+            PriorityMessage::ShutdownDeadline(deadline_ms) => {
+                self.set_shutdown_deadline(deadline_ms)
+            }
             PriorityMessage::PeerProcesses(capacity_divisor) => {
                 self.check_peer_processes(now);
                 self.notify_dispatcher(now, Event::PeerProcesses { capacity_divisor });
@@ -177,24 +179,24 @@
                 ejected,
                 at_ms,
                 from_peer,
-                done,
+                reply,
             } => {
-                let order = EjectionOrder {
+                let command = EjectionCommand {
                     engine,
                     ejected,
                     at_ms,
                     from_peer,
                 };
                 // The sender may have stopped waiting.
-                let _ = done.send(self.apply_manual_ejection(now, &order));
+                let _ = reply.send(self.apply_manual_ejection(now, &command));
             }
         }
     }
 
-    fn set_shutdown_deadline(&mut self, at: Millis) {
-        self.shutdown_at = Some(at);
+    fn set_shutdown_deadline(&mut self, deadline_ms: Millis) {
+        self.shutdown_at = Some(deadline_ms);
         for id in self.requests.ids() {
-            self.set_timer(at, Timer::RequestDeadline(id));
+            self.set_timer(deadline_ms, Timer::RequestDeadline(id));
         }
     }
 }
--- a/src/core/order_lease_admission.rs
+++ b/src/core/order_lease_admission.rs
@@ -36,7 +36,7 @@
 
     /// Submits the requests whose lease this process has acquired.
     pub(super) fn review_order_leases(&mut self, now: Millis) {
-        self.lease_review_set = false;
+        self.lease_review_pending = false;
         let pause = self.dispatcher.settings().order_key_pause_ms;
         for id in self.order_leases.review(now, pause) {
             self.submit_request(now, id);
@@ -76,8 +76,8 @@
 
     /// Sets one timer at a time, and none while no request waits and no key is paused.
     fn schedule_lease_review(&mut self, now: Millis) {
-        if !self.lease_review_set && self.order_leases.needs_review() {
-            self.lease_review_set = true;
+        if !self.lease_review_pending && self.order_leases.needs_review() {
+            self.lease_review_pending = true;
             self.set_timer(
                 now + self.limits.state_poll_interval.as_secs_f64() * 1000.0,
                 Timer::LeaseReview,
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -309,6 +309,6 @@
         /// A peer process passes it on, so it holds for an engine that is not known here too.
         from_peer: bool,
         /// Gets whether the engine was known, once the dispatcher is notified.
-        done: oneshot::Sender<bool>,
+        reply: oneshot::Sender<bool>,
     },
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -26,7 +26,7 @@
     pub(super) policy: AttemptPolicy,
     pub(super) last_end: Option<LastEnd>,
     /// The attempt that waits for the end of its backoff.
-    pub(super) backoff: Option<DelayedAttempt>,
+    pub(super) backoff: Option<PlannedAttempt>,
     /// Reaches the attempt in flight without passing through its engine's mailbox.
     pub(super) cancellation: CancellationFlag,
 }
@@ -62,7 +62,7 @@
 
 /// An attempt that the dispatcher has started and that waits for the end of its backoff.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct DelayedAttempt {
+pub(super) struct PlannedAttempt {
     pub(super) number: u16,
     pub(super) engine: EngineId,
     /// The dispatcher's timeout of the attempt, in ms.
@@ -84,7 +84,7 @@
     }
 
     /// How many clients' references are in use.
-    pub(super) fn reference_count(&self) -> usize {
+    pub(super) fn client_reference_count(&self) -> usize {
         self.client_references.len()
     }
 
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -2,7 +2,7 @@
 //! how long an attempt may take, and which attempts may be cancelled. The policy itself is in
 //! [`retry_policy`](crate::retry_policy); here it meets requests, timers and metrics.
 
-use super::requests::DelayedAttempt;
+use super::requests::PlannedAttempt;
 use super::timers::Timer;
 use super::{Arc, Core, EnginePort, Millis, Outcome, Policy, RequestAttributes, RequestId};
 use crate::attempt::never_ran;
@@ -59,8 +59,8 @@
             }
             RetryDecision::RetryAfter(wait_ms) => {
                 // An attempt that never ran caused no load, so another engine may be tried at once.
-                let without_backoff = never_ran(last_outcome) && last_engine != engine;
-                if wait_ms > 0.0 && !without_backoff {
+                let skip_backoff = never_ran(last_outcome) && last_engine != engine;
+                if wait_ms > 0.0 && !skip_backoff {
                     RetryCheck::SendAfter(wait_ms)
                 } else {
                     RetryCheck::SendNow
@@ -74,7 +74,7 @@
         &mut self,
         now: Millis,
         id: RequestId,
-        delayed: DelayedAttempt,
+        delayed: PlannedAttempt,
         wait_ms: Millis,
     ) {
         let Some(request) = self.requests.get_mut(id) else {
@@ -162,7 +162,9 @@
             };
             if let Some(new_limit) = policy.resolve(&attributes).max_attempts {
                 let max_attempts = &mut request.policy.max_attempts;
-                *max_attempts = Some(max_attempts.map_or(new_limit, |held| held.min(new_limit)));
+                *max_attempts = Some(
+                    max_attempts.map_or(new_limit, |current_limit| current_limit.min(new_limit)),
+                );
             }
         }
         self.policy = policy;
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -3,7 +3,7 @@
 mod attempt_interleavings;
 mod engine_subsets;
 
-use super::requests::DelayedAttempt;
+use super::requests::PlannedAttempt;
 use super::*;
 use crate::attempt::AttemptEnd;
 use crate::attempt::AttemptHistory;
@@ -300,7 +300,7 @@
             let until = core.resend_deadline(700.0, 1, engine_id(n));
             assert_eq!(until, (reached > 0).then_some(799.0), "{scope} {key} {n}");
         }
-        let delayed = DelayedAttempt {
+        let delayed = PlannedAttempt {
             number: 1,
             engine: engine_id(1),
             timeout_ms: None,
@@ -432,13 +432,13 @@
     let records = (1..=1024).map(|n| listed(n, EngineState::Ready)).collect();
     bench.apply_list(0.0, ListUpdateKind::Full, records);
     let mut set_ejected = |n: u32, ejected| {
-        let (done, mut answer) = tokio::sync::oneshot::channel();
+        let (reply, mut answer) = tokio::sync::oneshot::channel();
         let message = PriorityMessage::ManualEjection {
             engine: engine_id(n),
             ejected,
             at_ms: 1.0,
             from_peer: false,
-            done,
+            reply,
         };
         bench.core.handle_priority(1.0, message);
         answer.try_recv().expect("an answer")
--- a/src/core/tests/attempt_interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -411,13 +411,13 @@
     }
 
     fn set_manual_ejection(&mut self, pick: usize) {
-        let (done, _) = tokio::sync::oneshot::channel();
+        let (reply, _) = tokio::sync::oneshot::channel();
         let message = PriorityMessage::ManualEjection {
             engine: engine_id(1 + pick as u32 / 64 % ENGINES),
             ejected: pick & 16 == 0,
             at_ms: self.now,
             from_peer: true,
-            done,
+            reply,
         };
         self.core.handle_priority(self.now, message);
     }
