--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -73,12 +73,12 @@
             reason = ?error,
             "request not admitted"
         );
-        let cause: Option<&Counter> = match error {
+        let counter: Option<&Counter> = match error {
             AdmissionError::DuplicateReference => Some(&self.metrics.client_bad_calls),
             AdmissionError::OverLimit => Some(&self.metrics.client_over_limit),
             AdmissionError::ShuttingDown | AdmissionError::UnknownClass => None,
         };
-        cause.into_iter().for_each(Counter::increment);
+        counter.into_iter().for_each(Counter::increment);
         let answer = if matches!(error, AdmissionError::DuplicateReference) {
             self.metrics.requests_failed.increment();
             Answer::Failed(FailureReason::AttemptFailed)
--- a/src/core/attempt_end.rs
+++ b/src/core/attempt_end.rs
@@ -64,8 +64,8 @@
             .requests
             .get(id)
             .is_some_and(|request| request.streaming);
-        let empty = || ResultBody::complete(ResultFormat::Text, Vec::new());
-        let Some(body) = body.or_else(|| streaming.then(empty)) else {
+        let empty_body = || ResultBody::complete(ResultFormat::Text, Vec::new());
+        let Some(body) = body.or_else(|| streaming.then(empty_body)) else {
             // The attempt has run, but without a result there is nothing to answer with.
             let failed = AttemptCompletion {
                 outcome: Outcome::Error,
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -9,7 +9,7 @@
 impl<E: EnginePort> Core<E> {
     /// Applies an event of the endpoint list.
     pub(super) fn update_endpoint_list(&mut self, now: Millis, event: EndpointListEvent) {
-        log_event(&event);
+        log_list_event(&event);
         let update = self.roster.apply(&event);
         update
             .removed
@@ -91,12 +91,15 @@
     fn apply_subset_change(&mut self, now: Millis, change: SubsetChange) {
         let metrics = &self.metrics;
         let sizes = self.roster.subset_sizes();
-        let all = f64::from(self.dispatcher.settings().instances);
+        let all_managers = f64::from(self.dispatcher.settings().instances);
         metrics.subset_size.set(sizes.engines);
         metrics.subset_zones.set(sizes.ready_zones);
-        metrics
-            .subset_managers_per_engine
-            .set(self.roster.managers_per_engine().unwrap_or(all).round() as usize);
+        metrics.subset_managers_per_engine.set(
+            self.roster
+                .managers_per_engine()
+                .unwrap_or(all_managers)
+                .round() as usize,
+        );
         metrics.subset_engines_added.add(change.engines_added);
         metrics.subset_engines_removed.add(change.engines_removed);
         metrics
@@ -113,7 +116,7 @@
 }
 
 /// Logs an event; of a complete list, which may have thousands of records, their number alone.
-fn log_event(event: &EndpointListEvent) {
+fn log_list_event(event: &EndpointListEvent) {
     let (number, kind) = (event.number, event.kind);
     tracing::debug!(
         number,
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -26,7 +26,7 @@
 
 impl Timer {
     /// Whether it still has an effect. Timers of ended attempts and requests have none.
-    fn is_live(self, requests: &RequestTable) -> bool {
+    fn has_effect(self, requests: &RequestTable) -> bool {
         match self {
             Timer::Dispatcher(_) | Timer::LeaseReview => true,
             Timer::RequestDeadline(id) => requests.contains(id),
@@ -48,7 +48,7 @@
 const TIMERS_PER_REQUEST: usize = 8;
 
 /// Timers kept besides these.
-const SPARE_TIMERS: usize = 1024;
+const BASE_TIMER_LIMIT: usize = 1024;
 
 /// A point in Unix time, in ms, with a total order.
 #[derive(Clone, Copy, PartialEq)]
@@ -131,12 +131,12 @@
     pub(super) fn set_timer(&mut self, due: Millis, timer: Timer) {
         self.timers.push(due, timer);
         // Timers of requests that are over stay until they are due; many short requests would pile them up.
-        let limit = SPARE_TIMERS + TIMERS_PER_REQUEST * self.requests.len();
+        let limit = BASE_TIMER_LIMIT + TIMERS_PER_REQUEST * self.requests.len();
         if self.timers.len() > limit {
             let requests = &self.requests;
             self.timers
                 .heap
-                .retain(|Reverse((.., timer))| timer.is_live(requests));
+                .retain(|Reverse((.., timer))| timer.has_effect(requests));
         }
     }
 }
