--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,4 +1,5 @@
-//! The core's actor: one task that runs the core on the messages of its mailbox.
+//! The core's actor: one task that passes the messages of its mailbox to the core and runs the
+//! core's timers.
 
 use super::{Core, CoreMessage, EnginePort, PriorityMessage};
 use crate::decision::{EngineId, Millis, RequestId};
@@ -8,7 +9,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// Unix time that never goes back: the system's clock at the start, continued by the monotonic clock.
+/// A clock of Unix time that never goes back. It reads the system's clock once, at the start, and
+/// then follows the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_unix_ms: Millis,
@@ -16,7 +18,7 @@
 }
 
 impl Clock {
-    /// Reads the system's clock once.
+    /// Creates a clock from the current time of the system's clock.
     pub fn new() -> Clock {
         Clock {
             start_unix_ms: system_unix_ms(),
@@ -24,12 +26,13 @@
         }
     }
 
-    /// Unix time in ms.
+    /// The current Unix time in ms.
     pub fn now(&self) -> Millis {
         self.start_unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// By how much the system's clock is ahead of this one, in ms: it was stepped by so much since.
+    /// How far the system's clock is ahead of this one, in ms. This is the sum of the wall clock
+    /// steps since the start; it is negative if the system's clock was set back.
     pub fn wall_clock_step_ms(&self) -> Millis {
         system_unix_ms() - self.now()
     }
@@ -40,7 +43,7 @@
     }
 }
 
-/// The system's clock, in Unix ms.
+/// The current time of the system's clock, in Unix ms.
 fn system_unix_ms() -> Millis {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH);
     unix.unwrap_or_default().as_secs_f64() * 1000.0
@@ -52,7 +55,7 @@
     }
 }
 
-/// Priority messages that wait at most.
+/// Maximum number of priority messages that wait for the core.
 const PRIORITY_MAILBOX_SIZE: usize = 16;
 
 /// The receiving end of the core's mailbox.
@@ -62,7 +65,8 @@
 }
 
 impl Mailbox {
-    /// The next ordinary message, for callers that drive a core without [`run`]; none once every [`Handle`] is dropped.
+    /// The next ordinary message, for callers that run a core without [`run`]; `None` once every
+    /// [`Handle`] is dropped.
     pub async fn next_message(&mut self) -> Option<CoreMessage> {
         self.messages.recv().await
     }
@@ -78,7 +82,8 @@
 }
 
 impl Handle {
-    /// A mailbox for this many messages, and a small one for priority messages; the receiving end goes to [`run`].
+    /// Creates a mailbox for `size` messages and a small one for priority messages. The receiving
+    /// end is passed to [`run`].
     pub fn new(size: usize, clock: Clock) -> (Handle, Mailbox) {
         let (mailbox, mailbox_receiver) = mpsc::channel(size);
         let (priority_sender, priority_receiver) = mpsc::channel(PRIORITY_MAILBOX_SIZE);
@@ -96,8 +101,10 @@
         )
     }
 
-    /// Ejects an engine manually or returns it, ahead of the mailbox, as ordered at this Unix time in ms. False where
-    /// the engine is not known, which it need not be if a peer process passes the order on.
+    /// Ejects an engine manually or returns it to service, ahead of the messages in the mailbox.
+    /// `at_ms` is when the command was given, in Unix ms. Returns false if the engine is not known
+    /// or too many engines are ejected. An ejection that a peer process forwards (`from_peer`)
+    /// applies to an engine that is not known too.
     pub async fn set_manual_ejection(
         &self,
         engine: EngineId,
@@ -119,34 +126,35 @@
         reply_receiver.await.unwrap_or(false)
     }
 
-    /// An id for a new request.
+    /// Returns an id for a new request.
     pub fn next_id(&self) -> RequestId {
-        // The counter orders no other memory: distinct values are enough.
+        // Relaxed ordering: the ids only have to be distinct; the counter guards no other memory.
         self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The time on the clock of all deadlines, in Unix ms.
+    /// The current time on the clock that all deadlines refer to, in Unix ms.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// By how much the system's clock was stepped since the start, in ms.
+    /// The sum of the wall clock steps since the start, in ms; see [`Clock::wall_clock_step_ms`].
     pub fn wall_clock_step_ms(&self) -> Millis {
         self.clock.wall_clock_step_ms()
     }
 
-    /// Puts a message into the mailbox, and waits while it is full. The core never waits for its peers, so this
-    /// cannot deadlock.
+    /// Puts a message into the mailbox, and waits while it is full. The core never waits for other
+    /// actors, so this cannot deadlock.
     pub async fn send(&self, message: CoreMessage) {
         let _ = self.mailbox.send(message).await;
     }
 
-    /// Puts a message into the mailbox without waiting; false where it is full.
+    /// Puts a message into the mailbox without waiting. Returns false if it is full or closed.
     pub fn try_send(&self, message: CoreMessage) -> bool {
         self.mailbox.try_send(message).is_ok()
     }
 
-    /// Reserves a slot in the mailbox, for a message that must reach the core at the same time as other peers.
+    /// Reserves a slot in the mailbox, for a message that must reach the core at the same time as
+    /// it reaches other actors.
     pub async fn reserve(&self) -> Option<mpsc::Permit<'_, CoreMessage>> {
         self.mailbox.reserve().await.ok()
     }
@@ -179,7 +187,8 @@
         let next_timer = core.next_timer().unwrap_or_else(|| clock.now() + 1000.0);
         tokio::select! {
             biased;
-            // On-call staff wait for a second at most, and the mailbox may stay full under load.
+            // Priority messages come first: on-call staff wait for one second at most, and the
+            // mailbox may stay full under load.
             Some(message) = priority_messages.recv() => core.handle_priority(clock.now(), message),
             message = messages.recv() => match message {
                 Some(message) => core.handle(clock.now(), message),
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,10 +1,11 @@
 //! The core: requests, their attempts, deadlines and timers, without wire types or sockets. It drives the dispatcher
 //! (the decision module) and carries out its actions through one port for clients and one for engines.
 //!
-//! Whatever the dispatcher or a peer does, the core ensures that each request gets one final answer, that it has at
-//! most one attempt in flight, and that a non-idempotent request is not sent again unless every earlier attempt
-//! provably never ran. A cancelled attempt stays in flight until its engine's actor has confirmed its end; the client
-//! is answered without waiting for that.
+//! Whatever the dispatcher, a client or an engine does, the core ensures that each request gets one
+//! final answer, that it has at most one attempt in flight, and that a non-idempotent request is
+//! not sent again unless every earlier attempt provably never ran. A cancelled attempt stays in
+//! flight until its engine's actor has confirmed its end; the client is answered without waiting
+//! for that.
 
 mod actor;
 mod admission;
@@ -50,15 +51,15 @@
     requests: RequestTable,
     /// The engines of the endpoint list.
     roster: Roster,
-    /// When the process ends, in Unix ms, once that is known.
+    /// The time at which the process ends, in Unix ms; `None` until a shutdown has started.
     shutdown_at: Option<Millis>,
     timers: TimerQueue,
-    /// Reused by each event, so that none allocates.
+    /// Buffer for the dispatcher's actions, reused for every event to avoid allocations.
     actions: Vec<Action>,
     /// The operators' retry policy. The default sets no limits.
     policy: Arc<Policy>,
     order_leases: OrderLeases,
-    /// A [`Timer::LeaseReview`] is pending.
+    /// Whether a [`Timer::LeaseReview`] is pending.
     lease_review_pending: bool,
 }
 
@@ -69,16 +70,19 @@
     pub requests: usize,
     /// Clients' references in use.
     pub client_references: usize,
-    /// Engines of the list, with those that wait for a slot.
+    /// Entries of the roster: engines with a slot, engines that wait for one, and addresses of
+    /// engines.
     pub roster: usize,
     /// Pending timers.
     pub timers: usize,
-    /// The dispatcher's, as it counts them.
+    /// Sizes that [`Dispatcher::state_sizes`] returns: requests, requests that wait, order keys and
+    /// engines.
     pub dispatcher: [usize; 4],
 }
 
 impl<E: EnginePort> Core<E> {
-    /// A core with a new dispatcher. Errors: the settings contradict each other.
+    /// Creates a core with a new dispatcher. Returns an error if the settings contradict each
+    /// other.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -113,13 +117,14 @@
         self
     }
 
-    /// Starts the core, before any message: the dispatcher sets its timers.
+    /// Starts the core. Must be called before the first message; the dispatcher sets its first
+    /// timers.
     pub fn start(&mut self, now: Millis) {
         self.start_order_leases(now);
         self.notify_dispatcher(now, Event::Started);
     }
 
-    /// Requests that are owed an answer.
+    /// Number of requests that have no final answer yet.
     pub fn open_requests(&self) -> usize {
         self.metrics.requests_open.get() as usize
     }
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Handles a message that overtakes the mailbox.
+    /// Handles a priority message, which does not wait behind the messages of the mailbox.
     pub fn handle_priority(&mut self, now: Millis, message: PriorityMessage) {
         match message {
             PriorityMessage::ShutdownDeadline(deadline_ms) => {
@@ -187,7 +192,7 @@
                     at_ms,
                     from_peer,
                 };
-                // The sender may have stopped waiting.
+                // An error is ignored: the sender of the command may no longer wait for the reply.
                 let _ = reply.send(self.apply_manual_ejection(now, &command));
             }
         }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -14,20 +14,21 @@
 pub(super) struct RequestState {
     pub(super) accepted: AcceptedRequest,
     pub(super) history: AttemptHistory,
-    /// A part of the result has gone to the client.
+    /// Whether a part of the result has been sent to the client.
     pub(super) streaming: bool,
-    /// Nothing is owed to the client: it has the final answer, or has disconnected. The entry stays until the end of
-    /// the attempt in flight is confirmed.
+    /// Whether the client has its final answer or has disconnected. The entry stays in the table
+    /// until the end of the attempt in flight is confirmed.
     pub(super) answered: bool,
     /// Memory to grant to the next attempt, in MB.
     pub(super) memory_mb: f64,
     pub(super) priority: u8,
-    /// The policy resolved at admission. A reload may lower its number of attempts.
+    /// The attempt policy as resolved at admission. A reload of the retry policy may lower its
+    /// maximum number of attempts.
     pub(super) policy: AttemptPolicy,
     pub(super) last_end: Option<LastEnd>,
     /// The attempt that waits for the end of its backoff.
     pub(super) backoff: Option<PlannedAttempt>,
-    /// Reaches the attempt in flight without passing through its engine's mailbox.
+    /// Cancels the attempt in flight directly, without a message in its engine's mailbox.
     pub(super) cancellation: CancellationFlag,
 }
 
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Whether its class may run any number of times.
+    /// Whether its class is idempotent, so that it may run any number of times.
     pub(super) fn is_idempotent(&self) -> bool {
         self.accepted.class.class.idempotency == Idempotency::Idempotent
     }
@@ -60,7 +61,7 @@
     pub(super) engine: EngineId,
 }
 
-/// An attempt that the dispatcher has started and that waits for the end of its backoff.
+/// An attempt that the dispatcher has started. It is sent at once, or after its backoff.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PlannedAttempt {
     pub(super) number: u16,
@@ -69,7 +70,7 @@
     pub(super) timeout_ms: Option<Millis>,
 }
 
-/// All requests by id, with the totals that bound them.
+/// All requests by id, with the totals that the limits of admission apply to.
 #[derive(Default)]
 pub(super) struct RequestTable {
     by_id: HashMap<RequestId, RequestState>,
@@ -83,17 +84,17 @@
         self.by_id.len()
     }
 
-    /// How many clients' references are in use.
+    /// Number of clients' references in use.
     pub(super) fn client_reference_count(&self) -> usize {
         self.client_references.len()
     }
 
-    /// Bytes of all statements.
+    /// Total size of all statements, in bytes.
     pub(super) fn statement_bytes(&self) -> usize {
         self.statement_bytes
     }
 
-    /// Whether a request with this reference of its client is in the table.
+    /// Whether the table contains a request with this client reference.
     pub(super) fn has_client_reference(&self, reference: &Bytes) -> bool {
         self.client_references.contains(reference)
     }
@@ -106,7 +107,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// A request whose result does not stream to its client.
+    /// Returns the request, unless its result is being streamed to its client.
     pub(super) fn get_not_streaming_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.get_mut(id).filter(|request| !request.streaming)
     }
