--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -8,16 +8,16 @@
 use crate::metrics::Counter;
 use crate::retry_policy::{AttemptPolicy, RequestAttributes};
 
-/// Why a request is not admitted. Nothing of it has run.
+/// Why a request is not admitted. Such a request has never run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AdmissionError {
-    /// The process ends before it could be answered.
+    /// The shutdown deadline has passed, so the request could not be answered any more.
     ShuttingDown,
     /// The client's reference is in use by another request.
     DuplicateReference,
-    /// The limit on open requests or on their statements' bytes is reached.
+    /// The limit on open requests, or on the total size of their statements, is reached.
     OverLimit,
-    /// Its class was removed from the settings while it was on its way.
+    /// Its class was removed from the settings after the front end accepted the request.
     UnknownClass,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The attempt policy of a request that may enter the table.
+    /// Returns the attempt policy of the request if it may enter the table.
     fn check_admission(
         &self,
         now: Millis,
@@ -40,7 +40,8 @@
         if self.shutdown_at.is_some_and(|at| at <= now) {
             return Err(AdmissionError::ShuttingDown);
         }
-        // Engines tell attempts apart by the client's reference, so two open requests may not share one.
+        // Engines distinguish attempts by the client's reference, so two open requests must not
+        // share one.
         if self
             .requests
             .has_client_reference(&accepted.client_reference)
@@ -104,7 +105,8 @@
         self.submit_when_leased(now, id);
     }
 
-    /// The client's deadline, or an earlier one that its policy or the end of the process sets.
+    /// The client's deadline, or an earlier one that the request's policy or the end of the process
+    /// sets.
     fn effective_deadline(
         &self,
         now: Millis,
@@ -112,8 +114,8 @@
         policy: &AttemptPolicy,
     ) -> Millis {
         let mut deadline_ms = client_deadline_ms;
-        // A connection that always has an open request would bring new ones up to the end of the process, and what is
-        // open then is lost.
+        // A client connection that always has an open request would send new ones until the process
+        // ends, and requests that are open then are lost.
         if let Some(shutdown_at) = self.shutdown_at {
             deadline_ms = deadline_ms.min(shutdown_at);
         }
@@ -123,10 +125,14 @@
         deadline_ms
     }
 
-    /// The client disconnected: it is owed nothing, and its attempt is cancelled at once to free the engine.
+    /// The client disconnected or no longer waits: the request gets no answer, and its attempt is
+    /// cancelled at once to free the engine.
     pub(super) fn client_disconnected(&mut self, now: Millis, id: RequestId) {
         if self.close_request(now, id, Outcome::Cancelled).is_some() {
-            tracing::debug!(id, "request withdrawn by its client");
+            tracing::debug!(
+                id,
+                "client disconnected or no longer waits; request is closed"
+            );
             self.metrics.client_disconnects.increment();
             self.notify_dispatcher(now, Event::ClientDisconnected { id });
         }
@@ -134,7 +140,7 @@
 }
 
 fn log_admission(accepted: &AcceptedRequest) {
-    // The texts are built only where the level is enabled.
+    // These are closures so that the texts are built only if the log level is enabled.
     let reference = || crate::log::lossy_text(&accepted.client_reference);
     let member = || crate::log::lossy_text(&accepted.member);
     tracing::debug!(
--- a/src/core/attempt_end.rs
+++ b/src/core/attempt_end.rs
@@ -1,7 +1,8 @@
-//! The end of attempts and requests: results, failures, deadlines, silence and cancellation.
+//! The end of attempts and requests: results, failures, deadlines, engines that stop reporting, and
+//! cancellations.
 //!
-//! An attempt stays in flight until its engine's actor has reported its end, also after its cancellation; a further
-//! attempt before that would run beside it.
+//! An attempt stays in flight until its engine's actor has reported its end, even if it was
+//! cancelled: a further attempt before that could run at the same time.
 
 use super::requests::LastEnd;
 use super::timers::Timer;
@@ -14,7 +15,8 @@
 use crate::metrics::Counter;
 use crate::node_config::format_engine_id;
 
-/// What an engine measured of an attempt, where it reports that.
+/// The resources that an attempt used, as measured by its engine; `None` if the engine does not
+/// report them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ResourceUse {
     /// Work over all threads, in ms.
@@ -33,7 +35,7 @@
 }
 
 impl<E: EnginePort> Core<E> {
-    /// A result begins to stream to the client.
+    /// The result of an attempt starts to stream to the client.
     pub(super) fn result_streaming(
         &mut self,
         now: Millis,
@@ -51,7 +53,7 @@
         self.notify_dispatcher(now, Event::ResultStreaming { id, attempt });
     }
 
-    /// An attempt ended well: the client gets its result, where it is still owed one.
+    /// An attempt succeeded: the client gets the result, unless the request is answered already.
     pub(super) fn attempt_succeeded(
         &mut self,
         now: Millis,
@@ -66,7 +68,7 @@
             .is_some_and(|request| request.streaming);
         let empty_body = || ResultBody::complete(ResultFormat::Text, Vec::new());
         let Some(body) = body.or_else(|| streaming.then(empty_body)) else {
-            // The attempt has run, but without a result there is nothing to answer with.
+            // The attempt has run, but there is no result to answer with: its outcome is an error.
             let failed = AttemptCompletion {
                 outcome: Outcome::Error,
                 may_have_run: true,
@@ -111,7 +113,8 @@
                 engine: ended.engine,
             });
         }
-        // A client that was receiving a stream sees its end.
+        // A client that receives a stream detects that the stream has ended, so it needs no further
+        // answer.
         let answered = request.streaming || request.answered;
         if answered {
             self.remove_request(now, id);
@@ -177,7 +180,8 @@
         }
     }
 
-    /// The client's deadline: an open request fails, its attempt is cancelled, and the dispatcher drops it.
+    /// The deadline of a request is reached: unless its result is streaming, the request fails, its
+    /// attempt is cancelled, and the dispatcher drops it.
     pub(super) fn deadline_reached(&mut self, now: Millis, id: RequestId) {
         if self
             .requests
@@ -188,14 +192,17 @@
         }
     }
 
-    /// Answers a request as failed and has the dispatcher drop it, which might send it again otherwise.
+    /// Answers a request as failed and makes the dispatcher drop it, which might otherwise send it
+    /// again.
     fn fail_and_drop(&mut self, now: Millis, id: RequestId, reason: FailureReason) {
         self.answer_client(now, id, Answer::Failed(reason), Outcome::TimedOut);
         self.notify_dispatcher(now, Event::ClientDisconnected { id });
     }
 
-    /// Cancels an attempt of an idempotent request that was not heard of for too long, as when its engine's machine
-    /// vanished without a reset. Other requests wait on, as no further attempt may follow.
+    /// Cancels an attempt of an idempotent request if its engine has reported nothing about it for
+    /// `attempt_silence_ms`, for example because the engine's machine failed without resetting its
+    /// connections. Attempts of other requests are not cancelled, because no further attempt may
+    /// follow them.
     pub(super) fn check_attempt_silence(
         &mut self,
         now: Millis,
@@ -217,7 +224,8 @@
         }
     }
 
-    /// Cancels the attempt in flight, which ends with this outcome once its engine's actor has confirmed that.
+    /// Cancels the attempt in flight. It ends with this outcome once its engine's actor has
+    /// confirmed the cancellation.
     pub(super) fn cancel_in_flight(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -232,7 +240,8 @@
         self.send_cancellation(now, engine, id, attempt, retry_may_follow);
     }
 
-    /// Sends a cancellation to the engine's actor, and checks later whether it is confirmed.
+    /// Sends a cancellation to the engine's actor, and sets a timer to check whether it is
+    /// confirmed.
     fn send_cancellation(
         &mut self,
         now: Millis,
@@ -249,8 +258,9 @@
         );
     }
 
-    /// Repeats an unconfirmed cancellation, whose order may have found a full mailbox. After the cancellation timeout
-    /// the request fails, as no further attempt may follow.
+    /// Sends an unconfirmed cancellation again, because the mailbox of the engine's actor may have
+    /// been full. After the cancellation timeout the request fails, as no further attempt may
+    /// follow.
     pub(super) fn check_cancellation(&mut self, now: Millis, id: RequestId, attempt: u16) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -265,7 +275,12 @@
         if now - cancellation.since_ms < self.limits.cancellation_timeout_ms {
             return self.send_cancellation(now, engine, id, attempt, !answered);
         }
-        tracing::debug!(id, engine = %format_engine_id(engine), attempt, "cancellation not confirmed in time");
+        tracing::debug!(
+            id,
+            engine = %format_engine_id(engine),
+            attempt,
+            "cancellation not confirmed in time; the attempt ends as timed out"
+        );
         self.metrics.cancellations_timed_out.increment();
         if !answered && !streaming {
             self.fail_and_drop(now, id, FailureReason::AttemptFailed);
@@ -279,7 +294,8 @@
         self.attempt_ended(now, id, attempt, unconfirmed);
     }
 
-    /// Gives the one final answer, unless the request has one. An attempt in flight is cancelled with this outcome.
+    /// Sends the one final answer, unless the request has one. An attempt in flight is cancelled
+    /// with this outcome.
     pub(super) fn answer_client(
         &mut self,
         now: Millis,
@@ -300,8 +316,10 @@
         client.answer(id, answer);
     }
 
-    /// Marks a request as answered and returns its client, which the caller answers; none where it was answered. Its
-    /// attempt is cancelled, and the entry stays until that is confirmed, as its reference may not be used before.
+    /// Marks a request as answered and returns its client, which the caller has to answer; `None`
+    /// if the request was answered before. An attempt in flight is cancelled, and the request stays
+    /// in the table until that is confirmed, because its client reference must not be reused
+    /// before.
     pub(super) fn close_request(
         &mut self,
         now: Millis,
@@ -322,7 +340,8 @@
         } else {
             self.remove_request(now, id);
         }
-        // The dispatcher keeps a request until it is notified of the end of its attempt, and this one was never sent.
+        // The dispatcher keeps a request until it is notified of the end of its attempt. An attempt
+        // in backoff was never sent, so no engine reports its end.
         if let Some(delayed) = delayed {
             self.report_not_sent(now, id, delayed.number, delayed.engine, Outcome::NotSent);
         }
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -1,4 +1,5 @@
-//! What engines' actors report of attempts: progress, results, ends and confirmed cancellations.
+//! The events of attempts that engines' actors report: progress, results, ends and confirmed
+//! cancellations.
 
 use super::attempt_end::{AttemptCompletion, ResourceUse};
 use super::{AttemptEvent, Core, EnginePort, Event, Millis, Outcome, RequestId, ResultBody};
@@ -14,7 +15,8 @@
 }
 
 impl<E: EnginePort> Core<E> {
-    /// Takes an event of an attempt. Events of attempts whose end is known already are dropped.
+    /// Handles an event of an attempt. An event of an attempt that is no longer in flight is
+    /// ignored.
     pub(super) fn handle_attempt_event(
         &mut self,
         now: Millis,
@@ -87,7 +89,8 @@
         }
     }
 
-    /// A successful end counts as one even if the attempt was being cancelled, as long as an answer is owed.
+    /// The end of an attempt was reported. A success counts as one even if the attempt was being
+    /// cancelled, and its result is sent if the client has no answer yet.
     fn attempt_completed(
         &mut self,
         now: Millis,
--- a/src/core/attempt_start.rs
+++ b/src/core/attempt_start.rs
@@ -1,4 +1,5 @@
-//! The start of attempts: the checks that hold whatever the dispatcher asks for, and the hand-over to an engine's actor.
+//! The start of attempts: the checks that every attempt of the dispatcher has to pass, and the
+//! handover to the engine's actor.
 
 use super::requests::{LastEnd, PlannedAttempt};
 use super::retry::RetryCheck;
@@ -12,14 +13,16 @@
 use crate::log::lossy_text;
 use crate::node_config::format_engine_id;
 
-/// A retry with an idempotency key is written this long before engines may have forgotten the first attempt, in ms.
+/// A retry with an idempotency key must be written at least this long, in ms, before the
+/// deduplication window of the first attempt ends.
 const DEDUP_MARGIN_MS: Millis = 1.0;
 
 /// The highest priority of an attempt.
 const MAX_PRIORITY: u8 = 3;
 
 impl<E: EnginePort> Core<E> {
-    /// Starts an attempt, or delays it by its backoff. Errors: the outcome of an attempt that provably never ran.
+    /// Sends an attempt, or delays it by its backoff. The error is the outcome of an attempt that
+    /// was not sent and provably never ran.
     pub(super) fn start_attempt(
         &mut self,
         now: Millis,
@@ -33,18 +36,24 @@
         let Some(request) = self.requests.get_mut(id) else {
             return Ok(());
         };
-        // One attempt at a time, counting one in backoff; no second run of a non-idempotent request; none beyond the
-        // limit; none for an answered request.
+        // No attempt is sent if another one is in flight or in backoff, if a non-idempotent request
+        // may have run already, if the limit on attempts is reached, or if the request is answered.
         let next_number = request.history.next_attempt(resend_allowed, max_attempts);
         let is_due = !request.answered && request.backoff.is_none();
         let Some(number) = next_number.ok().filter(|_| is_due) else {
             let denied = next_number.err();
-            tracing::debug!(id, engine = %format_engine_id(engine), ?denied, is_due, "attempt blocked by a guard");
+            tracing::debug!(
+                id, engine = %format_engine_id(engine), ?denied, is_due,
+                "attempt blocked: the request may not have another one now"
+            );
             self.metrics.sends_blocked_by_guard.increment();
             return Err(Outcome::NotSent);
         };
         if !engine_accepts_attempts {
-            tracing::debug!(id, engine = %format_engine_id(engine), attempt = number, "attempt blocked: its engine takes none");
+            tracing::debug!(
+                id, engine = %format_engine_id(engine), attempt = number,
+                "attempt blocked: its engine is not ready or is manually ejected"
+            );
             self.metrics.sends_blocked_by_guard.increment();
             return Err(Outcome::NoConnection);
         }
@@ -63,14 +72,17 @@
         }
     }
 
-    /// Whether an engine may get attempts: ready by the endpoint list, and not manually ejected.
+    /// Whether an engine may get attempts: it is ready in the endpoint list and not manually
+    /// ejected.
     pub(super) fn accepts_attempts(&self, engine: EngineId) -> bool {
         self.roster.is_ready(engine) && !self.dispatcher.manual_ejections().contains(&engine)
     }
 
-    /// The time before which an attempt may be written at this engine, in Unix ms. Infinite for the first attempt that
-    /// may run and for idempotent requests; none where no attempt may follow. With an idempotency key, the engines of
-    /// one group drop a repeat for a while after the first attempt that may have run.
+    /// The time before which an attempt must be written to this engine, in Unix ms. Infinite if no
+    /// earlier attempt may have run and for idempotent requests; `None` if no further attempt may
+    /// be sent. With an idempotency key, engines in the same deduplication scope (all engines, a
+    /// zone or a cell) drop a repeat until the deduplication window ends, which starts with the
+    /// first attempt that may have run.
     pub(super) fn resend_deadline(
         &self,
         now: Millis,
@@ -98,7 +110,8 @@
             .filter(|deadline_ms| now < *deadline_ms)
     }
 
-    /// Hands an attempt to its engine's actor. Errors as [`start_attempt`](Core::start_attempt).
+    /// Passes an attempt to its engine's actor. The error is that of
+    /// [`start_attempt`](Core::start_attempt).
     pub(super) fn send_attempt(
         &mut self,
         now: Millis,
@@ -110,7 +123,7 @@
             engine,
             timeout_ms,
         } = attempt;
-        // A backoff may have outlasted the deduplication window.
+        // The deduplication window may have ended during the backoff.
         let Some(send_before_ms) = self.resend_deadline(now, id, engine) else {
             return Err(Outcome::NotSent);
         };
@@ -206,7 +219,8 @@
         self.notify_dispatcher(now, Event::AttemptEnded(ended));
     }
 
-    /// Sets the memory grant and priority of a request. An attempt in flight gets a changed priority as well.
+    /// Sets the memory grant and the priority of a request. A changed priority also applies to the
+    /// attempt in flight.
     pub(super) fn set_attempt_terms(&mut self, id: RequestId, memory_mb: f64, priority: u8) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/src/core/dispatch.rs
+++ b/src/core/dispatch.rs
@@ -1,11 +1,13 @@
-//! The link to the dispatcher: events go in, and the actions that it decides on are carried out.
+//! The interface to the dispatcher: events are passed to it, and the actions that it decides on are
+//! carried out.
 
 use super::timers::Timer;
 use super::{Answer, Core, EnginePort, Event, FailureReason, Millis, Outcome, RequestId};
 use crate::decision::{Action, EngineId};
 use crate::node_config::format_engine_id;
 
-/// An attempt that could not be started, of which the dispatcher is notified after its other actions.
+/// An attempt that could not be started. The dispatcher is notified of it once its other actions
+/// are carried out.
 struct FailedStart {
     id: RequestId,
     engine: EngineId,
@@ -13,11 +15,12 @@
 }
 
 impl<E: EnginePort> Core<E> {
-    /// Hands one event to the dispatcher, carries out its actions, and then what follows from those at once.
+    /// Passes one event to the dispatcher, carries out its actions, and then notifies it of the
+    /// attempts that could not be started.
     pub(super) fn notify_dispatcher(&mut self, now: Millis, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.dispatcher.handle(now, event, &mut actions);
-        // Without a failed start this allocates nothing.
+        // An empty vector allocates nothing, so this allocates only if a start has failed.
         let mut failed_starts = Vec::new();
         for action in actions.drain(..) {
             failed_starts.extend(self.apply_action(now, action));
@@ -71,14 +74,15 @@
                 let (engine, reason) = (format_engine_id(engine), change.reason());
                 tracing::info!(%engine, %reason, "{}", change.event());
             }
-            // The settings allow no health checks to engines, and the discovery feed pushes its updates.
+            // Nothing to do: the settings allow no health checks of engines, and the discovery feed
+            // pushes updates of the endpoint list.
             Action::SendHealthCheck { .. } | Action::SubscribeEndpointList => {}
         }
         None
     }
 
-    /// Answers a request that the dispatcher sheds. A rejection tells the client that a retry is harmless, so a
-    /// request that may have run and is not idempotent fails instead.
+    /// Answers a request that the dispatcher rejects. A rejection tells the client that a retry is
+    /// harmless, so a request that may have run and is not idempotent fails instead.
     fn reject_request(&mut self, now: Millis, id: RequestId, retry_after_ms: Millis) {
         let retry_is_harmless = self
             .requests
