--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -1,5 +1,6 @@
-//! The endpoint list in the core: updates reach the engines' actors, the metrics and the dispatcher. The dispatcher is
-//! notified of the complete list or of a subset, as the roster decides; a settings change may move the subset too.
+//! The endpoint list in the core: updates are passed to the engines' actors, the metrics and the
+//! dispatcher. The roster decides whether the dispatcher gets the complete list or a subset. A
+//! change of the settings may change the subset too.
 
 use super::roster::SubsetChange;
 use super::{Core, EnginePort, Event, Membership, Millis, Settings};
@@ -16,14 +17,16 @@
             .iter()
             .for_each(|id| self.engines.engine_removed(*id));
         for record in &update.records {
-            // Engine actors stop sending to a draining or removed engine, whatever the dispatcher still assumes.
+            // Actors stop sending to a draining or removed engine even while the dispatcher still
+            // assumes that it is ready.
             self.engines.engine_listed(record);
             if self
                 .dispatcher
                 .manual_ejections()
                 .contains(&record.entry.engine)
             {
-                // A record with a new address creates a new actor, which does not know of the ejection.
+                // A record with a new address creates a new actor, which has to be told about the
+                // ejection.
                 self.engines.set_manually_ejected(record.entry.engine, true);
             }
         }
@@ -47,7 +50,7 @@
                 state = "without_slot",
                 more = rest.len(),
                 slots = self.limits.engines,
-                "engines of the list have no slot: all are taken"
+                "endpoint list has engines without a slot; they are not used until a slot is free"
             );
         }
         if let [first, rest @ ..] = &event.unusable_engines[..] {
@@ -55,7 +58,7 @@
                 engine = format_engine_id(*first),
                 state = "unusable",
                 more = rest.len(),
-                "records of the list have an unknown state, zone or machine type"
+                "endpoint list has records with an unknown state, zone or machine type; they are ignored"
             );
         }
         self.apply_subset_change(now, update.subset_change);
@@ -72,7 +75,8 @@
         }
     }
 
-    /// Publishes this manager's ordinal and reports one outside its fleet.
+    /// Publishes this manager's ordinal as a metric, and reports an ordinal that is not below the
+    /// number of managers.
     pub(super) fn check_membership(&self, membership: Membership) {
         let Membership { instances, ordinal } = membership;
         self.metrics.ordinal.set(ordinal as usize);
@@ -82,12 +86,12 @@
                 ordinal,
                 state = "out_of_range",
                 instances,
-                "the ordinal is not below nInstances"
+                "ordinal is not below nInstances; it is used nevertheless"
             );
         }
     }
 
-    /// Notifies the dispatcher of a change and publishes the size of its engine set.
+    /// Notifies the dispatcher of a change of its engines and publishes their number.
     fn apply_subset_change(&mut self, now: Millis, change: SubsetChange) {
         let metrics = &self.metrics;
         let sizes = self.roster.subset_sizes();
@@ -115,14 +119,15 @@
     }
 }
 
-/// Logs an event; of a complete list, which may have thousands of records, their number alone.
+/// Logs an event. The records of a complete list are not logged, only their number, as there may be
+/// thousands of them.
 fn log_list_event(event: &EndpointListEvent) {
     let (number, kind) = (event.number, event.kind);
     tracing::debug!(
         number,
         ?kind,
         records = event.records.len(),
-        "event of the endpoint list"
+        "endpoint list event received"
     );
     if kind != ListUpdateKind::Delta {
         return;
--- a/src/core/manual_ejection.rs
+++ b/src/core/manual_ejection.rs
@@ -3,18 +3,18 @@
 use super::{Core, EnginePort, Event, Millis};
 use crate::decision::EngineId;
 
-/// An order to eject an engine or to return it.
+/// A command to eject an engine or to return it to service.
 pub(super) struct EjectionCommand {
     pub(super) engine: EngineId,
     pub(super) ejected: bool,
     /// When it was given, in Unix ms.
     pub(super) at_ms: Millis,
-    /// A peer process passes it on, so the engine need not be known here.
+    /// Whether a peer process forwards the command. The engine need not be known here then.
     pub(super) from_peer: bool,
 }
 
 impl<E: EnginePort> Core<E> {
-    /// Applies an order. Returns whether the engine is known and the ejection could be recorded.
+    /// Applies a command. Returns whether the engine is known and the command could be recorded.
     pub(super) fn apply_manual_ejection(&mut self, now: Millis, command: &EjectionCommand) -> bool {
         let &EjectionCommand {
             engine,
@@ -25,7 +25,8 @@
         let ejections = self.dispatcher.manual_ejections();
         let already_ejected = ejections.contains(&engine);
         let known = already_ejected || self.roster.is_listed(engine) || from_peer && ejected;
-        // Ejections of engines that are not listed are bounded too.
+        // The number of ejections is limited, because engines that are not listed can be ejected
+        // too.
         let within_limit = !ejected || already_ejected || ejections.len() < self.limits.engines;
         let accepted = known && within_limit;
         if accepted || from_peer && !ejected {
@@ -41,7 +42,8 @@
             at_ms,
             ..
         } = command;
-        // A peer's time may be ahead where the clock was stepped back: a slow start begins now at the latest.
+        // A peer's time may be in the future if the wall clock was stepped back. A slow start
+        // begins now at the latest.
         let at_ms = at_ms.min(now);
         self.notify_dispatcher(
             now,
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -1,6 +1,7 @@
-//! Enforcement of the operators' retry policy: which retries may be sent, after which backoff and within which budget,
-//! how long an attempt may take, and which attempts may be cancelled. The policy itself is in
-//! [`retry_policy`](crate::retry_policy); here it meets requests, timers and metrics.
+//! Enforcement of the operators' retry policy: which retries may be sent, after which backoff and
+//! within which budget, how long an attempt may take, and which attempts may be cancelled. The
+//! policy itself is in [`retry_policy`](crate::retry_policy); this module applies it to requests,
+//! timers and metrics.
 
 use super::requests::PlannedAttempt;
 use super::timers::Timer;
@@ -9,14 +10,15 @@
 use crate::decision::EngineId;
 use crate::retry_policy::RetryDecision;
 
-/// Whether the retry policy lets an attempt be sent.
+/// Whether and when the retry policy allows an attempt to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RetryCheck {
     /// At once.
     SendNow,
     /// After this backoff, in ms.
     SendAfter(Millis),
-    /// Not at all: no attempt is left, none may follow the last outcome, or the budget is exhausted.
+    /// Not at all: the limit on attempts is reached, no retry may follow the last outcome, or the
+    /// budget is exhausted.
     Denied,
 }
 
@@ -53,7 +55,7 @@
                 RetryCheck::Denied
             }
             RetryDecision::BudgetExhausted => {
-                tracing::debug!(id, attempt, "retry denied: budget exhausted");
+                tracing::debug!(id, attempt, "retry denied: the retry budget is exhausted");
                 self.metrics.retries_denied_by_budget.increment();
                 RetryCheck::Denied
             }
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Delays an attempt by its backoff. The dispatcher counts it as in flight meanwhile.
+    /// Delays an attempt by its backoff. The dispatcher counts it as in flight during that time.
     pub(super) fn start_backoff(
         &mut self,
         now: Millis,
@@ -95,7 +97,7 @@
         let Some(delayed) = request.backoff.take_if(|delayed| delayed.number == attempt) else {
             return;
         };
-        // The engine may have begun to drain, or been ejected, meanwhile.
+        // The engine may have started to drain, or been ejected, during the backoff.
         let sent = if self.accepts_attempts(delayed.engine) {
             self.send_attempt(now, id, delayed)
         } else {
@@ -125,8 +127,8 @@
         }
     }
 
-    /// The dispatcher cancels an attempt to send another one. Where the policy allows none after it, the attempt
-    /// goes on, as it may still succeed.
+    /// Cancels an attempt for the dispatcher, which cancels one in order to send another. If the
+    /// policy allows no further attempt, this one is not cancelled, as it may still succeed.
     pub(super) fn cancel_attempt(&mut self, now: Millis, id: RequestId, attempt: u16) {
         let Some(request) = self.requests.get_not_streaming_mut(id) else {
             return;
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Puts a new policy in force. Open requests keep theirs, but with no more attempts than the new one allows.
+    /// Applies a new retry policy. Open requests keep the attempt policy that they were admitted
+    /// with, but get no more attempts than the new one allows.
     pub(super) fn apply_policy(&mut self, policy: Arc<Policy>) {
         policy.carry_over_budgets(&self.policy);
         for request in self.requests.values_mut() {
@@ -171,7 +174,8 @@
     }
 }
 
-/// A number from 0 to 1 that depends on the request and attempt alone (SplitMix64), so that runs can be repeated.
+/// A number from 0 to 1 that depends only on the request and the attempt (a SplitMix64 hash), so
+/// that runs are reproducible.
 fn jitter_fraction(id: RequestId, attempt: u16) -> f64 {
     let seed = u64::from(id) << 16 | u64::from(attempt);
     let mut hash = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -5,27 +5,27 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is to be done when a timer is due.
+/// What is done when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// The dispatcher's timer with this token.
     Dispatcher(u64),
-    /// Answers a request whose client would give up.
+    /// Answers a request as failed, shortly before its deadline or when the process ends.
     RequestDeadline(RequestId),
     /// Checks whether the cancellation of an attempt was confirmed.
     CancellationCheck { id: RequestId, attempt: u16 },
-    /// Checks when an attempt was last heard of.
+    /// Checks when the engine of an attempt last reported anything about it.
     SilenceCheck { id: RequestId, attempt: u16 },
     /// The backoff of an attempt is over.
     BackoffElapsed { id: RequestId, attempt: u16 },
-    /// An attempt has run for the time that its policy allows.
+    /// An attempt has run for as long as its policy allows.
     AttemptTimeout { id: RequestId, attempt: u16 },
     /// Checks whether leases on order keys can be released or acquired.
     LeaseReview,
 }
 
 impl Timer {
-    /// Whether it still has an effect. Timers of ended attempts and requests have none.
+    /// Whether the timer still has an effect. Timers of ended attempts and requests have none.
     fn has_effect(self, requests: &RequestTable) -> bool {
         match self {
             Timer::Dispatcher(_) | Timer::LeaseReview => true,
@@ -44,10 +44,11 @@
     }
 }
 
-/// Timers kept for each request before those without effect are removed: its deadline, and those of its attempts.
+/// Timers allowed per request, for its deadline and its attempts, before timers without effect are
+/// removed.
 const TIMERS_PER_REQUEST: usize = 8;
 
-/// Timers kept besides these.
+/// Timers allowed in addition to those per request.
 const BASE_TIMER_LIMIT: usize = 1024;
 
 /// A point in Unix time, in ms, with a total order.
@@ -68,11 +69,12 @@
     }
 }
 
-/// Pending timers, the earliest first; of those due at one time, the one set first.
+/// Pending timers, the earliest first. Of timers that are due at the same time, the one that was
+/// set first comes first.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     heap: BinaryHeap<Reverse<(DueTime, u64, Timer)>>,
-    /// Timers set so far: orders those due at one time.
+    /// Number of timers set so far. It orders timers that are due at the same time.
     sequence: u64,
 }
 
@@ -100,7 +102,7 @@
 }
 
 impl<E: EnginePort> Core<E> {
-    /// When the next timer is due, in Unix ms.
+    /// When the next timer is due, in Unix ms; `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Millis> {
         self.timers.next_due()
     }
@@ -121,7 +123,7 @@
                 Timer::AttemptTimeout { id, attempt } => self.attempt_timed_out(now, id, attempt),
                 Timer::LeaseReview => self.review_order_leases(now),
             }
-            // The dispatcher's timer runs often enough to keep this figure current.
+            // The dispatcher's timer is due often enough to keep this metric up to date.
             let ejected = self.dispatcher.ejected_engines();
             self.metrics.engines_ejected.set(ejected);
         }
@@ -130,7 +132,9 @@
     /// Sets a timer for this Unix time in ms.
     pub(super) fn set_timer(&mut self, due: Millis, timer: Timer) {
         self.timers.push(due, timer);
-        // Timers of requests that are over stay until they are due; many short requests would pile them up.
+        // Timers of ended requests stay in the queue until they are due. With many short requests
+        // the queue would grow far beyond the number of open requests, so timers without effect are
+        // removed.
         let limit = BASE_TIMER_LIMIT + TIMERS_PER_REQUEST * self.requests.len();
         if self.timers.len() > limit {
             let requests = &self.requests;
