--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -128,25 +128,25 @@
         self.0 == Phase::ResultReceived
     }
 
-    /// Cancels it. `cancel` queues the cancellation for the engine and returns its end mark; it is called if the engine
+    /// Cancels it. `queue_cancellation` queues the cancellation for the engine and returns its end mark; it is called if the engine
     /// has the attempt or may get it. If a retry may follow, the engine has to confirm the cancellation. Returns the
     /// end, if there is nothing to wait for.
     pub fn cancel(
         &mut self,
         retry_may_follow: bool,
-        cancel: impl FnOnce() -> u64,
+        queue_cancellation: impl FnOnce() -> u64,
     ) -> Option<AttemptEnd> {
         match self.0 {
             Phase::Queued => self.end(AttemptEnd::NeverSent),
             // The engine has finished it: the message frees its buffered result.
             Phase::ResultReceived => {
-                cancel();
+                queue_cancellation();
                 self.end(AttemptEnd::Answered)
             }
             Phase::Writing { end_mark } => {
                 self.0 = Phase::Cancelling {
                     end_mark,
-                    cancellation_mark: cancel(),
+                    cancellation_mark: queue_cancellation(),
                     needs_confirmation: retry_may_follow,
                 };
                 None
@@ -154,7 +154,7 @@
             Phase::Sent => {
                 self.0 = Phase::Cancelling {
                     end_mark: 0,
-                    cancellation_mark: cancel(),
+                    cancellation_mark: queue_cancellation(),
                     needs_confirmation: retry_may_follow,
                 };
                 None
@@ -165,11 +165,11 @@
 
     /// The engine begins to report a result. False if the attempt is being cancelled or has ended.
     pub fn begin_result(&mut self) -> bool {
-        let wanted = matches!(self.0, Phase::Writing { .. } | Phase::Sent);
-        if wanted {
+        let is_expected = matches!(self.0, Phase::Writing { .. } | Phase::Sent);
+        if is_expected {
             self.0 = Phase::ResultReceived;
         }
-        wanted
+        is_expected
     }
 
     /// The engine reports its end, after which it may have run or not.
@@ -215,7 +215,7 @@
     /// Its engine's cell.
     pub cell: u16,
     /// When, in Unix ms.
-    pub at_ms: Millis,
+    pub sent_at_ms: Millis,
 }
 
 /// An attempt in flight.
@@ -228,7 +228,7 @@
     /// When it was sent, and into which group of engines.
     pub sent_to: SentTo,
     /// When its engine last reported anything of it, in Unix ms.
-    pub last_heard_ms: Millis,
+    pub last_report_ms: Millis,
     /// Its cancellation, once that has begun.
     pub cancelling: Option<Cancellation>,
 }
@@ -272,10 +272,14 @@
     }
 
     /// The attempt in flight, if it has this number and engine.
-    pub fn in_flight_as(&mut self, number: u16, engine: Option<EngineId>) -> Option<&mut InFlight> {
-        self.in_flight
-            .as_mut()
-            .filter(|o| o.number == number && engine.is_none_or(|at| at == o.engine))
+    pub fn in_flight_matching(
+        &mut self,
+        number: u16,
+        engine: Option<EngineId>,
+    ) -> Option<&mut InFlight> {
+        self.in_flight.as_mut().filter(|attempt| {
+            attempt.number == number && engine.is_none_or(|expected| expected == attempt.engine)
+        })
     }
 
     /// Attempts numbered, including denied ones.
@@ -289,7 +293,7 @@
     }
 
     /// The last attempt does not count.
-    pub fn discount_last(&mut self) {
+    pub fn exclude_last_from_count(&mut self) {
         self.uncounted = self.uncounted.saturating_add(1);
     }
 
@@ -310,7 +314,11 @@
 
     /// Numbers the next attempt. `resend_allowed` is whether one may follow another that may have run. Errors: why it
     /// may not be sent.
-    pub fn next_attempt(&mut self, resend_allowed: bool, cap: u32) -> Result<u16, RetryDenied> {
+    pub fn next_attempt(
+        &mut self,
+        resend_allowed: bool,
+        max_attempts: u32,
+    ) -> Result<u16, RetryDenied> {
         let number = self.attempts_made;
         self.attempts_made = self.attempts_made.saturating_add(1);
         match self {
@@ -321,7 +329,9 @@
                 ended_may_have_run: true,
                 ..
             } if !resend_allowed => Err(RetryDenied::MayHaveRun),
-            _ if u32::from(self.attempts_counted()) > cap => Err(RetryDenied::AttemptsExhausted),
+            _ if u32::from(self.attempts_counted()) > max_attempts => {
+                Err(RetryDenied::AttemptsExhausted)
+            }
             _ => Ok(number),
         }
     }
@@ -332,7 +342,7 @@
             number,
             engine,
             sent_to: sent,
-            last_heard_ms: sent.at_ms,
+            last_report_ms: sent.sent_at_ms,
             cancelling: None,
         });
     }
@@ -340,7 +350,10 @@
     /// Begins to cancel the attempt in flight, which ends with this outcome. None if there is none, or it is being
     /// cancelled already.
     pub fn begin_cancellation(&mut self, now: Millis, outcome: Outcome) -> Option<InFlight> {
-        let in_flight = self.in_flight.as_mut().filter(|o| o.cancelling.is_none())?;
+        let in_flight = self
+            .in_flight
+            .as_mut()
+            .filter(|attempt| attempt.cancelling.is_none())?;
         in_flight.cancelling = Some(Cancellation {
             since_ms: now,
             outcome,
@@ -350,7 +363,7 @@
 
     /// The end of the attempt with this number is confirmed.
     pub fn record_end(&mut self, number: u16, may_have_run: bool) -> Option<InFlight> {
-        let in_flight = self.in_flight.take_if(|o| o.number == number)?;
+        let in_flight = self.in_flight.take_if(|attempt| attempt.number == number)?;
         self.ended_may_have_run |= may_have_run;
         self.first_possible_run = self
             .first_possible_run
@@ -359,7 +372,7 @@
     }
 
     /// A part of the result was sent to the client.
-    pub fn record_streaming(&mut self) {
+    pub fn record_partial_result(&mut self) {
         self.ended_may_have_run = true;
     }
 }
--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -18,7 +18,7 @@
 
 /// What a cancellation, an answer and a closed connection prove in each state of an attempt.
 #[test]
-fn each_attempt_state_ends_with_what_cancel_answer_and_close_prove() {
+fn cancel_answer_and_close_give_the_end_implied_by_each_state() {
     assert_eq!(
         AttemptState::default().cancel(false, || unreachable!()),
         Some(AttemptEnd::NeverSent)
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_second_attempt_starts_only_after_the_first_is_proven_over() {
+fn next_attempt_is_allowed_only_after_the_previous_end_is_confirmed() {
     let engine = EngineId::default();
     let mut history = AttemptHistory::default();
     assert_eq!(history.next_attempt(true, 6), Ok(0));
@@ -85,7 +85,7 @@
         0,
         engine,
         SentTo {
-            at_ms: 5.0,
+            sent_at_ms: 5.0,
             ..SentTo::default()
         },
     );
@@ -111,7 +111,7 @@
         3,
         engine,
         SentTo {
-            at_ms: 8.0,
+            sent_at_ms: 8.0,
             ..SentTo::default()
         },
     );
@@ -122,7 +122,7 @@
         (Ok(5), Err(RetryDenied::AttemptsExhausted))
     );
     assert_eq!(
-        history.first_possible_run().map(|sent| sent.at_ms),
+        history.first_possible_run().map(|sent| sent.sent_at_ms),
         Some(8.0),
         "the one before did not run"
     );
--- a/src/core/attempt_end.rs
+++ b/src/core/attempt_end.rs
@@ -47,7 +47,7 @@
             return;
         };
         request.streaming = true;
-        request.history.record_streaming();
+        request.history.record_partial_result();
         self.metrics.requests_served.increment();
         request.accepted.client.answer(id, Answer::Served(body));
         self.notify_dispatcher(now, Event::ResultStreaming { id, attempt });
@@ -106,7 +106,7 @@
             return;
         };
         if completion.outcome == Outcome::NoConnectionSlot {
-            request.history.discount_last();
+            request.history.exclude_last_from_count();
         } else {
             request.last_end = Some(LastEnd {
                 outcome: completion.outcome,
@@ -139,7 +139,7 @@
         } = completion;
         self.outcome_counter(outcome).increment();
         let (attempt, engine) = (ended.number, ended.engine);
-        let elapsed_ms = now - ended.sent_to.at_ms;
+        let elapsed_ms = now - ended.sent_to.sent_at_ms;
         tracing::debug!(
             id,
             engine = %format_engine_id(engine),
@@ -213,10 +213,10 @@
         let Some(request) = self.requests.get_not_streaming_mut(id) else {
             return;
         };
-        let Some(in_flight) = request.history.in_flight_as(attempt, None) else {
+        let Some(in_flight) = request.history.in_flight_matching(attempt, None) else {
             return;
         };
-        let due = in_flight.last_heard_ms + self.limits.attempt_silence_ms;
+        let due = in_flight.last_report_ms + self.limits.attempt_silence_ms;
         if due > timer_due {
             self.set_timer(due, Timer::SilenceCheck { id, attempt });
         } else if request.is_idempotent() {
@@ -266,7 +266,7 @@
             return;
         };
         let (answered, streaming) = (request.answered, request.streaming);
-        let Some(in_flight) = request.history.in_flight_as(attempt, None) else {
+        let Some(in_flight) = request.history.in_flight_matching(attempt, None) else {
             return;
         };
         let (engine, Some(cancellation)) = (in_flight.engine, in_flight.cancelling) else {
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -33,10 +33,10 @@
             return;
         };
         let answered = request.answered;
-        let Some(in_flight) = request.history.in_flight_as(attempt, Some(engine)) else {
+        let Some(in_flight) = request.history.in_flight_matching(attempt, Some(engine)) else {
             return;
         };
-        in_flight.last_heard_ms = now;
+        in_flight.last_report_ms = now;
         let cancelling = in_flight.cancelling;
         match event {
             AttemptEvent::Progress(progress) if cancelling.is_none() => {
--- a/src/core/attempt_start.rs
+++ b/src/core/attempt_start.rs
@@ -106,7 +106,7 @@
         };
         let deduplicated = in_dedup_scope && request.accepted.idempotency_key.is_some();
         deduplicated
-            .then_some(first_run.at_ms + class.dedup_window_ms - DEDUP_MARGIN_MS)
+            .then_some(first_run.sent_at_ms + class.dedup_window_ms - DEDUP_MARGIN_MS)
             .filter(|deadline_ms| now < *deadline_ms)
     }
 
@@ -155,10 +155,16 @@
         if !self.engines.start_attempt(engine, attempt_request) {
             return Err(Outcome::NoConnection);
         }
-        let at_ms = now;
-        request
-            .history
-            .record_sent(number, engine, SentTo { zone, cell, at_ms });
+        let sent_at_ms = now;
+        request.history.record_sent(
+            number,
+            engine,
+            SentTo {
+                zone,
+                cell,
+                sent_at_ms,
+            },
+        );
         tracing::debug!(
             id,
             r#ref = %lossy_text(&request.accepted.client_reference),
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -119,7 +119,7 @@
         };
         let running = request
             .history
-            .in_flight_as(attempt, None)
+            .in_flight_matching(attempt, None)
             .is_some_and(|in_flight| in_flight.cancelling.is_none());
         if running {
             self.metrics.attempt_timeouts.increment();
@@ -133,7 +133,7 @@
         let Some(request) = self.requests.get_not_streaming_mut(id) else {
             return;
         };
-        if request.history.in_flight_as(attempt, None).is_none() {
+        if request.history.in_flight_matching(attempt, None).is_none() {
             return;
         }
         let attempts = request.history.attempts_counted();
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -292,7 +292,7 @@
             SentTo {
                 zone: 0,
                 cell: 1,
-                at_ms: 100.0,
+                sent_at_ms: 100.0,
             },
         );
         open.history.record_end(0, true).expect("out");
