--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use workload_manager::limits::Limits;
 use workload_manager::node_config::engine_id;
-use workload_manager::subset::{Members, Membership, Subset};
+use workload_manager::subset::{Membership, Subset, SubsetEngines};
 use workload_manager::{EngineId, EngineSharing};
 
 const TEST: &str = Test::Subset.name();
@@ -97,7 +97,7 @@
 struct Fleet {
     subset: Subset,
     managers: u32,
-    held: Vec<Members>,
+    held: Vec<SubsetEngines>,
 }
 
 /// Plays balance and changes at all sizes, churn and lists that differ at the largest.
@@ -163,14 +163,14 @@
     }
 
     /// What each manager holds of the list as it is now.
-    fn members_of_all(&self) -> Vec<Members> {
+    fn members_of_all(&self) -> Vec<SubsetEngines> {
         let mut own = self.subset.clone();
         let held = |ordinal| {
             own.set_membership(Membership {
                 instances: self.managers,
                 ordinal,
             });
-            own.members().unwrap_or_default()
+            own.engines().unwrap_or_default()
         };
         (0..self.managers).map(held).collect()
     }
@@ -203,13 +203,13 @@
 
 fn balance(options: &Options, listed: usize) -> BalanceRow {
     let fleet = Fleet::new(options, 0..listed);
-    let sizes: Vec<usize> = fleet.held.iter().map(Members::len).collect();
+    let sizes: Vec<usize> = fleet.held.iter().map(SubsetEngines::len).collect();
     let mut holders: HashMap<EngineId, usize> =
         (0..listed as u32).map(|id| (engine_id(id), 0)).collect();
     fleet
         .held
         .iter()
-        .flat_map(Members::keys)
+        .flat_map(SubsetEngines::keys)
         .for_each(|id| *holders.entry(*id).or_default() += 1);
     let places: usize = sizes.iter().sum();
     let holders_mean = places as f64 / listed as f64;
@@ -237,7 +237,7 @@
 }
 
 /// Every zone's part of every subset against its part of the list, ascending.
-fn zone_parts(held: &[Members], listed: usize) -> Vec<f64> {
+fn zone_parts(held: &[SubsetEngines], listed: usize) -> Vec<f64> {
     let mut of_list = [0.0; fleet::ZONES];
     (0..listed).for_each(|id| of_list[usize::from(zone(id))] += 1.0 / listed as f64);
     let mut parts = Vec::new();
@@ -260,21 +260,22 @@
 fn change_us(fleet: &Fleet, listed: usize) -> f64 {
     const CHANGES: u32 = 500;
     let mut own = fleet.subset.clone();
-    own.members();
+    own.engines();
     let from = usage::thread_time();
     for change in 0..CHANGES {
         let gone = (change as usize * 7919) % listed;
         own.set_ready_zone(engine_id(gone as u32), None);
         own.set_ready_zone(engine_id(SUCCESSORS + change), Some(zone(gone)));
-        own.members();
+        own.engines();
     }
     (usage::thread_time() - from).as_secs_f64() * 1e6 / f64::from(CHANGES)
 }
 
 /// Places that differ: of what a manager gained and lost, the larger number.
-fn count_moved(before: &Members, after: &Members) -> usize {
-    let lacks =
-        |a: &Members, b: &Members| a.keys().filter(|engine| !b.contains_key(engine)).count();
+fn count_moved(before: &SubsetEngines, after: &SubsetEngines) -> usize {
+    let lacks = |a: &SubsetEngines, b: &SubsetEngines| {
+        a.keys().filter(|engine| !b.contains_key(engine)).count()
+    };
     lacks(before, after).max(lacks(after, before))
 }
 
@@ -327,9 +328,9 @@
 
 /// The members of one manager before a replacement, without the old engine, and with its successor.
 struct MembersByStep<'a> {
-    before: &'a Members,
-    gone: &'a Members,
-    after: &'a Members,
+    before: &'a SubsetEngines,
+    gone: &'a SubsetEngines,
+    after: &'a SubsetEngines,
 }
 
 fn churn(options: &Options, listed: usize) -> ChurnRow {
@@ -362,7 +363,7 @@
     }
     let one_more = fleet.with_managers(fleet.managers + 1);
     row.manager_more_moved = fleet.count_moved_to(&one_more);
-    row.manager_more_least = one_more.held.last().map_or(0, Members::len);
+    row.manager_more_least = one_more.held.last().map_or(0, SubsetEngines::len);
     let one_less = fleet.with_managers(fleet.managers - 1);
     row.manager_less_moved = fleet.count_moved_to(&one_less);
     row
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -11,7 +11,7 @@
 
 use crate::decision::{EngineEntry, EngineId, EngineSharing, EngineState, ListUpdateKind, Millis};
 use crate::node_config::{EndpointListEvent, EngineRecord};
-use crate::subset::{Members, Membership, Subset};
+use crate::subset::{Membership, Subset, SubsetEngines};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
@@ -178,7 +178,7 @@
     /// The update for the dispatcher: `changes` if it knows the complete list, else the difference to the subset that
     /// it knows.
     fn subset_change(&mut self, kind: ListUpdateKind, changes: Vec<EngineEntry>) -> SubsetChange {
-        let members = self.subset.members();
+        let members = self.subset.engines();
         let before = self.reported_subset.take();
         let all_unavailable = before.as_ref().is_some_and(|subset| {
             !subset.is_empty() && !subset.keys().any(|engine| self.subset.is_ready(*engine))
@@ -211,7 +211,7 @@
         }
     }
 
-    fn member_entries(&self, members: &Members) -> BTreeMap<EngineId, EngineEntry> {
+    fn member_entries(&self, members: &SubsetEngines) -> BTreeMap<EngineId, EngineEntry> {
         let entry = |(engine, sharing): (&EngineId, &EngineSharing)| {
             let record = self.engines.get(engine)?;
             Some((
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -13,31 +13,31 @@
 
 /// The longest arc that a manager takes on a ring, against the subset's part of the list. It bounds the managers of an
 /// engine.
-const LONGEST_ARC: f64 = 1.05;
+const MAX_ARC_RATIO: f64 = 1.05;
 
 /// The shortest arc, against the same. It leaves no engine without a manager.
-const SHORTEST_ARC: f64 = 0.5;
+const MIN_ARC_RATIO: f64 = 0.5;
 
 /// A subset is no smaller than so many times a manager's share of the list: the shortest arc, half of that, still spans
 /// two managers, and neighbours on a ring are closer than that.
-const SHARE_HEADROOM: usize = 4;
+const MIN_SHARES_PER_SUBSET: usize = 4;
 
 /// With less of its size on its arcs than this part, a manager takes engines beyond the longest arc: most engines on it
 /// were removed at once.
-const MIN_FILLED_PART: f64 = 0.25;
+const MIN_FILLED_FRACTION: f64 = 0.25;
 
 /// The number by which the managers on an arc exceed its share of all managers, at most.
-const ARC_EXCESS: f64 = 4.0;
+const MAX_EXCESS_MANAGERS_ON_ARC: f64 = 4.0;
 
 /// Margin of the bound on an engine's managers, for managers whose lists differ and for duplicate ordinals.
-const VIEW_MARGIN: f64 = 1.125;
+const MANAGER_BOUND_MARGIN: f64 = 1.125;
 
 /// Up to so many times the longest list that is taken complete, the bound on an engine's managers is doubled: managers
 /// that still have that list complete take turns in another order.
-const NEARLY_COMPLETE: f64 = 1.25;
+const NEARLY_COMPLETE_RATIO: f64 = 1.25;
 
 /// Steps to a doubling to which the mean number of managers is rounded, so that not every change of the list changes it.
-const MEAN_STEPS: f64 = 16.0;
+const MEAN_STEPS_PER_DOUBLING: f64 = 16.0;
 
 /// A manager's place in its fleet, as its settings name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
 }
 
 /// The engines of a subset, where the list is too long to be taken complete.
-pub type Members = BTreeMap<EngineId, EngineSharing>;
+pub type SubsetEngines = BTreeMap<EngineId, EngineSharing>;
 
 /// The engines that take work, and the subset of them that one manager has.
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
     membership: Membership,
     /// The engines by zone, in the order of their positions.
     rings: BTreeMap<u8, BTreeSet<(u32, EngineId)>>,
-    zones: HashMap<EngineId, u8>,
+    zone_by_engine: HashMap<EngineId, u8>,
     /// This manager's rank among the managers of each engine of the last subset. Changes of the list do not change it.
     ranks: BTreeMap<EngineId, u32>,
 }
@@ -89,7 +89,7 @@
 /// The arcs of one list, in positions.
 struct Arcs {
     /// Engines of the subset as a part of those of the list.
-    share: f64,
+    subset_fraction: f64,
     shortest: f64,
     longest: f64,
 }
@@ -108,7 +108,7 @@
             max_complete_list,
             membership,
             rings: BTreeMap::new(),
-            zones: HashMap::new(),
+            zone_by_engine: HashMap::new(),
             ranks: BTreeMap::new(),
         }
     }
@@ -121,15 +121,15 @@
 
     /// Records that an engine takes work in this zone, or that it takes none.
     pub fn set_ready_zone(&mut self, engine: EngineId, zone: Option<u8>) {
-        let before = match zone {
-            Some(zone) => self.zones.insert(engine, zone),
-            None => self.zones.remove(&engine),
+        let previous_zone = match zone {
+            Some(zone) => self.zone_by_engine.insert(engine, zone),
+            None => self.zone_by_engine.remove(&engine),
         };
-        if before == zone {
+        if previous_zone == zone {
             return;
         }
         let entry = (engine_position(engine), engine);
-        if let Some(ring) = before.and_then(|zone| self.rings.get_mut(&zone)) {
+        if let Some(ring) = previous_zone.and_then(|zone| self.rings.get_mut(&zone)) {
             ring.remove(&entry);
         }
         if let Some(zone) = zone {
@@ -140,12 +140,12 @@
 
     /// Number of engines that take work.
     pub fn ready_engines(&self) -> usize {
-        self.zones.len()
+        self.zone_by_engine.len()
     }
 
     /// Whether this engine takes work.
     pub fn is_ready(&self, engine: EngineId) -> bool {
-        self.zones.contains_key(&engine)
+        self.zone_by_engine.contains_key(&engine)
     }
 
     /// Number of zones in which engines take work.
@@ -156,19 +156,20 @@
     /// How many engines the subset should have: capacity for this manager's share with headroom, and otherwise no more
     /// than the cost of a decision allows.
     pub fn target_size(&self) -> usize {
-        let share = (SHARE_HEADROOM * self.ready_engines())
+        let min_size = (MIN_SHARES_PER_SUBSET * self.ready_engines())
             .div_ceil(self.membership.instances.max(1) as usize);
-        self.ready_engines().min(self.max_complete_list.max(share))
+        self.ready_engines()
+            .min(self.max_complete_list.max(min_size))
     }
 
     /// The engines of the subset, each with what is known of its managers; `None` where the list is taken complete.
-    pub fn members(&mut self) -> Option<Members> {
+    pub fn engines(&mut self) -> Option<SubsetEngines> {
         if self.target_size() >= self.ready_engines() {
             self.ranks.clear();
             return None;
         }
         let mut engines = self.engines_on(&self.arcs());
-        if (engines.len() as f64) < MIN_FILLED_PART * self.target_size() as f64 {
+        if (engines.len() as f64) < MIN_FILLED_FRACTION * self.target_size() as f64 {
             engines = self.engines_on(&Arcs {
                 longest: f64::INFINITY,
                 ..self.arcs()
@@ -193,12 +194,12 @@
     }
 
     fn arcs(&self) -> Arcs {
-        let share = self.target_size() as f64 / self.ready_engines().max(1) as f64;
-        let arc = share * RING_POSITIONS as f64;
+        let subset_fraction = self.target_size() as f64 / self.ready_engines().max(1) as f64;
+        let arc = subset_fraction * RING_POSITIONS as f64;
         Arcs {
-            share,
-            shortest: SHORTEST_ARC * arc,
-            longest: LONGEST_ARC * arc,
+            subset_fraction,
+            shortest: MIN_ARC_RATIO * arc,
+            longest: MAX_ARC_RATIO * arc,
         }
     }
 
@@ -209,17 +210,17 @@
         let start = (own_position, EngineId::default());
         let mut engines = Vec::new();
         for (zone, ring) in &self.rings {
-            let number = round_by_hash(
-                arcs.share * ring.len() as f64,
+            let count = round_by_hash(
+                arcs.subset_fraction * ring.len() as f64,
                 self.membership.ordinal,
                 *zone,
             );
             let clockwise = ring.range(start..).chain(ring.range(..start));
-            let taken = clockwise.enumerate().take_while(|(index, (position, _))| {
+            let engines_on_arc = clockwise.enumerate().take_while(|(index, (position, _))| {
                 let distance = f64::from(position.wrapping_sub(own_position));
-                distance < arcs.longest && (*index < number || distance < arcs.shortest)
+                distance < arcs.longest && (*index < count || distance < arcs.shortest)
             });
-            engines.extend(taken.map(|(_, (_, engine))| *engine));
+            engines.extend(engines_on_arc.map(|(_, (_, engine))| *engine));
         }
         engines
     }
@@ -229,12 +230,16 @@
     fn managers_per_engine(&self, subset_engines: usize) -> ManagersPerEngine {
         let instances = f64::from(self.membership.instances);
         let mean = instances * subset_engines as f64 / self.ready_engines().max(1) as f64;
-        let mean = ((mean.max(1.0).log2() * MEAN_STEPS).round() / MEAN_STEPS).exp2();
-        let on_arc = instances * self.arcs().share * LONGEST_ARC;
-        let longest_nearly_complete = NEARLY_COMPLETE * self.max_complete_list as f64;
+        let mean = ((mean.max(1.0).log2() * MEAN_STEPS_PER_DOUBLING).round()
+            / MEAN_STEPS_PER_DOUBLING)
+            .exp2();
+        let managers_on_longest_arc = instances * self.arcs().subset_fraction * MAX_ARC_RATIO;
+        let longest_nearly_complete = NEARLY_COMPLETE_RATIO * self.max_complete_list as f64;
         let is_nearly_complete = self.ready_engines() as f64 <= longest_nearly_complete;
         let factor = if is_nearly_complete { 2.0 } else { 1.0 };
-        let max = (on_arc * VIEW_MARGIN + ARC_EXCESS).ceil() * factor;
+        let max = (managers_on_longest_arc * MANAGER_BOUND_MARGIN + MAX_EXCESS_MANAGERS_ON_ARC)
+            .ceil()
+            * factor;
         let max = (max as u32).checked_next_power_of_two().unwrap_or(1 << 31);
         ManagersPerEngine { mean, max }
     }
@@ -251,9 +256,9 @@
 }
 
 /// A number of engines rounded up or down by a hash: the mean over all managers is as given.
-fn round_by_hash(number: f64, ordinal: u32, zone: u8) -> usize {
+fn round_by_hash(count: f64, ordinal: u32, zone: u8) -> usize {
     let hash = mix(mix(u64::from(ordinal)) ^ u64::from(zone)) >> 32;
-    (number + hash as f64 / RING_POSITIONS as f64).floor() as usize
+    (count + hash as f64 / RING_POSITIONS as f64).floor() as usize
 }
 
 #[cfg(test)]
--- a/src/subset/ring.rs
+++ b/src/subset/ring.rs
@@ -24,13 +24,13 @@
     // Ordinal j stands end - j * step before `end`, all modulo the ring. Of a sum a number is below `length` where its
     // quotient by the ring differs from that of the number less `length`.
     let step = u64::from(GOLDEN_RATIO_STEP.wrapping_neg());
-    let all = sum_of_quotients(managers, step, u64::from(end));
-    let less = sum_of_quotients(
+    let sum_to_end = sum_of_quotients(managers, step, u64::from(end));
+    let sum_to_start = sum_of_quotients(
         managers,
         step,
         u64::from(end) + RING_POSITIONS - u64::from(length),
     );
-    (u128::from(managers) + all - less) as u32
+    (u128::from(managers) + sum_to_end - sum_to_start) as u32
 }
 
 /// The sum over i below `count` of (`factor` * i + `offset`) / RING_POSITIONS, each rounded down. It takes as many steps
--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -6,10 +6,10 @@
 use proptest::prelude::*;
 use std::collections::HashSet;
 
-type Listed = Vec<(EngineId, u8)>;
+type EndpointList = Vec<(EngineId, u8)>;
 
 /// So many engines with ids that a seed spreads, in zones of equal size.
-fn list(engines: u32, zones: u8, seed: u32) -> Listed {
+fn list(engines: u32, zones: u8, seed: u32) -> EndpointList {
     let id = |n: u32| engine_id(n.wrapping_mul(0x9E37_79B1) ^ seed);
     (0..engines)
         .map(|n| (id(n), (n % u32::from(zones)) as u8))
@@ -30,23 +30,26 @@
 }
 
 /// What the managers with these ordinals hold of a list.
-fn held_by(subset: &Subset, ordinals: impl IntoIterator<Item = u32>) -> Vec<Members> {
+fn subsets_of(subset: &Subset, ordinals: impl IntoIterator<Item = u32>) -> Vec<SubsetEngines> {
     let mut own = subset.clone();
     let held = |ordinal| {
         own.set_membership(Membership {
             ordinal,
             ..own.membership
         });
-        own.members().expect("a long list")
+        own.engines().expect("a long list")
     };
     ordinals.into_iter().map(held).collect()
 }
 
-fn all_held(subset: &Subset) -> Vec<Members> {
-    held_by(subset, 0..subset.membership.instances)
+fn subsets_of_all(subset: &Subset) -> Vec<SubsetEngines> {
+    subsets_of(subset, 0..subset.membership.instances)
 }
 
-fn holders_of(held: &[Members], list: &[(EngineId, u8)]) -> HashMap<EngineId, Vec<EngineSharing>> {
+fn holders_by_engine(
+    held: &[SubsetEngines],
+    list: &[(EngineId, u8)],
+) -> HashMap<EngineId, Vec<EngineSharing>> {
     let mut holders: HashMap<EngineId, Vec<EngineSharing>> =
         list.iter().map(|(e, _)| (*e, Vec::new())).collect();
     for (engine, entry) in held.iter().flatten() {
@@ -56,20 +59,21 @@
 }
 
 /// Places that differ between two states of one manager: of what it gained and lost, the larger number.
-fn moved(before: &Members, after: &Members) -> usize {
-    let lacks =
-        |a: &Members, b: &Members| a.keys().filter(|engine| !b.contains_key(engine)).count();
-    lacks(before, after).max(lacks(after, before))
+fn changed_engine_count(before: &SubsetEngines, after: &SubsetEngines) -> usize {
+    let missing_count = |a: &SubsetEngines, b: &SubsetEngines| {
+        a.keys().filter(|engine| !b.contains_key(engine)).count()
+    };
+    missing_count(before, after).max(missing_count(after, before))
 }
 
 /// Short lists are taken whole, and so are long ones where managers are few: they have to hold all between them.
 #[test]
-fn short_lists_and_lists_of_few_managers_are_taken_complete() {
+fn short_lists_and_lists_of_small_fleets_are_used_completely() {
     let size = |engines, instances| {
         let mut one = subset(512, instances, &list(engines, 3, 7));
         (
             one.target_size(),
-            one.members()
+            one.engines()
                 .map_or(engines as usize, |members| members.len()),
         )
     };
@@ -90,11 +94,14 @@
 
 /// At a quarter of the fleet's size, with as many holders an engine: their number, and the zones of the subsets.
 #[test]
-fn a_large_fleet_is_balanced_over_engines_and_zones() {
+fn managers_of_a_large_fleet_are_balanced_over_engines_and_zones() {
     let list = list(5500, 14, 1);
     let fleet = subset(512, 925, &list);
-    let held = all_held(&fleet);
-    let numbers: Vec<usize> = holders_of(&held, &list).values().map(Vec::len).collect();
+    let held = subsets_of_all(&fleet);
+    let numbers: Vec<usize> = holders_by_engine(&held, &list)
+        .values()
+        .map(Vec::len)
+        .collect();
     let (most, least) = (numbers.iter().max(), numbers.iter().min());
     let mean = numbers.iter().sum::<usize>() as f64 / 5500.0;
     let ratio = *most.expect("engines") as f64 / mean;
@@ -123,29 +130,34 @@
 /// One engine less moves one place in those that held it; one replaced moves no other manager's; and a manager more or less
 /// moves nobody's.
 #[test]
-fn one_change_moves_at_most_one_place_of_the_managers_concerned() {
+fn one_list_change_alters_at_most_two_engines_of_a_subset() {
     let list = list(5500, 14, 2);
     let fleet = subset(512, 925, &list);
-    let before = all_held(&fleet);
-    let (mut held, mut newly) = (0, 0);
+    let before = subsets_of_all(&fleet);
+    let (mut held, mut gained) = (0, 0);
     for (n, (engine, zone)) in list.iter().enumerate().step_by(2200) {
         let (mut replaced, successor) = (fleet.clone(), engine_id(0xFFFF_0000 + n as u32));
         replaced.set_ready_zone(*engine, None);
-        let gone = all_held(&replaced);
+        let after_removal = subsets_of_all(&replaced);
         replaced.set_ready_zone(successor, Some(*zone));
-        let after = all_held(&replaced);
-        for (ordinal, ((before, gone), after)) in before.iter().zip(&gone).zip(&after).enumerate() {
+        let after = subsets_of_all(&replaced);
+        for (ordinal, ((before, after_removal), after)) in
+            before.iter().zip(&after_removal).zip(&after).enumerate()
+        {
             let held_it = before.contains_key(engine);
-            assert!(moved(before, gone) <= 2, "{ordinal}");
+            assert!(
+                changed_engine_count(before, after_removal) <= 2,
+                "{ordinal}"
+            );
             let places = usize::from(held_it).max(usize::from(after.contains_key(&successor)));
-            assert_eq!(moved(before, after), places, "{ordinal}");
+            assert_eq!(changed_engine_count(before, after), places, "{ordinal}");
             held += usize::from(held_it);
-            newly += usize::from(after.contains_key(&successor));
+            gained += usize::from(after.contains_key(&successor));
         }
     }
     assert!(
-        (120..=380).contains(&held) && (120..=380).contains(&newly),
-        "{held} and {newly} in three plays"
+        (120..=380).contains(&held) && (120..=380).contains(&gained),
+        "{held} and {gained} in three plays"
     );
     for instances in [924, 926] {
         let mut other = fleet.clone();
@@ -153,24 +165,27 @@
             instances,
             ordinal: 0,
         });
-        let stay = all_held(&other)
+        let all_unchanged = subsets_of_all(&other)
             .iter()
             .zip(&before)
-            .all(|(now, before)| moved(before, now) == 0);
-        assert!(stay, "{instances}");
+            .all(|(now, before)| changed_engine_count(before, now) == 0);
+        assert!(all_unchanged, "{instances}");
     }
 }
 
-/// The parts of one engine's budget that managers take whose lists differ: never more than all of it, though one list lacks
+/// The parts of one engine's budget that managers take whose lists differ: never more than all of it, though one list missing_count
 /// six engines in ten. In turn at once are never more than may be while lists differ by a tenth, and twice as many beyond.
 #[test]
 fn shares_of_an_engine_never_exceed_one_while_lists_differ() {
     const IN_TURN: u32 = 3;
     let list = list(2200, 5, 3);
-    for (keep, in_turn_most) in [(2200, 3), (2050, 3), (1980, 3), (1540, 6), (880, 6)] {
-        let views =
-            [subset(128, 370, &list), subset(128, 370, &list[..keep])].map(|view| all_held(&view));
-        for (engine, _) in list[..keep].iter().step_by(61) {
+    for (shared_engines, max_in_turn) in [(2200, 3), (2050, 3), (1980, 3), (1540, 6), (880, 6)] {
+        let views = [
+            subset(128, 370, &list),
+            subset(128, 370, &list[..shared_engines]),
+        ]
+        .map(|view| subsets_of_all(&view));
+        for (engine, _) in list[..shared_engines].iter().step_by(61) {
             let parts = |ordinal: usize| {
                 views
                     .iter()
@@ -182,11 +197,16 @@
                     .fold(0.0, f64::max)
             };
             let sum: f64 = (0..370).map(largest).sum();
-            assert!(sum <= 1.0, "{keep} of 2200: {sum}");
+            assert!(sum <= 1.0, "{shared_engines} of 2200: {sum}");
             for turn in 0..64 {
-                let its = |h: &EngineSharing| (turn + h.rank) % h.max_managers < IN_TURN;
-                let in_turn = (0..370).filter(|ordinal| parts(*ordinal).any(its)).count();
-                assert!(in_turn <= in_turn_most, "{keep} of 2200: {in_turn}");
+                let is_in_turn = |h: &EngineSharing| (turn + h.rank) % h.max_managers < IN_TURN;
+                let in_turn = (0..370)
+                    .filter(|ordinal| parts(*ordinal).any(is_in_turn))
+                    .count();
+                assert!(
+                    in_turn <= max_in_turn,
+                    "{shared_engines} of 2200: {in_turn}"
+                );
             }
         }
     }
@@ -195,23 +215,23 @@
 /// An ordinal at or over the number of managers, and one that two managers have: each is a holder more, and all stay
 /// within their parts.
 #[test]
-fn duplicate_and_out_of_range_ordinals_stay_within_their_shares() {
+fn managers_with_duplicate_or_out_of_range_ordinals_stay_within_their_shares() {
     let list = list(2200, 5, 4);
     let fleet = subset(128, 370, &list);
-    let over = Membership {
+    let out_of_range = Membership {
         instances: 370,
         ordinal: 370,
     };
     assert!(
-        over.is_out_of_range()
+        out_of_range.is_out_of_range()
             && !Membership {
                 ordinal: 369,
-                ..over
+                ..out_of_range
             }
             .is_out_of_range()
     );
-    let mut held = all_held(&fleet);
-    held.extend(held_by(&fleet, [370, 1 << 20, u32::MAX, 5]));
+    let mut held = subsets_of_all(&fleet);
+    held.extend(subsets_of(&fleet, [370, 1 << 20, u32::MAX, 5]));
     assert_eq!(
         held[5], held[373],
         "two managers with one ordinal hold the same"
@@ -219,7 +239,7 @@
     for members in &held[370..] {
         assert!((80..=160).contains(&members.len()), "{}", members.len());
     }
-    for (engine, holders) in holders_of(&held, &list) {
+    for (engine, holders) in holders_by_engine(&held, &list) {
         let parts: f64 = holders
             .iter()
             .map(|h| 1.0 / f64::from(h.max_managers))
@@ -231,10 +251,10 @@
 
 /// All engines of a subset gone in one event: the next in order are held. No engine at all: nothing is.
 #[test]
-fn the_next_engines_follow_when_a_whole_subset_is_removed() {
+fn next_engines_on_the_ring_replace_a_subset_that_is_removed_at_once() {
     let list = list(2200, 1, 5);
     let mut own = subset(128, 370, &list);
-    let before = own.members().expect("a long list");
+    let before = own.engines().expect("a long list");
     assert!(
         (120..=130).contains(&before.len()),
         "one zone: {}",
@@ -243,7 +263,7 @@
     before
         .keys()
         .for_each(|engine| own.set_ready_zone(*engine, None));
-    let after = own.members().expect("a long list");
+    let after = own.engines().expect("a long list");
     assert!(before.keys().all(|engine| !after.contains_key(engine)));
     assert!((100..=140).contains(&after.len()), "{}", after.len());
     // The first of those that follow are the next on the ring.
@@ -261,7 +281,7 @@
     list.iter()
         .for_each(|(engine, _)| own.set_ready_zone(*engine, None));
     assert_eq!(
-        (own.members(), own.ready_engines(), own.ready_zones()),
+        (own.engines(), own.ready_engines(), own.ready_zones()),
         (None, 0, 0)
     );
 }
@@ -277,12 +297,12 @@
         let list = list(engines, zones, seed);
         let fleet = subset(max_complete_list, instances, &list);
         prop_assume!(fleet.target_size() < fleet.ready_engines());
-        let held = all_held(&fleet);
-        let arc = f64::from(instances) * fleet.arcs().share;
-        for (engine, holders) in holders_of(&held, &list) {
+        let held = subsets_of_all(&fleet);
+        let arc = f64::from(instances) * fleet.arcs().subset_fraction;
+        for (engine, holders) in holders_by_engine(&held, &list) {
             let number = holders.len() as f64;
             prop_assert!(number >= 1.0, "{engine} is held by nobody");
-            prop_assert!(number <= LONGEST_ARC * arc + ARC_EXCESS, "{engine} is held by {number}");
+            prop_assert!(number <= MAX_ARC_RATIO * arc + MAX_EXCESS_MANAGERS_ON_ARC, "{engine} is held by {number}");
             let places: HashSet<u32> = holders.iter().map(|h| h.rank).collect();
             prop_assert_eq!(places.len(), holders.len());
             prop_assert!(holders.iter().all(|h| h.rank < h.max_managers && number <= f64::from(h.max_managers)));
@@ -297,24 +317,24 @@
 
     /// The same list gives the same subset, in whatever order and by whatever way it came.
     #[test]
-    fn equal_lists_give_equal_subsets_in_whatever_order_they_came(
+    fn subset_does_not_depend_on_the_order_of_list_changes(
         seed: u32, ordinal in 0u32..50, order in Just((0..600usize).collect::<Vec<_>>()).prop_shuffle(),
     ) {
         let list = list(600, 4, seed);
-        let mut direct = subset(64, 50, &list[..500]);
-        direct.set_membership(Membership { instances: 50, ordinal });
+        let mut expected_subset = subset(64, 50, &list[..500]);
+        expected_subset.set_membership(Membership { instances: 50, ordinal });
         let mut other = Subset::new(64, Membership { instances: 9, ordinal: 3 });
         for (step, n) in order.iter().enumerate() {
             let (engine, zone) = list[*n];
             other.set_ready_zone(engine, Some(zone ^ 1));
             other.set_ready_zone(engine, Some(zone));
             if step % 50 == 0 {
-                other.members();
+                other.engines();
             }
         }
         list[500..].iter().for_each(|(engine, _)| other.set_ready_zone(*engine, None));
         other.set_membership(Membership { instances: 50, ordinal });
-        prop_assert_eq!(direct.members(), other.members());
+        prop_assert_eq!(expected_subset.engines(), other.engines());
     }
 
     /// Managers on an arc, counted one by one.
@@ -323,7 +343,7 @@
         let before = |ordinal: u32| end.wrapping_sub(ordinal.wrapping_mul(GOLDEN_RATIO_STEP));
         let counted = (0..managers).filter(|ordinal| before(*ordinal) < length).count();
         prop_assert_eq!(managers_on_arc(managers, end, length) as usize, counted);
-        let even = f64::from(managers) * f64::from(length) / RING_POSITIONS as f64;
-        prop_assert!((counted as f64 - even).abs() <= ARC_EXCESS);
+        let expected = f64::from(managers) * f64::from(length) / RING_POSITIONS as f64;
+        prop_assert!((counted as f64 - expected).abs() <= MAX_EXCESS_MANAGERS_ON_ARC);
     }
 }
