--- a/src/operator_config/policy.rs
+++ b/src/operator_config/policy.rs
@@ -68,7 +68,7 @@
     let class_policy = |class: &ClassConstraints| ClassPolicy {
         name: class.name.clone(),
         not_idempotent: class.not_idempotent,
-        own: text.attempts.class.get(&class.name).map(attempt_policy),
+        own_policy: text.attempts.class.get(&class.name).map(attempt_policy),
     };
     platform.classes.iter().map(class_policy).collect()
 }
--- a/src/operator_config/settings_check.rs
+++ b/src/operator_config/settings_check.rs
@@ -138,7 +138,7 @@
         let sets_waits_or_time = self.own.backoff.is_some()
             || self.own.max_attempts.is_some()
             || self.own.timeout_ms.is_some();
-        let total_wait = self.effective.backoff.map(|b| b.all_ms(attempts));
+        let total_wait = self.effective.backoff.map(|b| b.total_delay_ms(attempts));
         if let Some(wait_ms) = total_wait
             && wait_ms >= request_ms
             && sets_waits_or_time
--- a/src/retry_policy/attempt_policy.rs
+++ b/src/retry_policy/attempt_policy.rs
@@ -43,7 +43,7 @@
 
     /// This set without the outcomes after which the attempt may have run.
     #[must_use]
-    pub fn without_those_that_may_have_run(self) -> OutcomeSet {
+    pub fn without_outcomes_that_may_have_run(self) -> OutcomeSet {
         RETRYABLE_OUTCOMES
             .iter()
             .filter(|(_, outcome)| never_ran(*outcome) && self.contains(*outcome))
@@ -100,16 +100,16 @@
 
 impl Backoff {
     /// Returns the delay before the next attempt, in ms. `attempts_made` counts from 1; `random` is from 0 to 1.
-    pub fn wait_ms(&self, attempts_made: u16, random: f64) -> Millis {
+    pub fn delay_before_retry_ms(&self, attempts_made: u16, random: f64) -> Millis {
         let doublings = i32::from(attempts_made.saturating_sub(1).min(MAX_DOUBLINGS));
         let delay_ms = (self.base_ms * 2f64.powi(doublings)).min(self.max_ms);
         delay_ms * (1.0 - self.jitter * random.clamp(0.0, 1.0))
     }
 
     /// Returns the sum of the delays between so many attempts without jitter, in ms.
-    pub fn all_ms(&self, attempts: u32) -> Millis {
+    pub fn total_delay_ms(&self, attempts: u32) -> Millis {
         (1..attempts.min(MAX_SUMMED_ATTEMPTS))
-            .map(|attempts_made| self.wait_ms(attempts_made as u16, 0.0))
+            .map(|attempts_made| self.delay_before_retry_ms(attempts_made as u16, 0.0))
             .sum()
     }
 }
@@ -205,7 +205,7 @@
             hedging: None,
             retry_on: self
                 .retry_on
-                .map(OutcomeSet::without_those_that_may_have_run),
+                .map(OutcomeSet::without_outcomes_that_may_have_run),
             ..self.clone()
         }
     }
@@ -260,12 +260,12 @@
             return RetryDecision::NotRetryable;
         }
         let budget = self.budget.as_ref();
-        if budget.is_some_and(|budget| !budget.try_take(now)) {
+        if budget.is_some_and(|budget| !budget.try_record_retry(now)) {
             return RetryDecision::BudgetExhausted;
         }
-        let delay_ms = self
-            .backoff
-            .map_or(0.0, |backoff| backoff.wait_ms(attempts_made, random));
+        let delay_ms = self.backoff.map_or(0.0, |backoff| {
+            backoff.delay_before_retry_ms(attempts_made, random)
+        });
         RetryDecision::RetryAfter(delay_ms)
     }
 }
--- a/src/retry_policy/budget.rs
+++ b/src/retry_policy/budget.rs
@@ -45,8 +45,8 @@
 
     /// Counts a retry and returns true if the budget allows it; counts nothing otherwise.
     #[must_use]
-    pub fn try_take(&self, now: Millis) -> bool {
-        self.with_usage(|usage| usage.try_take(self, now))
+    pub fn try_record_retry(&self, now: Millis) -> bool {
+        self.with_usage(|usage| usage.try_record_retry(self, now))
     }
 
     /// Copies the usage of an earlier budget of the same table and settings, so that a reload does not refill it.
@@ -89,7 +89,7 @@
 
     /// Counts a retry and returns true if the budget allows it; counts nothing otherwise.
     #[must_use]
-    pub fn try_take(&mut self, budget: &Budget, now: Millis) -> bool {
+    pub fn try_record_retry(&mut self, budget: &Budget, now: Millis) -> bool {
         self.advance(budget, now);
         let first_attempts: u64 = self.slots.iter().map(|slot| slot.first_attempts).sum();
         let retries: u64 = self.slots.iter().map(|slot| slot.retries).sum();
--- a/src/retry_policy/latency.rs
+++ b/src/retry_policy/latency.rs
@@ -14,17 +14,17 @@
 const MIN_SAMPLES: u64 = 50;
 
 /// Latencies of a class's attempts in the current period and the one before. Its size is fixed, about 14 kB.
-pub struct Latency {
+pub struct LatencyQuantiles {
     period_ms: Millis,
     period_start_ms: Millis,
     current: Histogram<u32>,
     previous: Histogram<u32>,
 }
 
-impl fmt::Debug for Latency {
+impl fmt::Debug for LatencyQuantiles {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (current, previous) = (self.current.len(), self.previous.len());
-        write!(f, "Latency(n:{current},{previous})")
+        write!(f, "LatencyQuantiles(n:{current},{previous})")
     }
 }
 
@@ -33,10 +33,10 @@
         .unwrap_or_else(|_| unreachable!("fixed bounds"))
 }
 
-impl Latency {
+impl LatencyQuantiles {
     /// Nothing recorded yet. Latencies are dropped after at most two periods.
-    pub fn new(period_ms: Millis) -> Latency {
-        Latency {
+    pub fn new(period_ms: Millis) -> LatencyQuantiles {
+        LatencyQuantiles {
             period_ms: period_ms.max(1.0),
             period_start_ms: 0.0,
             current: empty_histogram(),
--- a/src/retry_policy/mod.rs
+++ b/src/retry_policy/mod.rs
@@ -23,11 +23,11 @@
     RetryDecision,
 };
 pub use budget::{Budget, BudgetUsage};
-pub use latency::Latency;
+pub use latency::LatencyQuantiles;
 pub use policy::{ClassPolicy, EffectiveValue, Policy};
 pub use route_errors::RouteError;
 pub use route_match::{FrontendKind, RequestAttributes, RouteMatch};
-pub use routes::{Route, Routes};
+pub use routes::{Route, RouteIndex};
 
 #[cfg(test)]
 mod tests;
--- a/src/retry_policy/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -4,7 +4,7 @@
 use super::attempt_policy::{AttemptPolicy, KeyValue};
 use super::route_errors::RouteError;
 use super::route_match::RequestAttributes;
-use super::routes::{Route, Routes};
+use super::routes::{Route, RouteIndex};
 use std::cmp::Reverse;
 
 /// What `POLICY` and `explain` print where nothing sets a key.
@@ -30,14 +30,14 @@
     /// attempt may have run, don't apply to such a class.
     pub not_idempotent: bool,
     /// The class's own table; none where the file has no table for it.
-    pub own: Option<AttemptPolicy>,
+    pub own_policy: Option<AttemptPolicy>,
 }
 
 impl ClassPolicy {
     /// Returns the policy in force for the class, routes left out.
     #[must_use]
     pub fn effective(&self, default: &AttemptPolicy) -> AttemptPolicy {
-        let own = self.own.as_ref();
+        let own = self.own_policy.as_ref();
         if self.not_idempotent {
             default.for_non_idempotent().overridden_by(own)
         } else {
@@ -49,7 +49,7 @@
 /// All tables of one operators' file, ready to resolve requests. The default value, without a file, limits nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
-    routes: Routes,
+    route_index: RouteIndex,
     default: AttemptPolicy,
     /// By position in the settings.
     classes: Vec<ClassPolicy>,
@@ -82,9 +82,9 @@
             .iter()
             .map(|class| Some(class.effective(&default)))
             .collect();
-        let index = Routes::new(&AttemptPolicy::default(), &effective, &routes)?;
+        let index = RouteIndex::new(&AttemptPolicy::default(), &effective, &routes)?;
         Ok(Policy {
-            routes: index,
+            route_index: index,
             default,
             classes,
             routes_in_order: routes,
@@ -103,13 +103,13 @@
     /// Whether the file sets no key at all.
     pub fn is_empty(&self) -> bool {
         self.default == AttemptPolicy::default()
-            && self.classes.iter().all(|class| class.own.is_none())
+            && self.classes.iter().all(|class| class.own_policy.is_none())
             && self.routes_in_order.is_empty()
     }
 
     /// Returns the policy in force for a request. The cost does not grow with the number of routes.
     pub fn resolve(&self, request: &RequestAttributes) -> AttemptPolicy {
-        self.routes.resolve(request)
+        self.route_index.resolve(request)
     }
 
     /// Returns each key's value for a request, with the table that sets it. It walks all routes: for on-call staff, not
@@ -130,7 +130,7 @@
             policy: &self.default,
         }];
         if let Some(class) = self.classes.get(request.class) {
-            tables.extend(class.own.as_ref().map(|policy| ApplicableTable {
+            tables.extend(class.own_policy.as_ref().map(|policy| ApplicableTable {
                 label: format!("class {}", class.name),
                 policy,
             }));
@@ -156,8 +156,8 @@
         carry_over_budget(&self.default, &earlier.default);
         for class in &self.classes {
             let same_class = earlier.classes.iter().find(|old| old.name == class.name);
-            let earlier_own = same_class.and_then(|old| old.own.as_ref());
-            if let (Some(own), Some(earlier_own)) = (&class.own, earlier_own) {
+            let earlier_own = same_class.and_then(|old| old.own_policy.as_ref());
+            if let (Some(own), Some(earlier_own)) = (&class.own_policy, earlier_own) {
                 carry_over_budget(own, earlier_own);
             }
         }
--- a/src/retry_policy/route_match.rs
+++ b/src/retry_policy/route_match.rs
@@ -75,22 +75,22 @@
 
 /// A key of the index of routes: one value for each matcher that a route names, none for those that it leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct CellKey {
+pub(super) struct RouteKey {
     class: Option<usize>,
     member: Option<usize>,
     frontend: Option<FrontendKind>,
     data_set: Option<u32>,
 }
 
-impl CellKey {
+impl RouteKey {
     /// The cell of a request among those of the routes that name these matchers.
-    pub(super) fn of_request(request: &RequestAttributes, matchers: MatcherSet) -> CellKey {
-        let names = |matcher| matchers.contains(matcher);
-        CellKey {
-            class: names(MatcherSet::CLASS).then_some(request.class),
-            member: names(MatcherSet::MEMBER).then_some(request.member),
-            frontend: names(MatcherSet::FRONTEND).then_some(request.frontend),
-            data_set: names(MatcherSet::DATA_SET).then_some(request.data_set),
+    pub(super) fn of_request(request: &RequestAttributes, matchers: MatcherSet) -> RouteKey {
+        let is_set = |matcher| matchers.contains(matcher);
+        RouteKey {
+            class: is_set(MatcherSet::CLASS).then_some(request.class),
+            member: is_set(MatcherSet::MEMBER).then_some(request.member),
+            frontend: is_set(MatcherSet::FRONTEND).then_some(request.frontend),
+            data_set: is_set(MatcherSet::DATA_SET).then_some(request.data_set),
         }
     }
 }
@@ -127,15 +127,15 @@
 
     /// The matchers that are not left out.
     pub(super) fn matchers(&self) -> MatcherSet {
-        let named = [
+        let presence = [
             (self.class.is_some(), MatcherSet::CLASS),
             (self.member.is_some(), MatcherSet::MEMBER),
             (self.frontend.is_some(), MatcherSet::FRONTEND),
             (self.data_set.is_some(), MatcherSet::DATA_SET),
         ];
-        let bits = named
+        let bits = presence
             .into_iter()
-            .filter(|(is_named, _)| *is_named)
+            .filter(|(is_present, _)| *is_present)
             .fold(0, |bits, (_, matcher)| bits | matcher);
         MatcherSet::new(bits)
     }
@@ -153,12 +153,12 @@
     }
 
     /// Visits the cells of the index that it covers, one for each combination of its values.
-    pub(super) fn for_each_cell(&self, mut visit: impl FnMut(CellKey)) {
+    pub(super) fn for_each_key(&self, mut visit: impl FnMut(RouteKey)) {
         for class in values_or_none(&self.class) {
             for member in values_or_none(&self.member) {
                 for frontend in values_or_none(&self.frontend) {
                     for data_set in values_or_none(&self.data_set) {
-                        visit(CellKey {
+                        visit(RouteKey {
                             class,
                             member,
                             frontend,
--- a/src/retry_policy/routes.rs
+++ b/src/retry_policy/routes.rs
@@ -6,7 +6,7 @@
 
 use super::attempt_policy::AttemptPolicy;
 use super::route_errors::{RouteError, find_route_errors};
-use super::route_match::{CellKey, MatcherSet, RequestAttributes, RouteMatch};
+use super::route_match::{MatcherSet, RequestAttributes, RouteKey, RouteMatch};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
@@ -23,15 +23,15 @@
 
 /// The index of the policies of classes and routes.
 #[derive(Clone, Debug, Default)]
-pub struct Routes {
+pub struct RouteIndex {
     /// By the position of the class: the default policy, overridden by the class's own.
     classes: Vec<AttemptPolicy>,
-    cells: HashMap<CellKey, AttemptPolicy>,
+    policies: HashMap<RouteKey, AttemptPolicy>,
     /// The sets of matchers that some route names, in the order in which they apply.
     matcher_sets: Vec<MatcherSet>,
 }
 
-impl Routes {
+impl RouteIndex {
     /// Builds an index. `classes` are by position, none where the file has no table for a class.
     ///
     /// # Errors
@@ -41,7 +41,7 @@
         default: &AttemptPolicy,
         classes: &[Option<AttemptPolicy>],
         routes: &[Route],
-    ) -> Result<Routes, Vec<RouteError>> {
+    ) -> Result<RouteIndex, Vec<RouteError>> {
         let errors = find_route_errors(routes);
         if !errors.is_empty() {
             return Err(errors);
@@ -54,9 +54,9 @@
             .iter()
             .map(|route| route.matches.matchers())
             .collect();
-        Ok(Routes {
+        Ok(RouteIndex {
             classes,
-            cells: build_cells(routes),
+            policies: build_policies(routes),
             matcher_sets: matcher_sets.into_iter().collect(),
         })
     }
@@ -65,25 +65,29 @@
     pub fn resolve(&self, request: &RequestAttributes) -> AttemptPolicy {
         let mut policy = self.classes.get(request.class).cloned().unwrap_or_default();
         for matchers in &self.matcher_sets {
-            if let Some(cell) = self.cells.get(&CellKey::of_request(request, *matchers)) {
-                policy.override_with(cell);
+            if let Some(route_policy) = self.policies.get(&RouteKey::of_request(request, *matchers))
+            {
+                policy.override_with(route_policy);
             }
         }
         policy
     }
 }
 
-/// Spreads the routes over cells.
-fn build_cells(routes: &[Route]) -> HashMap<CellKey, AttemptPolicy> {
+/// Spreads the routes over keys.
+fn build_policies(routes: &[Route]) -> HashMap<RouteKey, AttemptPolicy> {
     // Broader routes come first, so that the more specific one overrides in a cell that both cover. Routes that share a
     // cell name the same matchers, and the one within the other has fewer combinations.
     let mut broadest_first: Vec<&Route> = routes.iter().collect();
     broadest_first.sort_by_key(|route| Reverse(route.matches.combinations()));
-    let mut cells: HashMap<CellKey, AttemptPolicy> = HashMap::new();
+    let mut policies: HashMap<RouteKey, AttemptPolicy> = HashMap::new();
     for route in broadest_first {
-        route.matches.for_each_cell(|key| {
-            cells.entry(key).or_default().override_with(&route.policy);
+        route.matches.for_each_key(|key| {
+            policies
+                .entry(key)
+                .or_default()
+                .override_with(&route.policy);
         });
     }
-    cells
+    policies
 }
--- a/src/retry_policy/tests.rs
+++ b/src/retry_policy/tests.rs
@@ -70,7 +70,7 @@
             policy_with(Some(1.0), Some(1)),
         ),
     ];
-    let index = Routes::new(&default, &classes, &routes).expect("no conflict");
+    let index = RouteIndex::new(&default, &classes, &routes).expect("no conflict");
     let resolved = index.resolve(&REQUEST);
     assert_eq!(
         (
@@ -118,7 +118,7 @@
         route("twin", Some(&[1]), None, policy_with(Some(3.0), None)),
         route("nothing", Some(&[]), None, AttemptPolicy::default()),
     ];
-    let errors = Routes::new(&AttemptPolicy::default(), &[], &routes).expect_err("conflicts");
+    let errors = RouteIndex::new(&AttemptPolicy::default(), &[], &routes).expect_err("conflicts");
     let conflict = |earlier: &str, later: &str| RouteError::Conflict {
         earlier: earlier.into(),
         later: later.into(),
@@ -150,7 +150,7 @@
         Some(&many),
         AttemptPolicy::default(),
     )];
-    let errors = Routes::new(&AttemptPolicy::default(), &[], &routes).expect_err("too many");
+    let errors = RouteIndex::new(&AttemptPolicy::default(), &[], &routes).expect_err("too many");
     assert_eq!(
         errors,
         [RouteError::TooManyCombinations { count: 1_000_000 }]
@@ -252,7 +252,7 @@
     let cases = (prop::collection::vec(any_route(), 0..6), any_request());
     let result = runner.run(&cases, |(routes, request)| {
         let default = policy_with(Some(9.0), Some(9));
-        let Ok(index) = Routes::new(&default, &[None, None, None], &routes) else {
+        let Ok(index) = RouteIndex::new(&default, &[None, None, None], &routes) else {
             rejected.set(rejected.get() + 1);
             return Ok(());
         };
@@ -284,7 +284,7 @@
     for attempt in 0..60_000 {
         now += 1.0;
         usage.record_first_attempt(&budget, now);
-        retry_times.extend(usage.try_take(&budget, now).then_some(now));
+        retry_times.extend(usage.try_record_retry(&budget, now).then_some(now));
         if attempt % 100 == 0 {
             let window_start = retry_times.partition_point(|at| *at <= now - 9_000.0);
             assert!(
@@ -299,13 +299,15 @@
         retry_times.len()
     );
     now += 3_600_000.0;
-    let allowed = (0..100).filter(|_| usage.try_take(&budget, now)).count();
+    let allowed = (0..100)
+        .filter(|_| usage.try_record_retry(&budget, now))
+        .count();
     assert_eq!(
         allowed, 30,
         "after an idle hour there is the minimum of one window, and no more"
     );
     assert!(
-        !usage.try_take(&budget, now - 5_000.0),
+        !usage.try_record_retry(&budget, now - 5_000.0),
         "a clock that goes back adds nothing"
     );
 }
@@ -318,11 +320,17 @@
         jitter: 0.5,
     };
     let delays: Vec<f64> = (1..6)
-        .map(|attempts_made| backoff.wait_ms(attempts_made, 0.0))
+        .map(|attempts_made| backoff.delay_before_retry_ms(attempts_made, 0.0))
         .collect();
     assert_eq!(delays, [20.0, 40.0, 80.0, 100.0, 100.0]);
-    assert_eq!((backoff.wait_ms(2, 1.0), backoff.all_ms(4)), (20.0, 140.0));
-    assert!(backoff.wait_ms(u16::MAX, 0.5).is_finite());
+    assert_eq!(
+        (
+            backoff.delay_before_retry_ms(2, 1.0),
+            backoff.total_delay_ms(4)
+        ),
+        (20.0, 140.0)
+    );
+    assert!(backoff.delay_before_retry_ms(u16::MAX, 0.5).is_finite());
 }
 
 #[test]
@@ -372,7 +380,7 @@
 /// Quantiles follow the recent attempts: old periods are dropped, and too few samples give no quantile.
 #[test]
 fn quantile_needs_enough_samples_and_drops_those_older_than_two_periods() {
-    let mut latency = Latency::new(10_000.0);
+    let mut latency = LatencyQuantiles::new(10_000.0);
     for elapsed_ms in 0..49 {
         latency.record(f64::from(elapsed_ms), 1000.0);
     }
