--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,33 +1,37 @@
-//! The states of an attempt, from the decision to send it to its confirmed end. Sans-I/O: the actor that talks to an
-//! engine records in an [`AttemptState`] what was queued, written, answered and closed. The core keeps the
-//! [`AttemptHistory`] of each request and allows a further attempt only once the end of the one before is confirmed.
-//! `docs/ends.md` has the table of all ends.
+//! The states of an attempt, from the decision to send it to its confirmed end.
+//!
+//! Sans-I/O: the actor that talks to an engine records in an [`AttemptState`] what was queued and
+//! written, what the engine answered, and that the connection closed. The core keeps the
+//! [`AttemptHistory`] of each request and allows a further attempt only once the end of the
+//! previous one is confirmed. `docs/ends.md` has the table of all ends.
 
 use crate::decision::{EngineId, Millis, Outcome};
 
-/// How an attempt ended. After none of these ends it still runs at its engine.
+/// How an attempt ended. After each of these ends the attempt no longer runs on its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No engine ever had it completely.
+    /// No engine received the complete attempt.
     NeverSent,
-    /// The engine reported that it never ran.
+    /// The engine reported that the attempt did not run.
     Rejected,
-    /// The engine reported how it ended.
+    /// The engine reported how the attempt ended.
     Answered,
-    /// Its cancellation was sent; where another attempt may follow, the engine has confirmed it.
+    /// The cancellation of the attempt was sent. If a retry may follow, the engine has also
+    /// confirmed the cancellation.
     Cancelled,
-    /// The engine had it completely, and its connection is closed, which cancels it.
+    /// The connection closed after the engine had received the complete attempt. The engine cancels
+    /// the attempts of a closed connection.
     ConnectionLost,
 }
 
 impl AttemptEnd {
-    /// Whether the engine may have run it, in whole or in part.
+    /// Whether the engine may have run the attempt, in whole or in part.
     pub fn may_have_run(self) -> bool {
         !matches!(self, AttemptEnd::NeverSent | AttemptEnd::Rejected)
     }
 }
 
-/// Whether an outcome proves that the attempt never ran.
+/// Whether an outcome proves that the attempt did not run.
 pub fn never_ran(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -35,33 +39,36 @@
     )
 }
 
-/// The phase of an attempt. A mark counts what a connection was given to write, in a unit of its protocol.
+/// The phase of an attempt.
+///
+/// A mark is a position in the output of a connection, in the unit of its protocol, such as bytes.
+/// A message is written once the connection has written up to the message's end mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing of it has been handed to a connection.
+    /// No part of the attempt has been handed to a connection.
     Queued,
-    /// It is complete once the connection has written up to this mark.
+    /// The attempt is sent once the connection has written up to `end_mark`.
     Writing { end_mark: u64 },
-    /// The engine has it completely.
+    /// The complete attempt was sent to the engine.
     Sent,
-    /// The engine has reported its result; only the result itself is left to forward.
+    /// The engine has started to report the result, which remains to be forwarded.
     ResultReceived,
-    /// Its cancellation is queued and not yet written.
+    /// The cancellation of the attempt is queued and not yet written.
     Cancelling {
-        /// The end of the attempt itself.
+        /// End mark of the attempt itself.
         end_mark: u64,
-        /// The end of the cancellation.
+        /// End mark of the cancellation.
         cancellation_mark: u64,
         /// Whether the engine has to confirm that it has read the cancellation.
         needs_confirmation: bool,
     },
     /// The cancellation was sent, and the engine has not confirmed it.
     CancellationUnconfirmed,
-    /// It is over.
+    /// The attempt has ended.
     Ended,
 }
 
-/// The state of one attempt, as kept by the actor that talks to its engine.
+/// The state of one attempt, kept by the actor that talks to its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptState(Phase);
 
@@ -72,15 +79,15 @@
 }
 
 impl AttemptState {
-    /// It is queued for writing and ends at this mark.
+    /// Records that the attempt is queued for writing and ends at `end_mark`.
     pub fn begin_writing(&mut self, end_mark: u64) {
         if self.0 == Phase::Queued {
             self.0 = Phase::Writing { end_mark };
         }
     }
 
-    /// The connection has written up to this mark. Returns the end, if its cancellation was written with that and needs
-    /// no confirmation.
+    /// Records that the connection has written up to the mark `written`. Returns the end of the
+    /// attempt if this completes a cancellation that needs no confirmation.
     pub fn wrote(&mut self, written: u64) -> Option<AttemptEnd> {
         match self.0 {
             Phase::Writing { end_mark } if end_mark <= written => self.0 = Phase::Sent,
@@ -99,7 +106,7 @@
         None
     }
 
-    /// Whether it is being cancelled.
+    /// Whether the attempt is being cancelled.
     pub fn is_cancelling(&self) -> bool {
         matches!(
             self.0,
@@ -107,8 +114,9 @@
         )
     }
 
-    /// The engine confirms that it has read everything up to the cancellation. Writing it is not enough: engines read
-    /// connections in any order, so a retry on another one could be read before the cancellation.
+    /// Records the engine's confirmation that it has read everything up to the cancellation. It is
+    /// not enough to write the cancellation: engines read connections in any order, so a retry on
+    /// another connection could be read before the cancellation.
     pub fn cancellation_confirmed(&mut self) -> Option<AttemptEnd> {
         if matches!(
             self.0,
@@ -123,14 +131,15 @@
         }
     }
 
-    /// Whether the engine has reported its result.
+    /// Whether the engine has started to report the result of the attempt.
     pub fn has_result(&self) -> bool {
         self.0 == Phase::ResultReceived
     }
 
-    /// Cancels it. `queue_cancellation` queues the cancellation for the engine and returns its end mark; it is called if the engine
-    /// has the attempt or may get it. If a retry may follow, the engine has to confirm the cancellation. Returns the
-    /// end, if there is nothing to wait for.
+    /// Cancels the attempt. Returns the end if there is nothing to wait for. `queue_cancellation`
+    /// queues the cancellation for the engine and returns its end mark. It is called if the engine
+    /// has received the attempt or may still receive it. If a retry may follow, the engine has to
+    /// confirm the cancellation.
     pub fn cancel(
         &mut self,
         retry_may_follow: bool,
@@ -138,7 +147,7 @@
     ) -> Option<AttemptEnd> {
         match self.0 {
             Phase::Queued => self.end(AttemptEnd::NeverSent),
-            // The engine has finished it: the message frees its buffered result.
+            // The engine has finished the attempt; the message only frees its buffered result.
             Phase::ResultReceived => {
                 queue_cancellation();
                 self.end(AttemptEnd::Answered)
@@ -163,7 +172,8 @@
         }
     }
 
-    /// The engine begins to report a result. False if the attempt is being cancelled or has ended.
+    /// Records that the engine starts to report a result. Returns false, and changes nothing, if
+    /// the attempt is not in one of the phases in which a result can start.
     pub fn begin_result(&mut self) -> bool {
         let is_expected = matches!(self.0, Phase::Writing { .. } | Phase::Sent);
         if is_expected {
@@ -172,7 +182,7 @@
         is_expected
     }
 
-    /// The engine reports its end, after which it may have run or not.
+    /// Records that the engine reported the end of the attempt and whether it may have run.
     pub fn answered(&mut self, may_have_run: bool) -> AttemptEnd {
         self.0 = Phase::Ended;
         if may_have_run {
@@ -182,7 +192,7 @@
         }
     }
 
-    /// Its connection is closed, after writing up to this mark.
+    /// Records that the connection closed after it had written up to the mark `written`.
     pub fn connection_closed(&mut self, written: u64) -> AttemptEnd {
         let end = match self.0 {
             Phase::Queued => AttemptEnd::NeverSent,
@@ -207,36 +217,37 @@
     }
 }
 
-/// Where and when an attempt was sent: identifies the group of engines that drop a repeat of it.
+/// Where and when an attempt was sent. The zone or cell and the time identify the group of engines
+/// that drop a duplicate of the attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SentTo {
-    /// Its engine's zone.
+    /// The zone of its engine.
     pub zone: u8,
-    /// Its engine's cell.
+    /// The cell of its engine.
     pub cell: u16,
-    /// When, in Unix ms.
+    /// When it was sent, in Unix ms.
     pub sent_at_ms: Millis,
 }
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InFlight {
-    /// Which attempt of its request, from 0.
+    /// Number of the attempt within its request, from 0.
     pub number: u16,
-    /// Its engine.
+    /// The engine that it was sent to.
     pub engine: EngineId,
-    /// When it was sent, and into which group of engines.
+    /// When it was sent, and the zone and cell of its engine.
     pub sent_to: SentTo,
-    /// When its engine last reported anything of it, in Unix ms.
+    /// When its engine last reported anything about it, in Unix ms.
     pub last_report_ms: Millis,
-    /// Its cancellation, once that has begun.
+    /// Its cancellation, or `None` if it is not being cancelled.
     pub cancelling: Option<Cancellation>,
 }
 
 /// The cancellation of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cancellation {
-    /// When it began, in Unix ms.
+    /// When the cancellation started, in Unix ms.
     pub since_ms: Millis,
     /// The outcome of the attempt once its end is confirmed.
     pub outcome: Outcome,
@@ -245,11 +256,11 @@
 /// Why no further attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDenied {
-    /// Another one is in flight, or its end is not confirmed.
+    /// Another attempt is in flight, or its end is not confirmed.
     AttemptInFlight,
-    /// The request is not idempotent, and may have run.
+    /// The request is non-idempotent and may have run.
     MayHaveRun,
-    /// The limit on attempts is reached.
+    /// The limit of attempts is reached.
     AttemptsExhausted,
 }
 
@@ -257,21 +268,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct AttemptHistory {
     attempts_made: u16,
-    /// Those of them that do not count.
+    /// Attempts among these that do not count towards the limit.
     uncounted: u16,
     in_flight: Option<InFlight>,
     ended_may_have_run: bool,
-    /// The first attempt that may have run.
+    /// The first ended attempt that may have run.
     first_possible_run: Option<SentTo>,
 }
 
 impl AttemptHistory {
-    /// The attempt in flight.
+    /// Returns the attempt in flight, if there is one.
     pub fn in_flight(&self) -> Option<&InFlight> {
         self.in_flight.as_ref()
     }
 
-    /// The attempt in flight, if it has this number and engine.
+    /// Returns the attempt in flight if it has this number and, if one is given, this engine.
     pub fn in_flight_matching(
         &mut self,
         number: u16,
@@ -282,17 +293,18 @@
         })
     }
 
-    /// Attempts numbered, including denied ones.
+    /// Returns the count of attempts that got a number, including denied ones.
     pub fn attempts_made(&self) -> u16 {
         self.attempts_made
     }
 
-    /// Attempts that count. Those without a free connection slot do not.
+    /// Returns the count of attempts that count towards the limit. Attempts that ended because
+    /// there was no free connection slot do not count.
     pub fn attempts_counted(&self) -> u16 {
         self.attempts_made.saturating_sub(self.uncounted)
     }
 
-    /// The last attempt does not count.
+    /// Excludes the last attempt from the count towards the limit.
     pub fn exclude_last_from_count(&mut self) {
         self.uncounted = self.uncounted.saturating_add(1);
     }
@@ -307,13 +319,17 @@
         self.ended_may_have_run
     }
 
-    /// The first ended attempt that may have run.
+    /// Returns where and when the first ended attempt that may have run was sent.
     pub fn first_possible_run(&self) -> Option<SentTo> {
         self.first_possible_run
     }
 
-    /// Numbers the next attempt. `resend_allowed` is whether one may follow another that may have run. Errors: why it
-    /// may not be sent.
+    /// Returns the number of the next attempt, from 0. `resend_allowed` is whether an attempt may
+    /// follow another one that may have run. A denied attempt is numbered and counted as well.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the attempt may not be sent.
     pub fn next_attempt(
         &mut self,
         resend_allowed: bool,
@@ -336,7 +352,7 @@
         }
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub fn record_sent(&mut self, number: u16, engine: EngineId, sent: SentTo) {
         self.in_flight = Some(InFlight {
             number,
@@ -347,8 +363,8 @@
         });
     }
 
-    /// Begins to cancel the attempt in flight, which ends with this outcome. None if there is none, or it is being
-    /// cancelled already.
+    /// Records that the attempt in flight is being cancelled and will end with `outcome`. Returns
+    /// `None` if no attempt is in flight or it is already being cancelled.
     pub fn begin_cancellation(&mut self, now: Millis, outcome: Outcome) -> Option<InFlight> {
         let in_flight = self
             .in_flight
@@ -361,7 +377,8 @@
         Some(*in_flight)
     }
 
-    /// The end of the attempt with this number is confirmed.
+    /// Records the confirmed end of the attempt with this number. Returns `None` if that attempt is
+    /// not in flight.
     pub fn record_end(&mut self, number: u16, may_have_run: bool) -> Option<InFlight> {
         let in_flight = self.in_flight.take_if(|attempt| attempt.number == number)?;
         self.ended_may_have_run |= may_have_run;
@@ -371,7 +388,8 @@
         Some(in_flight)
     }
 
-    /// A part of the result was sent to the client.
+    /// Records that part of a result was sent to the client, so that the request counts as one that
+    /// may have run.
     pub fn record_partial_result(&mut self) {
         self.ended_may_have_run = true;
     }
--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of this module.
+//! Tests of the attempt's state and of a request's attempt history.
 
 use super::*;
 
-/// An attempt of ten bytes that is being written.
+/// An attempt that is being written and ends at mark 10.
 fn writing() -> AttemptState {
     let mut state = AttemptState::default();
     state.begin_writing(10);
@@ -16,7 +16,7 @@
     state
 }
 
-/// What a cancellation, an answer and a closed connection prove in each state of an attempt.
+/// Checks the end that a cancellation, an answer or a closed connection gives in each state.
 #[test]
 fn cancel_answer_and_close_give_the_end_implied_by_each_state() {
     assert_eq!(
@@ -41,7 +41,7 @@
         assert_eq!(
             state.cancel(false, || 20),
             None,
-            "not before the cancellation was sent"
+            "the attempt has not ended before the cancellation is sent"
         );
         assert!(state.is_cancelling() && state.wrote(19).is_none() && !state.begin_result());
         assert_eq!(
@@ -54,7 +54,7 @@
     assert_eq!(
         (state.wrote(20), state.is_cancelling()),
         (None, true),
-        "it may be read late"
+        "the engine may not have read the cancellation yet"
     );
     assert_eq!(
         (
@@ -64,7 +64,8 @@
         (Some(AttemptEnd::Cancelled), None)
     );
     assert_eq!(sent().cancellation_confirmed(), None);
-    // With half of the cancellation sent, the engine has the complete attempt; with half of the attempt, it has not.
+    // The attempt ends at mark 10 and the cancellation at 20. At 15 the engine has received the
+    // complete attempt, at 9 it has not.
     for (written, end) in [(15, AttemptEnd::ConnectionLost), (9, AttemptEnd::NeverSent)] {
         let mut state = writing();
         state.cancel(false, || 20);
@@ -102,7 +103,7 @@
     assert_eq!(
         history.next_attempt(true, 6),
         Err(RetryDenied::AttemptInFlight),
-        "nothing is proven yet"
+        "the end of the cancelled attempt is not confirmed yet"
     );
     assert!(history.record_end(1, true).is_none() && history.record_end(0, false).is_some());
     assert!(!history.may_have_run());
@@ -124,6 +125,6 @@
     assert_eq!(
         history.first_possible_run().map(|sent| sent.sent_at_ms),
         Some(8.0),
-        "the one before did not run"
+        "the previous attempt did not run"
     );
 }
