--- a/src/subset.rs
+++ b/src/subset.rs
@@ -1,9 +1,12 @@
-//! Bounded deterministic engine subsets: which engines of a long endpoint list this workload manager decides among, and
-//! how many managers share each of them.
+//! Bounded deterministic engine subsets: which engines of a long endpoint list this workload
+//! manager selects from, and how many managers share each of them.
 //!
-//! Sans-I/O, and computed from the settings and the list alone, so that it is the same after a restart and needs no
-//! message between managers. The core's roster owns a [`Subset`] and passes its members to the dispatcher. The design is
-//! in `docs/subsets.md`.
+//! Every zone has a ring of positions. Engines and managers have fixed positions on it, and a
+//! manager uses the engines on an arc that starts at its own position.
+//!
+//! Sans-I/O. A subset is computed from the settings and the list alone, so it is the same after a
+//! restart, and managers exchange no messages about it. The core's roster owns a [`Subset`] and
+//! passes its engines to the dispatcher. The design is in `docs/subsets.md`.
 
 mod ring;
 
@@ -11,40 +14,45 @@
 use ring::{RING_POSITIONS, engine_position, manager_position, managers_on_arc};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The longest arc that a manager takes on a ring, against the subset's part of the list. It bounds the managers of an
-/// engine.
+/// Longest arc of a manager, relative to the ring's length times the subset's fraction of the list.
+/// It bounds the number of managers of an engine.
 const MAX_ARC_RATIO: f64 = 1.05;
 
-/// The shortest arc, against the same. It leaves no engine without a manager.
+/// Shortest arc of a manager, relative to the same length. It ensures that each engine has a
+/// manager.
 const MIN_ARC_RATIO: f64 = 0.5;
 
-/// A subset is no smaller than so many times a manager's share of the list: the shortest arc, half of that, still spans
-/// two managers, and neighbours on a ring are closer than that.
+/// Smallest size of a subset, as a multiple of the list's size over the number of managers. At this
+/// size the shortest arc still spans two managers' shares, and neighbouring managers on a ring are
+/// closer together than that.
 const MIN_SHARES_PER_SUBSET: usize = 4;
 
-/// With less of its size on its arcs than this part, a manager takes engines beyond the longest arc: most engines on it
-/// were removed at once.
+/// Smallest fraction of the target size that a manager's arcs must hold. With fewer engines, most
+/// engines on the arcs were removed at once, and the manager takes engines beyond the longest arc.
 const MIN_FILLED_FRACTION: f64 = 0.25;
 
-/// The number by which the managers on an arc exceed its share of all managers, at most.
+/// Largest number of managers on an arc beyond the arc's share of all managers.
 const MAX_EXCESS_MANAGERS_ON_ARC: f64 = 4.0;
 
-/// Margin of the bound on an engine's managers, for managers whose lists differ and for duplicate ordinals.
+/// Factor on the bound on an engine's managers. It allows for managers whose lists differ and for
+/// duplicate ordinals.
 const MANAGER_BOUND_MARGIN: f64 = 1.125;
 
-/// Up to so many times the longest list that is taken complete, the bound on an engine's managers is doubled: managers
-/// that still have that list complete take turns in another order.
+/// Length of a list, relative to the longest list that is used completely, up to which the bound on
+/// an engine's managers is doubled. Some managers may still use the complete list, and these take
+/// turns in slow start in another order.
 const NEARLY_COMPLETE_RATIO: f64 = 1.25;
 
-/// Steps to a doubling to which the mean number of managers is rounded, so that not every change of the list changes it.
+/// Number of steps per doubling to which the mean number of managers is rounded, so that not every
+/// change of the list changes it.
 const MEAN_STEPS_PER_DOUBLING: f64 = 16.0;
 
-/// A manager's place in its fleet, as its settings name it.
+/// A manager's position in its fleet, from its settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Membership {
     /// Number of managers in the fleet.
     pub instances: u32,
-    /// This one's place among them, from 0.
+    /// Number of this manager in the fleet, from 0.
     pub ordinal: u32,
 }
 
@@ -58,51 +66,53 @@
 }
 
 impl Membership {
-    /// Whether the settings contradict themselves. Such a manager has a position like any other, and its engines have
-    /// one manager more than the others count with.
+    /// Whether the ordinal is not below the number of managers. Such a manager has positions on the
+    /// rings like any other, and its engines have one more manager than the other managers count.
     pub fn is_out_of_range(&self) -> bool {
         self.ordinal >= self.instances
     }
 
-    /// This manager's position on every ring.
+    /// Returns this manager's position, which is the same on every ring.
     fn position(&self) -> u32 {
         manager_position(self.ordinal)
     }
 }
 
-/// The engines of a subset, where the list is too long to be taken complete.
+/// The engines of a subset of a list that is too long to be used completely.
 pub type SubsetEngines = BTreeMap<EngineId, EngineSharing>;
 
-/// The engines that take work, and the subset of them that one manager has.
+/// The ready engines of the list, and the state of one manager from which its subset is computed.
 #[derive(Clone, Debug)]
 pub struct Subset {
-    /// A list with no more engines that take work is taken complete.
+    /// Largest number of ready engines up to which the list is always used completely.
     max_complete_list: usize,
     membership: Membership,
-    /// The engines by zone, in the order of their positions.
+    /// The ready engines of each zone, in the order of their positions.
     rings: BTreeMap<u8, BTreeSet<(u32, EngineId)>>,
     zone_by_engine: HashMap<EngineId, u8>,
-    /// This manager's rank among the managers of each engine of the last subset. Changes of the list do not change it.
+    /// This manager's rank among the managers of each engine of the last subset. Changes of the
+    /// list do not change it.
     ranks: BTreeMap<EngineId, u32>,
 }
 
-/// The arcs of one list, in positions.
+/// The lengths of a manager's arcs for one list, in positions of the ring.
 struct Arcs {
-    /// Engines of the subset as a part of those of the list.
+    /// Target size of the subset over the number of ready engines, from 0 to 1.
     subset_fraction: f64,
     shortest: f64,
     longest: f64,
 }
 
-/// How many managers share an engine of a subset.
+/// The number of managers that share an engine of a subset.
 struct ManagersPerEngine {
     mean: f64,
-    /// The most that any engine has.
+    /// Bound on the number of managers of any engine.
     max: u32,
 }
 
 impl Subset {
-    /// A subset of no engines yet. Lists of up to `max_complete_list` engines that take work are taken complete.
+    /// Creates a subset of an empty list. Lists of up to `max_complete_list` ready engines are used
+    /// completely.
     pub fn new(max_complete_list: usize, membership: Membership) -> Subset {
         Subset {
             max_complete_list,
@@ -113,13 +123,13 @@
         }
     }
 
-    /// Takes new settings; false where they change nothing for the subset.
+    /// Replaces the membership. Returns false if it is the same as before.
     pub fn set_membership(&mut self, membership: Membership) -> bool {
         self.ranks.clear();
         std::mem::replace(&mut self.membership, membership) != membership
     }
 
-    /// Records that an engine takes work in this zone, or that it takes none.
+    /// Records that an engine is ready in a zone, or with `None` that it is not ready.
     pub fn set_ready_zone(&mut self, engine: EngineId, zone: Option<u8>) {
         let previous_zone = match zone {
             Some(zone) => self.zone_by_engine.insert(engine, zone),
@@ -138,23 +148,23 @@
         self.rings.retain(|_, ring| !ring.is_empty());
     }
 
-    /// Number of engines that take work.
+    /// Number of ready engines.
     pub fn ready_engines(&self) -> usize {
         self.zone_by_engine.len()
     }
 
-    /// Whether this engine takes work.
+    /// Whether this engine is ready.
     pub fn is_ready(&self, engine: EngineId) -> bool {
         self.zone_by_engine.contains_key(&engine)
     }
 
-    /// Number of zones in which engines take work.
+    /// Number of zones with ready engines.
     pub fn ready_zones(&self) -> usize {
         self.rings.len()
     }
 
-    /// How many engines the subset should have: capacity for this manager's share with headroom, and otherwise no more
-    /// than the cost of a decision allows.
+    /// Number of engines that the subset should have. It gives capacity for this manager's share of
+    /// the list with headroom, and otherwise is limited by the cost of a decision.
     pub fn target_size(&self) -> usize {
         let min_size = (MIN_SHARES_PER_SUBSET * self.ready_engines())
             .div_ceil(self.membership.instances.max(1) as usize);
@@ -162,7 +172,8 @@
             .min(self.max_complete_list.max(min_size))
     }
 
-    /// The engines of the subset, each with what is known of its managers; `None` where the list is taken complete.
+    /// Returns the engines of the subset, each with the managers that share it, or `None` if the
+    /// list is used completely.
     pub fn engines(&mut self) -> Option<SubsetEngines> {
         if self.target_size() >= self.ready_engines() {
             self.ranks.clear();
@@ -203,7 +214,8 @@
         }
     }
 
-    /// The next engines of every ring: as many as its part of the list allows, but all on the shortest arc and none
+    /// Returns the engines that follow this manager's position on each ring. The count for a ring
+    /// is proportional to the engines on it, but includes all engines on the shortest arc and none
     /// beyond the longest.
     fn engines_on(&self, arcs: &Arcs) -> Vec<EngineId> {
         let own_position = self.membership.position();
@@ -225,8 +237,10 @@
         engines
     }
 
-    /// The managers that share an engine, where this manager's subset has so many engines. The bound holds while lists
-    /// differ. It is a power of two, so that turns by one bound are among the turns by any smaller one.
+    /// Returns the mean number of managers of an engine, and the bound on it, if this manager's
+    /// subset has `subset_engines` engines. The bound also holds while the lists of managers
+    /// differ. It is a power of two, so that turns in slow start by one bound are among the turns
+    /// by any smaller one.
     fn managers_per_engine(&self, subset_engines: usize) -> ManagersPerEngine {
         let instances = f64::from(self.membership.instances);
         let mean = instances * subset_engines as f64 / self.ready_engines().max(1) as f64;
@@ -244,7 +258,8 @@
         ManagersPerEngine { mean, max }
     }
 
-    /// How many managers stand between this one and the engine.
+    /// Returns this manager's rank among the managers of an engine: the number of managers with a
+    /// position between this manager's and the engine's.
     fn rank(&self, engine: EngineId) -> u32 {
         if let Some(rank) = self.ranks.get(&engine) {
             return *rank;
@@ -255,7 +270,8 @@
     }
 }
 
-/// A number of engines rounded up or down by a hash: the mean over all managers is as given.
+/// Rounds a number of engines up or down by a hash of the ordinal and the zone, so that the mean
+/// over all managers is `count`.
 fn round_by_hash(count: f64, ordinal: u32, zone: u8) -> usize {
     let hash = mix(mix(u64::from(ordinal)) ^ u64::from(zone)) >> 32;
     (count + hash as f64 / RING_POSITIONS as f64).floor() as usize
