--- a/src/operator_config/tests.rs
+++ b/src/operator_config/tests.rs
@@ -249,9 +249,9 @@
         "{shown:#?}"
     );
     assert!(
-        shown
-            .iter()
-            .any(|s| s.starts_with("line 10:") && s.contains("\"nothing\" can match no request")),
+        shown.iter().any(
+            |s| s.starts_with("line 10:") && s.contains("\"nothing\" cannot match any request")
+        ),
         "{shown:#?}"
     );
 }
--- a/src/retry_policy/attempt_policy.rs
+++ b/src/retry_policy/attempt_policy.rs
@@ -1,17 +1,19 @@
-//! The attempt policy: the keys that one table of the operators' file sets, and what they allow after an attempt's end.
+//! The attempt policy: the keys that one table of the operators' file sets, and the retries that
+//! they allow after the end of an attempt.
 
 use super::budget::Budget;
 use crate::attempt::never_ran;
 use crate::decision::{Millis, Outcome};
 use std::sync::Arc;
 
-/// Doublings of the base delay after which the delay no longer grows.
+/// Largest number of times that the base delay is doubled.
 const MAX_DOUBLINGS: u16 = 30;
 
-/// Attempts whose delays are added up at most.
+/// Largest number of attempts whose delays are added up.
 const MAX_SUMMED_ATTEMPTS: u32 = 64;
 
-/// A set of the outcomes after which an attempt may be retried. One bit for each of [`RETRYABLE_OUTCOMES`].
+/// A set of outcomes after which an attempt may be retried, with one bit for each of
+/// [`RETRYABLE_OUTCOMES`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeSet(u8);
 
@@ -26,7 +28,7 @@
 ];
 
 impl OutcomeSet {
-    /// All retryable outcomes.
+    /// Returns the set of all retryable outcomes.
     pub fn all() -> OutcomeSet {
         RETRYABLE_OUTCOMES
             .iter()
@@ -35,13 +37,14 @@
             })
     }
 
-    /// This set with one more outcome. A cancelled attempt counts as timed out, as it took too long.
+    /// Returns this set with one more outcome. A cancelled attempt counts as timed out, because it
+    /// took too long.
     #[must_use]
     pub fn with(self, outcome: Outcome) -> OutcomeSet {
         OutcomeSet(self.0 | OutcomeSet::bit(outcome))
     }
 
-    /// This set without the outcomes after which the attempt may have run.
+    /// Returns this set without the outcomes after which the attempt may have run.
     #[must_use]
     pub fn without_outcomes_that_may_have_run(self) -> OutcomeSet {
         RETRYABLE_OUTCOMES
@@ -57,7 +60,7 @@
         self.0 & OutcomeSet::bit(outcome) != 0
     }
 
-    /// The names of the outcomes in the set.
+    /// Returns the names of the outcomes in the set.
     pub fn names(self) -> impl Iterator<Item = &'static str> {
         RETRYABLE_OUTCOMES
             .iter()
@@ -65,7 +68,7 @@
             .map(|(name, _)| *name)
     }
 
-    /// The names of the outcomes in the set after which the attempt may have run.
+    /// Returns the names of the outcomes in the set after which the attempt may have run.
     pub fn names_that_may_have_run(self) -> impl Iterator<Item = &'static str> {
         RETRYABLE_OUTCOMES
             .iter()
@@ -73,7 +76,7 @@
             .map(|(name, _)| *name)
     }
 
-    /// The bit of an outcome, or 0 for one that is not retryable.
+    /// Returns the bit of an outcome, or 0 if the outcome is not retryable.
     fn bit(outcome: Outcome) -> u8 {
         let counted_as = if outcome == Outcome::Cancelled {
             Outcome::TimedOut
@@ -90,23 +93,24 @@
 /// Exponential backoff with jitter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backoff {
-    /// Delay before the second attempt, in ms; doubled for each further one.
+    /// Delay before the second attempt, in ms. It doubles for each further attempt.
     pub base_ms: Millis,
     /// Longest delay, in ms.
     pub max_ms: Millis,
-    /// Largest share of a delay, from 0 to 1, that jitter takes off.
+    /// Largest fraction of a delay, from 0 to 1, by which jitter shortens it.
     pub jitter: f64,
 }
 
 impl Backoff {
-    /// Returns the delay before the next attempt, in ms. `attempts_made` counts from 1; `random` is from 0 to 1.
+    /// Returns the delay before the next attempt, in ms. `attempts_made` is at least 1; `random` is
+    /// from 0 to 1.
     pub fn delay_before_retry_ms(&self, attempts_made: u16, random: f64) -> Millis {
         let doublings = i32::from(attempts_made.saturating_sub(1).min(MAX_DOUBLINGS));
         let delay_ms = (self.base_ms * 2f64.powi(doublings)).min(self.max_ms);
         delay_ms * (1.0 - self.jitter * random.clamp(0.0, 1.0))
     }
 
-    /// Returns the sum of the delays between so many attempts without jitter, in ms.
+    /// Returns the sum of the delays between this number of attempts without jitter, in ms.
     pub fn total_delay_ms(&self, attempts: u32) -> Millis {
         (1..attempts.min(MAX_SUMMED_ATTEMPTS))
             .map(|attempts_made| self.delay_before_retry_ms(attempts_made as u16, 0.0))
@@ -117,46 +121,48 @@
 /// When a hedged request is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HedgingDelay {
-    /// Once the attempt has been in flight this long, in ms.
+    /// Once the attempt has been in flight for this time, in ms.
     Ms(Millis),
-    /// Once the attempt has been in flight for longer than this quantile of its class's latency, such as 0.95.
+    /// Once the attempt has been in flight for longer than this quantile of the latency of its
+    /// class, such as 0.95.
     Quantile(f64),
 }
 
-/// When and how often requests are hedged.
+/// When and how often hedged requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HedgingPolicy {
     /// When a hedged request is sent.
     pub after: HedgingDelay,
-    /// Hedged requests allowed for each first attempt.
+    /// Number of hedged requests allowed for each first attempt.
     pub ratio: f64,
 }
 
-/// The keys that a table of the operators' file sets; none for a key that it leaves out.
+/// The values of the keys in a table of the operators' file. A key that the table does not set is
+/// `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AttemptPolicy {
     /// Timeout of the whole request, in ms.
     pub timeout_ms: Option<Millis>,
     /// Timeout of one attempt, in ms.
     pub attempt_timeout_ms: Option<Millis>,
-    /// Limit of attempts, the first included.
+    /// Limit of attempts, including the first.
     pub max_attempts: Option<u32>,
     /// The outcomes after which an attempt may be retried.
     pub retry_on: Option<OutcomeSet>,
     /// Delays before retries.
     pub backoff: Option<Backoff>,
-    /// The retry budget, shared by all requests that take it from the same table.
+    /// The retry budget. All requests whose budget comes from the same table share it.
     pub budget: Option<Arc<Budget>>,
-    /// Hedging.
+    /// When and how often hedged requests are sent.
     pub hedging: Option<HedgingPolicy>,
 }
 
-/// A key of a table with its value, as the operators' file writes them.
+/// A key of a table and its value, in the notation of the operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// The key's name.
     pub key: &'static str,
-    /// Its value; none where the table leaves the key out.
+    /// The value, or `None` if the table does not set the key.
     pub value: Option<String>,
 }
 
@@ -165,14 +171,14 @@
 pub enum RetryDecision {
     /// A retry may start after this delay in ms.
     RetryAfter(Millis),
-    /// No retry: the limit of attempts is reached, or the outcome is not among those to retry on.
+    /// No retry: the limit of attempts is reached, or the outcome is not in `retry_on`.
     NotRetryable,
-    /// No retry for now: the budget is exhausted.
+    /// No retry at this time: the budget is exhausted.
     BudgetExhausted,
 }
 
 impl AttemptPolicy {
-    /// Replaces each key that `other` sets by its value there.
+    /// Replaces the value of each key that `other` sets by the value in `other`.
     pub fn override_with(&mut self, other: &AttemptPolicy) {
         fn override_key<T: Clone>(own: &mut Option<T>, other: &Option<T>) {
             if other.is_some() {
@@ -188,7 +194,7 @@
         override_key(&mut self.hedging, &other.hedging);
     }
 
-    /// A copy of this policy, overridden by another one if there is one.
+    /// Returns a copy of this policy, overridden by `other` if there is one.
     pub(super) fn overridden_by(&self, other: Option<&AttemptPolicy>) -> AttemptPolicy {
         let mut policy = self.clone();
         if let Some(other) = other {
@@ -197,8 +203,8 @@
         policy
     }
 
-    /// This policy as it applies to a class of non-idempotent requests: without hedging, and without retries after
-    /// outcomes at which the attempt may have run.
+    /// Returns this policy as it applies to a class of non-idempotent requests: without hedging,
+    /// and without the outcomes in `retry_on` after which the attempt may have run.
     #[must_use]
     pub fn for_non_idempotent(&self) -> AttemptPolicy {
         AttemptPolicy {
@@ -210,7 +216,7 @@
         }
     }
 
-    /// Returns the names of the keys that both policies set, to different values.
+    /// Returns the names of the keys that both policies set to different values.
     pub fn conflicting_keys(&self, other: &AttemptPolicy) -> Vec<&'static str> {
         let both_set =
             |own: &KeyValue, other: &KeyValue| own.value.is_some() && other.value.is_some();
@@ -237,7 +243,8 @@
         ]
     }
 
-    /// Whether a retry may follow this outcome after so many attempts, whatever the budget.
+    /// Whether `max_attempts` and `retry_on` allow a retry after this number of attempts and this
+    /// outcome. The budget is not considered.
     pub fn allows_retry_after(&self, attempts_made: u16, outcome: Outcome) -> bool {
         self.max_attempts
             .is_none_or(|max_attempts| u32::from(attempts_made) < max_attempts)
@@ -246,8 +253,9 @@
                 .is_none_or(|outcomes| outcomes.contains(outcome))
     }
 
-    /// Decides at `now` whether a retry may follow this outcome after so many attempts, and counts it against the budget
-    /// if it may. `random` is from 0 to 1. A key that is left out limits nothing.
+    /// Decides whether a retry may follow after this number of attempts and this outcome, and
+    /// counts an allowed retry against the budget. `random` is from 0 to 1. A key that is not set
+    /// limits nothing.
     #[must_use]
     pub fn retry_decision(
         &self,
--- a/src/retry_policy/budget.rs
+++ b/src/retry_policy/budget.rs
@@ -1,26 +1,28 @@
-//! A retry budget: the retries that may follow first attempts, over a sliding window of ten slots.
+//! A retry budget: a limit on retries relative to first attempts, over a sliding window of ten
+//! slots.
 
 use crate::decision::Millis;
 use std::sync::{Mutex, PoisonError};
 
-/// Slots of a window.
+/// Number of slots of a window.
 const SLOTS: usize = 10;
 
-/// The limit of retries, with the usage of all requests that share it.
+/// A limit on retries, and its usage by all requests that share it.
 #[derive(Debug)]
 pub struct Budget {
-    /// Retries allowed for each first attempt of the window.
+    /// Number of retries allowed for each first attempt in the window.
     pub ratio: f64,
-    /// Retries allowed besides, for each second of the window.
+    /// Number of retries that are allowed in addition for each second of the window.
     pub min_per_s: f64,
     /// Length of the window, in ms.
     pub window_ms: Millis,
-    /// Shared by the policies of one table. The lock is uncontended: only the core's thread counts.
+    /// Shared by the policies that take the budget from one table. The lock is uncontended, because
+    /// only the core's thread counts attempts.
     usage: Mutex<BudgetUsage>,
 }
 
 impl PartialEq for Budget {
-    /// Budgets are equal if their settings are; the usage is no setting.
+    /// Compares the settings of two budgets, without their usage.
     fn eq(&self, other: &Budget) -> bool {
         (self.ratio, self.min_per_s, self.window_ms)
             == (other.ratio, other.min_per_s, other.window_ms)
@@ -28,7 +30,7 @@
 }
 
 impl Budget {
-    /// An unused budget.
+    /// Creates an unused budget.
     pub fn new(ratio: f64, min_per_s: f64, window_ms: Millis) -> Budget {
         Budget {
             ratio,
@@ -43,7 +45,7 @@
         self.with_usage(|usage| usage.record_first_attempt(self, now));
     }
 
-    /// Counts a retry and returns true if the budget allows it; counts nothing otherwise.
+    /// Counts a retry if the budget allows it, and returns whether it does.
     #[must_use]
     pub fn try_record_retry(&self, now: Millis) -> bool {
         self.with_usage(|usage| usage.try_record_retry(self, now))
@@ -58,7 +60,8 @@
     }
 
     fn with_usage<T>(&self, operation: impl FnOnce(&mut BudgetUsage) -> T) -> T {
-        // The counts stay valid after a panic under the lock, so a poisoned lock can be used.
+        // The counts stay valid if a thread panics while it holds the lock, so a poisoned lock is
+        // usable.
         let mut usage = self.usage.lock().unwrap_or_else(PoisonError::into_inner);
         operation(&mut usage)
     }
@@ -74,7 +77,7 @@
 /// The usage of a budget. Its size is fixed.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetUsage {
-    /// From the oldest to the current one.
+    /// The slots of the window, from the oldest to the current one.
     slots: [Slot; SLOTS],
     /// The number of the current slot, counted from time 0.
     current_slot_number: u64,
@@ -87,7 +90,7 @@
         self.slots[SLOTS - 1].first_attempts += 1;
     }
 
-    /// Counts a retry and returns true if the budget allows it; counts nothing otherwise.
+    /// Counts a retry if the budget allows it, and returns whether it does.
     #[must_use]
     pub fn try_record_retry(&mut self, budget: &Budget, now: Millis) -> bool {
         self.advance(budget, now);
@@ -103,7 +106,7 @@
     fn advance(&mut self, budget: &Budget, now: Millis) {
         let slot_ms = budget.window_ms.max(1.0) / SLOTS as f64;
         let slot_number = (now.max(0.0) / slot_ms) as u64;
-        // A clock that stands still or goes back drops nothing.
+        // If the clock stands still or goes back, no slot is dropped.
         let expired = (slot_number.saturating_sub(self.current_slot_number) as usize).min(SLOTS);
         if expired > 0 {
             self.slots.rotate_left(expired);
--- a/src/retry_policy/latency.rs
+++ b/src/retry_policy/latency.rs
@@ -1,19 +1,20 @@
-//! Latency quantiles of a class's attempts, for hedging after a quantile.
+//! Latency quantiles of a class's attempts, for hedged requests that are sent after a quantile.
 
 use crate::decision::Millis;
 use hdrhistogram::Histogram;
 use std::fmt;
 
-/// Longest latency that is recorded as it is, in ms; longer ones count as this.
+/// Longest latency that can be recorded, in ms. Longer latencies are recorded as this value.
 const MAX_RECORDED_MS: u64 = 600_000;
-/// Shortest latency that is recorded as it is, in ms.
+/// Shortest latency that can be recorded, in ms. Shorter latencies are recorded as this value.
 const MIN_RECORDED_MS: u64 = 1;
 /// Significant decimal digits of a recorded latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Fewest attempts of a period from which a quantile is computed.
+/// Smallest number of recorded attempts from which a quantile is computed.
 const MIN_SAMPLES: u64 = 50;
 
-/// Latencies of a class's attempts in the current period and the one before. Its size is fixed, about 14 kB.
+/// Latencies of a class's attempts in the current and the previous period. The size is fixed, about
+/// 14 kB.
 pub struct LatencyQuantiles {
     period_ms: Millis,
     period_start_ms: Millis,
@@ -34,7 +35,7 @@
 }
 
 impl LatencyQuantiles {
-    /// Nothing recorded yet. Latencies are dropped after at most two periods.
+    /// Creates empty histograms. Latencies are dropped after at most two periods.
     pub fn new(period_ms: Millis) -> LatencyQuantiles {
         LatencyQuantiles {
             period_ms: period_ms.max(1.0),
@@ -55,17 +56,18 @@
         self.current.saturating_record(recorded_ms);
     }
 
-    /// Returns the latency at a quantile from 0 to 1, in ms, or none while there are too few samples.
+    /// Returns the latency at a quantile from 0 to 1, in ms, or `None` if both periods have too few
+    /// samples.
     pub fn quantile(&mut self, quantile: f64, now: Millis) -> Option<Millis> {
         self.advance(now);
-        // The current period is the more recent one; the previous one is used until it has enough samples.
+        // The previous period is used until the current period has enough samples.
         let histogram = [&self.current, &self.previous]
             .into_iter()
             .find(|histogram| histogram.len() >= MIN_SAMPLES)?;
         Some(histogram.value_at_quantile(quantile.clamp(0.0, 1.0)) as f64)
     }
 
-    /// Begins a new period if the current one is over.
+    /// Starts a new period if the current one is over.
     fn advance(&mut self, now: Millis) {
         let periods_passed = (now - self.period_start_ms) / self.period_ms;
         if periods_passed < 1.0 {
--- a/src/retry_policy/mod.rs
+++ b/src/retry_policy/mod.rs
@@ -1,14 +1,15 @@
-//! The retry policy: what the attempts of a request may do, by class and route.
+//! The retry policy: timeouts, retries and hedging of a request's attempts, by class and route.
 //!
-//! It owns the attempt policies of the operators' file, the index of its routes, and the usage of retry budgets. It
-//! answers which timeouts hold for a request, after which outcomes and how often an attempt may be retried, and how
-//! long to wait before.
+//! This module owns the attempt policies of the operators' file, the index of its routes, and the
+//! usage of retry budgets. It determines which timeouts apply to a request, after which outcomes
+//! and how often an attempt may be retried, and the delay before each retry.
 //!
-//! It does no I/O and reads no clock: each time is an argument. The cost of resolving a request's policy does not grow
-//! with the number of routes, and a budget has a fixed size.
+//! It does no I/O and reads no clock: each time is an argument. The cost of resolving a request's
+//! policy does not grow with the number of routes, and a budget has a fixed size.
 //!
-//! `operator_config` builds the [`Policy`], `core` resolves it for each request and asks for the [`RetryDecision`], and
-//! the admin address explains it. The design is in `docs/attempts-design.md`.
+//! `operator_config` builds the [`Policy`], `core` resolves it for each request and asks for the
+//! [`RetryDecision`], and the admin address explains it. The design is in
+//! `docs/attempts-design.md`.
 
 mod attempt_policy;
 mod budget;
--- a/src/retry_policy/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -1,5 +1,5 @@
-//! The retry policy in force: the index that resolves requests, and the tables themselves, which say where each value
-//! of a resolved policy comes from.
+//! The retry policy in force: the index that resolves requests, and the tables of the operators'
+//! file, which show where each value of a resolved policy comes from.
 
 use super::attempt_policy::{AttemptPolicy, KeyValue};
 use super::route_errors::RouteError;
@@ -7,34 +7,35 @@
 use super::routes::{Route, RouteIndex};
 use std::cmp::Reverse;
 
-/// What `POLICY` and `explain` print where nothing sets a key.
+/// Text that `POLICY` and `explain` print if no table sets a key.
 const UNSET: &str = "-";
 
-/// The value of a key for a request, and the table that sets it, as `POLICY` and `explain` print them.
+/// The value of a key for a request and the table that sets it, as `POLICY` and `explain` print
+/// them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EffectiveValue {
-    /// The key, as the file names it.
+    /// The key's name in the operators' file.
     pub key: &'static str,
-    /// Its value, as the file would write it; `-` where nothing sets it.
+    /// The value in the notation of the operators' file, or `-` if no table sets it.
     pub value: String,
-    /// `default`, `class NAME`, `route NAME`, or `-` where nothing sets it.
+    /// The table that sets the key: `default`, `class NAME` or `route NAME`, or `-` if none does.
     pub from: String,
 }
 
-/// A class of the settings, with its own table of the operators' file.
+/// A class of the settings and its table in the operators' file.
 #[derive(Clone, Debug)]
 pub struct ClassPolicy {
     /// The class's name.
     pub name: String,
-    /// Whether running a request twice may do harm. The default's hedging, and its retries after outcomes at which the
-    /// attempt may have run, don't apply to such a class.
+    /// Whether running a request twice may do harm. The default policy's hedging does not apply to
+    /// such a class, nor do the outcomes in its `retry_on` after which the attempt may have run.
     pub not_idempotent: bool,
-    /// The class's own table; none where the file has no table for it.
+    /// The policy of the class's table, or `None` if the file has no table for the class.
     pub own_policy: Option<AttemptPolicy>,
 }
 
 impl ClassPolicy {
-    /// Returns the policy in force for the class, routes left out.
+    /// Returns the policy in force for the class, without routes.
     #[must_use]
     pub fn effective(&self, default: &AttemptPolicy) -> AttemptPolicy {
         let own = self.own_policy.as_ref();
@@ -46,32 +47,33 @@
     }
 }
 
-/// All tables of one operators' file, ready to resolve requests. The default value, without a file, limits nothing.
+/// All tables of one operators' file, ready to resolve requests. The `Default` value, which is used
+/// without a file, limits nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Policy {
     route_index: RouteIndex,
     default: AttemptPolicy,
-    /// By position in the settings.
+    /// The classes, by position in the settings.
     classes: Vec<ClassPolicy>,
-    /// In the order of the file.
+    /// The routes, in the order of the file.
     routes_in_order: Vec<Route>,
-    /// Names of the members, by position.
+    /// The names of the members, by position in the settings.
     members: Vec<String>,
 }
 
 /// A table that applies to a request.
 struct ApplicableTable<'a> {
-    /// As [`EffectiveValue::from`] shows it.
+    /// The table's name, as in [`EffectiveValue::from`].
     label: String,
     policy: &'a AttemptPolicy,
 }
 
 impl Policy {
-    /// Builds a policy from these tables. `classes` and `members` are by position in the settings.
+    /// Builds a policy from the tables. `classes` and `members` are in the order of the settings.
     ///
     /// # Errors
     ///
-    /// Every conflict between the routes.
+    /// Every reason why the routes cannot be used together.
     pub fn new(
         default: AttemptPolicy,
         classes: Vec<ClassPolicy>,
@@ -92,7 +94,8 @@
         })
     }
 
-    /// Returns the position of a member by its name, as routes match it, or `usize::MAX` for one that no route names.
+    /// Returns the position of a member, which routes match, by its name. An unknown member has
+    /// `usize::MAX`, which no route matches by value.
     pub fn member_position(&self, name: &[u8]) -> usize {
         self.members
             .iter()
@@ -100,7 +103,7 @@
             .unwrap_or(usize::MAX)
     }
 
-    /// Whether the file sets no key at all.
+    /// Whether there are no keys, class tables or routes.
     pub fn is_empty(&self) -> bool {
         self.default == AttemptPolicy::default()
             && self.classes.iter().all(|class| class.own_policy.is_none())
@@ -112,8 +115,8 @@
         self.route_index.resolve(request)
     }
 
-    /// Returns each key's value for a request, with the table that sets it. It walks all routes: for on-call staff, not
-    /// for the path of a request.
+    /// Returns each key's value for a request and the table that sets it. It iterates over all
+    /// routes, so it is for on-call staff and not for the path of a request.
     pub fn explain(&self, request: &RequestAttributes) -> Vec<EffectiveValue> {
         let tables = self.applicable_tables(request);
         self.resolve(request)
@@ -123,7 +126,7 @@
             .collect()
     }
 
-    /// The tables that apply to a request, each overriding those before it.
+    /// Returns the tables that apply to a request. Each overrides those before it.
     fn applicable_tables(&self, request: &RequestAttributes) -> Vec<ApplicableTable<'_>> {
         let mut tables = vec![ApplicableTable {
             label: "default".to_owned(),
@@ -151,7 +154,7 @@
         tables
     }
 
-    /// Copies the usage of an earlier policy's budgets, table by table.
+    /// Copies the usage of an earlier policy's budgets, each to the budget of the same table.
     pub fn carry_over_budgets(&self, earlier: &Policy) {
         carry_over_budget(&self.default, &earlier.default);
         for class in &self.classes {
@@ -170,7 +173,7 @@
     }
 }
 
-/// Finds the last table that sets a key.
+/// Returns a key's value with the last table that sets it.
 fn effective_value(key_value: KeyValue, tables: &[ApplicableTable<'_>]) -> EffectiveValue {
     let KeyValue { key, value } = key_value;
     let sets_key = |table: &&ApplicableTable<'_>| {
--- a/src/retry_policy/route_errors.rs
+++ b/src/retry_policy/route_errors.rs
@@ -1,23 +1,27 @@
-//! Conflicts between the routes of a file, found before an index is built over them.
+//! Errors in the routes of an operators' file, which are checked before the index is built.
 
 use super::routes::Route;
 use thiserror::Error;
 
-/// Limit of the combinations of values that all routes together may name. It bounds the memory of the index.
+/// Limit of the number of combinations of matcher values of all routes together. It bounds the
+/// memory of the index.
 const MAX_COMBINATIONS: usize = 1 << 18;
 
-/// Why routes cannot be used. The texts are part of the faults that the check of an operators' file prints.
+/// A reason why routes cannot be used. The check of an operators' file prints the message up to the
+/// semicolon as a fault.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RouteError {
     /// No request can match the route.
-    #[error("route {route:?} can match no request; name what it is to match")]
+    #[error("route {route:?} cannot match any request; list at least one value in each matcher")]
     MatchesNothing {
         /// The route's name.
         route: String,
     },
-    /// Some request matches both routes, neither is the more specific one, and they set keys to different values.
+    /// Some requests match both routes, neither route is the more specific one, and they set keys
+    /// to different values.
     #[error(
-        "routes {earlier:?} and {later:?} match the same requests and disagree on {}; let one lie within the other",
+        "routes {earlier:?} and {later:?} match some of the same requests and set different values for {}; \
+         make one route narrower than the other",
         .keys.join(", ")
     )]
     Conflict {
@@ -25,15 +29,16 @@
         earlier: String,
         /// The name of the other route.
         later: String,
-        /// The keys with different values.
+        /// The keys that the routes set to different values.
         keys: Vec<&'static str>,
     },
-    /// The routes together name more combinations of values than the index holds.
+    /// The routes together list more combinations of matcher values than the index may hold.
     #[error(
-        "routes name {count} combinations of matchers, more than {MAX_COMBINATIONS}; leave some out"
+        "routes list {count} combinations of matcher values, more than the limit of {MAX_COMBINATIONS}; \
+         remove some values"
     )]
     TooManyCombinations {
-        /// The combinations that they name.
+        /// The number of combinations.
         count: usize,
     },
 }
@@ -63,12 +68,14 @@
     errors
 }
 
-/// The conflict between two routes, if there is one.
+/// Returns the conflict between two routes, if there is one.
 fn find_conflict(earlier: &Route, later: &Route) -> Option<RouteError> {
     if !earlier.matches.overlaps(&later.matches) {
         return None;
     }
-    // Routes with equal matchers lie within each other: neither is the more specific one.
+    // If one route is strictly within the other, it is the more specific one and overrides the
+    // other. Routes that match the same requests are within each other, so neither is more
+    // specific.
     let earlier_is_within = earlier.matches.is_within(&later.matches);
     let later_is_within = later.matches.is_within(&earlier.matches);
     if earlier_is_within != later_is_within {
--- a/src/retry_policy/route_match.rs
+++ b/src/retry_policy/route_match.rs
@@ -1,4 +1,4 @@
-//! What a route matches, and the attributes of a request that it is compared with.
+//! The matchers of a route, and the attributes of a request that they are compared with.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 }
 
 impl FrontendKind {
-    /// All front ends, with their names in the operators' file.
+    /// All front ends and their names in the operators' file.
     pub const NAMES: [(&'static str, FrontendKind); 2] = [
         ("platform", FrontendKind::Platform),
         ("flight", FrontendKind::Flight),
@@ -22,36 +22,38 @@
 /// The attributes of a request that routes can match. Classes and members are given by their positions in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestAttributes {
-    /// Its class.
+    /// The class of the request.
     pub class: usize,
     /// The member that sent it.
     pub member: usize,
     /// The front end that received it.
     pub frontend: FrontendKind,
-    /// Its data set.
+    /// The data set of the request.
     pub data_set: u32,
 }
 
-/// What a route matches: one matcher for each attribute. A matcher that is left out matches every value.
+/// The matchers of a route, one for each attribute. A matcher that is `None` matches every value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteMatch {
-    /// Classes, by position.
+    /// The classes that match, by position in the settings.
     pub class: Option<BTreeSet<usize>>,
-    /// Members, by position.
+    /// The members that match, by position in the settings.
     pub member: Option<BTreeSet<usize>>,
-    /// Front ends.
+    /// The front ends that match.
     pub frontend: Option<BTreeSet<FrontendKind>>,
-    /// Data sets.
+    /// The data sets that match.
     pub data_set: Option<BTreeSet<u32>>,
 }
 
-/// The matchers that a route names, whatever their values.
+/// The set of matchers that a route has, regardless of their values.
 ///
-/// The order is that in which routes apply: sets of fewer matchers first, so that a more specific route overrides.
+/// The order is the one in which routes apply: sets of fewer matchers come first, so that a more
+/// specific route overrides a broader one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MatcherSet {
-    /// Compared first.
+    /// Number of matchers in the set. The derived order compares it first.
     count: u32,
+    /// One bit for each matcher.
     bits: u8,
 }
 
@@ -73,7 +75,8 @@
     }
 }
 
-/// A key of the index of routes: one value for each matcher that a route names, none for those that it leaves out.
+/// A key of the route index: one value for each matcher that a route has, and `None` for each other
+/// matcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RouteKey {
     class: Option<usize>,
@@ -83,7 +86,7 @@
 }
 
 impl RouteKey {
-    /// The cell of a request among those of the routes that name these matchers.
+    /// Returns the key of a request among the routes with exactly these matchers.
     pub(super) fn of_request(request: &RequestAttributes, matchers: MatcherSet) -> RouteKey {
         let is_set = |matcher| matchers.contains(matcher);
         RouteKey {
@@ -104,7 +107,7 @@
             && is_subset(&self.data_set, &other.data_set)
     }
 
-    /// Whether some request can match both.
+    /// Whether some request can match both this and `other`.
     pub fn overlaps(&self, other: &RouteMatch) -> bool {
         intersects(&self.class, &other.class)
             && intersects(&self.member, &other.member)
@@ -125,7 +128,7 @@
             && matches_value(&self.data_set, &request.data_set)
     }
 
-    /// The matchers that are not left out.
+    /// Returns the set of matchers that are present.
     pub(super) fn matchers(&self) -> MatcherSet {
         let presence = [
             (self.class.is_some(), MatcherSet::CLASS),
@@ -140,8 +143,8 @@
         MatcherSet::new(bits)
     }
 
-    /// The number of combinations of the values that it names. Of two routes with the same matchers, the one within the
-    /// other has fewer.
+    /// Returns the number of combinations of the matchers' values. Of two routes with the same set
+    /// of matchers, one that is strictly within the other has fewer.
     pub(super) fn combinations(&self) -> usize {
         let counts = [
             self.class.as_ref().map(BTreeSet::len),
@@ -152,7 +155,8 @@
         counts.into_iter().flatten().fold(1, usize::saturating_mul)
     }
 
-    /// Visits the cells of the index that it covers, one for each combination of its values.
+    /// Calls `visit` with the keys of the route index for this route, one for each combination of
+    /// values.
     pub(super) fn for_each_key(&self, mut visit: impl FnMut(RouteKey)) {
         for class in values_or_none(&self.class) {
             for member in values_or_none(&self.member) {
@@ -192,7 +196,7 @@
     matcher.as_ref().is_none_or(|values| values.contains(value))
 }
 
-/// The values of a matcher, or none alone where it is left out.
+/// Returns the values of a matcher, or a single `None` if the matcher is not present.
 fn values_or_none<T: Copy>(matcher: &Option<BTreeSet<T>>) -> Vec<Option<T>> {
     match matcher {
         Some(values) => values.iter().copied().map(Some).collect(),
--- a/src/retry_policy/routes.rs
+++ b/src/retry_policy/routes.rs
@@ -1,8 +1,9 @@
 //! The index that resolves the attempt policy of a request.
 //!
-//! The policy of the request's class applies first, then those of the routes that match, the more specific over the
-//! broader. Each route is spread over cells, one for each combination of its values. A lookup visits one cell for each
-//! set of matchers that some route names, sixteen at most, so its cost does not grow with the number of routes.
+//! The policy of the request's class applies first. The policies of the matching routes then
+//! override it, the more specific ones last. The index has an entry for each combination of a
+//! route's matcher values. A lookup reads one entry for each set of matchers that any route has.
+//! There are at most 16 such sets, so the cost does not grow with the number of routes.
 
 use super::attempt_policy::AttemptPolicy;
 use super::route_errors::{RouteError, find_route_errors};
@@ -13,30 +14,32 @@
 /// A route of the operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The route's name.
     pub name: String,
-    /// What it matches.
+    /// The requests that the route matches.
     pub matches: RouteMatch,
-    /// The keys that it sets.
+    /// The keys that the route sets.
     pub policy: AttemptPolicy,
 }
 
 /// The index of the policies of classes and routes.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
-    /// By the position of the class: the default policy, overridden by the class's own.
+    /// The default policy, overridden by the policy of each class, by position of the class.
     classes: Vec<AttemptPolicy>,
+    /// The policies of the routes, by combination of matcher values.
     policies: HashMap<RouteKey, AttemptPolicy>,
-    /// The sets of matchers that some route names, in the order in which they apply.
+    /// The sets of matchers that the routes have, in the order in which they apply.
     matcher_sets: Vec<MatcherSet>,
 }
 
 impl RouteIndex {
-    /// Builds an index. `classes` are by position, none where the file has no table for a class.
+    /// Builds an index. `classes` are in the order of the settings, with `None` for a class without
+    /// a policy.
     ///
     /// # Errors
     ///
-    /// Every conflict between the routes.
+    /// Every reason why the routes cannot be used together.
     pub fn new(
         default: &AttemptPolicy,
         classes: &[Option<AttemptPolicy>],
@@ -61,7 +64,7 @@
         })
     }
 
-    /// Returns the policy that is in force for a request.
+    /// Returns the policy in force for a request.
     pub fn resolve(&self, request: &RequestAttributes) -> AttemptPolicy {
         let mut policy = self.classes.get(request.class).cloned().unwrap_or_default();
         for matchers in &self.matcher_sets {
@@ -74,10 +77,11 @@
     }
 }
 
-/// Spreads the routes over keys.
+/// Returns the policies of the routes, by combination of matcher values.
 fn build_policies(routes: &[Route]) -> HashMap<RouteKey, AttemptPolicy> {
-    // Broader routes come first, so that the more specific one overrides in a cell that both cover. Routes that share a
-    // cell name the same matchers, and the one within the other has fewer combinations.
+    // Broader routes come first, so that the more specific route overrides the broader one where
+    // both have the same key. Such routes have the same set of matchers, and the one that is within
+    // the other has fewer combinations.
     let mut broadest_first: Vec<&Route> = routes.iter().collect();
     broadest_first.sort_by_key(|route| Reverse(route.matches.combinations()));
     let mut policies: HashMap<RouteKey, AttemptPolicy> = HashMap::new();
--- a/src/retry_policy/tests.rs
+++ b/src/retry_policy/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the retry policy: route resolution against a reference model, budgets, backoff and latency quantiles.
+//! Tests of the retry policy: route resolution compared with a reference model, budgets, backoff
+//! and latency quantiles.
 
 use super::*;
 use crate::decision::Outcome;
@@ -135,14 +136,14 @@
     assert_eq!(errors, expected);
     assert_eq!(
         errors[0].to_string(),
-        "route \"nothing\" can match no request; name what it is to match"
+        "route \"nothing\" cannot match any request; list at least one value in each matcher"
     );
     assert_eq!(
         errors[1].to_string(),
-        "routes \"by class\" and \"by member\" match the same requests and disagree on timeout_ms; \
-         let one lie within the other"
+        "routes \"by class\" and \"by member\" match some of the same requests and set different values \
+         for timeout_ms; make one route narrower than the other"
     );
-    // A thousand classes by a thousand members are a million combinations.
+    // 1000 classes times 1000 members are 1,000,000 combinations.
     let many: Vec<usize> = (0..1000).collect();
     let routes = [route(
         "vast",
@@ -157,17 +158,18 @@
     );
     assert_eq!(
         errors[0].to_string(),
-        "routes name 1000000 combinations of matchers, more than 262144; leave some out"
+        "routes list 1000000 combinations of matcher values, more than the limit of 262144; \
+         remove some values"
     );
 }
 
-/// Cases of the property test.
+/// Number of cases of the property test.
 const CASES: u32 = 3000;
 
-/// Fewest cases that must be accepted, and fewest that must be rejected.
+/// The numbers of accepted and of rejected cases must each be greater than this.
 const MIN_CASES_OF_EACH_KIND: u32 = 500;
 
-/// A matcher of one or two values, or none.
+/// Generates a matcher of one or two values, or `None`.
 fn any_matcher<T: Clone + std::fmt::Debug + Ord + 'static>(
     value: impl Strategy<Value = T> + 'static,
 ) -> impl Strategy<Value = Option<BTreeSet<T>>> {
@@ -211,7 +213,8 @@
     )
 }
 
-/// The reference model: of the routes that match and set a key, the policy of one that no other lies strictly within.
+/// The reference model: returns the policy of the most specific route that matches and sets a key.
+/// A route is most specific if no other matching route that sets the key is strictly within it.
 fn most_specific_policy(
     routes: &[Route],
     request: &RequestAttributes,
@@ -275,7 +278,8 @@
     );
 }
 
-/// Retries stay within the budget however many first attempts fail, and idle time accumulates no allowance.
+/// Retries stay within the budget even if every first attempt fails, and idle time does not add to
+/// the budget.
 #[test]
 fn retries_stay_within_the_budget_while_every_first_attempt_fails() {
     let budget = Budget::new(0.1, 3.0, 10_000.0);
@@ -286,7 +290,7 @@
         usage.record_first_attempt(&budget, now);
         retry_times.extend(usage.try_record_retry(&budget, now).then_some(now));
         if attempt % 100 == 0 {
-            let window_start = retry_times.partition_point(|at| *at <= now - 9_000.0);
+            let window_start = retry_times.partition_point(|time| *time <= now - 9_000.0);
             assert!(
                 (retry_times.len() - window_start) as f64 <= 0.1 * 10_000.0 + 30.0,
                 "{now}"
@@ -295,7 +299,7 @@
     }
     assert!(
         retry_times.len() > 5_000,
-        "the budget is used: {}",
+        "only {} retries were allowed in total",
         retry_times.len()
     );
     now += 3_600_000.0;
@@ -304,11 +308,11 @@
         .count();
     assert_eq!(
         allowed, 30,
-        "after an idle hour there is the minimum of one window, and no more"
+        "after an idle hour, only the minimum of one window is allowed"
     );
     assert!(
         !usage.try_record_retry(&budget, now - 5_000.0),
-        "a clock that goes back adds nothing"
+        "a clock that goes back must not add to the budget"
     );
 }
 
@@ -377,7 +381,7 @@
     assert_eq!(may_have_run, ["reset", "error", "timed-out"]);
 }
 
-/// Quantiles follow the recent attempts: old periods are dropped, and too few samples give no quantile.
+/// Quantiles are computed from recent attempts only, and not from too few samples.
 #[test]
 fn quantile_needs_enough_samples_and_drops_those_older_than_two_periods() {
     let mut latency = LatencyQuantiles::new(10_000.0);
