--- a/src/subset.rs
+++ b/src/subset.rs
@@ -199,9 +199,9 @@
             };
             (*engine, sharing)
         };
-        let members = ranks.iter().map(sharing).collect();
+        let shared_engines = ranks.iter().map(sharing).collect();
         self.ranks = ranks;
-        Some(members)
+        Some(shared_engines)
     }
 
     fn arcs(&self) -> Arcs {
