--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -143,7 +143,7 @@
     let list = list(5500, 14, 2);
     let fleet = subset(512, 925, &list);
     let before = subsets_of_all(&fleet);
-    let (mut lost, mut gained) = (0, 0);
+    let (mut dropped, mut added) = (0, 0);
     for (n, (engine, zone)) in list.iter().enumerate().step_by(2200) {
         let (mut replaced, successor) = (fleet.clone(), engine_id(0xFFFF_0000 + n as u32));
         replaced.set_ready_zone(*engine, None);
@@ -165,13 +165,13 @@
                 expected_changes,
                 "{ordinal}"
             );
-            lost += usize::from(had_engine);
-            gained += usize::from(after.contains_key(&successor));
+            dropped += usize::from(had_engine);
+            added += usize::from(after.contains_key(&successor));
         }
     }
     assert!(
-        (120..=380).contains(&lost) && (120..=380).contains(&gained),
-        "{lost} subsets lost and {gained} gained an engine in three replacements"
+        (120..=380).contains(&dropped) && (120..=380).contains(&added),
+        "{dropped} subsets dropped and {added} added an engine in three replacements"
     );
     for instances in [924, 926] {
         let mut other = fleet.clone();
