--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -7,10 +7,10 @@
 use proptest::prelude::*;
 use std::collections::HashSet;
 
-type EndpointList = Vec<(EngineId, u8)>;
+type ListedEngines = Vec<(EngineId, u8)>;
 
 /// Builds a list of engines with ids that depend on a seed, in zones of equal size.
-fn list(engines: u32, zones: u8, seed: u32) -> EndpointList {
+fn list(engines: u32, zones: u8, seed: u32) -> ListedEngines {
     let id = |n: u32| engine_id(n.wrapping_mul(0x9E37_79B1) ^ seed);
     (0..engines)
         .map(|n| (id(n), (n % u32::from(zones)) as u8))
