--- a/src/command.rs
+++ b/src/command.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// The exit code of a command that cannot use its file or its arguments.
-const EXIT_REFUSED: u8 = 2;
+const EXIT_INVALID_INPUT: u8 = 2;
 
 /// What a command prints, and how it ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -31,9 +31,9 @@
         }
     }
 
-    fn refused(stderr: String) -> Self {
+    fn invalid_input(stderr: String) -> Self {
         CommandOutput {
-            exit_code: EXIT_REFUSED,
+            exit_code: EXIT_INVALID_INPUT,
             stderr,
             ..CommandOutput::default()
         }
@@ -88,23 +88,23 @@
             CommandOutput::success(format!("{file}: sound in itself{scope}\n"))
         }
         Err(CommandError::Faults(faults)) if format == FaultFormat::Json => {
-            CommandOutput::refused(format!("{}\n", faults_as_json(&faults)))
+            CommandOutput::invalid_input(format!("{}\n", faults_as_json(&faults)))
         }
-        Err(error) => CommandOutput::refused(format!("{error}\n")),
+        Err(error) => CommandOutput::invalid_input(format!("{error}\n")),
     }
 }
 
 /// Checks the file; returns what it was checked against besides itself.
 fn check_file(config: Option<&Path>, path: &Path) -> Result<&'static str, CommandError> {
     let constraints = config.map(load_constraints).transpose()?;
-    let in_file = |faults| Faults {
+    let faults_of_file = |faults| Faults {
         file: path.display().to_string(),
         faults,
     };
     let source = operator_config::read(path)
-        .map_err(|fault| in_file(vec![fault]))?
+        .map_err(|fault| faults_of_file(vec![fault]))?
         .ok_or_else(|| CommandError::NoFile(path.to_owned()))?;
-    operator_config::parse_and_check(&source, constraints.as_ref()).map_err(in_file)?;
+    operator_config::parse_and_check(&source, constraints.as_ref()).map_err(faults_of_file)?;
     Ok(match constraints {
         Some(_) => " and the settings",
         None => "; the settings were not given",
@@ -138,7 +138,7 @@
 pub fn explain(config: &Path, path: &Path, query: &ExplainQuery) -> CommandOutput {
     match explain_request(config, path, query) {
         Ok(lines) => CommandOutput::success(lines),
-        Err(error) => CommandOutput::refused(format!("{error}\n")),
+        Err(error) => CommandOutput::invalid_input(format!("{error}\n")),
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -105,12 +105,12 @@
             command::explain(&config, &file, &query)
         }
     };
-    print(&output);
+    write_output(&output);
     ExitCode::from(output.exit_code)
 }
 
 /// Writes a command's output. A pipe that a pager has closed does not change the exit code.
-fn print(output: &CommandOutput) {
+fn write_output(output: &CommandOutput) {
     let _ = io::stdout().write_all(output.stdout.as_bytes());
     let _ = io::stderr().write_all(output.stderr.as_bytes());
 }
@@ -123,11 +123,11 @@
     #[error("cannot hear signals: {0}")]
     Signals(io::Error),
     #[error("NODE_CONFIG does not name a configuration")]
-    NoConfiguration,
+    MissingConfigPath,
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
-    Operators(#[from] OperatorConfigError),
+    OperatorConfig(#[from] OperatorConfigError),
     #[error(transparent)]
     Log(#[from] LogError),
     #[error(transparent)]
@@ -151,15 +151,15 @@
 }
 
 async fn run() -> Result<(), RunError> {
-    let path = std::env::var_os("NODE_CONFIG").ok_or(RunError::NoConfiguration)?;
+    let path = std::env::var_os("NODE_CONFIG").ok_or(RunError::MissingConfigPath)?;
     let path = Path::new(&path);
     // First of all: without a handler SIGHUP ends the program.
     let mut signals = Signals::install().map_err(RunError::Signals)?;
-    let config = load(path)?;
-    let operators = load_operator_config(&config)?;
-    workload_manager::log::init(&operators.log)?;
+    let config = load_node_config(path)?;
+    let operator_config = load_operator_config(&config)?;
+    workload_manager::log::init(&operator_config.log)?;
     let name = config.name.clone();
-    let node = Node::start(config, operators).await?;
+    let node = Node::start(config, operator_config).await?;
     let admin = node.admin.map_or(String::new(), |address| {
         format!(", is operated at {address}")
     });
@@ -175,7 +175,7 @@
     loop {
         match signals.next().await {
             Ok(Signal::Terminate | Signal::Interrupt) => return,
-            Ok(Signal::Reload) => node.reload(load(path)).await,
+            Ok(Signal::Reload) => node.reload(load_node_config(path)).await,
             Ok(Signal::Print) => print_metrics(node),
             Err(error) => {
                 // A program that no signal can end would have to be killed.
@@ -194,7 +194,7 @@
         tokio::select! {
             () = &mut shutdown => return,
             signal = signals.next() => match signal {
-                Ok(Signal::Reload) => node.reload(load(path)).await,
+                Ok(Signal::Reload) => node.reload(load_node_config(path)).await,
                 Ok(Signal::Print) => print_metrics(node),
                 Ok(Signal::Terminate | Signal::Interrupt) => {}
                 Err(_) => return shutdown.await,
@@ -222,7 +222,7 @@
 }
 
 /// Reads the configuration, with what the environment replaces in it, at a start or reload.
-fn load(path: &Path) -> Result<NodeConfig, ConfigError> {
+fn load_node_config(path: &Path) -> Result<NodeConfig, ConfigError> {
     let mut config = NodeConfig::load(path)?;
     if let Some(listen) = address_from_environment("NODE_LISTEN")? {
         config.listen = listen;
--- a/src/operator_config/faults.rs
+++ b/src/operator_config/faults.rs
@@ -73,10 +73,10 @@
 
 impl<'s> FaultCollector<'s> {
     /// A collector for the file with this text, after the faults of earlier checks.
-    pub(super) fn new(source: &'s str, earlier: Vec<Fault>) -> Self {
+    pub(super) fn new(source: &'s str, earlier_faults: Vec<Fault>) -> Self {
         FaultCollector {
             source,
-            faults: earlier,
+            faults: earlier_faults,
             seen: HashSet::new(),
         }
     }
--- a/src/operator_config/lines.rs
+++ b/src/operator_config/lines.rs
@@ -16,12 +16,12 @@
     let mut line = None;
     let mut rest = path;
     loop {
-        let step = first_step(table, rest)?;
-        let Some((key, mut value)) = table.get_key_value(step.key) else {
+        let segment = split_first_segment(table, rest)?;
+        let Some((key, mut value)) = table.get_key_value(segment.key) else {
             return line;
         };
         line = Some(line_at(source, key.span().start));
-        if let Some(index) = step.index {
+        if let Some(index) = segment.index {
             let DeValue::Array(items) = value.get_ref() else {
                 return line;
             };
@@ -31,7 +31,7 @@
             line = Some(line_at(source, item.span().start));
             value = item;
         }
-        match (value.get_ref(), step.rest) {
+        match (value.get_ref(), segment.rest) {
             (DeValue::Table(inner), Some(after)) => (table, rest) = (inner, after),
             _ => return line,
         }
@@ -39,7 +39,7 @@
 }
 
 /// The first step of a path.
-struct Step<'p> {
+struct PathSegment<'p> {
     /// A key; it holds dots where the table has such a key.
     key: &'p str,
     /// The position in the array that the key holds.
@@ -50,7 +50,7 @@
 
 /// Splits the first step off a path. The key is the longest prefix that the table has as a key, so that a class whose
 /// name holds a dot is found; where no prefix is a key, it ends at the first separator.
-fn first_step<'p>(table: &DeTable<'_>, path: &'p str) -> Option<Step<'p>> {
+fn split_first_segment<'p>(table: &DeTable<'_>, path: &'p str) -> Option<PathSegment<'p>> {
     let separators = path
         .char_indices()
         .filter(|(_, character)| matches!(character, '.' | '['))
@@ -68,7 +68,7 @@
         index = in_brackets[..close].parse().ok();
         rest = &in_brackets[close + 1..];
     }
-    Some(Step {
+    Some(PathSegment {
         key,
         index,
         rest: rest.strip_prefix('.'),
--- a/src/operator_config/lines/tests.rs
+++ b/src/operator_config/lines/tests.rs
@@ -3,7 +3,7 @@
 use super::line_of;
 
 #[test]
-fn keys_tables_and_routes_by_their_lines() {
+fn line_of_finds_keys_tables_and_routes() {
     let text = "version = 1\n[attempts.class.\"seat.check\"]\ntimeout_ms = 5\n\n[[attempts.route]]\nname = \"a\"\n\
                 [[attempts.route]]\nname = \"b\"\nbackoff = { base_ms = 1, max_ms = 2, jitter = 3 }\n";
     assert_eq!(line_of(text, "version"), Some(1));
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -20,7 +20,7 @@
 
 pub use constraints::{ClassConstraints, PlatformConstraints};
 pub use faults::{Fault, Faults};
-pub use read::{LARGEST, read};
+pub use read::{MAX_FILE_BYTES, read};
 pub use startup::{OperatorConfig, OperatorConfigError};
 pub use text::OperatorFile;
 
@@ -30,9 +30,9 @@
 
 /// A file without faults, checked against the settings in force.
 #[derive(Clone, Debug, Default)]
-pub struct Loaded {
+pub struct LoadedFile {
     /// The file as written; what it leaves out is as without a file.
-    pub text: OperatorFile,
+    pub file: OperatorFile,
     /// Its retry policy.
     pub policy: Policy,
 }
@@ -42,17 +42,17 @@
 /// # Errors
 ///
 /// Every fault, with the file's name.
-pub fn load(path: &Path, constraints: &PlatformConstraints) -> Result<Option<Loaded>, Faults> {
-    let in_file = |faults| Faults {
+pub fn load(path: &Path, constraints: &PlatformConstraints) -> Result<Option<LoadedFile>, Faults> {
+    let faults_of_file = |faults| Faults {
         file: path.display().to_string(),
         faults,
     };
-    let Some(source) = read(path).map_err(|fault| in_file(vec![fault]))? else {
+    let Some(source) = read(path).map_err(|fault| faults_of_file(vec![fault]))? else {
         return Ok(None);
     };
-    let (text, policy) = parse_and_check(&source, Some(constraints)).map_err(in_file)?;
-    Ok(Some(Loaded {
-        text,
+    let (file, policy) = parse_and_check(&source, Some(constraints)).map_err(faults_of_file)?;
+    Ok(Some(LoadedFile {
+        file,
         policy: policy.unwrap_or_default(),
     }))
 }
@@ -63,7 +63,7 @@
 ///
 /// Every fault, with its line.
 pub fn parse(source: &str) -> Result<OperatorFile, Vec<Fault>> {
-    parse_and_check(source, None).map(|(text, _)| text)
+    parse_and_check(source, None).map(|(file, _)| file)
 }
 
 /// Parses a file's text and checks all of it: by itself, and against the settings where they are known, which also
@@ -76,18 +76,18 @@
     source: &str,
     constraints: Option<&PlatformConstraints>,
 ) -> Result<(OperatorFile, Option<Policy>), Vec<Fault>> {
-    let text: OperatorFile =
+    let file: OperatorFile =
         toml::from_str(source).map_err(|error| vec![syntax_fault(source, &error)])?;
-    let mut faults = bounds_faults(&text, source);
-    faults.extend(self_check::check(&text, source));
+    let mut faults = bounds_faults(&file, source);
+    faults.extend(self_check::check(&file, source));
     match constraints {
         Some(constraints) => {
-            let policy = policy::build(&text, source, constraints, faults)?;
-            Ok((text, Some(policy)))
+            let policy = policy::build(&file, source, constraints, faults)?;
+            Ok((file, Some(policy)))
         }
         None => {
             faults::fail_if_any(faults)?;
-            Ok((text, None))
+            Ok((file, None))
         }
     }
 }
@@ -97,13 +97,13 @@
         line: error.span().map(|span| lines::line_at(source, span.start)),
         key: String::new(),
         problem: error.message().trim_end_matches('\n').to_owned(),
-        suggestion: suggestions::for_syntax(error.message()).to_owned(),
+        suggestion: suggestions::for_syntax_error(error.message()).to_owned(),
     }
 }
 
 /// The values that are out of the bounds that [`text`] names.
-fn bounds_faults(text: &OperatorFile, source: &str) -> Vec<Fault> {
-    let Err(report) = text.validate() else {
+fn bounds_faults(file: &OperatorFile, source: &str) -> Vec<Fault> {
+    let Err(report) = file.validate() else {
         return Vec::new();
     };
     let fault = |(path, error): &(garde::Path, garde::Error)| {
--- a/src/operator_config/policy.rs
+++ b/src/operator_config/policy.rs
@@ -11,22 +11,22 @@
 };
 use std::collections::BTreeSet;
 
-/// Builds the policy. `earlier` are the faults of the checks before.
+/// Builds the policy. `earlier_faults` are the faults of the checks before.
 ///
 /// # Errors
 ///
 /// Every fault, in the order of the file.
 pub(super) fn build(
-    text: &OperatorFile,
+    file: &OperatorFile,
     source: &str,
     platform: &PlatformConstraints,
-    earlier: Vec<Fault>,
+    earlier_faults: Vec<Fault>,
 ) -> Result<Policy, Vec<Fault>> {
-    let mut faults = FaultCollector::new(source, earlier);
-    check_class_names(text, platform, &mut faults);
-    let tables = all_tables(text);
-    let default = attempt_policy(&text.attempts.default);
-    let classes = class_policies(text, platform);
+    let mut faults = FaultCollector::new(source, earlier_faults);
+    check_class_names(file, platform, &mut faults);
+    let tables = all_tables(file);
+    let default = attempt_policy(&file.attempts.default);
+    let classes = class_policies(file, platform);
     let by_class: Vec<AttemptPolicy> = classes
         .iter()
         .map(|class| class.effective(&default))
@@ -49,11 +49,11 @@
 
 /// Each class table names a class of the settings.
 fn check_class_names(
-    text: &OperatorFile,
+    file: &OperatorFile,
     platform: &PlatformConstraints,
     faults: &mut FaultCollector<'_>,
 ) {
-    for name in text.attempts.class.keys() {
+    for name in file.attempts.class.keys() {
         if platform.class_position(name).is_none() {
             let problem = format!("{name:?} is no class of the settings");
             let known_names = platform.classes.iter().map(|class| class.name.as_str());
@@ -64,11 +64,11 @@
 }
 
 /// The classes of the settings, each with its own table of the file.
-fn class_policies(text: &OperatorFile, platform: &PlatformConstraints) -> Vec<ClassPolicy> {
+fn class_policies(file: &OperatorFile, platform: &PlatformConstraints) -> Vec<ClassPolicy> {
     let class_policy = |class: &ClassConstraints| ClassPolicy {
         name: class.name.clone(),
         not_idempotent: class.not_idempotent,
-        own_policy: text.attempts.class.get(&class.name).map(attempt_policy),
+        own_policy: file.attempts.class.get(&class.name).map(attempt_policy),
     };
     platform.classes.iter().map(class_policy).collect()
 }
@@ -81,9 +81,9 @@
 ) -> Vec<Route> {
     route_tables(tables)
         .map(|table| Route {
-            name: table.text.name.clone().unwrap_or_default(),
+            name: table.content.name.clone().unwrap_or_default(),
             matches: route_match(table, platform, faults),
-            policy: attempt_policy(table.text),
+            policy: attempt_policy(table.content),
         })
         .collect()
 }
@@ -100,17 +100,17 @@
     faults: &mut FaultCollector<'_>,
 ) {
     for table in tables.iter().filter(|t| t.kind != TableKind::Route) {
-        let own = attempt_policy(table.text);
+        let own = attempt_policy(table.content);
         for (class, effective) in platform.classes.iter().zip(by_class) {
             if table.is_default_or_of_class(&class.name) {
-                let applied = TableForClass {
+                let table_for_class = TableForClass {
                     table,
                     own: &own,
                     effective,
                     class,
                     platform,
                 };
-                applied.check(faults);
+                table_for_class.check(faults);
             }
         }
     }
@@ -132,14 +132,14 @@
             }
             let mut effective = by_class[position].clone();
             effective.override_with(&route.policy);
-            let applied = TableForClass {
+            let table_for_class = TableForClass {
                 table,
                 own: &route.policy,
                 effective: &effective,
                 class,
                 platform,
             };
-            applied.check(faults);
+            table_for_class.check(faults);
         }
     }
 }
@@ -150,7 +150,7 @@
     platform: &PlatformConstraints,
     faults: &mut FaultCollector<'_>,
 ) -> RouteMatch {
-    let Some(matches) = &table.text.matches else {
+    let Some(matches) = &table.content.matches else {
         return RouteMatch::default();
     };
     let class_names: Vec<&str> = platform.classes.iter().map(|c| c.name.as_str()).collect();
@@ -215,7 +215,7 @@
 fn add_route_error(error: &RouteError, tables: &[Table<'_>], faults: &mut FaultCollector<'_>) {
     let path_of = |name: &str| {
         route_tables(tables)
-            .find(|table| table.text.name.as_deref() == Some(name))
+            .find(|table| table.content.name.as_deref() == Some(name))
             .map(|table| table.path.clone())
     };
     let (path, suggestion) = match error {
--- a/src/operator_config/read.rs
+++ b/src/operator_config/read.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// The largest file that is read, in bytes.
-pub const LARGEST: u64 = 1 << 20;
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Reads of a file that changes while it is read, before it is refused.
 const MAX_READS: usize = 3;
@@ -25,7 +25,7 @@
     Folder,
     #[error("cannot be read: {0}")]
     Read(io::Error),
-    #[error("is larger than {LARGEST} bytes")]
+    #[error("is larger than {MAX_FILE_BYTES} bytes")]
     TooLarge,
     #[error("is not UTF-8 after byte {valid_bytes}")]
     NotUtf8 { valid_bytes: usize, line: usize },
@@ -68,7 +68,7 @@
     is_stable: bool,
 }
 
-/// Reads a file of at most [`LARGEST`] bytes; `None` where there is no such file.
+/// Reads a file of at most [`MAX_FILE_BYTES`] bytes; `None` where there is no such file.
 ///
 /// # Errors
 ///
@@ -84,10 +84,10 @@
         let Some(snapshot) = read_once(path)? else {
             return Ok(None);
         };
-        let as_before = previous
+        let same_as_previous = previous
             .as_ref()
             .is_none_or(|bytes| *bytes == snapshot.bytes);
-        if snapshot.is_stable && as_before {
+        if snapshot.is_stable && same_as_previous {
             return Ok(Some(String::from_utf8(snapshot.bytes)?));
         }
         previous = Some(snapshot.bytes);
@@ -107,19 +107,19 @@
     }
     let mut bytes = Vec::new();
     // One byte more than allowed tells a file that is too large from one that just fits.
-    let mut bounded = file.by_ref().take(LARGEST + 1);
+    let mut bounded = file.by_ref().take(MAX_FILE_BYTES + 1);
     bounded.read_to_end(&mut bytes).map_err(ReadError::Read)?;
-    if bytes.len() as u64 > LARGEST {
+    if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(ReadError::TooLarge);
     }
     let is_stable = fs::metadata(path).is_ok_and(|metadata_after| {
-        version_of(&metadata_after) == version_of(&metadata_before)
+        size_and_modification_time(&metadata_after) == size_and_modification_time(&metadata_before)
             && metadata_after.len() == bytes.len() as u64
     });
     Ok(Some(Snapshot { bytes, is_stable }))
 }
 
 /// What differs between two contents of a file.
-fn version_of(metadata: &Metadata) -> (u64, Option<SystemTime>) {
+fn size_and_modification_time(metadata: &Metadata) -> (u64, Option<SystemTime>) {
     (metadata.len(), metadata.modified().ok())
 }
--- a/src/operator_config/self_check.rs
+++ b/src/operator_config/self_check.rs
@@ -8,10 +8,10 @@
 use std::collections::HashSet;
 
 /// The faults that the file shows without the platform's settings.
-pub(super) fn check(text: &OperatorFile, source: &str) -> Vec<Fault> {
+pub(super) fn check(file: &OperatorFile, source: &str) -> Vec<Fault> {
     let mut faults = FaultCollector::new(source, Vec::new());
     let mut route_names = HashSet::new();
-    for table in all_tables(text) {
+    for table in all_tables(file) {
         if table.kind == TableKind::Route {
             check_route(&table, &mut route_names, &mut faults);
         } else {
@@ -19,7 +19,7 @@
         }
         check_retry_outcomes(&table, &mut faults);
         check_front_ends(&table, &mut faults);
-        if let Some(hedging) = &table.text.hedging {
+        if let Some(hedging) = &table.content.hedging {
             check_hedging(&table.path, hedging, &mut faults);
         }
         check_times(&table, &mut faults);
@@ -30,8 +30,8 @@
 /// Only routes have a name and a match.
 fn check_no_route_keys(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
     let route_keys = [
-        ("name", table.text.name.is_some()),
-        ("match", table.text.matches.is_some()),
+        ("name", table.content.name.is_some()),
+        ("match", table.content.matches.is_some()),
     ];
     for (key, is_set) in route_keys {
         if is_set {
@@ -49,7 +49,7 @@
     faults: &mut FaultCollector<'_>,
 ) {
     let path = table.path.as_str();
-    match &table.text.name {
+    match &table.content.name {
         None => faults.add(path, "", "a route has no name", "give it name = \"...\""),
         Some(name) if !route_names.insert(name.clone()) => faults.add(
             path,
@@ -59,7 +59,7 @@
         ),
         Some(_) => {}
     }
-    if table.text.matches.is_none() {
+    if table.content.matches.is_none() {
         faults.add(
             path,
             "",
@@ -70,7 +70,7 @@
 }
 
 fn check_retry_outcomes(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
-    for outcome in table.text.retry_on.iter().flatten() {
+    for outcome in table.content.retry_on.iter().flatten() {
         let known_names = RETRYABLE_OUTCOMES.iter().map(|(name, _)| *name);
         if !known_names.clone().any(|name| name == outcome) {
             let problem = format!("{outcome:?} is no end of an attempt");
@@ -81,7 +81,7 @@
 }
 
 fn check_front_ends(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
-    let matches = table.text.matches.as_ref();
+    let matches = table.content.matches.as_ref();
     let Some(front_ends) = matches.and_then(|matches| matches.front_ends.as_ref()) else {
         return;
     };
@@ -114,7 +114,7 @@
 }
 
 fn check_times(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
-    if let Some(backoff) = &table.text.backoff
+    if let Some(backoff) = &table.content.backoff
         && backoff.base_ms > backoff.max_ms
     {
         let (base_ms, max_ms) = (backoff.base_ms, backoff.max_ms);
@@ -122,8 +122,8 @@
         let suggestion = "let base_ms be max_ms or less";
         faults.add(&table.path, "backoff", problem, suggestion);
     }
-    if let Some(attempt_ms) = table.text.attempt_timeout_ms
-        && let Some(request_ms) = table.text.timeout_ms
+    if let Some(attempt_ms) = table.content.attempt_timeout_ms
+        && let Some(request_ms) = table.content.timeout_ms
         && attempt_ms > request_ms
     {
         let problem =
--- a/src/operator_config/settings_check.rs
+++ b/src/operator_config/settings_check.rs
@@ -103,11 +103,12 @@
     }
 
     fn check_attempt_timeout(&self, faults: &mut FaultCollector<'_>) {
-        let sets_a_timeout = self.own.attempt_timeout_ms.is_some() || self.own.timeout_ms.is_some();
+        let table_sets_timeout =
+            self.own.attempt_timeout_ms.is_some() || self.own.timeout_ms.is_some();
         let request_ms = self.request_timeout_ms();
         if let Some(attempt_ms) = self.effective.attempt_timeout_ms
             && attempt_ms > request_ms
-            && sets_a_timeout
+            && table_sets_timeout
         {
             let name = &self.class.name;
             let problem = format!(
@@ -135,13 +136,13 @@
         let allowed = self.platform.max_attempts;
         let attempts = self.effective.max_attempts.unwrap_or(allowed).min(allowed);
         let request_ms = self.request_timeout_ms();
-        let sets_waits_or_time = self.own.backoff.is_some()
+        let table_sets_relevant_key = self.own.backoff.is_some()
             || self.own.max_attempts.is_some()
             || self.own.timeout_ms.is_some();
         let total_wait = self.effective.backoff.map(|b| b.total_delay_ms(attempts));
         if let Some(wait_ms) = total_wait
             && wait_ms >= request_ms
-            && sets_waits_or_time
+            && table_sets_relevant_key
         {
             let name = &self.class.name;
             let problem = format!(
--- a/src/operator_config/startup.rs
+++ b/src/operator_config/startup.rs
@@ -2,7 +2,7 @@
 
 use super::faults::Faults;
 use super::text::LogTable;
-use super::{Loaded, PlatformConstraints, load};
+use super::{LoadedFile, PlatformConstraints, load};
 use crate::node_config::{ConfigError, EngineProtocol, OptionalFronts};
 use crate::retry_policy::Policy;
 use std::path::{Path, PathBuf};
@@ -31,16 +31,16 @@
     }
 }
 
-impl From<Loaded> for OperatorConfig {
-    fn from(loaded: Loaded) -> OperatorConfig {
+impl From<LoadedFile> for OperatorConfig {
+    fn from(loaded: LoadedFile) -> OperatorConfig {
         OperatorConfig {
             front_ends: OptionalFronts {
-                flight: loaded.text.flight,
-                snmp: loaded.text.snmp,
+                flight: loaded.file.flight,
+                snmp: loaded.file.snmp,
             },
             policy: Arc::new(loaded.policy),
             path: None,
-            log: loaded.text.log,
+            log: loaded.file.log,
         }
     }
 }
@@ -65,16 +65,16 @@
     /// One of the files cannot be used; the error holds all faults.
     pub fn load(
         path: &Path,
-        front_ends: &Path,
+        front_ends_path: &Path,
         constraints: &PlatformConstraints,
     ) -> Result<OperatorConfig, OperatorConfigError> {
-        let from_file = match load(path, constraints)? {
+        let config = match load(path, constraints)? {
             Some(loaded) => OperatorConfig::from(loaded),
-            None => OperatorConfig::from(load_front_ends(front_ends, path)?),
+            None => OperatorConfig::from(load_front_ends(front_ends_path, path)?),
         };
         Ok(OperatorConfig {
             path: Some(path.to_owned()),
-            ..from_file
+            ..config
         })
     }
 
@@ -88,13 +88,13 @@
 }
 
 /// Reads the older file of front ends. The log is not set up yet, so the warning is written directly.
-fn load_front_ends(path: &Path, successor: &Path) -> Result<OptionalFronts, ConfigError> {
+fn load_front_ends(path: &Path, operator_file_path: &Path) -> Result<OptionalFronts, ConfigError> {
     let front_ends = OptionalFronts::load(path)?;
     if path.exists() {
         eprintln!(
             "workload-manager: {} is read for this version only: move its tables into {}",
             path.display(),
-            successor.display()
+            operator_file_path.display()
         );
     }
     Ok(front_ends)
--- a/src/operator_config/suggestions.rs
+++ b/src/operator_config/suggestions.rs
@@ -15,7 +15,7 @@
 }
 
 /// What to do about a message of the TOML parser.
-pub(super) fn for_syntax(message: &str) -> &'static str {
+pub(super) fn for_syntax_error(message: &str) -> &'static str {
     if message.contains("unknown field") {
         "remove the key, or spell it as the page names it"
     } else if message.contains("missing field") {
--- a/src/operator_config/tables.rs
+++ b/src/operator_config/tables.rs
@@ -18,7 +18,7 @@
 
 /// A table of the file, with its place.
 pub(super) struct Table<'a> {
-    pub(super) text: &'a AttemptTable,
+    pub(super) content: &'a AttemptTable,
     /// Its key path, as `attempts.class.NAME`.
     pub(super) path: String,
     pub(super) kind: TableKind,
@@ -36,15 +36,15 @@
 }
 
 /// All tables: the default, the classes by name, the routes in the order of the file.
-pub(super) fn all_tables(text: &OperatorFile) -> Vec<Table<'_>> {
-    let attempts = &text.attempts;
+pub(super) fn all_tables(file: &OperatorFile) -> Vec<Table<'_>> {
+    let attempts = &file.attempts;
     let default = Table {
-        text: &attempts.default,
+        content: &attempts.default,
         path: "attempts.default".to_owned(),
         kind: TableKind::Default,
     };
-    let classes = attempts.class.iter().map(|(name, text)| Table {
-        text,
+    let classes = attempts.class.iter().map(|(name, content)| Table {
+        content,
         path: class_path(name),
         kind: TableKind::Class,
     });
@@ -52,8 +52,8 @@
         .route
         .iter()
         .enumerate()
-        .map(|(index, text)| Table {
-            text,
+        .map(|(index, content)| Table {
+            content,
             path: format!("attempts.route[{index}]"),
             kind: TableKind::Route,
         });
@@ -104,17 +104,17 @@
         })
 }
 
-fn hedging_policy(text: &HedgingTable) -> HedgingPolicy {
-    let after = match text.after_ms {
+fn hedging_policy(table: &HedgingTable) -> HedgingPolicy {
+    let after = match table.after_ms {
         Some(milliseconds) => HedgingDelay::Ms(milliseconds),
         None => {
-            let quantile = text.after.as_deref().and_then(parse_quantile);
+            let quantile = table.after.as_deref().and_then(parse_quantile);
             HedgingDelay::Quantile(quantile.unwrap_or(DEFAULT_HEDGING_QUANTILE))
         }
     };
     HedgingPolicy {
         after,
-        ratio: text.ratio,
+        ratio: table.ratio,
     }
 }
 
--- a/src/operator_config/tests.rs
+++ b/src/operator_config/tests.rs
@@ -4,10 +4,10 @@
 use crate::decision::Outcome;
 use crate::retry_policy::{FrontendKind, OutcomeSet, RequestAttributes};
 
-fn known(parallel_tries: bool) -> PlatformConstraints {
-    let class = |name: &str, once| ClassConstraints {
+fn constraints(parallel_attempts: bool) -> PlatformConstraints {
+    let class = |name: &str, runs_once| ClassConstraints {
         name: name.to_owned(),
-        not_idempotent: once,
+        not_idempotent: runs_once,
         client_timeout_ms: 15_000.0,
     };
     PlatformConstraints {
@@ -18,11 +18,11 @@
         ],
         members: vec!["member-north".to_owned(), "member-south".to_owned()],
         max_attempts: 6,
-        parallel_attempts_allowed: parallel_tries,
+        parallel_attempts_allowed: parallel_attempts,
     }
 }
 
-const GOOD: &str = r#"version = 1
+const VALID_FILE: &str = r#"version = 1
 
 [attempts.default]
 timeout_ms = 9000
@@ -41,69 +41,81 @@
 max_attempts = 2
 "#;
 
-const AT: RequestAttributes = RequestAttributes {
+const FLIGHT_REPORT_REQUEST: RequestAttributes = RequestAttributes {
     class: 1,
     member: 0,
     frontend: FrontendKind::Flight,
     data_set: 17,
 };
 
-fn faults(text: &str, known: &PlatformConstraints) -> Vec<Fault> {
-    parse_and_check(text, Some(known)).err().unwrap_or_default()
+fn faults(text: &str, constraints: &PlatformConstraints) -> Vec<Fault> {
+    parse_and_check(text, Some(constraints))
+        .err()
+        .unwrap_or_default()
 }
 
-fn policy(text: &str, known: &PlatformConstraints) -> crate::retry_policy::Policy {
-    parse_and_check(text, Some(known))
+fn policy(text: &str, constraints: &PlatformConstraints) -> crate::retry_policy::Policy {
+    parse_and_check(text, Some(constraints))
         .expect("sound")
         .1
         .expect("a policy")
 }
 
 #[test]
-fn each_key_of_a_sound_file_comes_from_its_narrowest_table() {
-    let policy = policy(GOOD, &known(true));
-    let held = policy.resolve(&AT);
+fn each_key_of_a_valid_file_comes_from_its_narrowest_table() {
+    let policy = policy(VALID_FILE, &constraints(true));
+    let effective = policy.resolve(&FLIGHT_REPORT_REQUEST);
     assert_eq!(
-        (held.attempt_timeout_ms, held.max_attempts, held.timeout_ms),
+        (
+            effective.attempt_timeout_ms,
+            effective.max_attempts,
+            effective.timeout_ms
+        ),
         (Some(4000.0), Some(2), Some(9000.0))
     );
-    let elsewhere = policy.resolve(&RequestAttributes {
+    let on_platform = policy.resolve(&RequestAttributes {
         frontend: FrontendKind::Platform,
-        ..AT
+        ..FLIGHT_REPORT_REQUEST
     });
-    assert_eq!(elsewhere.max_attempts, Some(3));
+    assert_eq!(on_platform.max_attempts, Some(3));
     // The default's copies and ends that may have run do not reach a class that runs once.
-    let load = policy.resolve(&RequestAttributes { class: 2, ..AT });
-    assert_eq!(load.hedging, None);
-    let never = OutcomeSet::default()
+    let for_log_load = policy.resolve(&RequestAttributes {
+        class: 2,
+        ..FLIGHT_REPORT_REQUEST
+    });
+    assert_eq!(for_log_load.hedging, None);
+    let outcomes_without_a_run = OutcomeSet::default()
         .with(Outcome::NoConnection)
         .with(Outcome::Rejected)
         .with(Outcome::NotSent);
-    assert_eq!(load.retry_on, Some(never));
-    let explained = policy.explain(&AT);
-    let from = |key: &str| {
+    assert_eq!(for_log_load.retry_on, Some(outcomes_without_a_run));
+    let explained = policy.explain(&FLIGHT_REPORT_REQUEST);
+    let value_and_source = |key: &str| {
         explained
             .iter()
             .find(|s| s.key == key)
             .map(|s| (s.value.clone(), s.from.clone()))
     };
     assert_eq!(
-        from("max_attempts"),
+        value_and_source("max_attempts"),
         Some(("2".into(), "route north-reports".into()))
     );
     assert_eq!(
-        from("attempt_timeout_ms"),
+        value_and_source("attempt_timeout_ms"),
         Some(("4000".into(), "class usage-report".into()))
     );
-    assert_eq!(from("timeout_ms"), Some(("9000".into(), "default".into())));
+    assert_eq!(
+        value_and_source("timeout_ms"),
+        Some(("9000".into(), "default".into()))
+    );
 }
 
 #[test]
 fn an_empty_file_sets_no_policy() {
-    let policy = policy("version = 1\n", &known(false));
+    let policy = policy("version = 1\n", &constraints(false));
     assert!(policy.is_empty());
     assert_eq!(
-        policy.resolve(&AT),
+        policy.resolve(&FLIGHT_REPORT_REQUEST),
         crate::retry_policy::AttemptPolicy::default()
     );
 }
@@ -135,9 +147,10 @@
 name = "c"
 match = { class = [] }
 "#;
-    let all = faults(text, &known(false));
-    let seen: Vec<(Option<usize>, &str)> = all.iter().map(|f| (f.line, f.key.as_str())).collect();
-    let wanted = [
+    let found = faults(text, &constraints(false));
+    let lines_and_keys: Vec<(Option<usize>, &str)> =
+        found.iter().map(|f| (f.line, f.key.as_str())).collect();
+    let expected_faults = [
         (Some(3), "attempts.default.second_copy"),
         (Some(4), "attempts.default.backoff.jitter"),
         (Some(6), "attempts.class.seat-check.timeout_ms"),
@@ -149,25 +162,32 @@
         (Some(19), "attempts.route[1].match.member"),
         (Some(19), "attempts.route[1].match.front"),
     ];
-    for want in wanted {
-        assert!(seen.contains(&want), "{want:?} in {all:#?}");
+    for expected in expected_faults {
+        assert!(
+            lines_and_keys.contains(&expected),
+            "{expected:?} in {found:#?}"
+        );
     }
-    let text_of = |key: &str| {
-        all.iter()
+    let messages_of_key = |key: &str| {
+        found
+            .iter()
             .filter(|f| f.key == key)
             .map(ToString::to_string)
             .collect::<Vec<_>>()
     };
-    assert!(text_of("attempts.class.seat-chek")[0].contains("did you mean \"seat-check\""));
-    let retry = text_of("attempts.class.log-load.retry_on").join("\n");
+    assert!(messages_of_key("attempts.class.seat-chek")[0].contains("did you mean \"seat-check\""));
+    let retry_on_messages = messages_of_key("attempts.class.log-load.retry_on").join("\n");
+    assert!(
+        retry_on_messages.contains("\"errors\" is no end")
+            && retry_on_messages.contains("did you mean \"error\""),
+        "{retry_on_messages}"
+    );
     assert!(
-        retry.contains("\"errors\" is no end") && retry.contains("did you mean \"error\""),
-        "{retry}"
+        messages_of_key("attempts.route[1].match.front")[0].contains("did you mean \"flight\"")
     );
-    assert!(text_of("attempts.route[1].match.front")[0].contains("did you mean \"flight\""));
-    assert!(text_of("attempts.route[1].match.member")[0].contains("member-west"));
+    assert!(messages_of_key("attempts.route[1].match.member")[0].contains("member-west"));
     // Garde's range and the file's own order hold whether the settings are known or not.
-    let lines: Vec<usize> = all.iter().filter_map(|f| f.line).collect();
+    let lines: Vec<usize> = found.iter().filter_map(|f| f.line).collect();
     assert!(lines.windows(2).all(|w| w[0] <= w[1]), "{lines:?}");
 }
 
@@ -186,8 +206,8 @@
 match = { member = ["member-north"] }
 retry_on = ["reset"]
 "#;
-    let all = faults(text, &known(true));
-    let keys: Vec<&str> = all.iter().map(|f| f.key.as_str()).collect();
+    let found = faults(text, &constraints(true));
+    let keys: Vec<&str> = found.iter().map(|f| f.key.as_str()).collect();
     assert_eq!(
         keys,
         [
@@ -196,11 +216,15 @@
             "attempts.route[0].retry_on"
         ]
     );
-    assert!(all[0].problem.contains("may run once only"), "{}", all[0]);
     assert!(
-        all[2].problem.contains("log-load") && all[2].problem.contains("reset"),
+        found[0].problem.contains("may run once only"),
+        "{}",
+        found[0]
+    );
+    assert!(
+        found[2].problem.contains("log-load") && found[2].problem.contains("reset"),
         "{}",
-        all[2]
+        found[2]
     );
     // Alone, the file is sound: these need the settings.
     assert!(parse(text).is_ok());
@@ -224,35 +248,35 @@
 name = "by class"
 match = { front = "platform" }
 "#;
-    let all = faults(text, &known(false));
-    let shown: Vec<String> = all.iter().map(ToString::to_string).collect();
+    let found = faults(text, &constraints(false));
+    let messages: Vec<String> = found.iter().map(ToString::to_string).collect();
     assert!(
-        shown
+        messages
             .iter()
             .any(|s| s
                 .starts_with("line 14: attempts.route[3].name: route \"by class\" is named twice")),
-        "{shown:#?}"
+        "{messages:#?}"
     );
     // Names twice are a fault of the file alone; without it the routes are held against each other.
     let text = text.replace(
         "name = \"by class\"\nmatch = { front",
         "name = \"fourth\"\nmatch = { front",
     );
-    let shown: Vec<String> = faults(&text, &known(false))
+    let messages: Vec<String> = faults(&text, &constraints(false))
         .iter()
         .map(ToString::to_string)
         .collect();
     assert!(
-        shown.iter().any(|s| s.starts_with("line 6:")
+        messages.iter().any(|s| s.starts_with("line 6:")
             && s.contains("\"by class\" and \"by member\"")
             && s.contains("timeout_ms")),
-        "{shown:#?}"
+        "{messages:#?}"
     );
     assert!(
-        shown.iter().any(
+        messages.iter().any(
             |s| s.starts_with("line 10:") && s.contains("\"nothing\" cannot match any request")
         ),
-        "{shown:#?}"
+        "{messages:#?}"
     );
 }
 
@@ -298,46 +322,51 @@
             "is greater than 1",
         ),
     ];
-    for (text, line, what) in cases {
-        let all = parse(text).expect_err(text);
-        assert_eq!(all[0].line, line, "{text:?}: {all:?}");
-        assert!(all[0].problem.contains(what), "{text:?}: {all:?}");
-        assert!(!all[0].suggestion.is_empty());
+    for (text, line, problem) in cases {
+        let found = parse(text).expect_err(text);
+        assert_eq!(found[0].line, line, "{text:?}: {found:?}");
+        assert!(found[0].problem.contains(problem), "{text:?}: {found:?}");
+        assert!(!found[0].suggestion.is_empty());
     }
 }
 
 #[test]
 fn unreadable_files_are_faults() {
-    let dir = std::env::temp_dir().join(format!("magpiechute-file-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("folder");
-    assert_eq!(read(&dir.join("none.toml")), Ok(None));
-    assert!(read(&dir).expect_err("a folder").problem.contains("folder"));
-    let big = dir.join("big.toml");
-    std::fs::write(&big, vec![b'#'; (LARGEST + 1) as usize]).expect("write");
+    let folder = std::env::temp_dir().join(format!("magpiechute-file-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("folder");
+    assert_eq!(read(&folder.join("none.toml")), Ok(None));
+    assert!(
+        read(&folder)
+            .expect_err("a folder")
+            .problem
+            .contains("folder")
+    );
+    let too_large = folder.join("big.toml");
+    std::fs::write(&too_large, vec![b'#'; (MAX_FILE_BYTES + 1) as usize]).expect("write");
     assert!(
-        read(&big)
+        read(&too_large)
             .expect_err("too large")
             .problem
             .contains("larger")
     );
-    let bad = dir.join("bad.toml");
-    std::fs::write(&bad, b"version = 1\n# \xff\n").expect("write");
-    let fault = read(&bad).expect_err("not UTF-8");
+    let not_utf8 = folder.join("bad.toml");
+    std::fs::write(&not_utf8, b"version = 1\n# \xff\n").expect("write");
+    let fault = read(&not_utf8).expect_err("not UTF-8");
     assert_eq!(
         (fault.line, fault.problem.contains("UTF-8")),
         (Some(2), true)
     );
-    let good = dir.join("good.toml");
-    std::fs::write(&good, GOOD).expect("write");
-    assert_eq!(read(&good), Ok(Some(GOOD.to_owned())));
-    std::fs::remove_dir_all(&dir).expect("clean");
+    let valid = folder.join("good.toml");
+    std::fs::write(&valid, VALID_FILE).expect("write");
+    assert_eq!(read(&valid), Ok(Some(VALID_FILE.to_owned())));
+    std::fs::remove_dir_all(&folder).expect("clean");
 }
 
 #[test]
 fn the_schema_in_deploy_is_the_one_that_the_program_prints() {
-    let kept = include_str!("../../deploy/magpiechute.schema.json");
+    let stored_schema = include_str!("../../deploy/magpiechute.schema.json");
     assert_eq!(
-        kept,
+        stored_schema,
         schema(),
         "run `workload-manager schema > deploy/magpiechute.schema.json`"
     );
@@ -346,10 +375,10 @@
 #[test]
 fn hedging_that_this_version_does_not_carry_out_is_a_fault() {
     let text = "version = 1\n[attempts.class.seat-check]\nsecond_copy = { after = \"p95\", ratio = 0.05 }\n";
-    let all = faults(text, &known(true));
-    assert_eq!(all.len(), 1);
+    let found = faults(text, &constraints(true));
+    assert_eq!(found.len(), 1);
     assert!(
-        all[0]
+        found[0]
             .to_string()
             .starts_with("line 3: attempts.class.seat-check.second_copy: this version sends no")
     );
@@ -358,6 +387,6 @@
 #[test]
 fn the_example_in_deploy_has_no_faults() {
     let text = include_str!("../../deploy/magpiechute.example.toml");
-    let policy = policy(text, &known(false));
-    assert_eq!(policy.resolve(&AT).max_attempts, Some(2));
+    let policy = policy(text, &constraints(false));
+    assert_eq!(policy.resolve(&FLIGHT_REPORT_REQUEST).max_attempts, Some(2));
 }
--- a/src/operator_config/text.rs
+++ b/src/operator_config/text.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// The longest time that a key of the file may name, in ms: one hour.
-pub const LONGEST_MS: f64 = 3_600_000.0;
+pub const MAX_TIME_MS: f64 = 3_600_000.0;
 
 /// The whole file.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Validate)]
@@ -113,10 +113,10 @@
     #[garde(dive)]
     pub matches: Option<MatchTable>,
     /// Longest time of the request, in ms, from its acceptance.
-    #[garde(range(min = 1.0, max = LONGEST_MS))]
+    #[garde(range(min = 1.0, max = MAX_TIME_MS))]
     pub timeout_ms: Option<f64>,
     /// Longest time of one attempt, in ms, from when it is sent.
-    #[garde(range(min = 1.0, max = LONGEST_MS))]
+    #[garde(range(min = 1.0, max = MAX_TIME_MS))]
     pub attempt_timeout_ms: Option<f64>,
     /// Attempts in all, the first included.
     #[garde(range(min = 1, max = 64))]
@@ -167,7 +167,7 @@
 #[schemars(rename = "OneOrMore")]
 pub enum OneOrMany {
     One(String),
-    More(Vec<String>),
+    Many(Vec<String>),
 }
 
 impl OneOrMany {
@@ -175,7 +175,7 @@
     pub fn names(&self) -> Vec<&str> {
         match self {
             OneOrMany::One(name) => vec![name.as_str()],
-            OneOrMany::More(names) => names.iter().map(String::as_str).collect(),
+            OneOrMany::Many(names) => names.iter().map(String::as_str).collect(),
         }
     }
 }
@@ -223,7 +223,7 @@
     #[garde(length(min = 2, max = 8))]
     pub after: Option<String>,
     /// Or after this time, in ms.
-    #[garde(range(min = 1.0, max = LONGEST_MS))]
+    #[garde(range(min = 1.0, max = MAX_TIME_MS))]
     pub after_ms: Option<f64>,
     /// Hedged requests for each first attempt, from 0 to 1.
     #[garde(range(min = 0.0, max = 1.0))]
