--- a/src/command.rs
+++ b/src/command.rs
@@ -1,5 +1,5 @@
-//! The sub-commands of `workload-manager` besides serving: `check`, `schema` and `explain`. Each returns what it prints
-//! and its exit code, so that `main` alone writes to the standard streams.
+//! The sub-commands `check`, `schema` and `explain` of `workload-manager`. Each returns its output
+//! and its exit code; only `main` writes to the standard streams.
 
 use crate::node_config::{ConfigError, NodeConfig};
 use crate::operator_config::{self, Fault, Faults, PlatformConstraints};
@@ -11,15 +11,15 @@
 /// The exit code of a command that cannot use its file or its arguments.
 const EXIT_INVALID_INPUT: u8 = 2;
 
-/// What a command prints, and how it ends.
+/// The output and the exit code of a command.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[must_use]
 pub struct CommandOutput {
-    /// 0 where all is well, 2 where the file or the arguments cannot be used.
+    /// 0 on success, 2 if the file or the arguments cannot be used.
     pub exit_code: u8,
-    /// For standard output.
+    /// The text for standard output.
     pub stdout: String,
-    /// For standard error.
+    /// The text for standard error.
     pub stderr: String,
 }
 
@@ -40,52 +40,53 @@
     }
 }
 
-/// How `check` writes faults.
+/// The format in which `check` prints faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FaultFormat {
-    /// One line each.
+    /// One line for each fault.
     #[default]
     Text,
-    /// One JSON array.
+    /// One JSON array with an object for each fault.
     Json,
 }
 
-/// What `explain` is asked about.
+/// The request whose policy `explain` prints.
 #[derive(Clone, Debug, Default)]
 pub struct ExplainQuery {
-    /// A class by name.
+    /// The name of its class.
     pub class: String,
-    /// A member by name.
+    /// The name of its member.
     pub member: Option<String>,
-    /// `platform` or `flight`.
+    /// The front end that receives it: `platform` (the default) or `flight`.
     pub front: Option<String>,
-    /// A data set.
+    /// The number of its data set; 0 if not given.
     pub data_set: Option<u32>,
 }
 
-/// Why a command cannot be carried out.
+/// Why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error("workload-manager: {0}")]
     Config(#[from] ConfigError),
-    #[error("workload-manager: there is no file {}", .0.display())]
+    #[error("workload-manager: file {} does not exist", .0.display())]
     NoFile(PathBuf),
     #[error(transparent)]
     Faults(#[from] Faults),
-    #[error("workload-manager: {0:?} is no class of the settings")]
+    #[error("workload-manager: {0:?} is not a class in the platform's settings")]
     UnknownClass(String),
-    #[error("workload-manager: {0:?} is no member of the settings")]
+    #[error("workload-manager: {0:?} is not a member in the platform's settings")]
     UnknownMember(String),
-    #[error("workload-manager: {0:?} is no front: platform or flight")]
+    #[error("workload-manager: {0:?} is not a front end; use platform or flight")]
     UnknownFront(String),
 }
 
-/// `check [--config JSON] FILE`: checks the file by itself, or against the settings of the configuration as well.
+/// `check [--config JSON] FILE`: checks the file by itself and, with `--config`, against the
+/// platform's settings.
 pub fn check(config: Option<&Path>, path: &Path, format: FaultFormat) -> CommandOutput {
     match check_file(config, path) {
         Ok(scope) => {
             let file = path.display();
-            CommandOutput::success(format!("{file}: sound in itself{scope}\n"))
+            CommandOutput::success(format!("{file}: no faults; {scope}\n"))
         }
         Err(CommandError::Faults(faults)) if format == FaultFormat::Json => {
             CommandOutput::invalid_input(format!("{}\n", faults_as_json(&faults)))
@@ -94,7 +95,8 @@
     }
 }
 
-/// Checks the file; returns what it was checked against besides itself.
+/// Checks the file. Returns a text that says whether it was checked against the platform's
+/// settings.
 fn check_file(config: Option<&Path>, path: &Path) -> Result<&'static str, CommandError> {
     let constraints = config.map(load_constraints).transpose()?;
     let faults_of_file = |faults| Faults {
@@ -106,8 +108,8 @@
         .ok_or_else(|| CommandError::NoFile(path.to_owned()))?;
     operator_config::parse_and_check(&source, constraints.as_ref()).map_err(faults_of_file)?;
     Ok(match constraints {
-        Some(_) => " and the settings",
-        None => "; the settings were not given",
+        Some(_) => "checked against the platform's settings",
+        None => "not checked against the platform's settings (no --config)",
     })
 }
 
@@ -129,12 +131,13 @@
     faults.faults.iter().map(as_json).collect()
 }
 
-/// `schema`: prints the JSON Schema of the file.
+/// `schema`: prints the JSON Schema of the operators' file.
 pub fn schema() -> CommandOutput {
     CommandOutput::success(operator_config::schema())
 }
 
-/// `explain --config JSON FILE --class C ...`: prints the keys in force for such a request, each with its table.
+/// `explain --config JSON FILE --class C ...`: prints the keys in force for such a request, and for
+/// each the table that sets it.
 pub fn explain(config: &Path, path: &Path, query: &ExplainQuery) -> CommandOutput {
     match explain_request(config, path, query) {
         Ok(lines) => CommandOutput::success(lines),
@@ -162,7 +165,8 @@
     Ok(lines)
 }
 
-/// The request that a query describes, by positions in the settings.
+/// Converts a query to the attributes of a request. Classes and members are given by their
+/// positions in the settings.
 fn request_attributes(
     query: &ExplainQuery,
     constraints: &PlatformConstraints,
@@ -171,7 +175,7 @@
         .class_position(&query.class)
         .ok_or_else(|| CommandError::UnknownClass(query.class.clone()))?;
     let member = match &query.member {
-        // A member of no name: routes to members do not match it.
+        // No member has this position, so routes with a list of members do not match.
         None => usize::MAX,
         Some(name) => constraints
             .members
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,7 @@
-//! The program `workload-manager`: serves clients, or carries out a sub-command on the operators' file.
+//! The program `workload-manager`: serves clients, or runs a sub-command for the operators' file.
 //!
-//! `run` reads the configuration, starts a [`Node`] and handles signals until one asks for the end.
+//! To serve, it reads the configuration, starts a [`Node`] and handles signals until one of them
+//! requests the shutdown.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
@@ -17,7 +18,7 @@
 use workload_manager::operator_config::{OperatorConfig, OperatorConfigError, PlatformConstraints};
 use workload_manager::signals::{Signal, Signals};
 
-/// A workload manager: when, and on which shared SQL engine, each query runs.
+/// A workload manager for shared SQL engines: decides when and on which engine each query runs.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
@@ -27,14 +28,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve, with the configuration that NODE_CONFIG names (as without a command).
+    /// Serve clients, with the configuration file that NODE_CONFIG names (the default command).
     Run,
-    /// Check the operators' file: exit 0, or 2 with every fault on standard error.
+    /// Check the operators' file. Exit with 0, or with 2 and all faults on standard error.
     Check {
-        /// The platform's configuration (JSON), to hold the file against its settings as well.
+        /// The platform's configuration (JSON), to check the file against its settings as well.
         #[arg(long)]
         config: Option<PathBuf>,
-        /// How faults are written.
+        /// The format of the faults.
         #[arg(long, value_enum, default_value_t = FormatArgument::Text)]
         format: FormatArgument,
         /// The operators' file (TOML).
@@ -42,7 +43,7 @@
     },
     /// Print the JSON Schema of the operators' file.
     Schema,
-    /// Tell the keys of attempts that hold for a request, and the table that each comes from.
+    /// Print the attempt keys in force for a request, and the table that sets each of them.
     Explain {
         /// The platform's configuration (JSON).
         #[arg(long)]
@@ -55,10 +56,10 @@
         /// Its member.
         #[arg(long)]
         member: Option<String>,
-        /// Its front: platform or flight.
+        /// Its front end: platform or flight.
         #[arg(long)]
         front: Option<String>,
-        /// Its data set.
+        /// The number of its data set.
         #[arg(long)]
         data_set: Option<u32>,
     },
@@ -109,7 +110,8 @@
     ExitCode::from(output.exit_code)
 }
 
-/// Writes a command's output. A pipe that a pager has closed does not change the exit code.
+/// Writes a command's output. Write errors are ignored: a pipe that a pager has closed does not
+/// change the exit code.
 fn write_output(output: &CommandOutput) {
     let _ = io::stdout().write_all(output.stdout.as_bytes());
     let _ = io::stderr().write_all(output.stderr.as_bytes());
@@ -118,11 +120,11 @@
 /// Why the program ends with an error.
 #[derive(Debug, Error)]
 enum RunError {
-    #[error("no runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(io::Error),
-    #[error("cannot hear signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    #[error("NODE_CONFIG does not name a configuration")]
+    #[error("NODE_CONFIG is not set; it names the configuration file")]
     MissingConfigPath,
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -134,6 +136,7 @@
     Start(#[from] StartError),
 }
 
+/// Serves until the shutdown. Reports an error on standard error.
 fn serve() -> ExitCode {
     let result = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -150,10 +153,11 @@
     }
 }
 
+/// Starts the node, serves until a signal requests the shutdown and prints the metrics at the end.
 async fn run() -> Result<(), RunError> {
     let path = std::env::var_os("NODE_CONFIG").ok_or(RunError::MissingConfigPath)?;
     let path = Path::new(&path);
-    // First of all: without a handler SIGHUP ends the program.
+    // Installed before anything else, since SIGHUP ends a program without a handler for it.
     let mut signals = Signals::install().map_err(RunError::Signals)?;
     let config = load_node_config(path)?;
     let operator_config = load_operator_config(&config)?;
@@ -170,7 +174,7 @@
     Ok(())
 }
 
-/// Handles signals until one asks for the end.
+/// Handles signals until one of them requests the shutdown.
 async fn serve_until_signalled(node: &Node, signals: &mut Signals, path: &Path) {
     loop {
         match signals.next().await {
@@ -178,7 +182,7 @@
             Ok(Signal::Reload) => node.reload(load_node_config(path)).await,
             Ok(Signal::Print) => print_metrics(node),
             Err(error) => {
-                // A program that no signal can end would have to be killed.
+                // Without signals, the program could only be stopped with SIGKILL.
                 tracing::error!(%error, "signals can no longer be received, shutting down");
                 return;
             }
@@ -186,8 +190,9 @@
     }
 }
 
-/// Shuts down and handles signals meanwhile. What is open, or still arrives, is served by the endpoint list, so a changed
-/// address of the discovery feed is followed until the end. A second signal to end changes nothing.
+/// Shuts down, and handles signals meanwhile. Requests that are open or still arrive need an
+/// up-to-date endpoint list, so a reload still takes up a changed address of the discovery feed. A
+/// second signal to shut down has no effect.
 async fn shut_down(node: &Node, signals: &mut Signals, path: &Path) {
     let mut shutdown = pin!(node.shut_down());
     loop {
@@ -203,14 +208,16 @@
     }
 }
 
-/// Writes the counters to standard error in one write, as that is not buffered and the line has hundreds of parts.
+/// Writes the metrics to standard error with one call, since standard error is not buffered and
+/// formatting the line directly into it would take hundreds of writes.
 fn print_metrics(node: &Node) {
     let line = format!("workload-manager: {}\n", node.metrics);
-    // Service does not depend on whether its log can be written.
+    // A failed write must not interrupt service.
     let _ = io::stderr().write_all(line.as_bytes());
 }
 
-/// The operators' file, or where there is none the older file of front ends.
+/// Loads the operators' file, or the older file of front ends if the operators' file does not
+/// exist.
 fn load_operator_config(config: &NodeConfig) -> Result<OperatorConfig, OperatorConfigError> {
     let path_from = |variable: &str, default: &str| {
         std::env::var_os(variable).map_or_else(|| PathBuf::from(default), PathBuf::from)
@@ -221,7 +228,8 @@
     OperatorConfig::load(&file, &front_ends, &constraints)
 }
 
-/// Reads the configuration, with what the environment replaces in it, at a start or reload.
+/// Reads the configuration at startup or a reload, and applies the overrides from environment
+/// variables.
 fn load_node_config(path: &Path) -> Result<NodeConfig, ConfigError> {
     let mut config = NodeConfig::load(path)?;
     if let Some(listen) = address_from_environment("NODE_LISTEN")? {
@@ -231,7 +239,7 @@
         config.admin = Some(admin);
     }
     if let Ok(value) = std::env::var("NODE_LISTEN_FD") {
-        // The first three descriptors are the standard streams.
+        // Descriptors 0 to 2 are the standard streams.
         let descriptor = value.parse().ok().filter(|descriptor| *descriptor > 2);
         let descriptor = descriptor.ok_or(ConfigError::EnvironmentDescriptor(value))?;
         config.listen_fd = Some(descriptor);
@@ -240,6 +248,7 @@
     Ok(config)
 }
 
+/// The address in an environment variable; `None` if the variable is not set.
 fn address_from_environment(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(value) = std::env::var(variable) else {
         return Ok(None);
