--- a/src/operator_config/constraints.rs
+++ b/src/operator_config/constraints.rs
@@ -1,34 +1,36 @@
-//! What the platform's settings demand of the operators' file.
+//! The limits that the platform's settings place on the operators' file.
 
 use crate::decision::{Class, Idempotency, Millis};
 use crate::settings_json::PlatformSettings;
 
-/// What the operators' file is checked against.
+/// The parts of the platform's settings that the operators' file is checked against.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformConstraints {
-    /// Classes by position.
+    /// The classes, in the order of the settings.
     pub classes: Vec<ClassConstraints>,
-    /// Members by position; none where the platform names no tenants.
+    /// The names of the members, in the order of the settings; empty if the settings list no
+    /// tenants.
     pub members: Vec<String>,
-    /// Attempts that the platform allows a request, the first included.
+    /// The largest number of attempts of one request, the first included.
     pub max_attempts: u32,
     /// Whether a request may have two attempts in flight at once.
     pub parallel_attempts_allowed: bool,
 }
 
-/// A class of the settings.
+/// A class in the platform's settings.
 #[derive(Clone, Debug)]
 pub struct ClassConstraints {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Whether a second run may do harm: it may run once only, or once within a group of engines and a time window.
+    /// Whether a second run may do harm. True for a class whose requests may run once only, and for
+    /// one whose requests may run once within a group of engines and a time window.
     pub not_idempotent: bool,
-    /// How long its clients wait, in ms.
+    /// How long a client waits for the answer, in ms.
     pub client_timeout_ms: Millis,
 }
 
 impl PlatformConstraints {
-    /// The constraints of these settings.
+    /// Extracts the constraints from the platform's settings.
     pub fn from_settings(platform: &PlatformSettings) -> PlatformConstraints {
         let settings = &platform.settings;
         let constraints = |(name, class): (&String, &Class)| ClassConstraints {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The position of a class.
+    /// The position of the class with this name.
     pub(crate) fn class_position(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
--- a/src/operator_config/faults.rs
+++ b/src/operator_config/faults.rs
@@ -1,24 +1,24 @@
-//! Faults of the operators' file, each with its line and a suggestion.
+//! Faults in the operators' file, each with its line and a suggestion.
 
 use super::lines::line_of;
 use std::collections::HashSet;
 use std::fmt;
 
-/// One fault of the file.
+/// One fault in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The line, from 1, where one can be named.
+    /// The line number, counted from 1, if it can be determined.
     pub line: Option<usize>,
-    /// The key, as a dotted path; empty for the file as a whole.
+    /// The path of the key, with dots; empty for a fault of the whole file.
     pub key: String,
     /// What is wrong.
     pub problem: String,
-    /// What would be right.
+    /// How to correct it.
     pub suggestion: String,
 }
 
 impl Fault {
-    /// A fault of the file as a whole.
+    /// Creates a fault that concerns the whole file.
     pub fn of_file(problem: impl Into<String>, suggestion: impl Into<String>) -> Fault {
         Fault {
             line: None,
@@ -41,12 +41,12 @@
     }
 }
 
-/// All faults of a file, with its name.
+/// All faults in a file, with the file's name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults {
-    /// The file, as it was named.
+    /// The file's path as the caller gave it.
     pub file: String,
-    /// Each fault, in the order of the file where lines are known.
+    /// The faults, ordered by line; faults without a line come last.
     pub faults: Vec<Fault>,
 }
 
@@ -63,16 +63,18 @@
 
 impl std::error::Error for Faults {}
 
-/// Collects the faults of one check, each with the line of its key, and each once.
+/// Collects the faults that one check finds. It adds the line of each key and leaves out
+/// duplicates.
 pub(super) struct FaultCollector<'s> {
     source: &'s str,
     faults: Vec<Fault>,
-    /// Key and problem of what this check found.
+    /// The key and the problem of each fault that this check has added.
     seen: HashSet<(String, String)>,
 }
 
 impl<'s> FaultCollector<'s> {
-    /// A collector for the file with this text, after the faults of earlier checks.
+    /// Creates a collector for the file with this text. It starts with the faults of earlier
+    /// checks.
     pub(super) fn new(source: &'s str, earlier_faults: Vec<Fault>) -> Self {
         FaultCollector {
             source,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Adds a fault of a key in the table at `path`; an empty key stands for the table itself.
+    /// Adds a fault for a key in the table at `path`. An empty key stands for the table itself.
     pub(super) fn add(
         &mut self,
         path: &str,
@@ -105,17 +107,18 @@
         }
     }
 
+    /// Whether neither this check nor an earlier one found a fault.
     pub(super) fn is_empty(&self) -> bool {
         self.faults.is_empty()
     }
 
-    /// The faults in the order in which they were found.
+    /// Returns the faults in the order in which they were found.
     pub(super) fn into_faults(self) -> Vec<Fault> {
         self.faults
     }
 }
 
-/// Fails with the faults in the order of the file, where there are any.
+/// Returns the faults as an error, ordered by line, if there are any.
 pub(super) fn fail_if_any(mut faults: Vec<Fault>) -> Result<(), Vec<Fault>> {
     if faults.is_empty() {
         return Ok(());
--- a/src/operator_config/lines.rs
+++ b/src/operator_config/lines.rs
@@ -1,15 +1,17 @@
-//! Line numbers of keys in the operators' file, so that a fault can name its line.
+//! Finds the line numbers of keys in the operators' file, for the messages of faults.
 
 use toml::de::{DeTable, DeValue};
 
-/// The line, from 1, of a byte of the text.
+/// The line number, counted from 1, of the byte at this offset.
 pub(super) fn line_at(source: &str, byte: usize) -> usize {
     let before = &source.as_bytes()[..byte.min(source.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
-/// The line of a key with a path as `attempts.class.NAME.timeout_ms` or `attempts.route[2].backoff.jitter`. Where the key
-/// is not written, the line of the nearest table that it lies in. None where the text is not TOML.
+/// The line of the key at a path such as `attempts.class.NAME.timeout_ms` or
+/// `attempts.route[2].backoff.jitter`. If the file does not contain the key, the line of the
+/// innermost table on its path that the file does contain. `None` if the file contains no part of
+/// the path or is not TOML.
 pub(super) fn line_of(source: &str, path: &str) -> Option<usize> {
     let root = DeTable::parse(source).ok()?;
     let mut table = root.get_ref();
@@ -38,18 +40,19 @@
     }
 }
 
-/// The first step of a path.
+/// The first segment of a path.
 struct PathSegment<'p> {
-    /// A key; it holds dots where the table has such a key.
+    /// The key. It contains dots if the table has a key with dots.
     key: &'p str,
-    /// The position in the array that the key holds.
+    /// The index, if the segment refers to an element of an array.
     index: Option<usize>,
-    /// The path below.
+    /// The path after this segment.
     rest: Option<&'p str>,
 }
 
-/// Splits the first step off a path. The key is the longest prefix that the table has as a key, so that a class whose
-/// name holds a dot is found; where no prefix is a key, it ends at the first separator.
+/// Splits the first segment off a path. The longest prefix that is a key of the table becomes the
+/// segment's key, so that a class whose name contains a dot is found. If no prefix is a key, the
+/// segment ends at the first separator.
 fn split_first_segment<'p>(table: &DeTable<'_>, path: &'p str) -> Option<PathSegment<'p>> {
     let separators = path
         .char_indices()
--- a/src/operator_config/lines/tests.rs
+++ b/src/operator_config/lines/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of the search for the lines of keys.
 
 use super::line_of;
 
@@ -13,7 +13,7 @@
     );
     assert_eq!(line_of(text, "attempts.route[1].backoff.jitter"), Some(9));
     assert_eq!(line_of(text, "attempts.route[1].name"), Some(8));
-    // What is not written is named by the table that it would stand in.
+    // A key that the file does not contain has the line of the table that would contain it.
     assert_eq!(line_of(text, "attempts.route[0].budget"), Some(5));
     assert_eq!(line_of("version = [", "version"), None);
 }
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -1,10 +1,13 @@
-//! The operators' own file, `deploy/magpiechute.toml`: read and checked completely, so that every fault is found at once,
-//! each with its line, its key, the problem and a suggestion.
+//! Reads and checks the operators' file, `deploy/magpiechute.toml`. One check reports every fault
+//! in the file, each with its line, its key, the problem and a suggestion.
 //!
-//! [`text`] is the file's form with the bounds of its values, [`self_check`] looks for contradictions within the file, and
-//! [`policy`] checks it against the platform's settings ([`settings_check`]) and builds the retry policy. [`startup`]
-//! adds what a start needs besides. `docs/attempts.md` is the page for operators. `node` loads the file at a start and at
-//! each reload; `command` serves the sub-commands `check`, `schema` and `explain` with it.
+//! [`text`] defines the file's format and the ranges of its values. [`self_check`] finds
+//! contradictions within the file. [`policy`] checks the file against the platform's settings (with
+//! [`settings_check`]) and builds the retry policy. [`startup`] loads everything that operators
+//! configure when the program starts.
+//!
+//! `node` loads the file at startup and at each reload. `command` uses it for the sub-commands
+//! `check`, `schema` and `explain`. `docs/attempts.md` documents the file for operators.
 
 mod constraints;
 mod faults;
@@ -28,20 +31,21 @@
 use garde::Validate;
 use std::path::Path;
 
-/// A file without faults, checked against the settings in force.
+/// An operators' file without faults, checked against the platform's settings.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedFile {
-    /// The file as written; what it leaves out is as without a file.
+    /// The parsed file; a key that it leaves out has the same value as without a file.
     pub file: OperatorFile,
-    /// Its retry policy.
+    /// The retry policy that the file sets.
     pub policy: Policy,
 }
 
-/// Reads a file and checks it against the settings. `Ok(None)` where there is no such file.
+/// Reads the file and checks it against the platform's settings. Returns `Ok(None)` if the file
+/// does not exist.
 ///
 /// # Errors
 ///
-/// Every fault, with the file's name.
+/// All faults, with the name of the file.
 pub fn load(path: &Path, constraints: &PlatformConstraints) -> Result<Option<LoadedFile>, Faults> {
     let faults_of_file = |faults| Faults {
         file: path.display().to_string(),
@@ -57,21 +61,22 @@
     }))
 }
 
-/// Parses a file's text and checks what needs no settings.
+/// Parses the file's text and runs the checks that do not need the platform's settings.
 ///
 /// # Errors
 ///
-/// Every fault, with its line.
+/// All faults, with their lines.
 pub fn parse(source: &str) -> Result<OperatorFile, Vec<Fault>> {
     parse_and_check(source, None).map(|(file, _)| file)
 }
 
-/// Parses a file's text and checks all of it: by itself, and against the settings where they are known, which also
-/// gives its policy.
+/// Parses the file's text and checks it by itself. With the constraints of the platform's settings,
+/// checks the file against them as well and returns its retry policy.
 ///
 /// # Errors
 ///
-/// Every fault, with its line. A text that is not TOML of this form has one fault, the first.
+/// All faults, with their lines. For a text that is not TOML or does not have the expected keys and
+/// types, only the first fault.
 pub fn parse_and_check(
     source: &str,
     constraints: Option<&PlatformConstraints>,
@@ -92,6 +97,7 @@
     }
 }
 
+/// The fault for an error of the TOML parser.
 fn syntax_fault(source: &str, error: &toml::de::Error) -> Fault {
     Fault {
         line: error.span().map(|span| lines::line_at(source, span.start)),
@@ -101,7 +107,7 @@
     }
 }
 
-/// The values that are out of the bounds that [`text`] names.
+/// A fault for each value that is outside the range that [`text`] defines for it.
 fn bounds_faults(file: &OperatorFile, source: &str) -> Vec<Fault> {
     let Err(report) = file.validate() else {
         return Vec::new();
@@ -118,17 +124,18 @@
             } else {
                 message.to_owned()
             },
-            suggestion: "set it within its range".to_owned(),
+            suggestion: "set a value within the range".to_owned(),
         }
     };
     report.iter().map(fault).collect()
 }
 
-/// The JSON Schema of the file, as `workload-manager schema` prints it and `deploy/magpiechute.schema.json` keeps it.
+/// The JSON Schema of the file, as `workload-manager schema` prints it.
+/// `deploy/magpiechute.schema.json` is a copy.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(OperatorFile);
-    let mut text =
-        serde_json::to_string_pretty(&schema).unwrap_or_else(|_| unreachable!("a schema is JSON"));
+    let mut text = serde_json::to_string_pretty(&schema)
+        .unwrap_or_else(|_| unreachable!("a schema serializes to JSON"));
     text.push('\n');
     text
 }
--- a/src/operator_config/policy.rs
+++ b/src/operator_config/policy.rs
@@ -1,4 +1,5 @@
-//! The retry policy of an operators' file that was checked against the platform's settings.
+//! Builds the retry policy from the operators' file and checks the file against the platform's
+//! settings.
 
 use super::constraints::{ClassConstraints, PlatformConstraints};
 use super::faults::{Fault, FaultCollector, fail_if_any};
@@ -11,11 +12,12 @@
 };
 use std::collections::BTreeSet;
 
-/// Builds the policy. `earlier_faults` are the faults of the checks before.
+/// Checks the file against the platform's settings and builds its retry policy. `earlier_faults`
+/// are the faults that previous checks found in the file.
 ///
 /// # Errors
 ///
-/// Every fault, in the order of the file.
+/// All faults, the earlier ones included, ordered by line.
 pub(super) fn build(
     file: &OperatorFile,
     source: &str,
@@ -47,7 +49,7 @@
     fail_if_any(faults.into_faults()).map(|()| Policy::default())
 }
 
-/// Each class table names a class of the settings.
+/// Adds a fault for each class table whose class is not in the platform's settings.
 fn check_class_names(
     file: &OperatorFile,
     platform: &PlatformConstraints,
@@ -55,7 +57,7 @@
 ) {
     for name in file.attempts.class.keys() {
         if platform.class_position(name).is_none() {
-            let problem = format!("{name:?} is no class of the settings");
+            let problem = format!("{name:?} is not a class in the platform's settings");
             let known_names = platform.classes.iter().map(|class| class.name.as_str());
             let suggestion = nearest_name(name, known_names);
             faults.add(&class_path(name), "", problem, suggestion);
@@ -63,7 +65,8 @@
     }
 }
 
-/// The classes of the settings, each with its own table of the file.
+/// The policy of each class in the platform's settings, from the class's table in the file if there
+/// is one.
 fn class_policies(file: &OperatorFile, platform: &PlatformConstraints) -> Vec<ClassPolicy> {
     let class_policy = |class: &ClassConstraints| ClassPolicy {
         name: class.name.clone(),
@@ -92,7 +95,7 @@
     tables.iter().filter(|table| table.kind == TableKind::Route)
 }
 
-/// Checks the default and the class tables for each class that they reach.
+/// Checks the default table for every class, and each class table for its class.
 fn check_class_tables(
     tables: &[Table<'_>],
     by_class: &[AttemptPolicy],
@@ -116,7 +119,7 @@
     }
 }
 
-/// Checks each route for each class that it matches.
+/// Checks each route for every class that it matches.
 fn check_routes(
     tables: &[Table<'_>],
     routes: &[Route],
@@ -144,7 +147,8 @@
     }
 }
 
-/// What a route matches, by positions; unknown names are faults.
+/// What a route matches, with classes and members as positions in the settings. Adds a fault for
+/// each unknown name.
 fn route_match(
     table: &Table<'_>,
     platform: &PlatformConstraints,
@@ -176,7 +180,7 @@
     }
 }
 
-/// The positions of the names among the known ones; each unknown name is a fault of the route's key.
+/// The positions of the names in `known_names`. Adds a fault for each unknown name.
 fn known_positions(
     path: &str,
     key: &str,
@@ -191,7 +195,7 @@
                 positions.insert(position);
             }
             None => {
-                let problem = format!("{name:?} is no {key} of the settings");
+                let problem = format!("{name:?} is not a {key} in the platform's settings");
                 let suggestion = nearest_name(name, known_names.iter().copied());
                 faults.add(path, &format!("match.{key}"), problem, suggestion);
             }
@@ -200,7 +204,7 @@
     positions
 }
 
-/// The front ends with these names. Unknown names are faults that the file's own check has found.
+/// The front ends with these names. Skips unknown names, which `self_check` has reported as faults.
 fn known_front_ends<S: FromIterator<FrontendKind>>(names: &OneOrMany) -> S {
     let known = |name: &str| FRONT_ENDS.iter().find(|(known, _)| *known == name);
     names
@@ -211,7 +215,8 @@
         .collect()
 }
 
-/// Adds a conflict between routes, with the line of the route that it names last.
+/// Adds a fault for a route error. For a conflict between two routes, it has the line of the later
+/// route.
 fn add_route_error(error: &RouteError, tables: &[Table<'_>], faults: &mut FaultCollector<'_>) {
     let path_of = |name: &str| {
         route_tables(tables)
@@ -219,15 +224,20 @@
             .map(|table| table.path.clone())
     };
     let (path, suggestion) = match error {
-        RouteError::MatchesNothing { route } => (path_of(route), "name what it is to match"),
+        RouteError::MatchesNothing { route } => {
+            (path_of(route), "give each key of match at least one value")
+        }
         RouteError::Conflict { later, .. } => (
             path_of(later),
-            "let one route lie within the other, or agree",
+            "narrow one route to a part of the other, or set the same values",
         ),
-        RouteError::TooManyCombinations { .. } => (None, "leave some values out"),
+        RouteError::TooManyCombinations { .. } => {
+            (None, "remove some values from the match tables")
+        }
     };
     let path = path.unwrap_or_else(|| "attempts.route".to_owned());
-    // The error's own text ends with a suggestion, which the fault has in other words.
+    // The error's text ends with a suggestion. The fault has its own suggestion, so only the first
+    // part is used.
     let text = error.to_string();
     let problem = text.split("; ").next().unwrap_or(&text);
     faults.add(&path, "", problem, suggestion);
--- a/src/operator_config/read.rs
+++ b/src/operator_config/read.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' file, which may be replaced while it is read.
+//! Reads the operators' file, which another program may replace or write during the read.
 
 use super::faults::Fault;
 use std::fs::{self, File, Metadata};
@@ -8,10 +8,10 @@
 use std::time::SystemTime;
 use thiserror::Error;
 
-/// The largest file that is read, in bytes.
+/// The largest operators' file that is accepted, in bytes.
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Reads of a file that changes while it is read, before it is refused.
+/// A file is rejected if it changes during each of this many reads.
 const MAX_READS: usize = 3;
 
 /// Why a file cannot be read.
@@ -19,7 +19,7 @@
 enum ReadError {
     #[error("cannot be opened: {0}")]
     Open(io::Error),
-    #[error("cannot be looked at: {0}")]
+    #[error("metadata cannot be read: {0}")]
     Metadata(io::Error),
     #[error("is a folder")]
     Folder,
@@ -29,7 +29,7 @@
     TooLarge,
     #[error("is not UTF-8 after byte {valid_bytes}")]
     NotUtf8 { valid_bytes: usize, line: usize },
-    #[error("changed while it was read, three times")]
+    #[error("changed during each of three reads")]
     Unstable,
 }
 
@@ -47,7 +47,9 @@
 impl From<ReadError> for Fault {
     fn from(error: ReadError) -> Self {
         let suggestion = match error {
-            ReadError::Unstable => "write it elsewhere and move it into place",
+            ReadError::Unstable => {
+                "write the text to another file and rename that file to this path"
+            }
             _ => "give the path of a readable TOML file of 1 MiB at most",
         };
         let line = match error {
@@ -64,20 +66,21 @@
 /// One read of the file.
 struct Snapshot {
     bytes: Vec<u8>,
-    /// The file did not change while it was read.
+    /// Whether the file has the same size and modification time after the read as before it.
     is_stable: bool,
 }
 
-/// Reads a file of at most [`MAX_FILE_BYTES`] bytes; `None` where there is no such file.
+/// Reads a file of at most [`MAX_FILE_BYTES`] bytes. Returns `None` if the file does not exist.
 ///
 /// # Errors
 ///
-/// The file cannot be read, is a folder, too large or not UTF-8, or changes while it is read. The fault says what to do.
+/// The file cannot be read, is a folder, is too large, is not UTF-8 or changes during each read.
 pub fn read(path: &Path) -> Result<Option<String>, Fault> {
     Ok(read_stable(path)?)
 }
 
-/// Reads again where the file was replaced or written meanwhile, as the bytes may be half of two files.
+/// Repeats the read if the file was replaced or written meanwhile, since the bytes may be a mix of
+/// two versions.
 fn read_stable(path: &Path) -> Result<Option<String>, ReadError> {
     let mut previous: Option<Vec<u8>> = None;
     for _ in 0..MAX_READS {
@@ -95,6 +98,7 @@
     Err(ReadError::Unstable)
 }
 
+/// Reads the file once. Returns `None` if the file does not exist.
 fn read_once(path: &Path) -> Result<Option<Snapshot>, ReadError> {
     let mut file = match File::open(path) {
         Ok(file) => file,
@@ -106,7 +110,7 @@
         return Err(ReadError::Folder);
     }
     let mut bytes = Vec::new();
-    // One byte more than allowed tells a file that is too large from one that just fits.
+    // The read stops one byte after the limit, which is enough to detect a file that is too large.
     let mut bounded = file.by_ref().take(MAX_FILE_BYTES + 1);
     bounded.read_to_end(&mut bytes).map_err(ReadError::Read)?;
     if bytes.len() as u64 > MAX_FILE_BYTES {
@@ -119,7 +123,7 @@
     Ok(Some(Snapshot { bytes, is_stable }))
 }
 
-/// What differs between two contents of a file.
+/// The size and the modification time, by which a change of the file's content is detected.
 fn size_and_modification_time(metadata: &Metadata) -> (u64, Option<SystemTime>) {
     (metadata.len(), metadata.modified().ok())
 }
--- a/src/operator_config/self_check.rs
+++ b/src/operator_config/self_check.rs
@@ -1,4 +1,4 @@
-//! Checks that need nothing but the operators' file itself.
+//! Checks of the operators' file that do not need the platform's settings.
 
 use super::faults::{Fault, FaultCollector};
 use super::suggestions::nearest_name;
@@ -7,7 +7,7 @@
 use crate::retry_policy::RETRYABLE_OUTCOMES;
 use std::collections::HashSet;
 
-/// The faults that the file shows without the platform's settings.
+/// Returns the faults that can be found without the platform's settings.
 pub(super) fn check(file: &OperatorFile, source: &str) -> Vec<Fault> {
     let mut faults = FaultCollector::new(source, Vec::new());
     let mut route_names = HashSet::new();
@@ -27,7 +27,8 @@
     faults.into_faults()
 }
 
-/// Only routes have a name and a match.
+/// Adds a fault if a default or class table has `name` or `match`, which are allowed in routes
+/// only.
 fn check_no_route_keys(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
     let route_keys = [
         ("name", table.content.name.is_some()),
@@ -35,14 +36,14 @@
     ];
     for (key, is_set) in route_keys {
         if is_set {
-            let problem = format!("{key} belongs to routes alone");
+            let problem = format!("{key} is allowed in routes only");
             let suggestion = "move the table to [[attempts.route]]";
             faults.add(&table.path, key, problem, suggestion);
         }
     }
 }
 
-/// A route has a name of its own, and a match.
+/// Adds a fault if a route has no name, has the name of an earlier route, or has no `match`.
 fn check_route(
     table: &Table<'_>,
     route_names: &mut HashSet<String>,
@@ -50,12 +51,12 @@
 ) {
     let path = table.path.as_str();
     match &table.content.name {
-        None => faults.add(path, "", "a route has no name", "give it name = \"...\""),
+        None => faults.add(path, "", "the route has no name", "add name = \"...\""),
         Some(name) if !route_names.insert(name.clone()) => faults.add(
             path,
             "name",
-            format!("route {name:?} is named twice"),
-            "give each route a name of its own",
+            format!("an earlier route is named {name:?} too"),
+            "give each route a different name",
         ),
         Some(_) => {}
     }
@@ -63,23 +64,25 @@
         faults.add(
             path,
             "",
-            "a route without match would match every request",
-            "say what it matches, or use [attempts.default]",
+            "the route has no match, so it would match every request",
+            "add match, or set the keys in [attempts.default]",
         );
     }
 }
 
+/// Adds a fault for each unknown outcome in `retry_on`.
 fn check_retry_outcomes(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
     for outcome in table.content.retry_on.iter().flatten() {
         let known_names = RETRYABLE_OUTCOMES.iter().map(|(name, _)| *name);
         if !known_names.clone().any(|name| name == outcome) {
-            let problem = format!("{outcome:?} is no end of an attempt");
+            let problem = format!("{outcome:?} is not an outcome of an attempt");
             let suggestion = nearest_name(outcome, known_names);
             faults.add(&table.path, "retry_on", problem, suggestion);
         }
     }
 }
 
+/// Adds a fault for each unknown front end in `match.front`.
 fn check_front_ends(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
     let matches = table.content.matches.as_ref();
     let Some(front_ends) = matches.and_then(|matches| matches.front_ends.as_ref()) else {
@@ -87,39 +90,42 @@
     };
     for front_end in front_ends.names() {
         if !FRONT_ENDS.iter().any(|(name, _)| *name == front_end) {
-            let problem = format!("{front_end:?} is no front");
+            let problem = format!("{front_end:?} is not a front end");
             let suggestion = nearest_name(front_end, FRONT_ENDS.map(|(name, _)| name));
             faults.add(&table.path, "match.front", problem, suggestion);
         }
     }
 }
 
-/// A hedged request is sent after a share of the usual attempts or after a time, not both.
+/// Adds a fault if not exactly one of `after` and `after_ms` is set, or if `after` is not a
+/// percentile.
 fn check_hedging(path: &str, hedging: &HedgingTable, faults: &mut FaultCollector<'_>) {
     match (&hedging.after, hedging.after_ms) {
         (Some(_), Some(_)) | (None, None) => faults.add(
             path,
             "second_copy",
-            "it names both after and after_ms, or neither",
-            "name one of them",
+            "has both after and after_ms, or neither",
+            "set exactly one of them",
         ),
         (Some(after), None) if parse_quantile(after).is_none() => faults.add(
             path,
             "second_copy.after",
-            format!("{after:?} is no share of the usual attempts"),
+            format!("{after:?} is not a percentile of the durations of attempts"),
             "write it as p50 to p99.99",
         ),
         _ => {}
     }
 }
 
+/// Adds a fault if the first backoff delay exceeds the longest one, or the timeout of an attempt
+/// that of the request.
 fn check_times(table: &Table<'_>, faults: &mut FaultCollector<'_>) {
     if let Some(backoff) = &table.content.backoff
         && backoff.base_ms > backoff.max_ms
     {
         let (base_ms, max_ms) = (backoff.base_ms, backoff.max_ms);
         let problem = format!("base_ms {base_ms} is above max_ms {max_ms}");
-        let suggestion = "let base_ms be max_ms or less";
+        let suggestion = "set base_ms to max_ms or less";
         faults.add(&table.path, "backoff", problem, suggestion);
     }
     if let Some(attempt_ms) = table.content.attempt_timeout_ms
@@ -128,7 +134,7 @@
     {
         let problem =
             format!("{attempt_ms} ms is longer than the request's timeout_ms {request_ms}");
-        let suggestion = "let one attempt take no longer than the request";
+        let suggestion = "set attempt_timeout_ms to timeout_ms or less";
         faults.add(&table.path, "attempt_timeout_ms", problem, suggestion);
     }
 }
--- a/src/operator_config/settings_check.rs
+++ b/src/operator_config/settings_check.rs
@@ -1,4 +1,5 @@
-//! Checks of one table against the platform's settings, for one class that the table reaches.
+//! Checks one table of the operators' file against the platform's settings, for one class that it
+//! applies to.
 
 use super::constraints::{ClassConstraints, PlatformConstraints};
 use super::faults::FaultCollector;
@@ -6,19 +7,19 @@
 use crate::decision::Millis;
 use crate::retry_policy::AttemptPolicy;
 
-/// One table as it applies to one class.
+/// A table of the file together with a class that it applies to.
 pub(super) struct TableForClass<'a> {
     pub(super) table: &'a Table<'a>,
-    /// What the table itself sets.
+    /// The policy that this table sets by itself.
     pub(super) own: &'a AttemptPolicy,
-    /// What is in force for the class, together with broader tables.
+    /// The policy in force for the class: this table's keys and those of broader tables.
     pub(super) effective: &'a AttemptPolicy,
     pub(super) class: &'a ClassConstraints,
     pub(super) platform: &'a PlatformConstraints,
 }
 
 impl TableForClass<'_> {
-    /// Adds the faults of the table's own keys.
+    /// Adds a fault for each key of the table that contradicts the settings.
     pub(super) fn check(&self, faults: &mut FaultCollector<'_>) {
         self.check_hedging(faults);
         self.check_retry_outcomes(faults);
@@ -28,13 +29,14 @@
         self.check_backoff(faults);
     }
 
-    /// Whether the table names this class of non-idempotent requests or a route to it. The default may set keys that
-    /// such a class leaves out.
+    /// Whether the class is non-idempotent and the table is its class table or a route. The default
+    /// table may set keys that such a class must not have: the policy leaves them out for this
+    /// class.
     fn targets_non_idempotent_class(&self) -> bool {
         self.class.not_idempotent && self.table.kind != TableKind::Default
     }
 
-    /// How long a request of the class may take.
+    /// The effective timeout of a request of the class, in ms: at most the client timeout.
     fn request_timeout_ms(&self) -> Millis {
         let client_timeout_ms = self.class.client_timeout_ms;
         self.effective
@@ -43,35 +45,37 @@
             .min(client_timeout_ms)
     }
 
+    /// Hedging is rejected in every case; the problem gives the first reason that applies.
     fn check_hedging(&self, faults: &mut FaultCollector<'_>) {
         if self.own.hedging.is_none() {
             return;
         }
         let (problem, suggestion) = if !self.platform.parallel_attempts_allowed {
             (
-                "the platform's settings allow one attempt out at a time (limits.parallelTries)"
+                "the platform's settings allow only one attempt in flight (limits.parallelTries)"
                     .to_owned(),
                 "remove second_copy",
             )
         } else if self.targets_non_idempotent_class() {
             (
                 format!(
-                    "class {} may run once only, and a second copy could run it twice",
+                    "requests of class {} may run once only, and a hedged request could run twice",
                     self.class.name
                 ),
                 "remove second_copy, or narrow the route to other classes",
             )
         } else {
-            // The core does not carry out hedging: accepting the key would promise what is not done.
+            // The core does not implement hedging, so an accepted key would have no effect.
             (
-                "this version sends no second copies yet".to_owned(),
+                "this version does not send hedged requests yet".to_owned(),
                 "remove second_copy",
             )
         };
         faults.add(&self.table.path, "second_copy", problem, suggestion);
     }
 
-    /// A non-idempotent request is not retried after outcomes in which an engine may have run it.
+    /// A non-idempotent request must not be retried after an outcome that leaves open whether an
+    /// engine ran it.
     fn check_retry_outcomes(&self, faults: &mut FaultCollector<'_>) {
         let Some(outcomes) = self.own.retry_on else {
             return;
@@ -79,15 +83,16 @@
         let may_have_run: Vec<&str> = outcomes.names_that_may_have_run().collect();
         if self.targets_non_idempotent_class() && !may_have_run.is_empty() {
             let problem = format!(
-                "class {} may run once only, and after {} it may have run",
+                "requests of class {} may run once only, and after {} a request may have run",
                 self.class.name,
                 may_have_run.join(", ")
             );
-            let suggestion = "name only no-connection, full and never-sent for it";
+            let suggestion = "list only no-connection, full and never-sent";
             faults.add(&self.table.path, "retry_on", problem, suggestion);
         }
     }
 
+    /// The request timeout must not exceed the client timeout.
     fn check_request_timeout(&self, faults: &mut FaultCollector<'_>) {
         let client_timeout_ms = self.class.client_timeout_ms;
         if let Some(timeout_ms) = self.own.timeout_ms
@@ -95,13 +100,14 @@
         {
             let name = &self.class.name;
             let problem = format!(
-                "{timeout_ms} ms is longer than the give-up time of class {name}, {client_timeout_ms} ms"
+                "{timeout_ms} ms is longer than the client timeout (giveUpMs) of class {name}, {client_timeout_ms} ms"
             );
             let suggestion = format!("set {client_timeout_ms} or less");
             faults.add(&self.table.path, "timeout_ms", problem, suggestion);
         }
     }
 
+    /// The timeout of an attempt must not exceed that of its request.
     fn check_attempt_timeout(&self, faults: &mut FaultCollector<'_>) {
         let table_sets_timeout =
             self.own.attempt_timeout_ms.is_some() || self.own.timeout_ms.is_some();
@@ -112,26 +118,28 @@
         {
             let name = &self.class.name;
             let problem = format!(
-                "one attempt may take {attempt_ms} ms, longer than a request of class {name} may, {request_ms} ms"
+                "one attempt may take {attempt_ms} ms, but a request of class {name} only {request_ms} ms"
             );
             let suggestion = format!("set {request_ms} or less");
             faults.add(&self.table.path, "attempt_timeout_ms", problem, suggestion);
         }
     }
 
+    /// The number of attempts must not exceed the platform's limit.
     fn check_max_attempts(&self, faults: &mut FaultCollector<'_>) {
         let allowed = self.platform.max_attempts;
         if let Some(attempts) = self.own.max_attempts
             && attempts > allowed
         {
             let problem =
-                format!("{attempts} attempts are more than the platform allows, {allowed}");
+                format!("{attempts} attempts are more than the platform's limit of {allowed}");
             let suggestion = format!("set {allowed} or less");
             faults.add(&self.table.path, "max_attempts", problem, suggestion);
         }
     }
 
-    /// The waits between all attempts leave time for the attempts themselves.
+    /// The delays between all attempts must be shorter in total than the request timeout, so that
+    /// there is time for the attempts themselves.
     fn check_backoff(&self, faults: &mut FaultCollector<'_>) {
         let allowed = self.platform.max_attempts;
         let attempts = self.effective.max_attempts.unwrap_or(allowed).min(allowed);
@@ -146,9 +154,10 @@
         {
             let name = &self.class.name;
             let problem = format!(
-                "{attempts} attempts of class {name} wait {wait_ms} ms between them alone, and the request has {request_ms} ms"
+                "the backoff between {attempts} attempts of class {name} takes {wait_ms} ms, \
+                 and the request may take {request_ms} ms"
             );
-            let suggestion = "shorten the waits or allow fewer attempts";
+            let suggestion = "shorten the backoff or allow fewer attempts";
             faults.add(&self.table.path, "backoff", problem, suggestion);
         }
     }
--- a/src/operator_config/startup.rs
+++ b/src/operator_config/startup.rs
@@ -1,4 +1,5 @@
-//! What the operators' files set at a start.
+//! Loads what operators configure when the program starts, from the operators' file or the older
+//! file of front ends.
 
 use super::faults::Faults;
 use super::text::LogTable;
@@ -9,16 +10,16 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What the operators' files set at a start, and where to read them again at a reload.
+/// What operators configure at startup, and the path of the file to read at a reload.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    /// The front ends besides that of the platform's protocol.
+    /// The front ends in addition to that of the platform's protocol.
     pub front_ends: OptionalFronts,
-    /// The retry policy; without a file it sets nothing.
+    /// The retry policy; empty without an operators' file.
     pub policy: Arc<Policy>,
-    /// The path of the operators' file, read again at each reload; the file need not exist.
+    /// The path of the operators' file, which each reload reads again. The file need not exist.
     pub path: Option<PathBuf>,
-    /// What is logged, and in what form.
+    /// The level and format of the log.
     pub log: LogTable,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Why the operators' files cannot be used at a start.
+/// Why the operators' file or the older file of front ends cannot be used at startup.
 #[derive(Debug, Error)]
 pub enum OperatorConfigError {
     /// The operators' file has faults.
@@ -57,12 +58,13 @@
 }
 
 impl OperatorConfig {
-    /// Reads the operators' file at `path` and checks it against these constraints. Where there is none, the older file
-    /// of front ends is read, with a warning, for one version.
+    /// Reads the operators' file at `path` and checks it against the platform's constraints. If the
+    /// file does not exist, reads the older file of front ends with a warning. Only this version
+    /// still reads that file.
     ///
     /// # Errors
     ///
-    /// One of the files cannot be used; the error holds all faults.
+    /// The file cannot be used. For the operators' file, the error contains all faults.
     pub fn load(
         path: &Path,
         front_ends_path: &Path,
@@ -78,7 +80,7 @@
         })
     }
 
-    /// What the engines of the list speak.
+    /// The protocol that the engines in the endpoint list use.
     pub(crate) fn engine_protocol(&self) -> EngineProtocol {
         let flight = self.front_ends.flight.as_ref();
         flight
@@ -87,12 +89,13 @@
     }
 }
 
-/// Reads the older file of front ends. The log is not set up yet, so the warning is written directly.
+/// Reads the older file of front ends. The log is not set up yet, so the warning goes directly to
+/// standard error.
 fn load_front_ends(path: &Path, operator_file_path: &Path) -> Result<OptionalFronts, ConfigError> {
     let front_ends = OptionalFronts::load(path)?;
     if path.exists() {
         eprintln!(
-            "workload-manager: {} is read for this version only: move its tables into {}",
+            "workload-manager: {} is deprecated and read by this version only; move its tables into {}",
             path.display(),
             operator_file_path.display()
         );
--- a/src/operator_config/suggestions.rs
+++ b/src/operator_config/suggestions.rs
@@ -1,6 +1,6 @@
-//! Suggestions that go with the faults of the operators' file.
+//! Suggestions for the faults in the operators' file.
 
-/// The known name that is most like a word.
+/// Suggests the known name with the smallest edit distance to the word.
 pub(super) fn nearest_name<'a>(
     word: &str,
     known_names: impl IntoIterator<Item = &'a str>,
@@ -10,18 +10,18 @@
         .min_by_key(|name| strsim::levenshtein(word, name));
     match nearest {
         Some(name) => format!("did you mean {name:?}?"),
-        None => "there are none".to_owned(),
+        None => "there are no such names to choose from".to_owned(),
     }
 }
 
-/// What to do about a message of the TOML parser.
+/// A suggestion for an error message of the TOML parser.
 pub(super) fn for_syntax_error(message: &str) -> &'static str {
     if message.contains("unknown field") {
-        "remove the key, or spell it as the page names it"
+        "remove the key, or spell it as in docs/attempts.md"
     } else if message.contains("missing field") {
         "add the key"
     } else if message.contains("invalid type") || message.contains("expected") {
-        "give a value of the type that the page names"
+        "set a value of the type that docs/attempts.md gives"
     } else {
         "write it as TOML"
     }
--- a/src/operator_config/tables.rs
+++ b/src/operator_config/tables.rs
@@ -1,4 +1,4 @@
-//! The attempt tables of the operators' file, and the policies that they set.
+//! Lists the attempt tables of the operators' file and converts them to attempt policies.
 
 use super::text::{AttemptTable, HedgingTable, OperatorFile};
 use crate::retry_policy::{
@@ -7,24 +7,25 @@
 };
 use std::sync::Arc;
 
-/// The names of the front ends in a route's `match`.
+/// The names of the front ends for the key `match.front` of a route.
 pub(super) const FRONT_ENDS: [(&str, FrontendKind); 2] = [
     ("platform", FrontendKind::Platform),
     ("flight", FrontendKind::Flight),
 ];
 
-/// The share of the usual attempts after which a request is hedged, where none is given.
+/// The quantile of the durations of attempts after which a request is hedged, if the table sets no
+/// delay.
 const DEFAULT_HEDGING_QUANTILE: f64 = 0.95;
 
-/// A table of the file, with its place.
+/// An attempt table with its place in the file.
 pub(super) struct Table<'a> {
     pub(super) content: &'a AttemptTable,
-    /// Its key path, as `attempts.class.NAME`.
+    /// Its key path, such as `attempts.class.NAME`.
     pub(super) path: String,
     pub(super) kind: TableKind,
 }
 
-/// What a table applies to.
+/// Which requests a table applies to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum TableKind {
     /// Every request.
@@ -35,7 +36,8 @@
     Route,
 }
 
-/// All tables: the default, the classes by name, the routes in the order of the file.
+/// All tables of the file: the default table, the class tables sorted by name, the routes in the
+/// order of the file.
 pub(super) fn all_tables(file: &OperatorFile) -> Vec<Table<'_>> {
     let attempts = &file.attempts;
     let default = Table {
@@ -63,19 +65,19 @@
         .collect()
 }
 
-/// The key path of a class's table.
+/// The key path of the table of this class.
 pub(super) fn class_path(class: &str) -> String {
     format!("attempts.class.{class}")
 }
 
 impl Table<'_> {
-    /// Whether this table is the default, or the one of this class.
+    /// Whether this is the default table or the table of this class.
     pub(super) fn is_default_or_of_class(&self, class: &str) -> bool {
         self.kind == TableKind::Default || self.path == class_path(class)
     }
 }
 
-/// The policy that a table without faults sets.
+/// Converts a table to a policy. The result is correct only for a table without faults.
 pub(super) fn attempt_policy(table: &AttemptTable) -> AttemptPolicy {
     AttemptPolicy {
         timeout_ms: table.timeout_ms,
@@ -118,7 +120,7 @@
     }
 }
 
-/// `p95` as 0.95.
+/// Parses a percentile from `p1` to `p99.99`: `p95` is the quantile 0.95.
 pub(super) fn parse_quantile(text: &str) -> Option<f64> {
     let percent: f64 = text.strip_prefix('p')?.parse().ok()?;
     (1.0..=99.99).contains(&percent).then_some(percent / 100.0)
--- a/src/operator_config/tests.rs
+++ b/src/operator_config/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the operators' file: what a sound file sets, every fault with its line, and files that cannot be read.
+//! Tests of the operators' file: the policy that a valid file sets, faults with their lines, and
+//! unreadable files.
 
 use super::*;
 use crate::decision::Outcome;
@@ -41,7 +42,7 @@
 max_attempts = 2
 "#;
 
-const FLIGHT_REPORT_REQUEST: RequestAttributes = RequestAttributes {
+const REPORT_REQUEST: RequestAttributes = RequestAttributes {
     class: 1,
     member: 0,
     frontend: FrontendKind::Flight,
@@ -56,7 +57,7 @@
 
 fn policy(text: &str, constraints: &PlatformConstraints) -> crate::retry_policy::Policy {
     parse_and_check(text, Some(constraints))
-        .expect("sound")
+        .expect("valid file")
         .1
         .expect("a policy")
 }
@@ -64,7 +65,7 @@
 #[test]
 fn each_key_of_a_valid_file_comes_from_its_narrowest_table() {
     let policy = policy(VALID_FILE, &constraints(true));
-    let effective = policy.resolve(&FLIGHT_REPORT_REQUEST);
+    let effective = policy.resolve(&REPORT_REQUEST);
     assert_eq!(
         (
             effective.attempt_timeout_ms,
@@ -75,13 +76,14 @@
     );
     let on_platform = policy.resolve(&RequestAttributes {
         frontend: FrontendKind::Platform,
-        ..FLIGHT_REPORT_REQUEST
+        ..REPORT_REQUEST
     });
     assert_eq!(on_platform.max_attempts, Some(3));
-    // The default's copies and ends that may have run do not reach a class that runs once.
+    // A class that may run once only does not inherit the default's hedging, nor its outcomes that
+    // may have run.
     let for_log_load = policy.resolve(&RequestAttributes {
         class: 2,
-        ..FLIGHT_REPORT_REQUEST
+        ..REPORT_REQUEST
     });
     assert_eq!(for_log_load.hedging, None);
     let outcomes_without_a_run = OutcomeSet::default()
@@ -89,7 +91,7 @@
         .with(Outcome::Rejected)
         .with(Outcome::NotSent);
     assert_eq!(for_log_load.retry_on, Some(outcomes_without_a_run));
-    let explained = policy.explain(&FLIGHT_REPORT_REQUEST);
+    let explained = policy.explain(&REPORT_REQUEST);
     let value_and_source = |key: &str| {
         explained
             .iter()
@@ -115,12 +117,13 @@
     let policy = policy("version = 1\n", &constraints(false));
     assert!(policy.is_empty());
     assert_eq!(
-        policy.resolve(&FLIGHT_REPORT_REQUEST),
+        policy.resolve(&REPORT_REQUEST),
         crate::retry_policy::AttemptPolicy::default()
     );
 }
 
-/// Every fault of the issue's list at once, each with its line, in the order of the file.
+/// A file with many kinds of faults: one check reports them all, each with its line, ordered by
+/// line.
 #[test]
 fn all_faults_are_found_at_once_each_with_its_line() {
     let text = r#"version = 1
@@ -148,9 +151,9 @@
 match = { class = [] }
 "#;
     let found = faults(text, &constraints(false));
-    let lines_and_keys: Vec<(Option<usize>, &str)> =
+    let positions: Vec<(Option<usize>, &str)> =
         found.iter().map(|f| (f.line, f.key.as_str())).collect();
-    let expected_faults = [
+    let expected_positions = [
         (Some(3), "attempts.default.second_copy"),
         (Some(4), "attempts.default.backoff.jitter"),
         (Some(6), "attempts.class.seat-check.timeout_ms"),
@@ -162,38 +165,35 @@
         (Some(19), "attempts.route[1].match.member"),
         (Some(19), "attempts.route[1].match.front"),
     ];
-    for expected in expected_faults {
-        assert!(
-            lines_and_keys.contains(&expected),
-            "{expected:?} in {found:#?}"
-        );
+    for expected in expected_positions {
+        assert!(positions.contains(&expected), "{expected:?} in {found:#?}");
     }
-    let messages_of_key = |key: &str| {
+    let messages = |key: &str| {
         found
             .iter()
             .filter(|f| f.key == key)
             .map(ToString::to_string)
             .collect::<Vec<_>>()
     };
-    assert!(messages_of_key("attempts.class.seat-chek")[0].contains("did you mean \"seat-check\""));
-    let retry_on_messages = messages_of_key("attempts.class.log-load.retry_on").join("\n");
+    assert!(messages("attempts.class.seat-chek")[0].contains("did you mean \"seat-check\""));
+    let retry_on = messages("attempts.class.log-load.retry_on").join("\n");
     assert!(
-        retry_on_messages.contains("\"errors\" is no end")
-            && retry_on_messages.contains("did you mean \"error\""),
-        "{retry_on_messages}"
+        retry_on.contains("\"errors\" is not an outcome")
+            && retry_on.contains("did you mean \"error\""),
+        "{retry_on}"
     );
-    assert!(
-        messages_of_key("attempts.route[1].match.front")[0].contains("did you mean \"flight\"")
-    );
-    assert!(messages_of_key("attempts.route[1].match.member")[0].contains("member-west"));
-    // Garde's range and the file's own order hold whether the settings are known or not.
+    assert!(messages("attempts.route[1].match.front")[0].contains("did you mean \"flight\""));
+    assert!(messages("attempts.route[1].match.member")[0].contains("member-west"));
+    // The faults of all checks are ordered by line, those of the range checks included.
     let lines: Vec<usize> = found.iter().filter_map(|f| f.line).collect();
     assert!(lines.windows(2).all(|w| w[0] <= w[1]), "{lines:?}");
 }
 
 #[test]
 fn contradictions_to_the_settings_are_faults() {
-    // A copy where two attempts may be out, of a class that runs once; and back-off that outlasts the request.
+    // Hedging of a class that may run once only, though two attempts may be in flight; backoff
+    // delays that exceed the request timeout; and a route that retries a class that may run once
+    // only after a reset.
     let text = r#"version = 1
 [attempts.class.log-load]
 second_copy = { after = "p99", ratio = 0.01 }
@@ -226,7 +226,7 @@
         "{}",
         found[2]
     );
-    // Alone, the file is sound: these need the settings.
+    // The file by itself has no faults: these checks need the settings.
     assert!(parse(text).is_ok());
 }
 
@@ -251,13 +251,13 @@
     let found = faults(text, &constraints(false));
     let messages: Vec<String> = found.iter().map(ToString::to_string).collect();
     assert!(
-        messages
-            .iter()
-            .any(|s| s
-                .starts_with("line 14: attempts.route[3].name: route \"by class\" is named twice")),
+        messages.iter().any(|s| s.starts_with(
+            "line 14: attempts.route[3].name: an earlier route is named \"by class\" too"
+        )),
         "{messages:#?}"
     );
-    // Names twice are a fault of the file alone; without it the routes are held against each other.
+    // Conflicts between routes are checked only in a file without other faults, so the duplicate
+    // name is replaced.
     let text = text.replace(
         "name = \"by class\"\nmatch = { front",
         "name = \"fourth\"\nmatch = { front",
@@ -299,12 +299,12 @@
         (
             "version = 1\n[attempts.default]\nname = \"x\"\n",
             Some(3),
-            "belongs to routes alone",
+            "name is allowed in routes only",
         ),
         (
             "version = 1\n[[attempts.route]]\nmatch = { class = [\"a\"] }\n",
             Some(2),
-            "has no name",
+            "the route has no name",
         ),
         (
             "version = 1\n[attempts.default]\nbackoff = { base_ms = 9, max_ms = 1 }\n",
@@ -314,7 +314,7 @@
         (
             "version = 1\n[attempts.default]\nsecond_copy = { after = \"q9\", ratio = 0.1 }\n",
             Some(3),
-            "no share",
+            "is not a percentile",
         ),
         (
             "version = 1\n[attempts.default]\nbudget = { ratio = 2, window_s = 10 }\n",
@@ -333,7 +333,7 @@
 #[test]
 fn unreadable_files_are_faults() {
     let folder = std::env::temp_dir().join(format!("magpiechute-file-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("folder");
+    std::fs::create_dir_all(&folder).expect("create folder");
     assert_eq!(read(&folder.join("none.toml")), Ok(None));
     assert!(
         read(&folder)
@@ -342,7 +342,7 @@
             .contains("folder")
     );
     let too_large = folder.join("big.toml");
-    std::fs::write(&too_large, vec![b'#'; (MAX_FILE_BYTES + 1) as usize]).expect("write");
+    std::fs::write(&too_large, vec![b'#'; (MAX_FILE_BYTES + 1) as usize]).expect("write file");
     assert!(
         read(&too_large)
             .expect_err("too large")
@@ -350,16 +350,16 @@
             .contains("larger")
     );
     let not_utf8 = folder.join("bad.toml");
-    std::fs::write(&not_utf8, b"version = 1\n# \xff\n").expect("write");
+    std::fs::write(&not_utf8, b"version = 1\n# \xff\n").expect("write file");
     let fault = read(&not_utf8).expect_err("not UTF-8");
     assert_eq!(
         (fault.line, fault.problem.contains("UTF-8")),
         (Some(2), true)
     );
     let valid = folder.join("good.toml");
-    std::fs::write(&valid, VALID_FILE).expect("write");
+    std::fs::write(&valid, VALID_FILE).expect("write file");
     assert_eq!(read(&valid), Ok(Some(VALID_FILE.to_owned())));
-    std::fs::remove_dir_all(&folder).expect("clean");
+    std::fs::remove_dir_all(&folder).expect("remove folder");
 }
 
 #[test]
@@ -377,16 +377,14 @@
     let text = "version = 1\n[attempts.class.seat-check]\nsecond_copy = { after = \"p95\", ratio = 0.05 }\n";
     let found = faults(text, &constraints(true));
     assert_eq!(found.len(), 1);
-    assert!(
-        found[0]
-            .to_string()
-            .starts_with("line 3: attempts.class.seat-check.second_copy: this version sends no")
-    );
+    assert!(found[0].to_string().starts_with(
+        "line 3: attempts.class.seat-check.second_copy: this version does not send hedged requests"
+    ));
 }
 
 #[test]
 fn the_example_in_deploy_has_no_faults() {
     let text = include_str!("../../deploy/magpiechute.example.toml");
     let policy = policy(text, &constraints(false));
-    assert_eq!(policy.resolve(&FLIGHT_REPORT_REQUEST).max_attempts, Some(2));
+    assert_eq!(policy.resolve(&REPORT_REQUEST).max_attempts, Some(2));
 }
