--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -138,7 +138,7 @@
     NoInstances,
     /// A figure is negative, not finite or otherwise impossible.
     #[error("settings hold an impossible figure: {setting} is {value}")]
-    ImpossibleFigure {
+    ValueOutOfRange {
         /// The setting's field.
         setting: &'static str,
         /// Its value.
@@ -147,10 +147,10 @@
 }
 
 /// A figure of the settings that has to be finite and not negative.
-type Figure = (&'static str, f64);
+type NamedValue = (&'static str, f64);
 
 impl Class {
-    fn figures(&self) -> [Figure; 6] {
+    fn named_values(&self) -> [NamedValue; 6] {
         [
             ("latency_objective_ms", self.latency_objective_ms),
             ("objective_work_factor", self.objective_work_factor),
@@ -163,7 +163,7 @@
 }
 
 impl RetryBudget {
-    fn figures(&self) -> [Figure; 3] {
+    fn named_values(&self) -> [NamedValue; 3] {
         [
             ("free_retries", self.free_retries),
             ("retries_per_request", self.retries_per_request),
@@ -173,11 +173,11 @@
 }
 
 /// Checks that a figure is finite and not negative.
-fn check_figure((setting, value): Figure) -> Result<(), SettingsError> {
+fn check_value((setting, value): NamedValue) -> Result<(), SettingsError> {
     if value.is_finite() && value >= 0.0 {
         Ok(())
     } else {
-        Err(SettingsError::ImpossibleFigure { setting, value })
+        Err(SettingsError::ValueOutOfRange { setting, value })
     }
 }
 
@@ -195,30 +195,30 @@
             return Err(SettingsError::NoInstances);
         }
         for class in &self.classes {
-            class.figures().into_iter().try_for_each(check_figure)?;
+            class.named_values().into_iter().try_for_each(check_value)?;
             if class.threads == 0 {
-                return Err(SettingsError::ImpossibleFigure {
+                return Err(SettingsError::ValueOutOfRange {
                     setting: "threads",
                     value: 0.0,
                 });
             }
         }
-        self.figures().into_iter().try_for_each(check_figure)?;
+        self.named_values().into_iter().try_for_each(check_value)?;
         let budget = self.retry_budget.iter();
         budget
-            .flat_map(RetryBudget::figures)
-            .try_for_each(check_figure)?;
+            .flat_map(RetryBudget::named_values)
+            .try_for_each(check_value)?;
         let quotas = self.tenant_quotas_per_s.iter();
         quotas
             .map(|quota| ("tenant_quotas_per_s", *quota))
-            .try_for_each(check_figure)?;
+            .try_for_each(check_value)?;
         let cores = self.machine_type_cores.iter();
         cores
             .map(|cores| ("machine_type_cores", *cores))
-            .try_for_each(check_figure)
+            .try_for_each(check_value)
     }
 
-    fn figures(&self) -> [Figure; 8] {
+    fn named_values(&self) -> [NamedValue; 8] {
         [
             ("slow_start_initial_share", self.slow_start_initial_share),
             ("slow_start_ms", self.slow_start_ms),
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -54,7 +54,7 @@
 /// With many managers, one's share of an engine is a part of a thread: the reported threads are held under all limits.
 #[test]
 fn share_below_one_query_keeps_reported_threads_under_all_limits() {
-    let play = |held: f64| {
+    let run = |reported_inflight: f64| {
         let mut bench = TestBench::new(
             Settings {
                 instances: 250,
@@ -62,14 +62,14 @@
             },
             2,
         );
-        for n in 0..60 {
+        for report_number in 0..60 {
             let report = LoadReport {
-                inflight: Some(held),
+                inflight: Some(reported_inflight),
                 cpu_busy: Some(1.0),
                 ..LoadReport::default()
             };
             bench.event(Event::HealthCheckEnded {
-                engine: engine(n % 2),
+                engine: engine(report_number % 2),
                 outcome: Outcome::Ok,
                 elapsed_ms: 1.0,
                 load_report: report,
@@ -77,9 +77,9 @@
         }
         all_sent(&bench.request(1, 0, 0)).len() + all_sent(&bench.request(2, 0, 0)).len()
     };
-    assert_eq!(play(10.0), 2, "under two threads a core");
+    assert_eq!(run(10.0), 2, "under two threads a core");
     assert_eq!(
-        play(20.0),
+        run(20.0),
         1,
         "over: one of its own at a time, which brings news"
     );
@@ -120,8 +120,8 @@
 
 #[test]
 fn waiting_requests_leave_oldest_first_and_the_oldest_holds_back_the_rest() {
-    let (small, wide) = (class(1, 9000.0, 1.0), class(4, 9000.0, 4.0));
-    let mut bench = TestBench::new(settings(vec![small, wide]), 1);
+    let (narrow, wide) = (class(1, 9000.0, 1.0), class(4, 9000.0, 4.0));
+    let mut bench = TestBench::new(settings(vec![narrow, wide]), 1);
     report_all_cores_busy(&mut bench, engine(0));
     for id in 0..14 {
         assert!(sent(&bench.request_with(id, 0, 0, 20_000.0, Some(300.0)), id).is_some());
@@ -151,37 +151,37 @@
     let mut bench = TestBench::new(settings(vec![class(1, 60_000.0, 1.0)]), 1);
     let (mut id, mut running) = (0u32, Vec::new());
     for round in 0..40u32 {
-        let level = 4 + (round * 5) % 12;
-        let output = 10.0 - (f64::from(level) - 8.0).powi(2) * 0.1;
-        let took = f64::from(level) * 300.0 / output;
+        let concurrency = 4 + (round * 5) % 12;
+        let throughput = 10.0 - (f64::from(concurrency) - 8.0).powi(2) * 0.1;
+        let latency_ms = f64::from(concurrency) * 300.0 / throughput;
         for _ in 0..75 {
-            while running.len() < level as usize {
-                let more = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
+            while running.len() < concurrency as usize {
+                let sent_ids = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
                 id += 1;
-                if more.is_empty() {
+                if sent_ids.is_empty() {
                     break;
                 }
-                running.extend(more);
+                running.extend(sent_ids);
             }
-            bench.now += took / f64::from(level);
-            let done = running.remove(0);
+            bench.now += latency_ms / f64::from(concurrency);
+            let ended_id = running.remove(0);
             running.extend(all_sent(&bench.ended_after(
-                done,
+                ended_id,
                 0,
                 engine(0),
                 Outcome::Ok,
-                took,
+                latency_ms,
             )));
         }
     }
     report_all_cores_busy(&mut bench, engine(0));
     while running.len() < 60 {
-        let more = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
+        let sent_ids = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
         id += 1;
-        if more.is_empty() {
+        if sent_ids.is_empty() {
             break;
         }
-        running.extend(more);
+        running.extend(sent_ids);
     }
     assert!(
         (8..14).contains(&running.len()),
@@ -192,7 +192,7 @@
 
 #[test]
 fn same_events_give_the_same_actions() {
-    let play = || {
+    let run = || {
         let mut bench = TestBench::new(
             settings(vec![class(1, 500.0, 1.0), class(3, 2000.0, 8.0)]),
             5,
@@ -207,44 +207,47 @@
         }
         all
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
 
 #[test]
-fn impossible_settings_are_rejected_with_the_setting_and_its_value() {
-    let new = |s: Settings| Dispatcher::new(s, 1).err();
-    let impossible = |setting, value| Some(SettingsError::ImpossibleFigure { setting, value });
-    assert_eq!(new(settings(vec![])), Some(SettingsError::NoClasses));
-    let one = settings(vec![class(1, 100.0, 1.0)]);
+fn settings_out_of_range_are_rejected_with_the_setting_and_its_value() {
+    let error_of = |invalid_settings: Settings| Dispatcher::new(invalid_settings, 1).err();
+    let out_of_range = |setting, value| Some(SettingsError::ValueOutOfRange { setting, value });
+    assert_eq!(error_of(settings(vec![])), Some(SettingsError::NoClasses));
+    let valid = settings(vec![class(1, 100.0, 1.0)]);
     assert_eq!(
-        new(Settings {
+        error_of(Settings {
             instances: 0,
-            ..one.clone()
+            ..valid.clone()
         }),
         Some(SettingsError::NoInstances)
     );
-    let none = Settings {
+    let no_threads = Settings {
         classes: vec![class(0, 100.0, 1.0)],
-        ..one.clone()
+        ..valid.clone()
     };
-    assert_eq!(new(none), impossible("threads", 0.0));
+    assert_eq!(error_of(no_threads), out_of_range("threads", 0.0));
     let quotas = Settings {
         tenant_quotas_per_s: vec![3.0, f64::NAN],
-        ..one.clone()
+        ..valid.clone()
     };
-    let error = new(quotas).expect("a quota that is not a number");
+    let error = error_of(quotas).expect("a quota that is not a number");
     assert!(
-        matches!(error, SettingsError::ImpossibleFigure { setting: "tenant_quotas_per_s", value } if value.is_nan())
+        matches!(error, SettingsError::ValueOutOfRange { setting: "tenant_quotas_per_s", value } if value.is_nan())
     );
-    let notes = Settings {
+    let negative_interval = Settings {
         progress_interval_ms: -1.0,
-        ..one.clone()
+        ..valid.clone()
     };
-    assert_eq!(new(notes), impossible("progress_interval_ms", -1.0));
+    assert_eq!(
+        error_of(negative_interval),
+        out_of_range("progress_interval_ms", -1.0)
+    );
     assert!(
-        new(Settings {
+        error_of(Settings {
             slow_start_ms: f64::NAN,
-            ..one
+            ..valid
         })
         .is_some()
     );
@@ -268,9 +271,9 @@
         }],
         "an unknown class is failed at once"
     );
-    let at = sent(&bench.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
+    let engine_id = sent(&bench.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
     assert!(
-        bench.ended(2, 3, at, Outcome::Reset).is_empty(),
+        bench.ended(2, 3, engine_id, Outcome::Reset).is_empty(),
         "no such attempt"
     );
     assert!(
@@ -278,9 +281,9 @@
         "no such engine"
     );
     assert!(bench.request(2, 0, 0).is_empty(), "a repeated id");
-    bench.ended(2, 0, at, Outcome::Ok);
+    bench.ended(2, 0, engine_id, Outcome::Ok);
     assert!(
-        bench.ended(2, 0, at, Outcome::Reset).is_empty(),
+        bench.ended(2, 0, engine_id, Outcome::Reset).is_empty(),
         "a repeated outcome"
     );
 }
