--- a/src/decision/hash.rs
+++ b/src/decision/hash.rs
@@ -1,10 +1,10 @@
 //! The hash that spreads engines and requests evenly.
 
 /// Mixes the bits of `x` well; the finish of splitmix64.
-pub(crate) fn mix(x: u64) -> u64 {
-    let x = (x ^ (x >> 30))
+pub(crate) fn mix(bits: u64) -> u64 {
+    let bits = (bits ^ (bits >> 30))
         .wrapping_add(0x9e37_79b9_7f4a_7c15)
         .wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+    let bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
--- a/src/decision/retries.rs
+++ b/src/decision/retries.rs
@@ -20,9 +20,9 @@
 impl RetryWindow {
     /// Takes note of a request, and forgets what is older than the window.
     pub(super) fn record_request(&mut self, now_ms: Millis, budget: Option<RetryBudget>) {
-        let kept_ms = budget.map_or(0.0, |budget| budget.window_ms + WINDOW_MARGIN_MS);
+        let retention_ms = budget.map_or(0.0, |budget| budget.window_ms + WINDOW_MARGIN_MS);
         for times in [&mut self.accepted_at_ms, &mut self.retried_at_ms] {
-            let expired = times.partition_point(|at| now_ms - at > kept_ms);
+            let expired = times.partition_point(|at| now_ms - at > retention_ms);
             times.drain(..expired);
         }
         self.accepted_at_ms.push_back(now_ms);
@@ -35,12 +35,14 @@
 
     /// Whether one more retry stays within the budget.
     fn allows_retry(&self, now_ms: Millis, budget: RetryBudget) -> bool {
-        let from_ms = now_ms - budget.window_ms;
+        let window_start_ms = now_ms - budget.window_ms;
         // The window's edge is drawn tight for the requests and wide for the retries.
-        let old_requests = self.accepted_at_ms.partition_point(|at| *at <= from_ms);
+        let old_requests = self
+            .accepted_at_ms
+            .partition_point(|at| *at <= window_start_ms);
         let old_retries = self
             .retried_at_ms
-            .partition_point(|at| *at < from_ms - CLOCK_MARGIN_MS);
+            .partition_point(|at| *at < window_start_ms - CLOCK_MARGIN_MS);
         let requests = (self.accepted_at_ms.len() - old_requests) as f64;
         let retries = (self.retried_at_ms.len() - old_retries) as f64;
         let allowed = budget.free_retries + budget.retries_per_request * requests;
@@ -59,12 +61,12 @@
     /// Whether a repeat does no harm now: always, or while the engines still drop repeats by key.
     pub(super) fn is_repeatable_now(&self, request: &QueuedRequest) -> bool {
         let class = &self.settings.classes[request.class];
-        let is_remembered = request.first_execution.is_none_or(|execution| {
+        let is_deduplicated = request.first_execution.is_none_or(|execution| {
             self.now_ms < execution.sent_at_ms + class.dedup_window_ms - CLOCK_MARGIN_MS
         });
         match class.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::WithKey(_) => is_remembered,
+            Idempotency::WithKey(_) => is_deduplicated,
             Idempotency::NonIdempotent => false,
         }
     }
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -11,7 +11,7 @@
 /// Part of what the usable cores give that counts as served at least.
 const MIN_SERVED_SHARE: f64 = 0.3;
 /// Least work served, in ms of work a ms.
-const MIN_SERVED_WORK: f64 = 0.01;
+const MIN_SERVED_WORK_PER_MS: f64 = 0.01;
 
 /// Requests of late, and the time that they came in.
 #[derive(Default)]
@@ -58,9 +58,9 @@
     pub(super) fn traffic_weight(&self) -> f64 {
         let quota_per_s: f64 = self.settings.tenant_quotas_per_s.iter().sum();
         let managers = f64::from(self.settings.instances);
-        let usual = quota_per_s / MS_PER_S / managers * self.traffic.elapsed_ms;
+        let mean_requests = quota_per_s / MS_PER_S / managers * self.traffic.elapsed_ms;
         if quota_per_s > 0.0 {
-            (1.0 + self.traffic.requests) / (1.0 + usual)
+            (1.0 + self.traffic.requests) / (1.0 + mean_requests)
         } else {
             1.0
         }
@@ -78,7 +78,10 @@
                 self.cores(engine) * (managers / sharing.mean_managers)
             })
             .sum();
-        let least = cores * MIN_SERVED_SHARE * self.traffic_weight() / managers;
-        self.served_work.per_ms.max(least).max(MIN_SERVED_WORK)
+        let min_rate = cores * MIN_SERVED_SHARE * self.traffic_weight() / managers;
+        self.served_work
+            .per_ms
+            .max(min_rate)
+            .max(MIN_SERVED_WORK_PER_MS)
     }
 }
