--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -122,7 +122,7 @@
             return true;
         }
         let objective_ms = class.latency_objective_ms + class.objective_work_factor * run_ms;
-        let expected_end_ms = self.now_ms + run_ms * self.slowdown.usual();
+        let expected_end_ms = self.now_ms + run_ms * self.slowdown.bounded_mean();
         !request.is_blocked && expected_end_ms > request.objective_from_ms + objective_ms
     }
 
@@ -147,7 +147,7 @@
             slack_ms: f64::INFINITY,
             cheapest: None,
         };
-        let usual_slowdown = self.slowdown.usual();
+        let usual_slowdown = self.slowdown.bounded_mean();
         for id in self.queue.values().copied() {
             let request = &self.requests[&id];
             if request.is_blocked {
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -241,7 +241,7 @@
         let all_per_core_now = (self.load(engine) + threads) / self.cores(engine);
         let all_per_core = (start.all_per_core + all_per_core_now) / 2.0;
         let warm_cores = engine.warm_cores;
-        let usual_ms = MAX_FIT_TIME_MULTIPLE * work_ms * self.slowdown.usual();
+        let usual_ms = MAX_FIT_TIME_MULTIPLE * work_ms * self.slowdown.bounded_mean();
         let thread_time_ms = thread_time_ms.min(usual_ms);
         let pooled_sample = FitSample {
             threads_ratio: all_per_core / START_THREADS_PER_CORE,
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -56,12 +56,12 @@
         start_threads: f64,
         now_ms: Millis,
     ) {
-        self.slow_start.begin(started_at_ms, slow_start_ms);
+        self.slow_start.set_period(started_at_ms, slow_start_ms);
         self.limit = ParabolaFit::new(start_threads, now_ms);
         self.slowdown = EngineSlowdown::default();
         self.load.forget();
-        self.failures.forget_failures();
-        self.outlier.forget_errors();
+        self.failures.clear_failures();
+        self.outlier.clear_errors();
     }
 
     /// Whether it has its whole capacity.
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -5,21 +5,21 @@
 };
 
 /// First pause after a failure, in ms.
-pub(super) const FIRST_PAUSE_MS: Millis = 250.0;
+pub(super) const INITIAL_PAUSE_MS: Millis = 250.0;
 /// Longest pause after a failure, in ms.
-const LONGEST_PAUSE_MS: Millis = 2000.0;
+const MAX_PAUSE_MS: Millis = 2000.0;
 /// Failures that still double the pause, against overflow.
-const MAX_PAUSE_FAILURES: u32 = 8;
+const MAX_DOUBLING_FAILURES: u32 = 8;
 /// Failures in a row that count as down.
-const DOWN_FAILURES: u32 = 2;
+const FAILURES_UNTIL_DOWN: u32 = 2;
 /// Time in ms without an answer from which an engine is unheard.
-const UNHEARD_MS: Millis = 1500.0;
+const SILENT_AFTER_MS: Millis = 1500.0;
 /// Least age in ms of an engine's news that is worth a health check.
 pub(super) const HEALTH_CHECK_INTERVAL_MS: Millis = 400.0;
 /// Health checks saved up at most, one earned with each request: a small fleet's round.
 const MAX_SAVED_CHECKS: f64 = 12.0;
 /// Saved health checks, as a share of the most, above which the whole fleet is checked.
-const FLEET_CHECK_SHARE: f64 = 0.5;
+const MIN_SAVED_SHARE_FOR_FLEET: f64 = 0.5;
 /// Time in ms that a request waits for the health checks sent for it.
 const CHECK_WAIT_MS: Millis = 40.0;
 /// Affinity engines checked for a request.
@@ -30,7 +30,7 @@
 pub(super) struct FailureDetector {
     consecutive_failures: u32,
     unavailable_until_ms: Millis,
-    last_heard_ms: Millis,
+    last_answer_at_ms: Millis,
     last_check_at_ms: Millis,
     check_in_flight: bool,
 }
@@ -39,7 +39,7 @@
     /// The detector of an engine that is new to the list.
     pub(super) fn new(now_ms: Millis) -> Self {
         FailureDetector {
-            last_heard_ms: now_ms,
+            last_answer_at_ms: now_ms,
             last_check_at_ms: f64::NEG_INFINITY,
             ..FailureDetector::default()
         }
@@ -52,16 +52,16 @@
 
     /// Whether it is down.
     pub(super) fn is_down(&self) -> bool {
-        self.consecutive_failures >= DOWN_FAILURES
+        self.consecutive_failures >= FAILURES_UNTIL_DOWN
     }
 
     /// Whether nothing was heard of it for long.
-    pub(super) fn is_unheard(&self, now_ms: Millis) -> bool {
-        now_ms - self.last_heard_ms > UNHEARD_MS
+    pub(super) fn is_silent(&self, now_ms: Millis) -> bool {
+        now_ms - self.last_answer_at_ms > SILENT_AFTER_MS
     }
 
     /// Whether it failed and its pause is over.
-    pub(super) fn wants_check(&self, now_ms: Millis) -> bool {
+    pub(super) fn is_check_due(&self, now_ms: Millis) -> bool {
         self.consecutive_failures > 0 && now_ms >= self.unavailable_until_ms
     }
 
@@ -78,24 +78,24 @@
     }
 
     /// Forgets all failures.
-    pub(super) fn forget_failures(&mut self) {
+    pub(super) fn clear_failures(&mut self) {
         self.consecutive_failures = 0;
         self.unavailable_until_ms = 0.0;
     }
 
     /// Takes an answer. Returns whether it was down.
     fn record_success(&mut self, now_ms: Millis) -> bool {
-        self.last_heard_ms = now_ms;
+        self.last_answer_at_ms = now_ms;
         let was_down = self.is_down();
-        self.forget_failures();
+        self.clear_failures();
         was_down
     }
 
     /// Takes a failure. Returns whether it has made the engine down. Where news is rare, one failure is enough.
     fn record_failure(&mut self, now_ms: Millis) -> bool {
         let was_down = self.is_down();
-        let failures = if self.is_unheard(now_ms) {
-            DOWN_FAILURES
+        let failures = if self.is_silent(now_ms) {
+            FAILURES_UNTIL_DOWN
         } else {
             1
         };
@@ -105,9 +105,9 @@
     }
 
     fn pause_ms(&self) -> Millis {
-        let failures = self.consecutive_failures.clamp(1, MAX_PAUSE_FAILURES);
-        let doubled = FIRST_PAUSE_MS * f64::from(1u32 << failures) / 2.0;
-        doubled.min(LONGEST_PAUSE_MS)
+        let failures = self.consecutive_failures.clamp(1, MAX_DOUBLING_FAILURES);
+        let doubled = INITIAL_PAUSE_MS * f64::from(1u32 << failures) / 2.0;
+        doubled.min(MAX_PAUSE_MS)
     }
 }
 
@@ -132,10 +132,10 @@
 
     /// Whether a check of the whole fleet is a small share of the traffic.
     pub(super) fn covers_fleet(&self) -> bool {
-        self.saved > MAX_SAVED_CHECKS * FLEET_CHECK_SHARE
+        self.saved > MAX_SAVED_CHECKS * MIN_SAVED_SHARE_FOR_FLEET
     }
 
-    fn has_one(&self) -> bool {
+    fn has_saved_check(&self) -> bool {
         self.saved >= 1.0
     }
 
@@ -194,7 +194,7 @@
             .filter(|engine| self.is_eligible(request, engine))
             .map(|engine| engine.entry.engine)
             .collect();
-        let random =
+        let random_bits =
             mix(self.seed ^ self.now_ms.to_bits() ^ request.arrival_number.bits()) as usize;
         let mut checked: Vec<EngineId> = self
             .affinity_engines(request)
@@ -202,7 +202,7 @@
             .filter(|engine_id| eligible.contains(engine_id))
             .take(CHECKED_AFFINITY_ENGINES)
             .collect();
-        checked.extend(eligible.get(random % eligible.len().max(1)));
+        checked.extend(eligible.get(random_bits % eligible.len().max(1)));
         let now_ms = self.now_ms;
         checked.retain(|engine_id| {
             let engine = self.engines.get(engine_id);
@@ -224,7 +224,7 @@
         engine_id: EngineId,
         actions: &mut Vec<Action>,
     ) -> bool {
-        if !self.settings.health_checks_allowed || !self.health_check_budget.has_one() {
+        if !self.settings.health_checks_allowed || !self.health_check_budget.has_saved_check() {
             return false;
         }
         let Some(engine) = self.engines.get_mut(&engine_id) else {
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -7,25 +7,25 @@
 /// Least time in ms after which an attempt is overdue.
 const MIN_OVERDUE_MS: Millis = 500.0;
 /// Times its usual time from which an attempt hangs on an engine that is down.
-const HUNG_ON_DOWN_ENGINE: f64 = 2.0;
+const HUNG_MULTIPLE_ON_DOWN_ENGINE: f64 = 2.0;
 /// Times its usual time from which an attempt hangs elsewhere.
-const HUNG: f64 = 10.0;
+const HUNG_MULTIPLE: f64 = 10.0;
 /// Half-spreads of the estimates' error; an attempt that takes longer has a bad plan.
 const BAD_PLAN_SPREADS: f64 = 2.5;
 /// Least times its usual time from which an attempt has a bad plan.
-const MIN_BAD_PLAN: f64 = 1.5;
+const MIN_BAD_PLAN_MULTIPLE: f64 = 1.5;
 /// Times its usual time from which elapsed time tells no bad plan: the estimates are too poor.
-const MAX_BAD_PLAN: f64 = 4.0;
+const MAX_BAD_PLAN_MULTIPLE: f64 = 4.0;
 /// Least age in ms of an attempt whose progress is believed.
 const MIN_PROGRESS_AGE_MS: Millis = 400.0;
 /// Least share done that progress is taken for.
 const MIN_SHARE_DONE: f64 = 1e-3;
 /// Times a new attempt's time that has to be left, so that a retry pays.
-const MIN_GAIN: f64 = 1.5;
+const MIN_RETRY_GAIN: f64 = 1.5;
 /// Part of the time left by progress that has to fit before the deadline.
-const LEFT_TIME_SHARE: f64 = 0.7;
+const REMAINING_TIME_SHARE: f64 = 0.7;
 /// Time constant in ms with which the slowness of an unheard engine is forgotten.
-const UNHEARD_FADE_MS: Millis = 5000.0;
+const SILENT_FADE_MS: Millis = 5000.0;
 
 impl Dispatcher {
     /// Cancels hung attempts, and checks engines: where attempts hang, where a failure's pause is over, and the whole
@@ -37,18 +37,18 @@
         for engine_id in ids {
             let engine = &self.engines[&engine_id];
             let hung = self.hung_attempts(engine);
-            let failed = engine.failures.wants_check(self.now_ms);
-            let wants_check = check_all || !hung.is_empty() || failed;
+            let is_failure_check_due = engine.failures.is_check_due(self.now_ms);
+            let needs_check = check_all || !hung.is_empty() || is_failure_check_due;
             for id in hung {
                 self.cancel_attempt(id, actions);
             }
-            if wants_check {
+            if needs_check {
                 self.send_health_check(engine_id, actions);
             }
             if let Some(engine) = self.engines.get_mut(&engine_id)
-                && engine.failures.is_unheard(self.now_ms)
+                && engine.failures.is_silent(self.now_ms)
             {
-                engine.slowdown.fade(1.0 - TICK_MS / UNHEARD_FADE_MS);
+                engine.slowdown.fade(1.0 - TICK_MS / SILENT_FADE_MS);
             }
         }
         self.forget_removed_engines();
@@ -56,17 +56,17 @@
 
     /// The attempts on an engine that take far too long and may be retried.
     fn hung_attempts(&self, engine: &Engine) -> Vec<RequestId> {
-        let slowness = self.slowness(engine).max(1.0) * self.slowdown.usual().max(1.0);
+        let slowness = self.slowness(engine).max(1.0) * self.slowdown.bounded_mean().max(1.0);
         let is_hung = |id: &RequestId| {
             let request = &self.requests[id];
-            let is_late = |attempt: &InFlightAttempt| {
+            let is_overdue = |attempt: &InFlightAttempt| {
                 let multiple = self.hung_multiple(request, engine);
-                let usual_ms = attempt.work_ms / self.threads(request.class) * slowness;
-                let overdue_ms = (usual_ms * multiple).max(MIN_OVERDUE_MS);
+                let expected_ms = attempt.work_ms / self.threads(request.class) * slowness;
+                let overdue_ms = (expected_ms * multiple).max(MIN_OVERDUE_MS);
                 self.now_ms - attempt.sent_at_ms > overdue_ms
             };
             !request.is_finished
-                && request.in_flight.as_ref().is_some_and(is_late)
+                && request.in_flight.as_ref().is_some_and(is_overdue)
                 && self.may_retry(request)
         };
         engine.running.iter().copied().filter(is_hung).collect()
@@ -77,14 +77,15 @@
     /// end.
     fn hung_multiple(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
         if engine.failures.is_down() {
-            return HUNG_ON_DOWN_ENGINE;
+            return HUNG_MULTIPLE_ON_DOWN_ENGINE;
         }
-        let is_untold = self.settings.progress_interval_ms == 0.0 && !self.work_is_measured;
-        let bad_plan = self.bad_plan_multiple(request);
-        if is_untold && bad_plan < MAX_BAD_PLAN {
-            bad_plan
+        let only_elapsed_time_known =
+            self.settings.progress_interval_ms == 0.0 && !self.work_is_measured;
+        let bad_plan_multiple = self.bad_plan_multiple(request);
+        if only_elapsed_time_known && bad_plan_multiple < MAX_BAD_PLAN_MULTIPLE {
+            bad_plan_multiple
         } else {
-            HUNG
+            HUNG_MULTIPLE
         }
     }
 
@@ -95,17 +96,17 @@
     /// attempts are then cancelled (0f513397).
     fn bad_plan_multiple(&self, request: &QueuedRequest) -> f64 {
         if request.estimated_work_ms.is_none() {
-            return HUNG;
+            return HUNG_MULTIPLE;
         }
-        let error = &self.class_statistics[request.class].work_error;
+        let work_error_estimate = &self.class_statistics[request.class].work_error;
         // Measured work has already corrected the median error.
         let median = if self.work_is_measured {
             0.0
         } else {
-            error.median()
+            work_error_estimate.median()
         };
-        let beyond_error = (median + BAD_PLAN_SPREADS * error.spread()).exp();
-        beyond_error.clamp(MIN_BAD_PLAN, HUNG)
+        let multiple = (median + BAD_PLAN_SPREADS * work_error_estimate.spread()).exp();
+        multiple.clamp(MIN_BAD_PLAN_MULTIPLE, HUNG_MULTIPLE)
     }
 
     /// Takes an attempt's progress. One with a bad plan is cancelled and retried: the one case in which a healthy
@@ -139,26 +140,26 @@
         };
         let age_ms = self.now_ms - attempt.sent_at_ms;
         // A request that may not run again is never cancelled: late is worth more than lost (31d1870b).
-        let is_believed = share_done.is_finite() && age_ms >= MIN_PROGRESS_AGE_MS;
-        if request.is_finished || !is_believed || !self.is_repeatable_now(request) {
+        let is_reliable = share_done.is_finite() && age_ms >= MIN_PROGRESS_AGE_MS;
+        if request.is_finished || !is_reliable || !self.is_repeatable_now(request) {
             return false;
         }
         let run_ms = attempt.work_ms / self.threads(request.class);
-        let usual_slowdown = self.slowdown.usual();
+        let mean_slowdown = self.slowdown.bounded_mean();
         let engine = self.engines.get(&attempt.engine);
         let slowness = engine.map_or(1.0, |engine| self.slowness(engine));
         let total_ms = age_ms / share_done.clamp(MIN_SHARE_DONE, 1.0);
-        let left_ms = total_ms - age_ms;
-        let new_attempt_ms = run_ms * usual_slowdown.max(1.0);
-        let usual_here_ms = run_ms * slowness * usual_slowdown;
-        let usual_ms = usual_here_ms.max(new_attempt_ms);
-        let is_slow = total_ms > self.bad_plan_multiple(request) * usual_ms;
-        if !is_slow || left_ms <= MIN_GAIN * new_attempt_ms {
+        let remaining_ms = total_ms - age_ms;
+        let new_attempt_ms = run_ms * mean_slowdown.max(1.0);
+        let expected_here_ms = run_ms * slowness * mean_slowdown;
+        let expected_ms = expected_here_ms.max(new_attempt_ms);
+        let is_slow = total_ms > self.bad_plan_multiple(request) * expected_ms;
+        if !is_slow || remaining_ms <= MIN_RETRY_GAIN * new_attempt_ms {
             return false;
         }
         let retry_pays =
             self.may_retry(request) && self.now_ms + new_attempt_ms < request.deadline_ms;
-        let ends_too_late = self.now_ms + left_ms * LEFT_TIME_SHARE > request.deadline_ms;
+        let ends_too_late = self.now_ms + remaining_ms * REMAINING_TIME_SHARE > request.deadline_ms;
         retry_pays || ends_too_late
     }
 
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -1,6 +1,6 @@
 //! Outlier ejection: engines that reject queries, or fail queries that others serve, rest for growing pauses.
 
-use super::health_checks::FIRST_PAUSE_MS;
+use super::health_checks::INITIAL_PAUSE_MS;
 use super::{Action, Dispatcher, EngineHealthChange, Millis, RequestId};
 
 /// Doublings of the first pause, up to 4 s: a trial costs a query its time.
@@ -48,8 +48,8 @@
     /// Sends it nothing new for a pause, longer each time until it serves again.
     pub(super) fn eject(&mut self, now_ms: Millis) {
         self.ejections = (self.ejections + 1).min(MAX_PAUSE_DOUBLINGS);
-        let doublings = f64::from(1 << self.ejections);
-        self.ejected_until_ms = now_ms + FIRST_PAUSE_MS * doublings;
+        let pause_factor = f64::from(1 << self.ejections);
+        self.ejected_until_ms = now_ms + INITIAL_PAUSE_MS * pause_factor;
     }
 
     /// Takes a served query.
@@ -80,7 +80,7 @@
     }
 
     /// Forgets the errors of the incarnation before a restart.
-    pub(super) fn forget_errors(&mut self) {
+    pub(super) fn clear_errors(&mut self) {
         self.error_share = 0.0;
         self.attributed_errors = 0;
     }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -3,24 +3,24 @@
 use super::{Dispatcher, Engine, Millis, QueuedRequest, Settings};
 
 /// Part of the overload bound that is used. Capacity is at 85% busy, and the costs are estimates.
-const BUDGET_MARGIN: f64 = 0.51;
+const OVERLOAD_BUDGET_SHARE: f64 = 0.51;
 /// A query that comes in turn takes no larger part of the whole budget than one in so many.
 const MIN_QUERIES_IN_BUDGET: f64 = 6.0;
 /// Managers by which one overload window moves the turn on.
 const TURNS_PER_WINDOW: f64 = 3.0;
 /// The engine's hash is reduced to this many places, so that it adds to a clock without loss.
-const HASH_PLACES: u64 = 4096;
+const HASH_RANGE: u64 = 4096;
 /// A query counts for this part of its class's mean work at least, as anyone may send a small estimate.
 const MIN_MEAN_WORK_SHARE: f64 = 0.25;
 /// Longest time in ms for which an engine that answers again is taken as cold: the list may name its restart that much
 /// later.
-const RECOVERY_MS: f64 = 4000.0;
+const MAX_RECOVERY_MS: f64 = 4000.0;
 /// Least share of its capacity that a cold engine has.
 const MIN_INITIAL_SHARE: f64 = 0.01;
 
 /// The time for which an engine is taken as cold.
 #[derive(Clone, Copy)]
-struct ColdPeriod {
+struct SlowStartPeriod {
     from_ms: Millis,
     until_ms: Millis,
 }
@@ -34,14 +34,14 @@
 /// Whether an engine is cold, and the work sent to it of late.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    period: Option<ColdPeriod>,
+    period: Option<SlowStartPeriod>,
     sent: Vec<SentWork>,
 }
 
 impl SlowStart {
     /// Takes the engine as cold for this time.
-    pub(super) fn begin(&mut self, from_ms: Millis, duration_ms: Millis) {
-        self.period = Some(ColdPeriod {
+    pub(super) fn set_period(&mut self, from_ms: Millis, duration_ms: Millis) {
+        self.period = Some(SlowStartPeriod {
             from_ms,
             until_ms: from_ms + duration_ms,
         });
@@ -50,9 +50,9 @@
     /// Takes an engine that answers again as cold for a while, if it is not cold already. It may have restarted, and
     /// the list names that seconds late.
     pub(super) fn begin_recovery(&mut self, now_ms: Millis, slow_start_ms: Millis) {
-        let is_cold = self.period.is_some_and(|period| period.until_ms >= now_ms);
-        if !is_cold {
-            self.begin(now_ms, RECOVERY_MS.min(slow_start_ms));
+        let is_warming_up = self.period.is_some_and(|period| period.until_ms >= now_ms);
+        if !is_warming_up {
+            self.set_period(now_ms, MAX_RECOVERY_MS.min(slow_start_ms));
         }
     }
 
@@ -67,11 +67,11 @@
         let Some(period) = self.period.filter(|_| !is_warm) else {
             return 1.0;
         };
-        let age = ((now_ms - period.from_ms) / settings.slow_start_ms).clamp(0.0, 1.0);
-        let initial = settings
+        let elapsed_share = ((now_ms - period.from_ms) / settings.slow_start_ms).clamp(0.0, 1.0);
+        let initial_share = settings
             .slow_start_initial_share
             .clamp(MIN_INITIAL_SHARE, 1.0);
-        initial + (1.0 - initial) * age * age
+        initial_share + (1.0 - initial_share) * elapsed_share * elapsed_share
     }
 
     /// Takes note of a query sent, and forgets those before the window.
@@ -104,8 +104,8 @@
 
     /// Work that a query counts for on a cold engine, in ms.
     pub(super) fn slow_start_work_ms(&self, class: usize, expected_work_ms: f64) -> f64 {
-        let mean = self.class_statistics[class].mean_work_ms();
-        (mean * MIN_MEAN_WORK_SHARE).max(expected_work_ms)
+        let mean_work_ms = self.class_statistics[class].mean_work_ms();
+        (mean_work_ms * MIN_MEAN_WORK_SHARE).max(expected_work_ms)
     }
 
     /// Whether a request stays within a cold engine's budget: a multiple of its present capacity in any window,
@@ -115,23 +115,24 @@
             return true;
         }
         let window_ms = self.settings.overload_window_ms;
-        let work = self.slow_start_work_ms(request.class, self.expected_work_ms(request));
+        let work_ms = self.slow_start_work_ms(request.class, self.expected_work_ms(request));
         let sharing = self.settings.sharing(&engine.entry);
         let managers = f64::from(sharing.max_managers);
-        let whole_budget = self.settings.overload_multiple * self.cores(engine) * window_ms;
-        let sent = engine.slow_start.work_sent_ms(self.now_ms, window_ms);
+        let whole_budget_ms = self.settings.overload_multiple * self.cores(engine) * window_ms;
+        let sent_ms = engine.slow_start.work_sent_ms(self.now_ms, window_ms);
         // Two processes of one manager share its part.
-        let own_budget = whole_budget * BUDGET_MARGIN / managers / self.capacity_divisor.max(1.0);
-        if sent + work <= own_budget {
+        let own_budget_ms =
+            whole_budget_ms * OVERLOAD_BUDGET_SHARE / managers / self.capacity_divisor.max(1.0);
+        if sent_ms + work_ms <= own_budget_ms {
             return true;
         }
         // A part of less than one query comes in turn, by a clock and a hash that all managers share.
         let turn = self.now_ms / window_ms * TURNS_PER_WINDOW
             + f64::from(sharing.rank)
-            + (engine.hash % HASH_PLACES) as f64;
-        let place = turn.rem_euclid(managers);
-        sent == 0.0
-            && work * MIN_QUERIES_IN_BUDGET <= whole_budget
-            && place * work < own_budget * managers
+            + (engine.hash % HASH_RANGE) as f64;
+        let turn_place = turn.rem_euclid(managers);
+        sent_ms == 0.0
+            && work_ms * MIN_QUERIES_IN_BUDGET <= whole_budget_ms
+            && turn_place * work_ms < own_budget_ms * managers
     }
 }
--- a/src/decision/slowdown.rs
+++ b/src/decision/slowdown.rs
@@ -5,7 +5,7 @@
 /// Gain of one outcome; an engine's latency is followed over about a second.
 pub(super) const LATENCY_GAIN: f64 = 0.08;
 /// Log ratio an outcome: how fast the best latency is forgotten.
-const BEST_RISE: f64 = 0.0002;
+const BEST_RISE_PER_ATTEMPT: f64 = 0.0002;
 /// Latency over the best seen from which the concurrency limit binds.
 const PRESSURE_SLOWDOWN: f64 = 1.6;
 /// Threads a core, own and others', from which the concurrency limit binds.
@@ -16,8 +16,8 @@
 const MIN_SLOWNESS: f64 = 0.6;
 const MAX_SLOWNESS: f64 = 12.0;
 /// Bounds of the usual slowdown.
-const MIN_USUAL_SLOWDOWN: f64 = 0.8;
-const MAX_USUAL_SLOWDOWN: f64 = 8.0;
+const MIN_MEAN_SLOWDOWN: f64 = 0.8;
+const MAX_MEAN_SLOWDOWN: f64 = 8.0;
 /// The usual slowdown until enough attempts are seen.
 const INITIAL_SLOWDOWN: f64 = 1.5;
 /// Samples from which a slowdown is used.
@@ -34,7 +34,7 @@
     samples: u32,
     best_log_ratio: f64,
     /// The median engine's, as of the last tick.
-    median_engine: Option<f64>,
+    median_log_ratio: Option<f64>,
 }
 
 impl Default for FleetSlowdown {
@@ -43,7 +43,7 @@
             log_ratio: 0.0,
             samples: 0,
             best_log_ratio: f64::INFINITY,
-            median_engine: None,
+            median_log_ratio: None,
         }
     }
 }
@@ -59,15 +59,15 @@
         self.samples = self.samples.saturating_add(1);
         self.log_ratio += gain(self.samples) * (log_ratio - self.log_ratio);
         if f64::from(self.samples) > 1.0 / LATENCY_GAIN {
-            self.best_log_ratio = (self.best_log_ratio + BEST_RISE).min(self.log_ratio);
+            self.best_log_ratio = (self.best_log_ratio + BEST_RISE_PER_ATTEMPT).min(self.log_ratio);
         }
     }
 
     /// The usual latency over work, bounded.
-    pub(super) fn usual(&self) -> f64 {
+    pub(super) fn bounded_mean(&self) -> f64 {
         if self.samples >= MIN_SAMPLES {
             let slowdown = self.log_ratio.exp();
-            slowdown.clamp(MIN_USUAL_SLOWDOWN, MAX_USUAL_SLOWDOWN)
+            slowdown.clamp(MIN_MEAN_SLOWDOWN, MAX_MEAN_SLOWDOWN)
         } else {
             INITIAL_SLOWDOWN
         }
@@ -80,12 +80,12 @@
             .map(|engine| engine.slowdown.log_ratio)
             .collect();
         log_ratios.sort_by(f64::total_cmp);
-        self.median_engine = log_ratios.get(log_ratios.len() / 2).copied();
+        self.median_log_ratio = log_ratios.get(log_ratios.len() / 2).copied();
     }
 
     /// How much slower an engine is than the median one. A common cause slows all engines, so none stands out.
-    pub(super) fn relative(&self, engine: &EngineSlowdown) -> f64 {
-        let median = self.median_engine.filter(|_| engine.is_established());
+    pub(super) fn relative_slowness(&self, engine: &EngineSlowdown) -> f64 {
+        let median = self.median_log_ratio.filter(|_| engine.is_established());
         median.map_or(1.0, |median| {
             let slowness = (engine.log_ratio - median).exp();
             slowness.clamp(MIN_SLOWNESS, MAX_SLOWNESS)
@@ -120,7 +120,7 @@
 impl Dispatcher {
     /// How much slower an engine is than the median one.
     pub(super) fn slowness(&self, engine: &Engine) -> f64 {
-        self.slowdown.relative(&engine.slowdown)
+        self.slowdown.relative_slowness(&engine.slowdown)
     }
 
     /// Whether the concurrency limit binds: the engine is crowded, busy, slow or ejected of late.
