--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the engines as the platform lists them.
+//! The endpoint list: the engines that the platform lists, with their states.
 
 use super::Millis;
 use std::fmt;
@@ -22,56 +22,57 @@
 /// An engine's state in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineState {
-    /// Takes work.
+    /// Accepts new queries.
     #[default]
     Ready,
-    /// Completes its work and takes nothing new.
+    /// Completes its running queries and accepts no new ones.
     Draining,
     /// Removed from the list.
     Removed,
 }
 
-/// The workload managers that hold an engine, where they hold subsets of the list.
+/// The workload managers that use an engine, where each manager uses a subset of the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSharing {
-    /// Their mean number over the engines of the list.
+    /// Mean number of managers that use an engine, over the engines of the list.
     pub mean_managers: f64,
-    /// A bound on their number, also while their lists differ.
+    /// Upper bound on the number of managers that use this engine. It also holds while the
+    /// managers' lists differ.
     pub max_managers: u32,
-    /// This manager's place among them, from 0.
+    /// This manager's rank among them, from 0.
     pub rank: u32,
 }
 
 /// One record of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineEntry {
-    /// Which engine.
+    /// The engine's address.
     pub engine: EngineId,
     /// Its zone.
     pub zone: u8,
-    /// Its machine type, by position in the settings.
+    /// Its machine type, as an index into [`super::Settings::machine_type_cores`].
     pub machine_type: u16,
     /// Its cell.
     pub cell: u16,
     /// Its state.
     pub state: EngineState,
-    /// Its listed size, comparable between engines.
+    /// Its listed size, in a unit that all engines share.
     pub nominal_capacity: f64,
-    /// Time of its latest start; 0 for long ago.
+    /// Time of its latest start; 0 if it started so long ago that it has no slow start.
     pub started_at_ms: Millis,
-    /// The workload managers that hold it; none where all do.
+    /// The workload managers that use it; `None` if all do.
     pub sharing: Option<EngineSharing>,
 }
 
-/// How an update relates to the endpoint list that is held.
+/// How an update relates to the endpoint list that the dispatcher holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as last cached; it may be stale.
+    /// The complete list from the cache; it may be stale.
     Cached,
-    /// A poll failed; the held list stays.
+    /// A poll failed; the dispatcher keeps the list that it holds.
     PollFailed,
 }
--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -1,60 +1,62 @@
-//! The events that a host hands to the dispatcher, and the actions that the dispatcher asks of it.
+//! The events that the host passes to the dispatcher, and the actions that the dispatcher requests
+//! from the host.
 
 use super::{EngineEntry, EngineId, ListUpdateKind, Settings};
 
-/// Milliseconds on the host's clock, which never goes back.
+/// Milliseconds on the host's monotonic clock.
 pub type Millis = f64;
-/// The host's number for one request.
+/// The host's id of a request.
 pub type RequestId = u32;
 
-/// An engine's load report.
+/// An engine's load report. A figure that the engine does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries that run or wait there.
+    /// Queries that run or wait on the engine.
     pub inflight: Option<f64>,
-    /// Share of cores busy.
+    /// Share of the engine's cores that are busy.
     pub cpu_busy: Option<f64>,
-    /// Share of disks busy.
+    /// Share of the engine's disks that are busy.
     pub disk_busy: Option<f64>,
-    /// Queries waiting for memory.
+    /// Queries that wait for memory.
     pub memory_queue: Option<f64>,
-    /// Share of memory granted.
+    /// Share of the engine's memory that is granted to queries.
     pub memory_granted: Option<f64>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The engine served it.
     Ok,
-    /// The engine returned an error; may have run.
+    /// The engine returned an error; the attempt may have run.
     Error,
-    /// Rejected; never ran.
+    /// The engine rejected the attempt; it never ran.
     Rejected,
-    /// No timely answer; may have run or still run.
+    /// No answer arrived before the time-out; the attempt may have run or may still run.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection to the engine; the attempt never ran.
     NoConnection,
-    /// The connection broke; may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The host never sent the attempt.
     NotSent,
-    /// The host had no connection slot; never sent, does not count as an attempt, and tells nothing of the engine.
+    /// The host had no free connection slot, so it never sent the attempt. It does not count as an
+    /// attempt and gives no information about the engine.
     NoConnectionSlot,
 }
 
 /// Progress of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// Rough share done.
+    /// Approximate share of the attempt's work that is done, from 0 to 1.
     ShareDone(f64),
-    /// It spills to disk: missing memory in MB.
+    /// The attempt spills to disk; the memory that it lacks, in MB.
     SpillingMb(f64),
-    /// It waits for memory.
+    /// The attempt waits for memory.
     WaitingForMemory,
-    /// It waits for a bulk load.
+    /// The attempt waits for a bulk load.
     WaitingForBulkLoad,
 }
 
@@ -63,117 +65,122 @@
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Its class, by position.
+    /// Its class, as an index into [`Settings::classes`].
     pub class: usize,
     /// Its order key; 0 for none.
     pub order_key: u64,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub deadline_ms: Millis,
-    /// Estimated work over all threads in ms, if given.
+    /// Estimated work in ms, summed over all threads, if the client gives it.
     pub estimated_work_ms: Option<f64>,
     /// Its data set.
     pub data_set: u32,
-    /// Estimated memory in MB, if given.
+    /// Estimated memory in MB, if the client gives it.
     pub estimated_memory_mb: Option<f64>,
-    /// Attempts that it may have, the first included, if its own policy sets them; else those of the settings.
+    /// Maximum number of attempts, the first included, if the request's own attempt policy sets
+    /// one. Otherwise [`Settings::max_attempts`] applies.
     pub max_attempts: Option<u32>,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnded {
-    /// Which request.
+    /// The request.
     pub id: RequestId,
-    /// Which attempt.
+    /// The attempt's number within the request, from 0.
     pub attempt: u16,
-    /// On which engine.
+    /// The engine that it was sent to.
     pub engine: EngineId,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub elapsed_ms: Millis,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub answered: bool,
-    /// The work that it needed in ms, where answers tell that.
+    /// Work in ms that the attempt needed, if the engine's answers report it.
     pub measured_work_ms: Option<f64>,
-    /// The memory that it needed in MB, where answers tell that.
+    /// Memory in MB that the attempt needed, if the engine's answers report it.
     pub measured_memory_mb: Option<f64>,
-    /// The engine's load report, if attached.
+    /// The load report that came with the answer; empty if there was none.
     pub load_report: LoadReport,
 }
 
-/// What happened.
+/// An event that the host reports to the dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The host's first event: the dispatcher may set timers.
+    /// The host's first event; from then on the dispatcher may set timers.
     Started,
-    /// The engine list, or changes to it.
+    /// The endpoint list, or changes to it.
     EndpointList {
-        /// How the entries relate to the held list.
+        /// How the entries relate to the list that the dispatcher holds.
         kind: ListUpdateKind,
         /// The entries.
         entries: Vec<EngineEntry>,
     },
-    /// Staff have ejected an engine, or ended that. It holds whatever the endpoint list says.
+    /// On-call staff have ejected an engine or returned it to service. An ejection stays in force
+    /// whatever the endpoint list contains.
     ManualEjection {
-        /// Which engine.
+        /// The engine.
         engine: EngineId,
-        /// Ejected, or given back.
+        /// `true` if the engine is ejected, `false` if it returns to service.
         ejected: bool,
-        /// When.
+        /// Time of the change.
         at_ms: Millis,
     },
-    /// A peer process of this workload manager has started, as in a hot restart, or has ended.
+    /// A peer process of this workload manager has started, as in a hot restart, or has ended. The
+    /// processes share the workload manager's part of the engines' capacity.
     PeerProcesses {
-        /// This process has one part in so many of what they have together; 1 where it is alone.
+        /// Number of equal parts into which the capacity is divided, one of which is this
+        /// process's; 1 if it has no peer.
         capacity_divisor: f64,
     },
-    /// New settings; unfinished requests keep their class.
+    /// New settings. Unfinished requests keep their class.
     Settings(Box<Settings>),
     /// A client's request.
     Request(Request),
-    /// The result has begun to stream to the client; the attempt is not cancelled any more.
+    /// The attempt's result has begun to stream to the client; from then on the attempt is not
+    /// cancelled.
     ResultStreaming {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt's number within the request, from 0.
         attempt: u16,
     },
-    /// A timer came due.
+    /// A timer has expired.
     Timer {
-        /// As set.
+        /// The token of [`Action::SetTimer`].
         token: u64,
     },
-    /// The client has disconnected; it gets no answer.
+    /// The client has disconnected and gets no answer.
     ClientDisconnected {
-        /// Which request.
+        /// The request.
         id: RequestId,
     },
     /// A message from another workload manager.
     PeerMessage {
-        /// The payload.
+        /// The message's content.
         payload: Vec<u8>,
     },
-    /// Progress of a running attempt.
+    /// A running attempt has reported its progress.
     Progress {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt's number within the request, from 0.
         attempt: u16,
-        /// The progress.
+        /// The reported progress.
         progress: Progress,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptEnded(AttemptEnded),
-    /// A health check ended.
+    /// A health check has ended.
     HealthCheckEnded {
-        /// Which engine.
+        /// The engine.
         engine: EngineId,
-        /// How.
+        /// How the health check ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from sending the health check to its end.
         elapsed_ms: Millis,
-        /// The engine's load report, if attached.
+        /// The load report that came with the answer; empty if there was none.
         load_report: LoadReport,
     },
 }
@@ -183,31 +190,32 @@
 pub enum EndReason {
     /// The settings have no such class.
     UnknownClass,
-    /// It would come too late: for its latency objective, or for its client.
+    /// Its answer would miss its latency objective or its client's deadline.
     TooLate,
-    /// The backlog is too large, and it weighs least for its work.
+    /// The backlog is too large, and the request has the lowest priority weight per ms of
+    /// work.
     LoadShed,
-    /// Its last attempt was not sent, and the host allows no other.
+    /// Its last attempt was not sent, and the host allows no further attempt.
     NotSent,
-    /// Its last attempt failed, and no other may follow.
+    /// Its last attempt failed, and no retry is allowed.
     NoRetryAllowed,
 }
 
-/// How the dispatcher's view of an engine's health has changed, and why.
+/// A change of an engine's health in the dispatcher's view, with its cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineHealthChange {
-    /// A health check failed: it is down.
+    /// A health check failed; the engine counts as down.
     HealthCheckFailed,
-    /// An attempt got no connection: it is down.
+    /// An attempt got no connection; the engine counts as down.
     Unreachable,
-    /// It answers again.
+    /// The engine was down and answers again.
     Recovered,
-    /// It fails what others serve: it is ejected.
+    /// The engine failed queries that other engines served; it is ejected.
     EjectedForErrors,
 }
 
 impl EngineHealthChange {
-    /// What has happened, as operators read it.
+    /// The event's name in the operators' log.
     pub fn event(self) -> &'static str {
         match self {
             Self::HealthCheckFailed | Self::Unreachable => "engine down",
@@ -216,7 +224,7 @@
         }
     }
 
-    /// Why, as operators read it.
+    /// The cause's name in the operators' log.
     pub fn reason(self) -> &'static str {
         match self {
             Self::HealthCheckFailed => "health_check",
@@ -227,69 +235,69 @@
     }
 }
 
-/// What the host is to do, in this order.
+/// An action for the host. The host carries out the actions in the order in which it gets them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Starts an attempt.
     StartAttempt {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Where.
+        /// The engine to send it to.
         engine: EngineId,
-        /// Time-out; `None` until the client gives up.
+        /// Time-out of the attempt; if `None`, the attempt may last until the client gives up.
         timeout_ms: Option<Millis>,
     },
-    /// Sets the terms of a request's next attempts.
+    /// Sets the memory grant and the priority of a request's next attempts.
     SetAttemptTerms {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Memory in MB; 0 for the engine's choice.
+        /// Memory grant in MB; 0 leaves the choice to the engine.
         memory_mb: f64,
-        /// 0 to 3; 1 is usual. It also holds for the attempt in flight.
+        /// Priority from 0 to 3; 1 is the default. It also applies to the attempt in flight.
         priority: u8,
     },
-    /// Final answer: rejected; trying again is harmless.
+    /// Gives the final answer: the request is rejected and may safely be repeated.
     Reject {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// `Retry-After`; 0 for none.
+        /// `Retry-After` for the client; 0 for none.
         retry_after_ms: Millis,
-        /// Why.
+        /// Why the request ends.
         reason: EndReason,
     },
-    /// Final answer: failed; it may have run.
+    /// Gives the final answer: the request has failed and may have run.
     Fail {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Why.
+        /// Why the request ends.
         reason: EndReason,
     },
-    /// Cancel an attempt in flight.
+    /// Cancels an attempt in flight.
     CancelAttempt {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt's number within the request, from 0.
         attempt: u16,
     },
-    /// Set a timer.
+    /// Sets a timer.
     SetTimer {
-        /// From now.
+        /// Time from now until the timer expires.
         after_ms: Millis,
-        /// Returned with the timer.
+        /// Returned in [`Event::Timer`].
         token: u64,
     },
-    /// Send a health check to an engine.
+    /// Sends a health check to an engine.
     SendHealthCheck {
-        /// Which engine.
+        /// The engine.
         engine: EngineId,
     },
-    /// Poll the endpoint list, and subscribe to its changes.
+    /// Polls the endpoint list and subscribes to its changes.
     SubscribeEndpointList,
-    /// The state of an engine has changed, which operators are to know.
+    /// Reports a change of an engine's health to the operators.
     EngineHealthChanged {
-        /// Which engine.
+        /// The engine.
         engine: EngineId,
-        /// How, and why.
+        /// The change and its cause.
         change: EngineHealthChange,
     },
 }
--- a/src/decision/hash.rs
+++ b/src/decision/hash.rs
@@ -1,6 +1,6 @@
-//! The hash that spreads engines and requests evenly.
+//! The hash function that distributes engines and requests evenly.
 
-/// Mixes the bits of `x` well; the finish of splitmix64.
+/// Mixes the bits of a value, as the finalizer of splitmix64 does.
 pub(crate) fn mix(bits: u64) -> u64 {
     let bits = (bits ^ (bits >> 30))
         .wrapping_add(0x9e37_79b9_7f4a_7c15)
