--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,152 +1,157 @@
-//! The settings of the decisions: request classes, what the platform guarantees, and limits.
+//! The dispatcher's settings: request classes, service guarantees of the platform, and limits.
 
 use super::{EngineEntry, EngineSharing, Millis};
 
-/// How safe a repeat of a request is.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Engines drop repeats for a while.
+    /// Engines drop repeats of the request for [`Class::dedup_window_ms`].
     WithKey(DedupScope),
-    /// Must not run more than once.
+    /// The request must not run more than once.
     NonIdempotent,
 }
 
-/// The engines that drop repeats of a keyed request together.
+/// The engines that share one record of idempotency keys: each drops repeats of a request that
+/// another has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All engines.
     All,
-    /// Those of one zone.
+    /// The engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// The engines of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Weight of one request answered in time.
+    /// Priority weight that a request earns if it is answered within its latency objective.
     pub priority_weight: f64,
-    /// Share of the weight that an answer after the latency objective keeps.
+    /// Share of the weight that an answer after the latency objective still earns.
     pub late_weight_factor: f64,
-    /// Latency objective, to which `objective_work_factor` times work over threads is added.
+    /// Fixed part of the latency objective; `objective_work_factor` times work over threads is
+    /// added to it.
     pub latency_objective_ms: Millis,
-    /// Growth of the latency objective by the request's work over its threads.
+    /// Added to the latency objective for each ms of the request's work over its threads, in ms.
     pub objective_work_factor: f64,
-    /// Time that a client waits in all.
+    /// Total time that a client waits for an answer.
     pub client_timeout_ms: Millis,
-    /// Threads a query runs on.
+    /// Threads that a query runs on.
     pub threads: u32,
-    /// Whether and where repeats do no harm.
+    /// Whether repeats are safe, and on which engines.
     pub idempotency: Idempotency,
-    /// For how long engines drop repeats, from the send of the first attempt that may have run.
+    /// Time for which engines drop repeats, counted from the sending of the first attempt that may
+    /// have run.
     pub dedup_window_ms: Millis,
-    /// Requests with one key run one at a time, in order.
+    /// Whether requests with the same order key run one at a time, in order of arrival.
     pub ordered_by_key: bool,
-    /// It locks its data set on its engine until it ends.
+    /// Whether a query of this class writes in bulk and locks its data set on its engine until it
+    /// ends.
     pub is_bulk_load: bool,
-    /// It waits while a bulk load locks its data set on its engine.
+    /// Whether a query of this class waits while a bulk load locks its data set on its engine.
     pub waits_for_bulk_loads: bool,
-    /// The only zones allowed, if there are such bounds.
+    /// Zones whose engines the class may use; `None` allows all.
     pub allowed_zones: Option<Vec<u8>>,
-    /// The only machine types allowed, if there are such bounds.
+    /// Machine types that the class may use; `None` allows all.
     pub allowed_machine_types: Option<Vec<u16>>,
 }
 
-/// A budget of retries.
+/// A limit on the retries within a sliding time window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that any window allows.
+    /// Retries that every window allows, whatever its number of requests.
     pub free_retries: f64,
-    /// Retries allowed in addition for each request of the window.
+    /// Additional retries for each request of the window.
     pub retries_per_request: f64,
-    /// The window's length.
+    /// Length of the window.
     pub window_ms: Millis,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReportMode {
-    /// Nowhere.
+    /// Engines send no load reports.
     #[default]
     Off,
-    /// With every answer and health check.
+    /// Every answer and every health check carries a load report.
     Inline,
-    /// With health checks only.
+    /// Only health checks carry a load report.
     OnHealthCheck,
 }
 
 /// The settings of one workload manager.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Workload managers in this tier.
+    /// Number of workload managers in the fleet.
     pub instances: u32,
-    /// This manager's place among them, from 0.
+    /// This manager's number among them, from 0.
     pub ordinal: u32,
     /// Request classes.
     pub classes: Vec<Class>,
-    /// Names of the classes, by which new settings find them.
+    /// Names of the classes, in the same order. New settings are matched to old classes by name.
     pub class_names: Vec<String>,
-    /// Cores of each machine type.
+    /// Number of cores of each machine type.
     pub machine_type_cores: Vec<f64>,
-    /// Engines heed a memory grant.
+    /// Whether engines honour a memory grant.
     pub memory_grants_supported: bool,
     /// Time between progress reports; 0 for none.
     pub progress_interval_ms: Millis,
-    /// Requests a second within each tenant's quota, over all managers; empty where there are no tenants.
+    /// Quota of each tenant in requests a second, over all managers; empty if there are no tenants.
     pub tenant_quotas_per_s: Vec<f64>,
     /// This manager's zone.
     pub zone: u8,
-    /// Cost of a cross-zone attempt, in shares of all weight.
+    /// Cost of a cross-zone attempt, as a share of the total priority weight.
     pub cross_zone_cost: f64,
-    /// The endpoint list comes only to those that poll it.
+    /// Whether the manager has to poll the endpoint list to get it.
     pub must_poll_list: bool,
-    /// Attempts a request may have.
+    /// Maximum number of attempts of a request, the first included.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub health_checks_allowed: bool,
-    /// Longest `Retry-After` that clients honour; 0 where they get none.
+    /// Longest `Retry-After` that clients honour; 0 if they get none.
     pub max_retry_after_ms: Millis,
     /// Where load reports come from.
     pub load_reports: LoadReportMode,
-    /// An engine begins its slow start with this share of its capacity or more.
+    /// Least share of its capacity that an engine has at the beginning of its slow start.
     pub slow_start_initial_share: f64,
-    /// Longest time of a slow start.
+    /// Longest duration of a slow start.
     pub slow_start_ms: Millis,
-    /// An engine in slow start that gets more than this multiple of its capacity ...
+    /// An engine in slow start fails if it gets more than this multiple of its present capacity
+    /// within `overload_window_ms`.
     pub overload_multiple: f64,
-    /// ... for this long fails.
+    /// Length of the time window to which `overload_multiple` applies.
     pub overload_window_ms: Millis,
-    /// Pause of an order key after an attempt that may still run.
+    /// Time for which an order key is paused after an attempt that may still run.
     pub order_key_pause_ms: Millis,
-    /// The retry budget, if there is one.
+    /// The retry budget; `None` sets no limit.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// Why settings cannot be used.
+/// Why settings are unusable.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There are no request classes.
-    #[error("settings name no request class")]
+    /// The settings contain no request class.
+    #[error("settings contain no request class")]
     NoClasses,
-    /// There are no workload managers.
-    #[error("settings name no workload manager instance")]
+    /// The number of workload managers is 0.
+    #[error("settings contain no workload manager instance")]
     NoInstances,
-    /// A figure is negative, not finite or otherwise impossible.
-    #[error("settings hold an impossible figure: {setting} is {value}")]
+    /// A value is negative, not finite or otherwise outside its range.
+    #[error("settings contain a value out of range: {setting} is {value}")]
     ValueOutOfRange {
-        /// The setting's field.
+        /// Name of the setting's field.
         setting: &'static str,
         /// Its value.
         value: f64,
     },
 }
 
-/// A figure of the settings that has to be finite and not negative.
+/// A setting's field name and its value, which has to be finite and not negative.
 type NamedValue = (&'static str, f64);
 
 impl Class {
@@ -172,7 +177,7 @@
     }
 }
 
-/// Checks that a figure is finite and not negative.
+/// Checks that a value is finite and not negative.
 fn check_value((setting, value): NamedValue) -> Result<(), SettingsError> {
     if value.is_finite() && value >= 0.0 {
         Ok(())
@@ -182,11 +187,11 @@
 }
 
 impl Settings {
-    /// Checks that the figures are possible at all.
+    /// Checks that the settings are usable.
     ///
     /// # Errors
     ///
-    /// Returns the first figure that is not.
+    /// Returns the first fault that it finds.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -231,7 +236,7 @@
         ]
     }
 
-    /// Threads of the widest class.
+    /// Threads of the class whose queries run on the most threads, 1 at least.
     pub fn max_class_threads(&self) -> f64 {
         self.classes
             .iter()
@@ -239,7 +244,7 @@
             .fold(1.0, f64::max)
     }
 
-    /// The workload managers that hold an engine.
+    /// The workload managers that use an engine; all of them if its list entry does not limit them.
     pub fn sharing(&self, entry: &EngineEntry) -> EngineSharing {
         let all_managers = EngineSharing {
             mean_managers: f64::from(self.instances),
@@ -249,7 +254,7 @@
         entry.sharing.unwrap_or(all_managers)
     }
 
-    /// The position of a class that has this name and is equal to this one.
+    /// The position of the class with this name, if its settings equal those of `class`.
     pub fn class_position(&self, name: &str, class: &Class) -> Option<usize> {
         self.class_names
             .iter()
@@ -257,8 +262,9 @@
             .position(|(other_name, other)| other_name == name && other == class)
     }
 
-    /// These settings in place of `old`. The old classes that are still used and are not in these are added behind
-    /// their own; `is_used` tells that of a position in `old`.
+    /// Prepares these settings to replace `old`. Old classes that are still in use and are missing
+    /// here are appended. `is_used` returns whether the class at a position in `old` is still in
+    /// use.
     pub fn replacing(
         mut self,
         old: &Settings,
@@ -282,10 +288,11 @@
     }
 }
 
-/// Settings that have replaced others.
+/// Settings that replace older ones.
 pub struct ReplacedSettings {
-    /// The new settings, with the old classes that are still used.
+    /// The new settings, with the old classes that are still in use appended.
     pub settings: Settings,
-    /// For each class of the old settings its position in the new ones; meaningful only for a class that is used.
+    /// For each class of the old settings, its position in the new ones. Valid only for classes
+    /// that are in use.
     pub class_positions: Vec<usize>,
 }
--- a/tests/scenarios/process_lifecycle.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -159,7 +159,7 @@
 #[rstest]
 #[case::not_json("not_json", "{", "", "configuration: EOF")]
 #[case::no_class("no_class", &usable_configuration().replace("\"classes\":[", "\"classes\":[],\"was\":["), "", "no request class")]
-#[case::bad_figure("bad_figure", &usable_configuration().replace("\"coldMs\":15000", "\"coldMs\":-1"), "", "impossible figure")]
+#[case::bad_figure("bad_figure", &usable_configuration().replace("\"coldMs\":15000", "\"coldMs\":-1"), "", "value out of range")]
 #[case::no_managers("no_managers", &usable_configuration().replace("\"nInstances\":1", "\"nInstances\":0"), "", "no workload manager instance")]
 #[case::negative_managers("negative_managers", &usable_configuration().replace("\"nInstances\":1", "\"nInstances\":-1"), "", "settings: ")]
 #[case::managers_missing("managers_missing", &usable_configuration().replace("\"nInstances\":1,", ""), "", "nInstances")]
