--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -1,31 +1,35 @@
-//! Failure detection and health checks: which engines are down, and which are checked.
+//! Failure detection and health checks: which engines are down, and which ones are sent a health
+//! check.
 
 use super::{
     Action, Dispatcher, EngineHealthChange, EngineId, Millis, Outcome, RequestId, hash::mix,
 };
 
-/// First pause after a failure, in ms.
+/// Pause in ms after the first failure, for which the engine gets nothing new.
 pub(super) const INITIAL_PAUSE_MS: Millis = 250.0;
-/// Longest pause after a failure, in ms.
+/// Longest pause in ms after a failure.
 const MAX_PAUSE_MS: Millis = 2000.0;
-/// Failures that still double the pause, against overflow.
+/// Consecutive failures up to which each doubles the pause; the bound prevents an overflow.
 const MAX_DOUBLING_FAILURES: u32 = 8;
-/// Failures in a row that count as down.
+/// Consecutive failures from which an engine counts as down.
 const FAILURES_UNTIL_DOWN: u32 = 2;
-/// Time in ms without an answer from which an engine is unheard.
+/// Time in ms without an answer after which an engine counts as silent.
 const SILENT_AFTER_MS: Millis = 1500.0;
-/// Least age in ms of an engine's news that is worth a health check.
+/// Least time in ms between two health checks of an engine, and least age of its load report that
+/// leads to one.
 pub(super) const HEALTH_CHECK_INTERVAL_MS: Millis = 400.0;
-/// Health checks saved up at most, one earned with each request: a small fleet's round.
+/// Most health checks that the budget saves; each request adds one. They suffice to check every
+/// engine of a small fleet once.
 const MAX_SAVED_CHECKS: f64 = 12.0;
-/// Saved health checks, as a share of the most, above which the whole fleet is checked.
+/// Share of [`MAX_SAVED_CHECKS`] above which the saved health checks suffice to check the whole
+/// fleet.
 const MIN_SAVED_SHARE_FOR_FLEET: f64 = 0.5;
-/// Time in ms that a request waits for the health checks sent for it.
+/// Longest time in ms that a request waits for the health checks that were sent for it.
 const CHECK_WAIT_MS: Millis = 40.0;
-/// Affinity engines checked for a request.
+/// Affinity engines that are checked for a waiting request.
 const CHECKED_AFFINITY_ENGINES: usize = 2;
 
-/// Whether an engine is down, from failures and answers.
+/// Detects from failures and answers whether an engine is down.
 #[derive(Default)]
 pub(super) struct FailureDetector {
     consecutive_failures: u32,
@@ -45,45 +49,46 @@
         }
     }
 
-    /// When the pause after its latest failure ends; in the past if there is none.
+    /// Time at which the pause after its latest failure ends; in the past if there is no pause.
     pub(super) fn unavailable_until_ms(&self) -> Millis {
         self.unavailable_until_ms
     }
 
-    /// Whether it is down.
+    /// Whether the engine is down.
     pub(super) fn is_down(&self) -> bool {
         self.consecutive_failures >= FAILURES_UNTIL_DOWN
     }
 
-    /// Whether nothing was heard of it for long.
+    /// Whether the engine has not answered for longer than [`SILENT_AFTER_MS`].
     pub(super) fn is_silent(&self, now_ms: Millis) -> bool {
         now_ms - self.last_answer_at_ms > SILENT_AFTER_MS
     }
 
-    /// Whether it failed and its pause is over.
+    /// Whether the engine has failed and its pause is over, so that a health check is due.
     pub(super) fn is_check_due(&self, now_ms: Millis) -> bool {
         self.consecutive_failures > 0 && now_ms >= self.unavailable_until_ms
     }
 
-    /// Makes it unavailable until then at least.
+    /// Makes the engine unavailable until `until_ms` at least.
     pub(super) fn pause_until(&mut self, until_ms: Millis) {
         self.unavailable_until_ms = self.unavailable_until_ms.max(until_ms);
     }
 
-    /// A query is sent to it: if it failed before, the query is a trial, and nothing follows for a pause.
+    /// Records that a query is sent to the engine. After a failure the query is a trial: the engine
+    /// gets nothing more until a new pause is over.
     pub(super) fn record_send(&mut self, now_ms: Millis) {
         if self.consecutive_failures > 0 {
             self.unavailable_until_ms = now_ms + self.pause_ms();
         }
     }
 
-    /// Forgets all failures.
+    /// Clears all failures and ends the pause.
     pub(super) fn clear_failures(&mut self) {
         self.consecutive_failures = 0;
         self.unavailable_until_ms = 0.0;
     }
 
-    /// Takes an answer. Returns whether it was down.
+    /// Records an answer. Returns whether the engine was down.
     fn record_success(&mut self, now_ms: Millis) -> bool {
         self.last_answer_at_ms = now_ms;
         let was_down = self.is_down();
@@ -91,7 +96,8 @@
         was_down
     }
 
-    /// Takes a failure. Returns whether it has made the engine down. Where news is rare, one failure is enough.
+    /// Records a failure. Returns whether the engine is down from now on. One failure is enough if
+    /// the engine is silent, that is, if answers are rare.
     fn record_failure(&mut self, now_ms: Millis) -> bool {
         let was_down = self.is_down();
         let failures = if self.is_silent(now_ms) {
@@ -111,7 +117,7 @@
     }
 }
 
-/// Health checks that the traffic has earned and that are not spent yet.
+/// Budget of health checks: each request adds one, and each health check uses one up.
 pub(super) struct HealthCheckBudget {
     saved: f64,
 }
@@ -125,12 +131,13 @@
 }
 
 impl HealthCheckBudget {
-    /// Each request earns one.
+    /// Adds one health check, for a request that has arrived.
     pub(super) fn earn(&mut self) {
         self.saved = (self.saved + 1.0).min(MAX_SAVED_CHECKS);
     }
 
-    /// Whether a check of the whole fleet is a small share of the traffic.
+    /// Whether enough health checks are saved for the whole fleet: they are then few in comparison
+    /// with the traffic.
     pub(super) fn covers_fleet(&self) -> bool {
         self.saved > MAX_SAVED_CHECKS * MIN_SAVED_SHARE_FOR_FLEET
     }
@@ -152,7 +159,7 @@
 }
 
 impl Dispatcher {
-    /// Takes the end of a health check.
+    /// Handles the end of a health check.
     pub(super) fn on_health_check_ended(
         &mut self,
         engine_id: EngineId,
@@ -178,8 +185,10 @@
         self.now_ms < awaited.until_ms && awaited.engines.iter().any(is_in_flight)
     }
 
-    /// Checks the engines that a request may be sent to and that were not heard of lately: two that prefer its data set
-    /// and one by chance. Where own answers bring the news, none is due.
+    /// Sends health checks to up to two affinity engines of a waiting request and to one eligible
+    /// engine at random. Engines whose load report is younger than [`HEALTH_CHECK_INTERVAL_MS`] are
+    /// left out, so no health check is sent where answers to this manager's own queries bring
+    /// recent reports.
     pub(super) fn send_health_checks(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -218,7 +227,8 @@
         }
     }
 
-    /// Checks an engine that was not checked lately, if a health check is saved. Returns whether it did.
+    /// Sends a health check to an engine if the budget has one left and the engine's last one was
+    /// sent at least [`HEALTH_CHECK_INTERVAL_MS`] ago. Returns whether it was sent.
     pub(super) fn send_health_check(
         &mut self,
         engine_id: EngineId,
@@ -241,7 +251,7 @@
         true
     }
 
-    /// An engine has answered.
+    /// Records that an engine has answered.
     pub(super) fn record_success(&mut self, engine_id: EngineId, actions: &mut Vec<Action>) {
         let Some(engine) = self.engines.get_mut(&engine_id) else {
             return;
@@ -257,7 +267,7 @@
         }
     }
 
-    /// An engine could not be reached.
+    /// Records that an engine could not be reached.
     pub(super) fn record_failure(
         &mut self,
         engine_id: EngineId,
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -1,35 +1,39 @@
-//! Hung attempts and bad plans: attempts in flight that are cancelled, as their answers are lost or far too late.
+//! Hung attempts and bad plans: cancels attempts in flight whose answers are lost or far too late.
 
 use super::TICK_MS;
 use super::requests::{InFlightAttempt, QueuedRequest};
 use super::{Action, Dispatcher, Engine, EngineId, LoadReportMode, Millis, Progress, RequestId};
 
-/// Least time in ms after which an attempt is overdue.
+/// Least age in ms at which an attempt counts as hung.
 const MIN_OVERDUE_MS: Millis = 500.0;
-/// Times its usual time from which an attempt hangs on an engine that is down.
+/// Multiple of its expected time beyond which an attempt counts as hung if its engine is down.
 const HUNG_MULTIPLE_ON_DOWN_ENGINE: f64 = 2.0;
-/// Times its usual time from which an attempt hangs elsewhere.
+/// Multiple of its expected time beyond which an attempt counts as hung on any other engine.
 const HUNG_MULTIPLE: f64 = 10.0;
-/// Half-spreads of the estimates' error; an attempt that takes longer has a bad plan.
+/// Number of half-spreads of the estimates' log error by which an attempt has to exceed its
+/// expected time to count as having a bad plan.
 const BAD_PLAN_SPREADS: f64 = 2.5;
-/// Least times its usual time from which an attempt has a bad plan.
+/// Lower bound of the multiple of its expected time beyond which an attempt has a bad plan.
 const MIN_BAD_PLAN_MULTIPLE: f64 = 1.5;
-/// Times its usual time from which elapsed time tells no bad plan: the estimates are too poor.
+/// Bad-plan multiple from which elapsed time is not used to detect bad plans, because the estimates
+/// are too inaccurate.
 const MAX_BAD_PLAN_MULTIPLE: f64 = 4.0;
-/// Least age in ms of an attempt whose progress is believed.
+/// Least age in ms of an attempt at which its reported progress is used.
 const MIN_PROGRESS_AGE_MS: Millis = 400.0;
-/// Least share done that progress is taken for.
+/// Lower bound of the reported share done, by which an attempt's age is divided.
 const MIN_SHARE_DONE: f64 = 1e-3;
-/// Times a new attempt's time that has to be left, so that a retry pays.
+/// Multiple of a new attempt's time that an attempt's remaining time has to exceed for a retry to
+/// be worthwhile.
 const MIN_RETRY_GAIN: f64 = 1.5;
-/// Part of the time left by progress that has to fit before the deadline.
+/// Share of the remaining time, estimated from progress, that has to fit before the deadline.
 const REMAINING_TIME_SHARE: f64 = 0.7;
-/// Time constant in ms with which the slowness of an unheard engine is forgotten.
+/// Time constant in ms with which the measured slowness of a silent engine decays.
 const SILENT_FADE_MS: Millis = 5000.0;
 
 impl Dispatcher {
-    /// Cancels hung attempts, and checks engines: where attempts hang, where a failure's pause is over, and the whole
-    /// fleet where that is a small share of the traffic.
+    /// Cancels hung attempts and sends health checks: to engines with hung attempts, to engines
+    /// whose pause after a failure is over, and to the whole fleet if load reports come only with
+    /// health checks and the budget covers it.
     pub(super) fn watch_engines(&mut self, actions: &mut Vec<Action>) {
         let reports_need_checks = self.settings.load_reports == LoadReportMode::OnHealthCheck;
         let check_all = reports_need_checks && self.health_check_budget.covers_fleet();
@@ -54,7 +58,7 @@
         self.forget_removed_engines();
     }
 
-    /// The attempts on an engine that take far too long and may be retried.
+    /// The requests whose attempts on an engine count as hung and may be retried.
     fn hung_attempts(&self, engine: &Engine) -> Vec<RequestId> {
         let slowness = self.slowness(engine).max(1.0) * self.slowdown.bounded_mean().max(1.0);
         let is_hung = |id: &RequestId| {
@@ -72,9 +76,11 @@
         engine.running.iter().copied().filter(is_hung).collect()
     }
 
-    /// Times its usual time from which an attempt hangs. An attempt on an engine that is down hangs soon; elsewhere the
-    /// answer of one that takes far too long is lost (i89ce4e, i40a09d). Harms where a fault makes queries hang, yet
-    /// end.
+    /// Multiple of its expected time beyond which an attempt counts as hung.
+    ///
+    /// It is low on an engine that is down. On other engines, the answer of an attempt that takes
+    /// far too long counts as lost (i89ce4e, i40a09d). The rule does harm if a fault delays queries
+    /// for long but they still end.
     fn hung_multiple(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
         if engine.failures.is_down() {
             return HUNG_MULTIPLE_ON_DOWN_ENGINE;
@@ -89,17 +95,18 @@
         }
     }
 
-    /// Times its usual time from which an attempt has a bad plan.
+    /// Multiple of its expected time beyond which an attempt has a bad plan.
     ///
-    /// Where neither progress nor measured work tells of bad plans, elapsed time does, beyond the estimates' error; that
-    /// also covers lost answers and slow engines. Harms where latency rises faster than answers tell, as crowded
-    /// attempts are then cancelled (0f513397).
+    /// If neither progress reports nor measured work show bad plans, elapsed time does, once it
+    /// exceeds the error of the estimates. This also covers lost answers and slow engines. The rule
+    /// does harm if latency rises faster than the answers show, because attempts on crowded engines
+    /// are then cancelled (0f513397).
     fn bad_plan_multiple(&self, request: &QueuedRequest) -> f64 {
         if request.estimated_work_ms.is_none() {
             return HUNG_MULTIPLE;
         }
         let work_error_estimate = &self.class_statistics[request.class].work_error;
-        // Measured work has already corrected the median error.
+        // The expected work is already corrected by the median error where work is measured.
         let median = if self.work_is_measured {
             0.0
         } else {
@@ -109,8 +116,8 @@
         multiple.clamp(MIN_BAD_PLAN_MULTIPLE, HUNG_MULTIPLE)
     }
 
-    /// Takes an attempt's progress. One with a bad plan is cancelled and retried: the one case in which a healthy
-    /// engine's query is.
+    /// Handles an attempt's progress. An attempt with a bad plan is cancelled and retried; this is
+    /// the only case in which a query on a healthy engine is cancelled.
     pub(super) fn on_progress(
         &mut self,
         id: RequestId,
@@ -123,7 +130,8 @@
         };
         let engine_id = attempt.engine;
         match progress {
-            // A wait for memory tells of a crowded engine, whatever its cores report.
+            // A wait for memory shows that the engine is crowded, whatever its report says of its
+            // cores.
             Progress::WaitingForMemory => self.mark_saturated(engine_id),
             Progress::ShareDone(share) if self.has_bad_plan(id, share) => {
                 self.cancel_attempt(id, actions);
@@ -132,14 +140,16 @@
         }
     }
 
-    /// Whether an attempt's progress tells of a bad plan, so that a retry ends sooner or the attempt ends too late.
+    /// Whether an attempt's progress shows a bad plan, and either a retry would end sooner or the
+    /// attempt would end after the deadline.
     fn has_bad_plan(&self, id: RequestId, share_done: f64) -> bool {
         let request = &self.requests[&id];
         let Some(attempt) = request.in_flight.as_ref() else {
             return false;
         };
         let age_ms = self.now_ms - attempt.sent_at_ms;
-        // A request that may not run again is never cancelled: late is worth more than lost (31d1870b).
+        // A request that may not run again is never cancelled: a late answer is worth more than
+        // none (31d1870b).
         let is_reliable = share_done.is_finite() && age_ms >= MIN_PROGRESS_AGE_MS;
         if request.is_finished || !is_reliable || !self.is_repeatable_now(request) {
             return false;
@@ -163,7 +173,7 @@
         retry_pays || ends_too_late
     }
 
-    /// Cancels the attempt in flight, unless its result streams already.
+    /// Cancels the attempt in flight, unless its result already streams to the client.
     fn cancel_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.settings.cancellation_allowed {
             return;
