--- a/src/decision/order_keys.rs
+++ b/src/decision/order_keys.rs
@@ -8,18 +8,18 @@
 #[derive(Default)]
 struct KeyState {
     requests: BTreeMap<ArrivalNumber, RequestId>,
-    /// An earlier attempt may run until then.
+    /// Time until which an earlier attempt may still run.
     paused_until_ms: Millis,
 }
 
-/// The order keys in use. A key outlives its last request by its pause, and no longer.
+/// The order keys in use. A key is kept until it has no unfinished request and its pause is over.
 #[derive(Default)]
 pub(super) struct OrderKeys {
     keys: BTreeMap<u64, KeyState>,
 }
 
 impl OrderKeys {
-    /// Number of keys.
+    /// Number of keys in use.
     pub(super) fn len(&self) -> usize {
         self.keys.len()
     }
@@ -37,20 +37,21 @@
         }
     }
 
-    /// Lets the key rest until then, as an attempt may still run.
+    /// Pauses the key until `until_ms` at least, because an attempt may still run.
     pub(super) fn pause(&mut self, key: u64, until_ms: Millis) {
         if let Some(state) = self.keys.get_mut(&key) {
             state.paused_until_ms = state.paused_until_ms.max(until_ms);
         }
     }
 
-    /// Forgets the keys that have neither a request nor a pause.
+    /// Removes the keys that have no unfinished request and no pause.
     pub(super) fn expire(&mut self, now_ms: Millis) {
         self.keys
             .retain(|_, state| !state.requests.is_empty() || state.paused_until_ms > now_ms);
     }
 
-    /// Whether a request is the first of its key and the key's pause is over; a retry need not wait for the pause.
+    /// Whether a request is the first of its key and the key's pause is over. A retry does not wait
+    /// for the pause.
     fn is_next(&self, key: u64, id: RequestId, is_retry: bool, now_ms: Millis) -> bool {
         self.keys.get(&key).is_none_or(|state| {
             let is_first = state.requests.values().next() == Some(&id);
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -1,60 +1,61 @@
-//! Rates that are measured over time: this manager's traffic and the work that is served.
+//! Moving rates: this manager's traffic, and the work that engines serve for it.
 
 use super::{Dispatcher, Millis};
 
-/// Time constant in ms of the served work that the backlog is held against.
+/// Time constant in ms of the rate of served work, with which the backlog is compared.
 const SERVED_WORK_FADE_MS: Millis = 2000.0;
-/// Time constant in ms of a manager's traffic: dozens of requests.
+/// Time constant in ms of a manager's traffic. It covers dozens of requests.
 const TRAFFIC_FADE_MS: Millis = 10_000.0;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
-/// Part of what the usable cores give that counts as served at least.
+/// Least rate of served work, as a share of this manager's part of the usable cores.
 const MIN_SERVED_SHARE: f64 = 0.3;
-/// Least work served, in ms of work a ms.
+/// Least rate of served work, in ms of work per ms.
 const MIN_SERVED_WORK_PER_MS: f64 = 0.01;
 
-/// Requests of late, and the time that they came in.
+/// Requests that have arrived and the time in which they did, both with exponential decay.
 #[derive(Default)]
 pub(super) struct Traffic {
-    /// Faded number of requests.
+    /// Number of requests, with decay.
     requests: f64,
-    /// Faded time, in ms.
+    /// Elapsed time in ms, with decay.
     elapsed_ms: f64,
 }
 
 impl Traffic {
-    /// Takes a request.
+    /// Records a request.
     pub(super) fn record_request(&mut self) {
         self.requests += 1.0;
     }
 
-    /// Lets time pass.
+    /// Decays the sums by the time that has passed, and adds that time.
     pub(super) fn advance(&mut self, elapsed_ms: Millis) {
         self.requests *= 1.0 - elapsed_ms / TRAFFIC_FADE_MS;
         self.elapsed_ms += elapsed_ms - self.elapsed_ms * elapsed_ms / TRAFFIC_FADE_MS;
     }
 }
 
-/// Work served a millisecond.
+/// Work served per millisecond, as a moving rate.
 #[derive(Default)]
 pub(super) struct ServedWork {
     per_ms: f64,
 }
 
 impl ServedWork {
-    /// Takes one served query's work, in ms.
+    /// Records the work of a served query, in ms.
     pub(super) fn record(&mut self, work_ms: f64) {
         self.per_ms += work_ms / SERVED_WORK_FADE_MS;
     }
 
-    /// Lets time pass.
+    /// Decays the rate by the time that has passed.
     pub(super) fn advance(&mut self, elapsed_ms: Millis) {
         self.per_ms *= 1.0 - elapsed_ms / SERVED_WORK_FADE_MS;
     }
 }
 
 impl Dispatcher {
-    /// This manager's traffic against the mean one's, where the tenants' quotas tell what all take together.
+    /// This manager's traffic relative to the mean manager's, which follows from the tenants'
+    /// quotas. Without quotas it is 1.
     pub(super) fn traffic_weight(&self) -> f64 {
         let quota_per_s: f64 = self.settings.tenant_quotas_per_s.iter().sum();
         let managers = f64::from(self.settings.instances);
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Work served a millisecond, as measured, but no less than a part of what the usable cores give.
+    /// Measured work served per millisecond, but no less than a share of this manager's part of the
+    /// usable cores.
     pub(super) fn service_rate(&self) -> f64 {
         let managers = f64::from(self.settings.instances);
         let cores: f64 = self
