--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,37 +1,41 @@
-//! Slow start: an engine that has just started gets a growing part of its capacity, and no more than it can bear.
+//! Slow start: an engine that is warming up has a growing share of its capacity, and a budget keeps
+//! the work sent to it below the bound at which it would fail.
 
 use super::{Dispatcher, Engine, Millis, QueuedRequest, Settings};
 
-/// Part of the overload bound that is used. Capacity is at 85% busy, and the costs are estimates.
+/// Share of the overload bound that the budget uses. The bound refers to the capacity at 85% busy,
+/// and the costs of queries are estimates.
 const OVERLOAD_BUDGET_SHARE: f64 = 0.51;
-/// A query that comes in turn takes no larger part of the whole budget than one in so many.
+/// Least multiple of a query's work that the whole budget has to be for the query to be sent in the
+/// manager's turn.
 const MIN_QUERIES_IN_BUDGET: f64 = 6.0;
-/// Managers by which one overload window moves the turn on.
+/// Number of turns, one for each manager, that pass within one overload window.
 const TURNS_PER_WINDOW: f64 = 3.0;
-/// The engine's hash is reduced to this many places, so that it adds to a clock without loss.
+/// Range to which the engine's hash is reduced, so that adding it to the clock loses no precision.
 const HASH_RANGE: u64 = 4096;
-/// A query counts for this part of its class's mean work at least, as anyone may send a small estimate.
+/// Least share of its class's mean work that a query counts for, as clients are free to send too
+/// small an estimate.
 const MIN_MEAN_WORK_SHARE: f64 = 0.25;
-/// Longest time in ms for which an engine that answers again is taken as cold: the list may name its restart that much
-/// later.
+/// Longest slow start in ms of an engine that was down and answers again. If it has restarted, the
+/// endpoint list may report the restart only after that time.
 const MAX_RECOVERY_MS: f64 = 4000.0;
-/// Least share of its capacity that a cold engine has.
+/// Least share of its capacity that an engine has at the beginning of its slow start.
 const MIN_INITIAL_SHARE: f64 = 0.01;
 
-/// The time for which an engine is taken as cold.
+/// The period in which an engine counts as warming up.
 #[derive(Clone, Copy)]
 struct SlowStartPeriod {
     from_ms: Millis,
     until_ms: Millis,
 }
 
-/// Work sent to an engine.
+/// A query sent to an engine, with its work.
 struct SentWork {
     at_ms: Millis,
     work_ms: f64,
 }
 
-/// Whether an engine is cold, and the work sent to it of late.
+/// An engine's slow-start period, and the work sent to it within the latest overload window.
 #[derive(Default)]
 pub(super) struct SlowStart {
     period: Option<SlowStartPeriod>,
@@ -39,7 +43,7 @@
 }
 
 impl SlowStart {
-    /// Takes the engine as cold for this time.
+    /// Sets the period in which the engine counts as warming up.
     pub(super) fn set_period(&mut self, from_ms: Millis, duration_ms: Millis) {
         self.period = Some(SlowStartPeriod {
             from_ms,
@@ -47,8 +51,9 @@
         });
     }
 
-    /// Takes an engine that answers again as cold for a while, if it is not cold already. It may have restarted, and
-    /// the list names that seconds late.
+    /// Begins a slow start of at most [`MAX_RECOVERY_MS`] for an engine that answers again, unless
+    /// it is warming up already. It may have restarted, and the endpoint list reports a restart
+    /// seconds late.
     pub(super) fn begin_recovery(&mut self, now_ms: Millis, slow_start_ms: Millis) {
         let is_warming_up = self.period.is_some_and(|period| period.until_ms >= now_ms);
         if !is_warming_up {
@@ -56,12 +61,13 @@
         }
     }
 
-    /// Whether the engine has its whole capacity.
+    /// Whether the engine's slow start is over, so that it has its whole capacity.
     pub(super) fn is_warm(&self, now_ms: Millis) -> bool {
         self.period.is_none_or(|period| now_ms >= period.until_ms)
     }
 
-    /// Share of its cores that the engine has to give now: while it is cold, a climb below the straight line.
+    /// Share of its cores that the engine can use now. It rises with the square of the time since
+    /// the engine's start, and so stays below a linear rise.
     fn capacity_share(&self, now_ms: Millis, settings: &Settings) -> f64 {
         let is_warm = self.is_warm(now_ms) || settings.slow_start_ms <= 0.0;
         let Some(period) = self.period.filter(|_| !is_warm) else {
@@ -74,7 +80,7 @@
         initial_share + (1.0 - initial_share) * elapsed_share * elapsed_share
     }
 
-    /// Takes note of a query sent, and forgets those before the window.
+    /// Records a query that is sent, and removes those sent before the window.
     pub(super) fn record_send(&mut self, now_ms: Millis, work_ms: f64, window_ms: Millis) {
         self.sent.retain(|sent| now_ms - sent.at_ms <= window_ms);
         self.sent.push(SentWork {
@@ -94,7 +100,7 @@
 }
 
 impl Dispatcher {
-    /// Cores that an engine has to give now.
+    /// Cores that an engine can use now: all of them once its slow start is over.
     pub(super) fn cores(&self, engine: &Engine) -> f64 {
         engine.warm_cores
             * engine
@@ -102,14 +108,15 @@
                 .capacity_share(self.now_ms, &self.settings)
     }
 
-    /// Work that a query counts for on a cold engine, in ms.
+    /// Work in ms that a query counts for on an engine that is warming up.
     pub(super) fn slow_start_work_ms(&self, class: usize, expected_work_ms: f64) -> f64 {
         let mean_work_ms = self.class_statistics[class].mean_work_ms();
         (mean_work_ms * MIN_MEAN_WORK_SHARE).max(expected_work_ms)
     }
 
-    /// Whether a request stays within a cold engine's budget: a multiple of its present capacity in any window,
-    /// divided among the managers that hold it.
+    /// Whether a request is within the budget of an engine that is warming up. The budget is a
+    /// multiple of the engine's present capacity in any overload window, divided among the managers
+    /// that use it.
     pub(super) fn slow_start_allows(&self, request: &QueuedRequest, engine: &Engine) -> bool {
         if engine.is_warm(self.now_ms) {
             return true;
@@ -120,13 +127,14 @@
         let managers = f64::from(sharing.max_managers);
         let whole_budget_ms = self.settings.overload_multiple * self.cores(engine) * window_ms;
         let sent_ms = engine.slow_start.work_sent_ms(self.now_ms, window_ms);
-        // Two processes of one manager share its part.
+        // Two processes of one manager share that manager's budget.
         let own_budget_ms =
             whole_budget_ms * OVERLOAD_BUDGET_SHARE / managers / self.capacity_divisor.max(1.0);
         if sent_ms + work_ms <= own_budget_ms {
             return true;
         }
-        // A part of less than one query comes in turn, by a clock and a hash that all managers share.
+        // Managers whose own budget is less than one query take turns. The turn follows from a
+        // clock and a hash that all managers share.
         let turn = self.now_ms / window_ms * TURNS_PER_WINDOW
             + f64::from(sharing.rank)
             + (engine.hash % HASH_RANGE) as f64;
--- a/src/decision/slowdown.rs
+++ b/src/decision/slowdown.rs
@@ -1,39 +1,41 @@
-//! Latency over work: how much longer attempts take than their work would alone, over all engines and for each.
+//! Slowdown: latency over work, that is, how much longer attempts take than their work alone would.
+//! It is measured over all engines and for each engine.
 
 use super::{Dispatcher, Engine};
 
-/// Gain of one outcome; an engine's latency is followed over about a second.
+/// Gain of one outcome in the moving means, which cover about one second of an engine's outcomes.
 pub(super) const LATENCY_GAIN: f64 = 0.08;
-/// Log ratio an outcome: how fast the best latency is forgotten.
+/// Amount by which each outcome raises the best log ratio, so that an old best value expires.
 const BEST_RISE_PER_ATTEMPT: f64 = 0.0002;
-/// Latency over the best seen from which the concurrency limit binds.
+/// Slowdown, relative to the best one measured, above which the concurrency limit binds.
 const PRESSURE_SLOWDOWN: f64 = 1.6;
-/// Threads a core, own and others', from which the concurrency limit binds.
+/// Threads per core, of this and the other managers' queries, above which the concurrency limit
+/// binds.
 const PRESSURE_THREADS_PER_CORE: f64 = 1.3;
-/// Reported share of cores busy from which the concurrency limit binds.
+/// Reported share of busy cores above which the concurrency limit binds.
 pub(super) const PRESSURE_BUSY_SHARE: f64 = 0.92;
-/// Bounds of an engine's slowness against the median engine's.
+/// Bounds of an engine's slowness relative to the median engine.
 const MIN_SLOWNESS: f64 = 0.6;
 const MAX_SLOWNESS: f64 = 12.0;
-/// Bounds of the usual slowdown.
+/// Bounds of the mean slowdown over all engines.
 const MIN_MEAN_SLOWDOWN: f64 = 0.8;
 const MAX_MEAN_SLOWDOWN: f64 = 8.0;
-/// The usual slowdown until enough attempts are seen.
+/// The mean slowdown that is assumed until enough attempts are measured.
 const INITIAL_SLOWDOWN: f64 = 1.5;
-/// Samples from which a slowdown is used.
+/// Number of samples from which a measured slowdown is used.
 const MIN_SAMPLES: u32 = 5;
 
-/// Gain of one more sample: a plain mean at first, then an exponential one.
+/// Gain of one more sample: it gives an arithmetic mean at first, then an exponential moving mean.
 fn gain(samples: u32) -> f64 {
     LATENCY_GAIN.max(1.0 / f64::from(samples))
 }
 
-/// Slowdown over all engines, as a log ratio.
+/// Slowdown over all engines, as the logarithm of latency over work.
 pub(super) struct FleetSlowdown {
     log_ratio: f64,
     samples: u32,
     best_log_ratio: f64,
-    /// The median engine's, as of the last tick.
+    /// Log ratio of the median engine at the last tick.
     median_log_ratio: Option<f64>,
 }
 
@@ -49,12 +51,12 @@
 }
 
 impl FleetSlowdown {
-    /// The mean log ratio of latency over work.
+    /// The mean logarithm of latency over work.
     pub(super) fn log_ratio(&self) -> f64 {
         self.log_ratio
     }
 
-    /// Takes one served attempt's log ratio of latency over work.
+    /// Records the log ratio of latency over work of a served attempt.
     pub(super) fn record(&mut self, log_ratio: f64) {
         self.samples = self.samples.saturating_add(1);
         self.log_ratio += gain(self.samples) * (log_ratio - self.log_ratio);
@@ -63,7 +65,8 @@
         }
     }
 
-    /// The usual latency over work, bounded.
+    /// The mean latency over work, within bounds; an assumed value until enough attempts are
+    /// measured.
     pub(super) fn bounded_mean(&self) -> f64 {
         if self.samples >= MIN_SAMPLES {
             let slowdown = self.log_ratio.exp();
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Finds the median engine anew.
+    /// Updates the median engine's log ratio.
     pub(super) fn update_median<'a>(&mut self, engines: impl Iterator<Item = &'a Engine>) {
         let mut log_ratios: Vec<f64> = engines
             .filter(|engine| engine.slowdown.is_established())
@@ -83,7 +86,8 @@
         self.median_log_ratio = log_ratios.get(log_ratios.len() / 2).copied();
     }
 
-    /// How much slower an engine is than the median one. A common cause slows all engines, so none stands out.
+    /// Latency on an engine relative to the median engine. A cause that slows all engines alike
+    /// does not change it.
     pub(super) fn relative_slowness(&self, engine: &EngineSlowdown) -> f64 {
         let median = self.median_log_ratio.filter(|_| engine.is_established());
         median.map_or(1.0, |median| {
@@ -93,7 +97,8 @@
     }
 }
 
-/// Slowdown of one engine, as a log ratio, without the part that its crowding explains.
+/// Slowdown of one engine, as the logarithm of latency over work, without the part that crowding on
+/// the engine explains.
 #[derive(Default)]
 pub(super) struct EngineSlowdown {
     log_ratio: f64,
@@ -101,29 +106,33 @@
 }
 
 impl EngineSlowdown {
+    /// Whether there are enough samples for the slowdown to be used.
     fn is_established(&self) -> bool {
         self.samples >= MIN_SAMPLES
     }
 
-    /// Takes one served attempt's log ratio of latency over work and of the crowding on its engine.
+    /// Records a served attempt: the log ratio of its latency over its work, and the logarithm of
+    /// the crowding on its engine.
     pub(super) fn record(&mut self, log_ratio: f64, log_crowding: f64) {
         self.samples = self.samples.saturating_add(1);
         self.log_ratio += gain(self.samples) * (log_ratio - log_crowding - self.log_ratio);
     }
 
-    /// Forgets part of it, with each tick on which nothing is heard of the engine.
+    /// Decays the measured slowdown to a share of its value. It is called on each tick on which the
+    /// engine is silent.
     pub(super) fn fade(&mut self, kept_share: f64) {
         self.log_ratio *= kept_share;
     }
 }
 
 impl Dispatcher {
-    /// How much slower an engine is than the median one.
+    /// Latency on an engine relative to the median engine.
     pub(super) fn slowness(&self, engine: &Engine) -> f64 {
         self.slowdown.relative_slowness(&engine.slowdown)
     }
 
-    /// Whether the concurrency limit binds: the engine is crowded, busy, slow or ejected of late.
+    /// Whether the concurrency limit binds: the engine is crowded, busy or slow, or has been
+    /// ejected since it last served a query.
     pub(super) fn is_under_pressure(&self, engine: &Engine) -> bool {
         let is_crowded = self.load(engine) > PRESSURE_THREADS_PER_CORE * self.cores(engine);
         let log_slowdown = self.slowdown.log_ratio + self.slowness(engine).ln();
