--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,10 +1,11 @@
-//! The mechanism as the design page has it, seen through events and actions.
+//! Tests of the dispatcher's mechanisms that the design page describes, through events and actions.
 
 mod common;
 use common::*;
 use workload_manager::*;
 
-/// Lets an engine report that all its cores are busy, so that the concurrency limit binds.
+/// Sends load reports in which all cores of an engine are busy, so that the concurrency limit
+/// binds.
 fn report_all_cores_busy(bench: &mut TestBench, engine: EngineId) {
     for _ in 0..20 {
         let report = LoadReport {
@@ -33,7 +34,7 @@
     let sent: usize = (0..30)
         .map(|id| all_sent(&bench.request(id, 0, 0)).len())
         .sum();
-    assert_eq!(sent, 8, "2 threads a core x 8 cores / 2 managers");
+    assert_eq!(sent, 8, "2 threads per core x 8 cores / 2 managers");
 }
 
 #[test]
@@ -51,7 +52,8 @@
     assert!(sent(&bench.request(2, 0, 0), 2).is_none());
 }
 
-/// With many managers, one's share of an engine is a part of a thread: the reported threads are held under all limits.
+/// With many managers, one manager's share of an engine is less than one thread. The reported
+/// threads of all managers are then compared with the sum of all managers' limits.
 #[test]
 fn share_below_one_query_keeps_reported_threads_under_all_limits() {
     let run = |reported_inflight: f64| {
@@ -77,11 +79,15 @@
         }
         all_sent(&bench.request(1, 0, 0)).len() + all_sent(&bench.request(2, 0, 0)).len()
     };
-    assert_eq!(run(10.0), 2, "under two threads a core");
+    assert_eq!(
+        run(10.0),
+        2,
+        "below two threads per core both requests are sent"
+    );
     assert_eq!(
         run(20.0),
         1,
-        "over: one of its own at a time, which brings news"
+        "above two threads per core one request at a time is sent, whose answer brings a new report"
     );
 }
 
@@ -91,21 +97,21 @@
     bench.request(1, 0, 0);
     assert!(
         all_sent(&bench.ended(1, 0, engine(0), Outcome::Rejected)).is_empty(),
-        "shut for a moment"
+        "a rejection pauses the engine"
     );
     assert!(
         all_sent(&bench.request(2, 0, 0)).is_empty(),
-        "the newer waits too"
+        "a newer request waits too"
     );
     assert!(
         all_sent(&bench.tick(400.0)).is_empty(),
-        "the pause is half a second"
+        "the first pause is half a second"
     );
     assert_eq!(all_sent(&bench.tick(100.0)), vec![1, 2]);
     bench.ended(2, 0, engine(0), Outcome::Rejected);
     assert!(
         all_sent(&bench.tick(900.0)).is_empty(),
-        "and longer the next time"
+        "the second pause is longer"
     );
     assert_eq!(all_sent(&bench.tick(100.0)), vec![2]);
     bench.ended(2, 1, engine(0), Outcome::Ok);
@@ -114,7 +120,7 @@
     assert_eq!(
         all_sent(&bench.tick(500.0)),
         vec![3],
-        "until it serves again"
+        "a served query resets the pause to half a second"
     );
 }
 
@@ -128,11 +134,11 @@
     }
     assert!(
         all_sent(&bench.request_with(20, 1, 0, 20_000.0, Some(300.0))).is_empty(),
-        "4 do not fit beside 14 of 16"
+        "4 threads do not fit beside 14 of 16"
     );
     assert!(
         all_sent(&bench.request_with(21, 0, 0, 20_000.0, Some(300.0))).is_empty(),
-        "1 would, but the head holds"
+        "1 thread would fit, but the oldest request is sent first"
     );
     assert!(all_sent(&bench.ended(0, 0, engine(0), Outcome::Ok)).is_empty());
     assert_eq!(
@@ -147,7 +153,8 @@
 
 #[test]
 fn fitted_peak_moves_the_limit_within_its_bounds() {
-    // An engine whose output peaks at one thread a core: the bound comes down from its start, to half at least.
+    // The engine's throughput peaks at one thread per core, so the limit falls from its start value
+    // of 16, but not below half of it.
     let mut bench = TestBench::new(settings(vec![class(1, 60_000.0, 1.0)]), 1);
     let (mut id, mut running) = (0u32, Vec::new());
     for round in 0..40u32 {
@@ -185,7 +192,7 @@
     }
     assert!(
         (8..14).contains(&running.len()),
-        "held {} of a start of 16",
+        "{} attempts in flight, with a start value of 16",
         running.len()
     );
 }
@@ -269,21 +276,24 @@
             id: 1,
             reason: EndReason::UnknownClass
         }],
-        "an unknown class is failed at once"
+        "a request of an unknown class fails at once"
     );
     let engine_id = sent(&bench.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
     assert!(
         bench.ended(2, 3, engine_id, Outcome::Reset).is_empty(),
-        "no such attempt"
+        "an unknown attempt is ignored"
     );
     assert!(
         bench.ended(2, 0, engine(9), Outcome::Reset).is_empty(),
-        "no such engine"
+        "an outcome from another engine is ignored"
+    );
+    assert!(
+        bench.request(2, 0, 0).is_empty(),
+        "a request with a repeated id is ignored"
     );
-    assert!(bench.request(2, 0, 0).is_empty(), "a repeated id");
     bench.ended(2, 0, engine_id, Outcome::Ok);
     assert!(
         bench.ended(2, 0, engine_id, Outcome::Reset).is_empty(),
-        "a repeated outcome"
+        "a repeated outcome is ignored"
     );
 }
