--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -192,8 +192,7 @@
     UnknownClass,
     /// Its answer would miss its latency objective or its client's deadline.
     TooLate,
-    /// The backlog is too large, and the request has the lowest priority weight per ms of
-    /// work.
+    /// The backlog is too large, and the request has the lowest priority weight per ms of work.
     LoadShed,
     /// Its last attempt was not sent, and the host allows no further attempt.
     NotSent,
