--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -138,7 +138,7 @@
 
     /// Whether enough health checks are saved for the whole fleet: they are then few in comparison
     /// with the traffic.
-    pub(super) fn covers_fleet(&self) -> bool {
+    pub(super) fn allows_fleet_check(&self) -> bool {
         self.saved > MAX_SAVED_CHECKS * MIN_SAVED_SHARE_FOR_FLEET
     }
 
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -36,7 +36,7 @@
     /// health checks and the budget covers it.
     pub(super) fn watch_engines(&mut self, actions: &mut Vec<Action>) {
         let reports_need_checks = self.settings.load_reports == LoadReportMode::OnHealthCheck;
-        let check_all = reports_need_checks && self.health_check_budget.covers_fleet();
+        let check_all = reports_need_checks && self.health_check_budget.allows_fleet_check();
         let ids: Vec<EngineId> = self.engines.keys().copied().collect();
         for engine_id in ids {
             let engine = &self.engines[&engine_id];
