--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -21,8 +21,7 @@
 /// Most health checks that the budget saves; each request adds one. They suffice to check every
 /// engine of a small fleet once.
 const MAX_SAVED_CHECKS: f64 = 12.0;
-/// Share of [`MAX_SAVED_CHECKS`] above which the saved health checks suffice to check the whole
-/// fleet.
+/// Share of [`MAX_SAVED_CHECKS`] that has to be exceeded for the whole fleet to be checked.
 const MIN_SAVED_SHARE_FOR_FLEET: f64 = 0.5;
 /// Longest time in ms that a request waits for the health checks that were sent for it.
 const CHECK_WAIT_MS: Millis = 40.0;
@@ -136,8 +135,8 @@
         self.saved = (self.saved + 1.0).min(MAX_SAVED_CHECKS);
     }
 
-    /// Whether enough health checks are saved for the whole fleet: they are then few in comparison
-    /// with the traffic.
+    /// Whether so many health checks are saved that checks of the whole fleet are a small share of
+    /// the traffic.
     pub(super) fn allows_fleet_check(&self) -> bool {
         self.saved > MAX_SAVED_CHECKS * MIN_SAVED_SHARE_FOR_FLEET
     }
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -1,4 +1,5 @@
-//! Hung attempts and bad plans: cancels attempts in flight whose answers are lost or far too late.
+//! Hung attempts and bad query plans: cancels attempts in flight whose answers are lost or far too
+//! late.
 
 use super::TICK_MS;
 use super::requests::{InFlightAttempt, QueuedRequest};
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -17,7 +17,7 @@
 /// small an estimate.
 const MIN_MEAN_WORK_SHARE: f64 = 0.25;
 /// Longest slow start in ms of an engine that was down and answers again. If it has restarted, the
-/// endpoint list may report the restart only after that time.
+/// endpoint list may report the restart with a delay of up to that time.
 const MAX_RECOVERY_MS: f64 = 4000.0;
 /// Least share of its capacity that an engine has at the beginning of its slow start.
 const MIN_INITIAL_SHARE: f64 = 0.01;
@@ -67,7 +67,7 @@
     }
 
     /// Share of its cores that the engine can use now. It rises with the square of the time since
-    /// the engine's start, and so stays below a linear rise.
+    /// its slow start began, and so stays below a linear rise.
     fn capacity_share(&self, now_ms: Millis, settings: &Settings) -> f64 {
         let is_warm = self.is_warm(now_ms) || settings.slow_start_ms <= 0.0;
         let Some(period) = self.period.filter(|_| !is_warm) else {
