--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -22,39 +22,42 @@
             },
             0,
         );
-        let at = |n: u16| EngineId {
+        let engine_id = |n: u16| EngineId {
             addr: [10, 0, (n >> 8) as u8, n as u8],
             port: 8000,
         };
-        let line = |n| EngineEntry {
-            engine: at(n),
+        let list_entry = |n| EngineEntry {
+            engine: engine_id(n),
             ..entry(n as u8, EngineState::Ready, 0.0)
         };
         bench.event(Event::EndpointList {
             kind: ListUpdateKind::Full,
-            entries: (0..engines).map(line).collect(),
+            entries: (0..engines).map(list_entry).collect(),
         });
-        let (mut ticks, mut in_ticks) = (0u32, 0.0);
-        let begun = Instant::now();
+        let (mut ticks, mut tick_seconds) = (0u32, 0.0);
+        let started_at = Instant::now();
         for id in 0..REQUESTS {
             bench.now += 2.5;
             if id % 20 == 0 {
-                let from = Instant::now();
+                let tick_started_at = Instant::now();
                 bench.tick(0.0);
-                (ticks, in_ticks) = (ticks + 1, in_ticks + from.elapsed().as_secs_f64());
+                (ticks, tick_seconds) = (
+                    ticks + 1,
+                    tick_seconds + tick_started_at.elapsed().as_secs_f64(),
+                );
             }
             let actions = bench.request_with(id, 0, 0, 9000.0, Some(50.0));
             let report = LoadReport {
                 inflight: Some(4.0),
                 ..LoadReport::default()
             };
-            let to = sent(&actions, id).expect("an engine");
-            bench.event(served(id, to, 60.0, measured(50.0, 8.0), report));
+            let engine = sent(&actions, id).expect("an engine");
+            bench.event(served(id, engine, 60.0, measured(50.0, 8.0), report));
         }
-        let each = begun.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
+        let us_per_request = started_at.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
         println!(
-            "{engines:7}  {each:12.1}  {:9.1}",
-            in_ticks * 1e6 / f64::from(ticks)
+            "{engines:7}  {us_per_request:12.1}  {:9.1}",
+            tick_seconds * 1e6 / f64::from(ticks)
         );
     }
 }
