--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -6,7 +6,7 @@
 /// Half-spreads over the usual memory that are granted: four in five queries do not spill.
 const MEMORY_GRANT_SPREADS: f64 = 1.3;
 /// The usual priority of an attempt.
-const USUAL_PRIORITY: u8 = 1;
+const DEFAULT_PRIORITY: u8 = 1;
 
 impl Dispatcher {
     /// Sends waiting requests while the oldest one fits. Those held back by their order key, their placement or a guard
@@ -20,7 +20,7 @@
             }
             let candidates = self.candidates(id, request);
             if let Some(engine) = self.cheapest_engine(request, &candidates) {
-                self.send(id, engine, actions);
+                self.send_attempt(id, engine, actions);
                 continue;
             }
             let waits_for_capacity = !candidates.is_empty();
@@ -63,13 +63,13 @@
             .map(|(_, engine)| engine)
     }
 
-    fn send(&mut self, id: RequestId, engine_id: EngineId, actions: &mut Vec<Action>) {
+    fn send_attempt(&mut self, id: RequestId, engine_id: EngineId, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let (class, is_retry) = (request.class, request.attempts > 0);
         let work_ms = self.expected_work_ms(request);
         let threads = self.threads(class);
-        let usual_run_ms = self.class_statistics[class].mean_work_ms() / threads;
-        self.threads_per_query.record(threads, usual_run_ms);
+        let mean_run_ms = self.class_statistics[class].mean_work_ms() / threads;
+        self.threads_per_query.record(threads, mean_run_ms);
         if is_retry {
             self.retry_window.record_retry(self.now_ms);
         }
@@ -98,7 +98,7 @@
             actions.push(Action::SetAttemptTerms {
                 id,
                 memory_mb,
-                priority: USUAL_PRIORITY,
+                priority: DEFAULT_PRIORITY,
             });
         }
         actions.push(Action::StartAttempt {
@@ -139,8 +139,8 @@
     fn memory_grant_mb(&self, class: usize, estimated_memory_mb: Option<f64>) -> Option<f64> {
         let error = &self.class_statistics[class].memory_error;
         let estimated_mb = estimated_memory_mb?;
-        let is_used = self.settings.memory_grants_supported && error.is_established();
+        let can_grant = self.settings.memory_grants_supported && error.is_established();
         let log_factor = error.median() + MEMORY_GRANT_SPREADS * error.spread();
-        is_used.then(|| estimated_mb * log_factor.exp())
+        can_grant.then(|| estimated_mb * log_factor.exp())
     }
 }
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -6,16 +6,16 @@
 /// Cost of an engine that keeps the data set warm, against 1: it is worth some crowding.
 const AFFINITY_COST: f64 = 0.75;
 /// Threads a core added to the load; keeps nearly empty engines alike.
-const IDLE_COST: f64 = 0.3;
+const BASE_THREADS_PER_CORE: f64 = 0.3;
 /// Largest tie-breaking part of the cost, so that managers and requests break ties differently.
-const TIE_COST: f64 = 0.02;
+const MAX_TIE_BREAK_COST: f64 = 0.02;
 /// Values of a tie-breaking hash: the bits of a double's mantissa.
 const TIE_HASH_SHIFT: u32 = 11;
 const TIE_HASH_BITS: i32 = 53;
 /// Engines that all managers prefer for a data set, by its hash.
 const AFFINITY_ENGINES: usize = 4;
 /// One engine in so many takes the bulk loads of a data set, the others its readers.
-const BULK_LOAD_PART: u64 = 4;
+const BULK_LOAD_ENGINE_DIVISOR: u64 = 4;
 /// Rotations that make independent hashes of one engine's.
 const BULK_LOAD_ROTATION: u32 = 17;
 const MANAGER_ROTATION: u32 = 11;
@@ -36,7 +36,7 @@
         engine.is_usable()
             && self.placement_allowed(request, engine)
             && self.within_dedup_scope(request, engine)
-            && self.may_try(request, engine)
+            && self.allowed_if_suspect(request, engine)
             && !engine.is_paused(self.now_ms)
     }
 
@@ -64,7 +64,7 @@
     /// Whether the engine is not suspect, or may be tried with this request.
     ///
     /// A suspect engine is tried with one query at a time, of those that may be sent again.
-    fn may_try(&self, request: &QueuedRequest, engine: &Engine) -> bool {
+    fn allowed_if_suspect(&self, request: &QueuedRequest, engine: &Engine) -> bool {
         let class = &self.settings.classes[request.class];
         let is_safe_trial =
             engine.running.is_empty() && class.idempotency == Idempotency::Idempotent;
@@ -98,10 +98,11 @@
         affinity: &[EngineId],
     ) -> f64 {
         let threads = self.load(engine) + self.threads(request.class);
-        let crowding = (IDLE_COST + threads / self.cores(engine)) * self.slowness(engine);
-        crowding
+        let load_cost =
+            (BASE_THREADS_PER_CORE + threads / self.cores(engine)) * self.slowness(engine);
+        load_cost
             * self.affinity_cost(request, engine, affinity)
-            * self.tie_cost(request, engine)
+            * self.tie_break_cost(request, engine)
             * self.separation_cost(request, engine)
             * self.cross_zone_cost(engine)
             * error_cost(request, engine)
@@ -118,7 +119,7 @@
     fn separation_cost(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
         let class = &self.settings.classes[request.class];
         let hash = engine.hash.rotate_left(BULK_LOAD_ROTATION) ^ u64::from(request.data_set);
-        let takes_bulk_loads = mix(hash).is_multiple_of(BULK_LOAD_PART);
+        let takes_bulk_loads = mix(hash).is_multiple_of(BULK_LOAD_ENGINE_DIVISOR);
         let is_misplaced_load = self.blocks_readers(request.class) && !takes_bulk_loads;
         let is_misplaced_reader = class.waits_for_bulk_loads && takes_bulk_loads;
         if is_misplaced_load || is_misplaced_reader {
@@ -141,18 +142,18 @@
             return 1.0;
         }
         let rank = affinity.iter().position(|id| *id == engine.entry.engine);
-        let distance = rank.map_or(1.0, |rank| rank as f64 / AFFINITY_ENGINES as f64);
-        AFFINITY_COST + (1.0 - AFFINITY_COST) * distance
+        let rank_share = rank.map_or(1.0, |rank| rank as f64 / AFFINITY_ENGINES as f64);
+        AFFINITY_COST + (1.0 - AFFINITY_COST) * rank_share
     }
 
-    fn tie_cost(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
+    fn tie_break_cost(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
         let hash = mix(engine.hash ^ self.seed ^ request.arrival_number.bits());
-        1.0 + TIE_COST * (hash >> TIE_HASH_SHIFT) as f64 / 2f64.powi(TIE_HASH_BITS)
+        1.0 + MAX_TIE_BREAK_COST * (hash >> TIE_HASH_SHIFT) as f64 / 2f64.powi(TIE_HASH_BITS)
     }
 
     fn cross_zone_cost(&self, engine: &Engine) -> f64 {
-        let is_free = self.settings.cross_zone_cost <= 0.0;
-        if is_free || engine.entry.zone == self.settings.zone {
+        let crossing_is_free = self.settings.cross_zone_cost <= 0.0;
+        if crossing_is_free || engine.entry.zone == self.settings.zone {
             1.0
         } else {
             CROSS_ZONE_COST
@@ -180,10 +181,10 @@
 
 /// Engines with errors cost more, and one that failed this request most: it goes elsewhere where there is another.
 fn error_cost(request: &QueuedRequest, engine: &Engine) -> f64 {
-    let repeated = if request.failed_on.contains(&engine.entry.engine) {
+    let repeat_cost = if request.failed_on.contains(&engine.entry.engine) {
         ERROR_COST
     } else {
         0.0
     };
-    1.0 + ERROR_COST * engine.outlier.error_share() + repeated
+    1.0 + ERROR_COST * engine.outlier.error_share() + repeat_cost
 }
