--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -7,11 +7,11 @@
 /// Time in ms before its client's deadline at which a waiting request is ended.
 pub(super) const END_MARGIN_MS: f64 = 60.0;
 /// Part of the most urgent class's slack that the backlog may take: the rest is for running.
-const BACKLOG_SHARE: f64 = 0.5;
+const MAX_BACKLOG_SLACK_SHARE: f64 = 0.5;
 /// Shortest `Retry-After` in ms.
 const MIN_RETRY_AFTER_MS: f64 = 100.0;
 /// `Retry-After` in times that the backlog takes to be served.
-const RETRY_AFTER_BACKLOGS: f64 = 2.0;
+const RETRY_AFTER_BACKLOG_MULTIPLE: f64 = 2.0;
 /// Estimates of work from here on, in ms, are taken for nonsense.
 const MAX_ESTIMATED_WORK_MS: f64 = 1e9;
 /// A giant's work counts for so many usual queries where its deadline is judged.
@@ -22,7 +22,7 @@
     work_ms: f64,
     /// Least time that a class's latency objective leaves for waiting, in ms.
     slack_ms: f64,
-    cheapest: Option<SheddingCandidate>,
+    lowest_density: Option<SheddingCandidate>,
 }
 
 /// A request that may be rejected.
@@ -74,14 +74,14 @@
         }
         // What lacks of its client's patience has passed: on an earlier attempt, or in a pause of this manager's
         // (id20f69). Its objective runs from there. Harms where a class's clients differ in patience.
-        let patience_ms = (deadline_ms - self.now_ms).min(class.client_timeout_ms);
+        let time_to_deadline_ms = (deadline_ms - self.now_ms).min(class.client_timeout_ms);
         let statistics = &mut self.class_statistics[request.class];
-        let longest_patience_ms = statistics.record_patience(patience_ms);
+        let longest_time_to_deadline_ms = statistics.record_time_to_deadline(time_to_deadline_ms);
         Some(QueuedRequest {
             arrival_number,
             class: request.class,
             order_key: request.order_key,
-            objective_from_ms: self.now_ms.min(deadline_ms - longest_patience_ms),
+            objective_start_ms: self.now_ms.min(deadline_ms - longest_time_to_deadline_ms),
             deadline_ms,
             estimated_work_ms: request
                 .estimated_work_ms
@@ -113,9 +113,9 @@
         }
         let class = &self.settings.classes[request.class];
         let run_ms = self.expected_work_ms(request) / f64::from(class.threads);
-        let left_ms = request.deadline_ms - END_MARGIN_MS - self.now_ms;
+        let remaining_ms = request.deadline_ms - END_MARGIN_MS - self.now_ms;
         let mean_work_ms = self.class_statistics[request.class].mean_work_ms();
-        if left_ms <= run_ms.min(mean_work_ms * MAX_DEADLINE_WORK_MULTIPLE) {
+        if remaining_ms <= run_ms.min(mean_work_ms * MAX_DEADLINE_WORK_MULTIPLE) {
             return true;
         }
         if request.attempts > 0 && !self.may_resend(id) {
@@ -123,7 +123,7 @@
         }
         let objective_ms = class.latency_objective_ms + class.objective_work_factor * run_ms;
         let expected_end_ms = self.now_ms + run_ms * self.slowdown.bounded_mean();
-        !request.is_blocked && expected_end_ms > request.objective_from_ms + objective_ms
+        !request.is_blocked && expected_end_ms > request.objective_start_ms + objective_ms
     }
 
     /// Rejects requests of the least weight for their work, while the backlog is larger than the most urgent class
@@ -132,8 +132,9 @@
         loop {
             let backlog = self.backlog();
             let wait_ms = backlog.work_ms / self.service_rate();
-            let is_too_long = wait_ms > backlog.slack_ms * BACKLOG_SHARE && self.queue.len() > 1;
-            let Some(candidate) = backlog.cheapest.filter(|_| is_too_long) else {
+            let is_too_long =
+                wait_ms > backlog.slack_ms * MAX_BACKLOG_SLACK_SHARE && self.queue.len() > 1;
+            let Some(candidate) = backlog.lowest_density.filter(|_| is_too_long) else {
                 return;
             };
             self.reject_or_fail(candidate.id, EndReason::LoadShed, actions);
@@ -145,7 +146,7 @@
         let mut backlog = Backlog {
             work_ms: 0.0,
             slack_ms: f64::INFINITY,
-            cheapest: None,
+            lowest_density: None,
         };
         let usual_slowdown = self.slowdown.bounded_mean();
         for id in self.queue.values().copied() {
@@ -158,15 +159,15 @@
             backlog.work_ms += work_ms;
             let mean_work_ms = self.class_statistics[request.class].mean_work_ms();
             let run_ms = mean_work_ms / self.threads(request.class);
-            let spare_factor = class.objective_work_factor - usual_slowdown;
-            let slack_ms = class.latency_objective_ms + spare_factor * run_ms;
+            let slack_work_factor = class.objective_work_factor - usual_slowdown;
+            let slack_ms = class.latency_objective_ms + slack_work_factor * run_ms;
             backlog.slack_ms = backlog.slack_ms.min(slack_ms);
             let weight_density = class.priority_weight / work_ms;
-            let is_cheapest = backlog
-                .cheapest
-                .is_none_or(|cheapest| weight_density <= cheapest.weight_density);
-            if is_cheapest && self.may_reject(request) {
-                backlog.cheapest = Some(SheddingCandidate { weight_density, id });
+            let is_lowest_density = backlog
+                .lowest_density
+                .is_none_or(|lowest_density| weight_density <= lowest_density.weight_density);
+            if is_lowest_density && self.may_reject(request) {
+                backlog.lowest_density = Some(SheddingCandidate { weight_density, id });
             }
         }
         backlog
@@ -192,10 +193,10 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let client_waits = self.now_ms < request.deadline_ms;
+        let client_is_waiting = self.now_ms < request.deadline_ms;
         // What several engines failed would only come back as it is.
         let fails_everywhere = request.failed_on.len() >= MAX_FAILING_ENGINES;
-        if self.may_reject(request) && client_waits && !fails_everywhere {
+        if self.may_reject(request) && client_is_waiting && !fails_everywhere {
             let retry_after_ms = self.retry_after_ms();
             actions.push(Action::Reject {
                 id,
@@ -215,7 +216,7 @@
             .values()
             .map(|id| self.expected_work_ms(&self.requests[id]))
             .sum();
-        (RETRY_AFTER_BACKLOGS * queued_work_ms / self.service_rate())
+        (RETRY_AFTER_BACKLOG_MULTIPLE * queued_work_ms / self.service_rate())
             .max(MIN_RETRY_AFTER_MS)
             .min(self.settings.max_retry_after_ms)
     }
--- a/src/decision/class_statistics.rs
+++ b/src/decision/class_statistics.rs
@@ -76,7 +76,7 @@
 pub(super) struct ClassStatistics {
     mean_work_ms: f64,
     samples: u32,
-    longest_patience_ms: Millis,
+    longest_time_to_deadline_ms: Millis,
     /// Error of the memory estimates: measured over estimated.
     pub(super) memory_error: LogRatioEstimator,
     /// Error of the work estimates: measured over estimated work, or latency over the usual one where no work is
@@ -91,7 +91,7 @@
         ClassStatistics {
             mean_work_ms: work.max(MIN_INITIAL_WORK_MS),
             samples: 0,
-            longest_patience_ms: 0.0,
+            longest_time_to_deadline_ms: 0.0,
             memory_error: LogRatioEstimator::new(),
             work_error: LogRatioEstimator::new(),
         }
@@ -106,14 +106,15 @@
     pub(super) fn record_work(&mut self, work_ms: f64) {
         self.samples += 1;
         let gain = WORK_GAIN.max(1.0 / f64::from(self.samples));
-        let bounded = work_ms.min(self.mean_work_ms * MAX_WORK_MULTIPLE);
-        self.mean_work_ms += gain * (bounded - self.mean_work_ms);
+        let bounded_work_ms = work_ms.min(self.mean_work_ms * MAX_WORK_MULTIPLE);
+        self.mean_work_ms += gain * (bounded_work_ms - self.mean_work_ms);
     }
 
     /// Takes the time that a client had left on arrival, and returns the longest seen, in ms.
-    pub(super) fn record_patience(&mut self, patience_ms: Millis) -> Millis {
-        self.longest_patience_ms = self.longest_patience_ms.max(patience_ms);
-        self.longest_patience_ms
+    pub(super) fn record_time_to_deadline(&mut self, time_to_deadline_ms: Millis) -> Millis {
+        self.longest_time_to_deadline_ms =
+            self.longest_time_to_deadline_ms.max(time_to_deadline_ms);
+        self.longest_time_to_deadline_ms
     }
 }
 
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -63,7 +63,7 @@
     /// Its order key; 0 for none.
     pub(super) order_key: u64,
     /// When the latency objective begins: its arrival, or earlier where its client has waited before.
-    pub(super) objective_from_ms: Millis,
+    pub(super) objective_start_ms: Millis,
     /// When its client gives up.
     pub(super) deadline_ms: Millis,
     /// Its work over all threads, if estimated.
