--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -1,7 +1,7 @@
 //! The end of an attempt: what it teaches of its engine and class, and what becomes of its request.
 
 use super::concurrency_limit::{
-    ENGINE_MIN_INTERVALS, FitRule, FitSample, POOLED_MIN_INTERVALS, START_THREADS_PER_CORE,
+    ENGINE_MIN_INTERVALS, FitRule, FitSample, INITIAL_THREADS_PER_CORE, POOLED_MIN_INTERVALS,
 };
 use super::requests::{FirstExecution, InFlightAttempt};
 use super::{
@@ -19,7 +19,7 @@
 const MAX_FIT_TIME_MULTIPLE: f64 = 4.0;
 
 /// A served attempt, and what is needed to learn from it.
-struct ServedAttempt {
+struct AttemptMeasurements {
     attempt: InFlightAttempt,
     class: usize,
     /// Whether the client estimated its work.
@@ -40,8 +40,8 @@
 }
 
 /// A measured figure, if it is finite and above 0.
-fn positive(figure: Option<f64>) -> Option<f64> {
-    figure.filter(|figure| figure.is_finite() && *figure > 0.0)
+fn positive(value: Option<f64>) -> Option<f64> {
+    value.filter(|value| value.is_finite() && *value > 0.0)
 }
 
 impl Dispatcher {
@@ -55,7 +55,7 @@
         let Some(attempt) = request.in_flight.take() else {
             return;
         };
-        let served = ServedAttempt {
+        let measurements = AttemptMeasurements {
             class: request.class,
             has_estimate: request.estimated_work_ms.is_some(),
             elapsed_ms: ended.elapsed_ms,
@@ -65,10 +65,10 @@
         };
         let is_finished = request.is_finished || ended.answered;
         let arrival_number = request.arrival_number;
-        self.learn_memory(id, ended.measured_memory_mb);
-        self.release_engine(id, &served.attempt, ended.outcome);
+        self.record_memory_error(id, ended.measured_memory_mb);
+        self.release_engine(id, &measurements.attempt, ended.outcome);
         self.pause_order_key(id, ended.outcome);
-        self.apply_outcome(id, &served, ended.outcome, actions);
+        self.apply_outcome(id, &measurements, ended.outcome, actions);
         if is_finished || ended.outcome == Outcome::Ok {
             return self.finish(id);
         }
@@ -98,7 +98,7 @@
         })
     }
 
-    fn learn_memory(&mut self, id: RequestId, measured_memory_mb: Option<f64>) {
+    fn record_memory_error(&mut self, id: RequestId, measured_memory_mb: Option<f64>) {
         let request = &self.requests[&id];
         let estimated_mb = request.estimated_memory_mb;
         if let (Some(measured_mb), Some(estimated_mb)) =
@@ -145,14 +145,14 @@
     fn apply_outcome(
         &mut self,
         id: RequestId,
-        served: &ServedAttempt,
+        measurements: &AttemptMeasurements,
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        let engine_id = served.attempt.engine;
+        let engine_id = measurements.attempt.engine;
         match outcome {
             Outcome::Ok => {
-                self.learn(served);
+                self.record_measurements(measurements);
                 self.record_success(engine_id, actions);
                 if let Some(engine) = self.engines.get_mut(&engine_id) {
                     engine.outlier.record_served();
@@ -195,76 +195,82 @@
     }
 
     /// Learns from a served attempt: the class's work, the engine's latency, the output of the fits' intervals.
-    fn learn(&mut self, served: &ServedAttempt) {
-        if !served.elapsed_ms.is_finite() {
+    fn record_measurements(&mut self, measurements: &AttemptMeasurements) {
+        if !measurements.elapsed_ms.is_finite() {
             return;
         }
-        let attempt = &served.attempt;
-        let thread_time_ms = served.elapsed_ms.max(MIN_ELAPSED_MS) * self.threads(served.class);
-        let measured_work_ms = positive(served.measured_work_ms);
+        let attempt = &measurements.attempt;
+        let thread_time_ms =
+            measurements.elapsed_ms.max(MIN_ELAPSED_MS) * self.threads(measurements.class);
+        let measured_work_ms = positive(measurements.measured_work_ms);
         self.work_is_measured |= measured_work_ms.is_some();
         let work_ms = measured_work_ms.unwrap_or(attempt.work_ms);
         let log_slowdown = (thread_time_ms / work_ms.max(MIN_WORK_MS))
             .ln()
             .clamp(MIN_LOG_SLOWDOWN, MAX_LOG_SLOWDOWN);
         // A served query's estimate counts: anyone may send one, but engines serve no nonsense.
-        let statistics = &mut self.class_statistics[served.class];
-        if served.has_estimate {
+        let statistics = &mut self.class_statistics[measurements.class];
+        if measurements.has_estimate {
             statistics.record_work(attempt.estimated_work_ms);
             // Measured work tells the estimate's error, else latency against all others'.
-            let unexplained = log_slowdown - self.slowdown.log_ratio();
-            let error = measured_work_ms.map_or(unexplained, |measured| {
+            let excess_log_slowdown = log_slowdown - self.slowdown.log_ratio();
+            let log_error = measured_work_ms.map_or(excess_log_slowdown, |measured| {
                 (measured / attempt.estimated_work_ms).ln()
             });
-            statistics.work_error.record(error);
+            statistics.work_error.record(log_error);
         } else {
-            let uncrowded_ms = thread_time_ms / served.crowding;
+            let uncrowded_ms = thread_time_ms / measurements.crowding;
             statistics.record_work(measured_work_ms.unwrap_or(uncrowded_ms));
         }
         self.served_work.record(work_ms);
         self.slowdown.record(log_slowdown);
         if let Some(engine) = self.engines.get_mut(&attempt.engine) {
-            let log_crowding = served.crowding.ln();
+            let log_crowding = measurements.crowding.ln();
             engine.slowdown.record(log_slowdown, log_crowding);
-            self.learn_limit(served, thread_time_ms, work_ms);
+            self.add_to_limit_fits(measurements, thread_time_ms, work_ms);
         }
     }
 
     /// Adds a served attempt to its engine's fit, and to one pooled over all engines for those with few of their own.
     ///
     /// It adds the threads while it ran and their output; an attempt without an answer leaves no trace.
-    fn learn_limit(&mut self, served: &ServedAttempt, thread_time_ms: f64, work_ms: f64) {
-        let threads = self.threads(served.class);
-        let start = served.attempt.threads_at_start;
-        let engine = &self.engines[&served.attempt.engine];
-        let own_threads = (start.own + f64::from(engine.own_threads) + threads) / 2.0;
+    fn add_to_limit_fits(
+        &mut self,
+        measurements: &AttemptMeasurements,
+        thread_time_ms: f64,
+        work_ms: f64,
+    ) {
+        let threads = self.threads(measurements.class);
+        let threads_at_start = measurements.attempt.threads_at_start;
+        let engine = &self.engines[&measurements.attempt.engine];
+        let own_threads = (threads_at_start.own + f64::from(engine.own_threads) + threads) / 2.0;
         let all_per_core_now = (self.load(engine) + threads) / self.cores(engine);
-        let all_per_core = (start.all_per_core + all_per_core_now) / 2.0;
+        let all_per_core = (threads_at_start.all_per_core + all_per_core_now) / 2.0;
         let warm_cores = engine.warm_cores;
-        let usual_ms = MAX_FIT_TIME_MULTIPLE * work_ms * self.slowdown.bounded_mean();
-        let thread_time_ms = thread_time_ms.min(usual_ms);
+        let max_thread_time_ms = MAX_FIT_TIME_MULTIPLE * work_ms * self.slowdown.bounded_mean();
+        let thread_time_ms = thread_time_ms.min(max_thread_time_ms);
         let pooled_sample = FitSample {
-            threads_ratio: all_per_core / START_THREADS_PER_CORE,
+            threads_ratio: all_per_core / INITIAL_THREADS_PER_CORE,
             thread_time_ms,
             work_ms,
         };
         let pooled_rule = FitRule {
             min_intervals: POOLED_MIN_INTERVALS,
-            step: threads / START_THREADS_PER_CORE / warm_cores,
+            step: threads / INITIAL_THREADS_PER_CORE / warm_cores,
         };
         self.pooled_limit
             .add_sample(&pooled_sample, &pooled_rule, self.now_ms);
         let is_warm = |engine: &&mut Engine| engine.is_warm(self.now_ms);
-        let engine = self.engines.get_mut(&served.attempt.engine);
+        let engine = self.engines.get_mut(&measurements.attempt.engine);
         if let Some(engine) = engine.filter(is_warm) {
             let sample = FitSample {
-                threads_ratio: own_threads / engine.limit.start(),
+                threads_ratio: own_threads / engine.limit.initial_limit(),
                 thread_time_ms,
                 work_ms,
             };
             let rule = FitRule {
                 min_intervals: ENGINE_MIN_INTERVALS,
-                step: threads / engine.limit.start(),
+                step: threads / engine.limit.initial_limit(),
             };
             engine.limit.add_sample(&sample, &rule, self.now_ms);
         }
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -6,11 +6,11 @@
 use super::{Dispatcher, Engine, Millis};
 
 /// Outcomes that close an interval. Not a hundred: an engine gives one workload manager some ten a second.
-const INTERVAL_OUTCOMES: u32 = 25;
+const MIN_INTERVAL_OUTCOMES: u32 = 25;
 /// Shortest interval in ms, as in the design.
-const INTERVAL_MIN_MS: f64 = 1000.0;
+const MIN_INTERVAL_MS: f64 = 1000.0;
 /// Share of its weight that an old interval keeps with each new one: about twenty are remembered.
-const INTERVAL_FADE: f64 = 0.95;
+const INTERVAL_DECAY: f64 = 0.95;
 /// Faded intervals before an engine's own fit is used: fewer fit any noise.
 pub(super) const ENGINE_MIN_INTERVALS: f64 = 8.0;
 /// The same for the fit over all engines, whose intervals span many engines.
@@ -18,9 +18,9 @@
 /// Determinant over the product of its diagonal below which a fit counts as singular.
 const SINGULAR_DETERMINANT: f64 = 1e-5;
 /// Least time of an interval in ms, against division by zero.
-const MIN_INTERVAL_TIME_MS: f64 = 1e-9;
+const MIN_INTERVAL_THREAD_TIME_MS: f64 = 1e-9;
 /// Threads a core at the start, as in the design.
-pub(super) const START_THREADS_PER_CORE: f64 = 2.0;
+pub(super) const INITIAL_THREADS_PER_CORE: f64 = 2.0;
 /// The limit's lower bound, in shares of its start value.
 const MIN_LIMIT_SHARE: f64 = 0.5;
 /// The limit's upper bound, in multiples of its start value.
@@ -72,7 +72,7 @@
     }
 
     fn is_full(&self, now_ms: Millis) -> bool {
-        self.outcomes >= INTERVAL_OUTCOMES && now_ms - self.started_at_ms >= INTERVAL_MIN_MS
+        self.outcomes >= MIN_INTERVAL_OUTCOMES && now_ms - self.started_at_ms >= MIN_INTERVAL_MS
     }
 }
 
@@ -90,27 +90,27 @@
     /// Faded sums of the powers 0 to 2 of the threads' ratio, each times the served work.
     work_moments: [f64; 3],
     interval: OpenInterval,
-    start: f64,
+    initial_limit: f64,
     limit: f64,
     stepping_up: bool,
-    last_output: f64,
+    last_throughput: f64,
 }
 
 impl ParabolaFit {
     /// A fit without samples, whose limit is `start` threads.
-    pub(super) fn new(start: f64, now_ms: Millis) -> Self {
+    pub(super) fn new(initial_limit: f64, now_ms: Millis) -> Self {
         ParabolaFit {
             interval: OpenInterval::starting_at(now_ms),
-            start,
-            limit: start,
+            initial_limit,
+            limit: initial_limit,
             stepping_up: true,
             ..ParabolaFit::default()
         }
     }
 
     /// The start value, in threads.
-    pub(super) fn start(&self) -> f64 {
-        self.start
+    pub(super) fn initial_limit(&self) -> f64 {
+        self.initial_limit
     }
 
     /// The concurrency limit, in the unit of the start value.
@@ -124,49 +124,53 @@
         if !self.interval.is_full(now_ms) {
             return;
         }
-        let time = self.interval.thread_time_ms.max(MIN_INTERVAL_TIME_MS);
-        let threads = self.interval.weighted_thread_time / time;
-        let output = self.interval.weighted_work / time;
-        self.add_interval(threads, output);
-        let rose = output > self.last_output;
-        self.last_output = output;
+        let time = self
+            .interval
+            .thread_time_ms
+            .max(MIN_INTERVAL_THREAD_TIME_MS);
+        let threads_ratio = self.interval.weighted_thread_time / time;
+        let throughput = self.interval.weighted_work / time;
+        self.add_interval(threads_ratio, throughput);
+        let throughput_rose = throughput > self.last_throughput;
+        self.last_throughput = throughput;
         self.interval = OpenInterval::starting_at(now_ms);
         let intervals = self.thread_powers[0];
         if intervals >= rule.min_intervals {
-            self.update_limit(rose, rule.step);
+            self.update_limit(throughput_rose, rule.step);
         }
     }
 
-    fn add_interval(&mut self, threads: f64, output: f64) {
+    fn add_interval(&mut self, threads_ratio: f64, throughput: f64) {
         let powers = [
             1.0,
-            threads,
-            threads * threads,
-            threads.powi(3),
-            threads.powi(4),
+            threads_ratio,
+            threads_ratio * threads_ratio,
+            threads_ratio.powi(3),
+            threads_ratio.powi(4),
         ];
         for (sum, power) in self.thread_powers.iter_mut().zip(powers) {
-            *sum = *sum * INTERVAL_FADE + power;
+            *sum = *sum * INTERVAL_DECAY + power;
         }
         for (sum, power) in self.work_moments.iter_mut().zip(powers) {
-            *sum = *sum * INTERVAL_FADE + power * output;
+            *sum = *sum * INTERVAL_DECAY + power * throughput;
         }
     }
 
-    fn update_limit(&mut self, rose: bool, step: f64) {
+    fn update_limit(&mut self, throughput_rose: bool, step: f64) {
         let Some(Parabola { slope, curvature }) = self.solve() else {
             return;
         };
-        let highest = self.start * MAX_LIMIT_MULTIPLE;
+        let max_limit = self.initial_limit * MAX_LIMIT_MULTIPLE;
         if curvature < 0.0 {
-            let peak = -slope / (2.0 * curvature) * self.start;
-            self.limit = peak.clamp(self.start * MIN_LIMIT_SHARE, highest);
+            let peak = -slope / (2.0 * curvature) * self.initial_limit;
+            self.limit = peak.clamp(self.initial_limit * MIN_LIMIT_SHARE, max_limit);
             return;
         }
         // Without a peak: step on in the direction that last raised the output, never below the start.
-        self.stepping_up = self.stepping_up == rose;
+        self.stepping_up = self.stepping_up == throughput_rose;
         let signed_step = if self.stepping_up { step } else { -step };
-        self.limit = (self.limit + signed_step * self.start).clamp(self.start, highest);
+        self.limit =
+            (self.limit + signed_step * self.initial_limit).clamp(self.initial_limit, max_limit);
     }
 
     /// The least-squares parabola by Cramer's rule; none where the samples lie too close together.
@@ -198,14 +202,17 @@
     pub(super) fn within_concurrency_limit(&self, class: usize, engine: &Engine) -> bool {
         let threads = self.threads(class);
         // Busy cores say nothing of queries that wait there for memory or a load: only counts will do.
-        let engine_limit = START_THREADS_PER_CORE * self.pooled_limit.limit() * self.cores(engine);
-        let fits_reported =
-            self.reports_count_queries && self.load(engine) + threads <= engine_limit;
+        let all_managers_limit =
+            INITIAL_THREADS_PER_CORE * self.pooled_limit.limit() * self.cores(engine);
+        let within_reported_limit =
+            self.reports_count_queries && self.load(engine) + threads <= all_managers_limit;
         let own_limit =
             self.fleet_share_threads * self.traffic_weight() * self.pooled_limit.limit();
-        let fits_own = self.running_threads + threads <= own_limit.max(self.max_class_threads);
-        let fits_engine = f64::from(engine.own_threads) + threads <= engine.limit.limit();
-        let share_holds_widest = engine.share_threads >= self.max_class_threads;
-        fits_engine && (share_holds_widest || fits_reported || fits_own)
+        let within_own_limit =
+            self.running_threads + threads <= own_limit.max(self.max_class_threads);
+        let within_engine_limit = f64::from(engine.own_threads) + threads <= engine.limit.limit();
+        let share_covers_widest_class = engine.share_threads >= self.max_class_threads;
+        within_engine_limit
+            && (share_covers_widest_class || within_reported_limit || within_own_limit)
     }
 }
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -1,6 +1,6 @@
 //! The engines: what is known of each, and how the endpoint list and manual ejections change it.
 
-use super::concurrency_limit::{ParabolaFit, START_THREADS_PER_CORE};
+use super::concurrency_limit::{INITIAL_THREADS_PER_CORE, ParabolaFit};
 use super::health_checks::FailureDetector;
 use super::load_estimate::EngineLoad;
 use super::outlier_ejection::OutlierState;
@@ -36,30 +36,30 @@
 }
 
 impl Engine {
-    fn new(id: EngineId, start_threads: f64, now_ms: Millis, is_manually_ejected: bool) -> Self {
+    fn new(id: EngineId, initial_limit: f64, now_ms: Millis, is_manually_ejected: bool) -> Self {
         let EngineId { addr, port } = id;
         let address = u64::from(u32::from_be_bytes(addr));
         Engine {
             hash: mix(address ^ u64::from(port) << 32),
             is_manually_ejected,
-            limit: ParabolaFit::new(start_threads, now_ms),
+            limit: ParabolaFit::new(initial_limit, now_ms),
             failures: FailureDetector::new(now_ms),
             ..Engine::default()
         }
     }
 
     /// Forgets what was learned of the incarnation before, and starts slowly.
-    fn restart(
+    fn reset_after_start(
         &mut self,
         started_at_ms: Millis,
         slow_start_ms: Millis,
-        start_threads: f64,
+        initial_limit: f64,
         now_ms: Millis,
     ) {
         self.slow_start.set_period(started_at_ms, slow_start_ms);
-        self.limit = ParabolaFit::new(start_threads, now_ms);
+        self.limit = ParabolaFit::new(initial_limit, now_ms);
         self.slowdown = EngineSlowdown::default();
-        self.load.forget();
+        self.load.clear_load();
         self.failures.clear_failures();
         self.outlier.clear_errors();
     }
@@ -110,20 +110,20 @@
         let now_ms = self.now_ms;
         let cores = self.listed_cores(&entry);
         let managers = self.settings.sharing(&entry).mean_managers;
-        let share_threads = cores * START_THREADS_PER_CORE / managers;
-        let start_threads = share_threads.max(self.max_class_threads);
+        let share_threads = cores * INITIAL_THREADS_PER_CORE / managers;
+        let initial_limit = share_threads.max(self.max_class_threads);
         let id = entry.engine;
         let is_new = !self.engines.contains_key(&id);
         let is_manually_ejected = self.manual_ejections.contains(&id);
         let engine = self
             .engines
             .entry(id)
-            .or_insert_with(|| Engine::new(id, start_threads, now_ms, is_manually_ejected));
+            .or_insert_with(|| Engine::new(id, initial_limit, now_ms, is_manually_ejected));
         let started_at_ms = entry.started_at_ms;
         let has_restarted = is_new || started_at_ms != engine.entry.started_at_ms;
         if started_at_ms > 0.0 && has_restarted {
             let slow_start_ms = self.settings.slow_start_ms;
-            engine.restart(started_at_ms, slow_start_ms, start_threads, now_ms);
+            engine.reset_after_start(started_at_ms, slow_start_ms, initial_limit, now_ms);
         }
         engine.warm_cores = cores;
         engine.share_threads = share_threads;
@@ -159,18 +159,18 @@
         };
         engine.is_manually_ejected = is_ejected;
         if !is_ejected {
-            let start_threads = engine.limit.start();
-            engine.restart(
+            let initial_limit = engine.limit.initial_limit();
+            engine.reset_after_start(
                 at_ms,
                 self.settings.slow_start_ms,
-                start_threads,
+                initial_limit,
                 self.now_ms,
             );
         }
     }
 
     /// Forgets the engines that are gone from the list and run nothing any more.
-    pub(super) fn forget_removed_engines(&mut self) {
+    pub(super) fn drop_removed_engines(&mut self) {
         self.engines.retain(|_, engine| {
             engine.entry.state != EngineState::Removed || !engine.running.is_empty()
         });
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -56,7 +56,7 @@
                 engine.slowdown.fade(1.0 - TICK_MS / SILENT_FADE_MS);
             }
         }
-        self.forget_removed_engines();
+        self.drop_removed_engines();
     }
 
     /// The requests whose attempts on an engine count as hung and may be retried.
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -1,6 +1,6 @@
 //! Load estimates: threads that run on each engine, own and others', from its load reports.
 
-use super::concurrency_limit::START_THREADS_PER_CORE;
+use super::concurrency_limit::INITIAL_THREADS_PER_CORE;
 use super::health_checks::HEALTH_CHECK_INTERVAL_MS;
 use super::slowdown::{LATENCY_GAIN, PRESSURE_BUSY_SHARE};
 use super::{Dispatcher, Engine, EngineId, LoadReport, Millis, class_statistics::WORK_GAIN};
@@ -8,16 +8,16 @@
 /// Gain of one report; reports are noisy, and refreshed a few times a second.
 const REPORT_GAIN: f64 = 0.3;
 /// Time constant in ms with which a report fades into the fleet's mean.
-const REPORT_FADE_MS: Millis = 2000.0;
+const REPORT_DECAY_MS: Millis = 2000.0;
 
 /// Gain that forgets more the longer the last report is ago.
-fn aged_gain(least: f64, age_ms: Millis, time_constant_ms: Millis) -> f64 {
-    least.max(1.0 - (-age_ms / time_constant_ms).exp())
+fn aged_gain(min_gain: f64, age_ms: Millis, time_constant_ms: Millis) -> f64 {
+    min_gain.max(1.0 - (-age_ms / time_constant_ms).exp())
 }
 
 /// A reported figure, if it is finite and not negative.
-fn non_negative(figure: Option<f64>) -> Option<f64> {
-    figure.filter(|figure| figure.is_finite() && *figure >= 0.0)
+fn non_negative(value: Option<f64>) -> Option<f64> {
+    value.filter(|value| value.is_finite() && *value >= 0.0)
 }
 
 /// What one engine's load reports tell.
@@ -52,7 +52,7 @@
 
     /// How much its last report still tells, from 1 down to 0; the rest is the fleet's mean.
     pub(super) fn report_weight(&self, now_ms: Millis) -> f64 {
-        (-(now_ms - self.last_report_at_ms) / REPORT_FADE_MS).exp()
+        (-(now_ms - self.last_report_at_ms) / REPORT_DECAY_MS).exp()
     }
 
     /// Takes the engine for crowded: others run this many threads there at least.
@@ -62,7 +62,7 @@
     }
 
     /// Forgets the load, but not when it was last reported.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn clear_load(&mut self) {
         self.other_threads = 0.0;
         self.busy_share = 0.0;
     }
@@ -78,7 +78,7 @@
 impl FleetLoad {
     fn record(&mut self, threads_per_core: f64, now_ms: Millis) {
         let age_ms = now_ms - self.last_report_at_ms;
-        let gain = aged_gain(LATENCY_GAIN, age_ms, REPORT_FADE_MS);
+        let gain = aged_gain(LATENCY_GAIN, age_ms, REPORT_DECAY_MS);
         self.threads_per_core += gain * (threads_per_core - self.threads_per_core);
         self.last_report_at_ms = now_ms;
     }
@@ -112,19 +112,21 @@
 impl Dispatcher {
     /// Threads on an engine: own ones, and others' as reported. With no reports, only latency tells of others'.
     pub(super) fn load(&self, engine: &Engine) -> f64 {
-        let usual = if engine.is_warm(self.now_ms) {
+        let fleet_threads = if engine.is_warm(self.now_ms) {
             self.fleet_load.threads_per_core * self.cores(engine)
         } else {
             0.0
         };
         let weight = engine.load.report_weight(self.now_ms);
-        f64::from(engine.own_threads) + usual + (engine.load.other_threads - usual) * weight
+        f64::from(engine.own_threads)
+            + fleet_threads
+            + (engine.load.other_threads - fleet_threads) * weight
     }
 
     /// Takes an engine for crowded, as a report of it would.
     pub(super) fn mark_saturated(&mut self, engine_id: EngineId) {
         if let Some(engine) = self.engines.get_mut(&engine_id) {
-            let threads = engine.warm_cores * START_THREADS_PER_CORE * self.pooled_limit.limit();
+            let threads = engine.warm_cores * INITIAL_THREADS_PER_CORE * self.pooled_limit.limit();
             engine.load.mark_saturated(threads, self.now_ms);
         }
     }
@@ -133,26 +135,26 @@
     pub(super) fn on_load_report(&mut self, engine_id: EngineId, report: LoadReport) {
         // Hung queries hold memory while cores and disks idle: their engine must not look free (29742104).
         let shares = [report.cpu_busy, report.disk_busy, report.memory_granted];
-        let busiest = shares.into_iter().filter_map(non_negative).reduce(f64::max);
+        let highest_share = shares.into_iter().filter_map(non_negative).reduce(f64::max);
         let threads_per_query = self.threads_per_query.mean();
-        let full_threads_per_core = START_THREADS_PER_CORE * self.pooled_limit.limit();
+        let max_threads_per_core = INITIAL_THREADS_PER_CORE * self.pooled_limit.limit();
         let Some(engine) = self.engines.get_mut(&engine_id) else {
             return;
         };
-        let waiting = non_negative(report.memory_queue).unwrap_or(0.0) * threads_per_query;
-        let counted = non_negative(report.inflight)
+        let waiting_threads = non_negative(report.memory_queue).unwrap_or(0.0) * threads_per_query;
+        let counted_threads = non_negative(report.inflight)
             .map(|queries| (queries - engine.running.len() as f64) * threads_per_query);
-        self.reports_count_queries |= counted.is_some();
+        self.reports_count_queries |= counted_threads.is_some();
         // Busy cores or disks stand in for threads; at the ceiling, where more do not show, for all that fit.
-        let from_busy = busiest.map(|busy| {
+        let threads_from_busy_share = highest_share.map(|busy| {
             let per_core = if busy < PRESSURE_BUSY_SHARE {
                 busy
             } else {
-                full_threads_per_core
+                max_threads_per_core
             };
-            engine.warm_cores * per_core - f64::from(engine.own_threads) + waiting
+            engine.warm_cores * per_core - f64::from(engine.own_threads) + waiting_threads
         });
-        let Some(other_threads) = counted.or(from_busy) else {
+        let Some(other_threads) = counted_threads.or(threads_from_busy_share) else {
             return;
         };
         let age_ms = engine.load.report_age_ms(self.now_ms);
@@ -168,10 +170,10 @@
             }
         }
         // Where queries are counted, the other shares tell nothing more.
-        let busy = if counted.is_some() {
+        let busy = if counted_threads.is_some() {
             non_negative(report.cpu_busy)
         } else {
-            busiest
+            highest_share
         };
         let change = busy.map_or(0.0, |busy| gain * (busy - engine.load.busy_share));
         engine.load.busy_share += change;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -66,7 +66,7 @@
 /// Token of the housekeeping's timer.
 const TICK_TOKEN: u64 = 1;
 /// Start value of the pooled concurrency limit, in multiples of the start value of each engine.
-const POOLED_LIMIT_START: f64 = 1.0;
+const INITIAL_POOLED_LIMIT: f64 = 1.0;
 
 /// The decisions of one workload manager.
 #[derive(Default)]
@@ -120,7 +120,7 @@
         settings.check()?;
         Ok(Dispatcher {
             class_statistics: settings.classes.iter().map(ClassStatistics::new).collect(),
-            pooled_limit: ParabolaFit::new(POOLED_LIMIT_START, 0.0),
+            pooled_limit: ParabolaFit::new(INITIAL_POOLED_LIMIT, 0.0),
             max_class_threads: settings.max_class_threads(),
             settings,
             seed,
@@ -212,9 +212,9 @@
     }
 
     /// Takes new settings. What was learned of a class goes by its name; a request keeps the class it came with.
-    fn on_settings(&mut self, new: Settings) {
+    fn on_settings(&mut self, new_settings: Settings) {
         let is_used = |class: usize| self.requests.values().any(|request| request.class == class);
-        let replaced = new.replacing(&self.settings, is_used);
+        let replaced = new_settings.replacing(&self.settings, is_used);
         let settings = replaced.settings;
         let old_names = &self.settings.class_names;
         self.class_statistics = settings
@@ -222,8 +222,8 @@
             .iter()
             .zip(&settings.classes)
             .map(|(name, class)| {
-                let old = old_names.iter().position(|old_name| old_name == name);
-                old.map_or_else(
+                let old_position = old_names.iter().position(|old_name| old_name == name);
+                old_position.map_or_else(
                     || ClassStatistics::new(class),
                     |position| self.class_statistics[position].clone(),
                 )
@@ -255,13 +255,13 @@
         if let Some(oldest) = self.queue.values().next().copied() {
             self.send_health_checks(oldest, actions);
         }
-        let late: Vec<RequestId> = self
+        let too_late: Vec<RequestId> = self
             .queue
             .values()
             .copied()
             .filter(|id| self.cannot_meet_deadline(*id))
             .collect();
-        for id in late {
+        for id in too_late {
             self.reject_or_fail(id, EndReason::TooLate, actions);
         }
         self.shed_load(actions);
