--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,8 @@
-//! What one request costs the decision module, by the number of engines: `cargo bench --bench decision`.
-//! A request is taken, sent, served with a report, and a twentieth of a housekeeping tick besides.
+//! Benchmark of the decision module: time per request and per housekeeping tick, by the number of
+//! engines. Run it with `cargo bench --bench decision`.
+//!
+//! Each request is received, sent and served with a load report. One housekeeping tick runs for
+//! every 20 requests and is part of the time per request.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -51,7 +54,7 @@
                 inflight: Some(4.0),
                 ..LoadReport::default()
             };
-            let engine = sent(&actions, id).expect("an engine");
+            let engine = sent(&actions, id).expect("the request is sent to an engine");
             bench.event(served(id, engine, 60.0, measured(50.0, 8.0), report));
         }
         let us_per_request = started_at.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
