--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,40 +1,45 @@
-//! Admission and load shedding: which requests enter the queue, and which are rejected before their time.
+//! Admission and load shedding: which requests enter the queue, and which get their final answer
+//! before an attempt has served them.
 
 use super::requests::QueuedRequest;
 use super::{Action, DedupScope, Dispatcher, EndReason, Idempotency, Request, RequestId};
 use super::{health_checks::AwaitedHealthChecks, outlier_ejection::MAX_FAILING_ENGINES};
 
-/// Time in ms before its client's deadline at which a waiting request is ended.
+/// Time in ms before the deadline of a waiting request at which it gets its final answer.
 pub(super) const END_MARGIN_MS: f64 = 60.0;
-/// Part of the most urgent class's slack that the backlog may take: the rest is for running.
+/// Longest time to serve the backlog, as a share of the slack of the most urgent class; the rest of
+/// the slack is left for execution.
 const MAX_BACKLOG_SLACK_SHARE: f64 = 0.5;
 /// Shortest `Retry-After` in ms.
 const MIN_RETRY_AFTER_MS: f64 = 100.0;
-/// `Retry-After` in times that the backlog takes to be served.
+/// `Retry-After` in multiples of the time that it takes to serve the backlog.
 const RETRY_AFTER_BACKLOG_MULTIPLE: f64 = 2.0;
-/// Estimates of work from here on, in ms, are taken for nonsense.
+/// Clients' estimates of work from this value on, in ms, are ignored as implausible.
 const MAX_ESTIMATED_WORK_MS: f64 = 1e9;
-/// A giant's work counts for so many usual queries where its deadline is judged.
+/// Upper bound on the run time of a very large request where its deadline is checked, in multiples
+/// of its class's mean work.
 const MAX_DEADLINE_WORK_MULTIPLE: f64 = 4.0;
 
-/// The queue's work, and the request that is worth least for its work.
+/// The total work of the queue, and the request to reject first.
 struct Backlog {
     work_ms: f64,
-    /// Least time that a class's latency objective leaves for waiting, in ms.
+    /// Shortest time in ms that the latency objective of a queued request's class leaves for
+    /// waiting.
     slack_ms: f64,
+    /// The request with the lowest priority weight per ms of work, of those that may be rejected.
     lowest_density: Option<SheddingCandidate>,
 }
 
 /// A request that may be rejected.
 #[derive(Clone, Copy)]
 struct SheddingCandidate {
-    /// Priority weight for each ms of work.
+    /// Priority weight per ms of work.
     weight_density: f64,
     id: RequestId,
 }
 
 impl Dispatcher {
-    /// Takes a client's request.
+    /// Handles a client's request.
     pub(super) fn on_request(&mut self, request: &Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if self.requests.contains_key(&id) {
@@ -53,13 +58,14 @@
         self.shed_load(actions);
         self.send_health_checks(id, actions);
         self.dispatch_queue(actions);
-        // A client with little patience may be gone before the next tick (18f1f014: no answer in its time).
+        // A client with a short deadline may give up before the next tick, and would get its answer
+        // too late (18f1f014).
         if self.cannot_meet_deadline(id) {
             self.reject_or_fail(id, EndReason::TooLate, actions);
         }
     }
 
-    /// The request as it enters the queue; none if its class is unknown.
+    /// Builds the request that enters the queue; returns `None` if its class is unknown.
     fn admit(&mut self, request: &Request) -> Option<QueuedRequest> {
         let class = self.settings.classes.get(request.class)?;
         let deadline_ms = if request.deadline_ms.is_finite() {
@@ -72,8 +78,10 @@
             self.order_keys
                 .insert(request.order_key, arrival_number, request.id);
         }
-        // What lacks of its client's patience has passed: on an earlier attempt, or in a pause of this manager's
-        // (id20f69). Its objective runs from there. Harms where a class's clients differ in patience.
+        // A request that arrives with less time to its deadline than the longest of its class has
+        // already waited: its client sent it before, or this manager paused (id20f69). Its latency
+        // objective starts that much earlier. This does harm in a class whose clients have
+        // different timeouts.
         let time_to_deadline_ms = (deadline_ms - self.now_ms).min(class.client_timeout_ms);
         let statistics = &mut self.class_statistics[request.class];
         let longest_time_to_deadline_ms = statistics.record_time_to_deadline(time_to_deadline_ms);
@@ -102,8 +110,8 @@
         })
     }
 
-    /// Whether a waiting request earns no place any more: one in line once it would miss its latency objective, a
-    /// blocked one once it would miss its client's deadline.
+    /// Whether a waiting request is to be ended: it would miss its deadline, may not be sent again,
+    /// or would miss its latency objective. A blocked request may miss its latency objective.
     pub(super) fn cannot_meet_deadline(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -126,8 +134,8 @@
         !request.is_blocked && expected_end_ms > request.objective_start_ms + objective_ms
     }
 
-    /// Rejects requests of the least weight for their work, while the backlog is larger than the most urgent class
-    /// bears.
+    /// Rejects the requests with the lowest priority weight per ms of work, until the backlog is
+    /// short enough for the slack of the most urgent class.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
         loop {
             let backlog = self.backlog();
@@ -141,7 +149,7 @@
         }
     }
 
-    /// The requests that wait in line; blocked ones do not count.
+    /// Sums up the queued requests. Blocked ones do not count.
     fn backlog(&self) -> Backlog {
         let mut backlog = Backlog {
             work_ms: 0.0,
@@ -173,7 +181,8 @@
         backlog
     }
 
-    /// Whether the client may be told to try again: it never ran, or a repeat does no harm on any engine.
+    /// Whether the client may be told to try again: the request has not run, or a repeat is
+    /// harmless on all engines.
     fn may_reject(&self, request: &QueuedRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let is_repeatable_anywhere = matches!(
@@ -183,7 +192,8 @@
         request.first_execution.is_none() || is_repeatable_anywhere
     }
 
-    /// Gives the final answer at once: rejected with a `Retry-After` where the rules allow, else failed.
+    /// Sends the final answer: a rejection with a `Retry-After` where the rules allow it, else a
+    /// failure.
     pub(super) fn reject_or_fail(
         &mut self,
         id: RequestId,
@@ -194,7 +204,7 @@
             return;
         };
         let client_is_waiting = self.now_ms < request.deadline_ms;
-        // What several engines failed would only come back as it is.
+        // A request that failed on several engines would only fail again if its client repeated it.
         let fails_everywhere = request.failed_on.len() >= MAX_FAILING_ENGINES;
         if self.may_reject(request) && client_is_waiting && !fails_everywhere {
             let retry_after_ms = self.retry_after_ms();
@@ -209,7 +219,7 @@
         self.finish(id);
     }
 
-    /// `Retry-After` in ms: twice the time that the queue takes.
+    /// `Retry-After` in ms: twice the time that it takes to serve the queue, within the bounds.
     fn retry_after_ms(&self) -> f64 {
         let queued_work_ms: f64 = self
             .queue
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -1,27 +1,27 @@
-//! The requests: what is known of each from its arrival until its last attempt has ended.
+//! The requests: the state of each from its arrival until its last attempt has ended.
 
 use super::health_checks::AwaitedHealthChecks;
 use super::{Dispatcher, EngineId, Millis, RequestId};
 
-/// Place of a request in the order of arrival, from 1.
+/// Position of a request in the order of arrival, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ArrivalNumber(u64);
 
 impl ArrivalNumber {
-    /// The next number, which is taken with that.
+    /// Advances to the next number and returns it.
     #[must_use]
     pub(super) fn take_next(&mut self) -> Self {
         self.0 += 1;
         *self
     }
 
-    /// Its bits, for hashes that break ties.
+    /// The number as bits, for hashes that break ties.
     pub(super) fn bits(self) -> u64 {
         self.0
     }
 }
 
-/// Threads on an attempt's engine as it was sent, the attempt included.
+/// Threads on an attempt's engine when the attempt was sent, the attempt included.
 #[derive(Clone, Copy)]
 pub(super) struct ThreadsAtStart {
     /// Threads of this manager's queries.
@@ -38,16 +38,17 @@
     pub(super) sent_at_ms: Millis,
     /// Its expected work over all threads, in ms.
     pub(super) work_ms: f64,
-    /// Its work as estimated, before any correction, in ms.
+    /// Its estimated work before any correction, in ms.
     pub(super) estimated_work_ms: f64,
     pub(super) threads_at_start: ThreadsAtStart,
-    /// Whether its cancellation was asked for.
+    /// Whether its cancellation was requested.
     pub(super) is_cancelling: bool,
     /// Whether its result streams to the client.
     pub(super) is_streaming: bool,
 }
 
-/// Where and when a request may have run first; engines drop its repeats from then on.
+/// Where and when a request may have run first. The time for which engines drop its repeats starts
+/// then.
 #[derive(Clone, Copy)]
 pub(super) struct FirstExecution {
     pub(super) zone: u8,
@@ -62,26 +63,29 @@
     pub(super) class: usize,
     /// Its order key; 0 for none.
     pub(super) order_key: u64,
-    /// When the latency objective begins: its arrival, or earlier where its client has waited before.
+    /// When the latency objective starts: at its arrival, or earlier if its client has already
+    /// waited.
     pub(super) objective_start_ms: Millis,
     /// When its client gives up.
     pub(super) deadline_ms: Millis,
-    /// Its work over all threads, if estimated.
+    /// The client's estimate of its work, summed over its threads, in ms.
     pub(super) estimated_work_ms: Option<f64>,
     pub(super) data_set: u32,
-    /// Its memory in MB, if estimated.
+    /// The client's estimate of its memory, in MB.
     pub(super) estimated_memory_mb: Option<f64>,
-    /// Attempts so far.
+    /// Attempts so far, without those that got no connection slot.
     pub(super) attempts: u32,
-    /// Attempts that it may have.
+    /// Most attempts that it may have.
     pub(super) max_attempts: u32,
-    /// Number of its next attempt; attempts that were never sent count here.
+    /// Number of its next attempt. Attempts that got no connection slot have numbers too.
     pub(super) next_attempt_number: u16,
     pub(super) in_flight: Option<InFlightAttempt>,
-    /// Answered, or its client has left; it is kept until its attempt has ended.
+    /// Whether it is answered or its client has disconnected; it is kept until its attempt has
+    /// ended.
     pub(super) is_finished: bool,
     pub(super) first_execution: Option<FirstExecution>,
-    /// Held back by its order key, its placement or a guard; others may pass it.
+    /// Whether no engine may run it now, because of its order key, its placement rules or another
+    /// rule. Requests behind it may overtake it.
     pub(super) is_blocked: bool,
     /// Engines that answered it with an error.
     pub(super) failed_on: Vec<EngineId>,
@@ -99,7 +103,7 @@
         attempt.filter(|attempt| attempt.number == number)
     }
 
-    /// Ends a request, without an action. Its attempt, if one is in flight, is counted until it has ended.
+    /// Ends a request without an action. An attempt in flight is counted until it has ended.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
