--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -1,4 +1,5 @@
-//! The end of an attempt: what it teaches of its engine and class, and what becomes of its request.
+//! The end of an attempt: the estimates of its engine and class are updated, and its request is
+//! finished, retried or ended.
 
 use super::concurrency_limit::{
     ENGINE_MIN_INTERVALS, FitRule, FitSample, INITIAL_THREADS_PER_CORE, POOLED_MIN_INTERVALS,
@@ -10,28 +11,29 @@
 };
 use super::{TICK_MS, class_statistics::MIN_WORK_MS};
 
-/// Least latency of an attempt that is learned from, in ms.
+/// Lower bound on the latency of an attempt in the estimates, in ms.
 const MIN_ELAPSED_MS: Millis = 0.1;
-/// Bounds of a log ratio of latency over work.
+/// Bounds on the natural logarithm of latency over work.
 const MIN_LOG_SLOWDOWN: f64 = -3.0;
 const MAX_LOG_SLOWDOWN: f64 = 5.0;
-/// A giant's time counts for so many times its usual time in the fit.
+/// Upper bound on the thread time of a very long attempt in the fits, in multiples of the usual
+/// thread time for its work.
 const MAX_FIT_TIME_MULTIPLE: f64 = 4.0;
 
-/// A served attempt, and what is needed to learn from it.
+/// An ended attempt, with the values from which the estimates are updated.
 struct AttemptMeasurements {
     attempt: InFlightAttempt,
     class: usize,
-    /// Whether the client estimated its work.
+    /// Whether the client sent an estimate of its work.
     has_estimate: bool,
     elapsed_ms: Millis,
-    /// The work it needed, where answers tell that.
+    /// The work that it needed in ms, if the engine reported it.
     measured_work_ms: Option<f64>,
-    /// Threads a core on its engine, 1 at least.
+    /// Threads per core on its engine, at least 1.
     crowding: f64,
 }
 
-/// Whether the engine may have run the attempt.
+/// Whether the engine may have run an attempt with this outcome.
 fn may_have_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -39,13 +41,14 @@
     )
 }
 
-/// A measured figure, if it is finite and above 0.
+/// Returns the value if it is finite and above 0.
 fn positive(value: Option<f64>) -> Option<f64> {
     value.filter(|value| value.is_finite() && *value > 0.0)
 }
 
 impl Dispatcher {
-    /// Takes the end of an attempt: its request is finished, waits for a retry, or gets its final answer.
+    /// Handles the end of an attempt: its request is finished, waits for a retry, or gets its final
+    /// answer.
     pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         let id = ended.id;
         let crowding = self.crowding(ended.engine);
@@ -72,7 +75,7 @@
         if is_finished || ended.outcome == Outcome::Ok {
             return self.finish(id);
         }
-        // It keeps its place in the order of arrival.
+        // The request keeps its arrival number, and so its position in the queue.
         self.queue.insert(arrival_number, id);
         if let Some(reason) = self.reason_to_end(id, ended.outcome) {
             return self.reject_or_fail(id, reason, actions);
@@ -80,7 +83,8 @@
         self.send_health_checks(id, actions);
     }
 
-    /// Why a request whose attempt ended this way gets no other one; none where it waits for a retry.
+    /// The reason to end a request after an attempt with this outcome; `None` if it waits for a
+    /// retry.
     fn reason_to_end(&self, id: RequestId, outcome: Outcome) -> Option<EndReason> {
         if outcome == Outcome::NotSent {
             return Some(EndReason::NotSent);
@@ -91,7 +95,7 @@
         self.cannot_meet_deadline(id).then_some(EndReason::TooLate)
     }
 
-    /// Threads a core on an engine, 1 at least.
+    /// Threads per core on an engine, at least 1.
     fn crowding(&self, engine_id: EngineId) -> f64 {
         self.engines.get(&engine_id).map_or(1.0, |engine| {
             (self.load(engine) / self.cores(engine)).max(1.0)
@@ -111,7 +115,8 @@
         }
     }
 
-    /// Takes an ended attempt off its engine, and notes where the request may have run first.
+    /// Removes an ended attempt from its engine, and records where and when the request may have
+    /// run first.
     fn release_engine(&mut self, id: RequestId, attempt: &InFlightAttempt, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Lets the request's order key rest, where the attempt may still run.
+    /// Pauses the request's order key if the attempt may still run.
     fn pause_order_key(&mut self, id: RequestId, outcome: Outcome) {
         if may_have_run(outcome) && outcome != Outcome::Error {
             let order_key = self.requests[&id].order_key;
@@ -141,7 +146,7 @@
         }
     }
 
-    /// What the outcome tells of the engine.
+    /// Updates the health and the estimates of the attempt's engine by the outcome.
     fn apply_outcome(
         &mut self,
         id: RequestId,
@@ -181,7 +186,10 @@
         }
     }
 
-    /// The attempt was none. An engine with a query has a connection; for a tick no other engine is reached.
+    /// Handles an attempt that got no connection slot, which does not count as an attempt.
+    ///
+    /// For one tick, its engine and all engines without an attempt in flight get nothing new. An
+    /// engine with an attempt in flight has a connection already.
     fn on_no_connection_slot(&mut self, id: RequestId, engine_id: EngineId) {
         let until_ms = self.now_ms + TICK_MS;
         for engine in self.engines.values_mut() {
@@ -194,7 +202,8 @@
         }
     }
 
-    /// Learns from a served attempt: the class's work, the engine's latency, the output of the fits' intervals.
+    /// Updates the estimates from a served attempt: its class's work, the slowdown of its engine
+    /// and of all engines, and the throughput in the fits of the concurrency limit.
     fn record_measurements(&mut self, measurements: &AttemptMeasurements) {
         if !measurements.elapsed_ms.is_finite() {
             return;
@@ -208,11 +217,13 @@
         let log_slowdown = (thread_time_ms / work_ms.max(MIN_WORK_MS))
             .ln()
             .clamp(MIN_LOG_SLOWDOWN, MAX_LOG_SLOWDOWN);
-        // A served query's estimate counts: anyone may send one, but engines serve no nonsense.
+        // Clients may send any estimate, but engines serve no nonsense queries: the estimate of a
+        // served query is used.
         let statistics = &mut self.class_statistics[measurements.class];
         if measurements.has_estimate {
             statistics.record_work(attempt.estimated_work_ms);
-            // Measured work tells the estimate's error, else latency against all others'.
+            // The error of the estimate comes from the measured work, or without it from the
+            // latency compared with that of all attempts.
             let excess_log_slowdown = log_slowdown - self.slowdown.log_ratio();
             let log_error = measured_work_ms.map_or(excess_log_slowdown, |measured| {
                 (measured / attempt.estimated_work_ms).ln()
@@ -231,9 +242,11 @@
         }
     }
 
-    /// Adds a served attempt to its engine's fit, and to one pooled over all engines for those with few of their own.
+    /// Adds a served attempt to the fit of its engine, and to the pooled fit over all engines,
+    /// which is used for engines with few attempts of their own.
     ///
-    /// It adds the threads while it ran and their output; an attempt without an answer leaves no trace.
+    /// The sample holds the threads while the attempt ran, its thread time and its work. An attempt
+    /// without an answer is not added.
     fn add_to_limit_fits(
         &mut self,
         measurements: &AttemptMeasurements,
--- a/src/decision/class_statistics.rs
+++ b/src/decision/class_statistics.rs
@@ -1,33 +1,40 @@
-//! What is learned of a class of requests: its work, its clients' patience, and the error of its estimates.
+//! Statistics of a class of requests: its mean work, the longest time to the deadline, and the
+//! error of its clients' estimates.
 
 use super::{Class, Dispatcher, Millis, QueuedRequest};
 
-/// Gain of one outcome in a class's mean work; a class's work is steadier than an engine's latency.
+/// Weight of one query in the moving mean of a class's work. A class's work varies less over time
+/// than an engine's latency.
 pub(super) const WORK_GAIN: f64 = 0.03;
-/// A class's work over its threads before any is seen, in shares of its latency objective.
+/// Assumed run time of a query before one is served, as a share of its class's latency objective.
 const INITIAL_WORK_SHARE: f64 = 0.5;
-/// Least mean work in ms, before any is seen.
+/// Lower bound on the assumed mean work before a query is served, in ms.
 const MIN_INITIAL_WORK_MS: f64 = 1.0;
-/// A rare giant counts as this many usual queries in the mean.
+/// Upper bound on one query's work in the moving mean, in multiples of that mean. It limits the
+/// effect of a rare very large query.
 const MAX_WORK_MULTIPLE: f64 = 20.0;
-/// Least work that a request counts for, in ms.
+/// Lower bound on the expected work of a request, in ms.
 pub(super) const MIN_WORK_MS: f64 = 0.1;
-/// Log ratio; spread of an estimate until some are seen. An e-fold error is at twice that.
+/// Initial spread of an estimate's error, as a log ratio. An error by a factor of e is at twice
+/// this spread.
 const INITIAL_SPREAD: f64 = 0.5;
-/// Log ratio an outcome; the estimator follows within some twenty outcomes.
+/// Smallest step of the median per sample, as a log ratio. The estimator follows a change within
+/// about 20 samples.
 const ESTIMATOR_STEP: f64 = 0.03;
-/// Change of the spread, in steps; half up and half down keeps it at the median.
+/// Change of the spread per sample, as a share of the step. As it is equal in both directions, half
+/// of the samples stay within the spread.
 const SPREAD_STEP_SHARE: f64 = 0.5;
-/// Least spread, as a log ratio.
+/// Lower bound on the spread, as a log ratio.
 const MIN_SPREAD: f64 = 0.02;
-/// Samples from which an estimate is used.
+/// Number of samples from which an estimate is used.
 pub(super) const MIN_SAMPLES: u32 = 5;
 
-/// Median and spread of a log ratio, followed by steps of equal size, so that no tail of giants moves them.
+/// Running median and spread of a log ratio. A sample moves them by at most one step, so that rare
+/// extreme samples have little effect.
 #[derive(Clone)]
 pub(super) struct LogRatioEstimator {
     median: f64,
-    /// Half of all ratios lie within it.
+    /// Median absolute deviation: half of all samples are within this distance of the median.
     spread: f64,
     samples: u32,
 }
@@ -41,12 +48,12 @@
         }
     }
 
-    /// The median log ratio.
+    /// The median of the log ratio.
     pub(super) fn median(&self) -> f64 {
         self.median
     }
 
-    /// The half-spread of the log ratio.
+    /// The spread of the log ratio: the median absolute deviation.
     pub(super) fn spread(&self) -> f64 {
         self.spread
     }
@@ -56,7 +63,7 @@
         self.samples >= MIN_SAMPLES
     }
 
-    /// Takes one log ratio.
+    /// Adds one sample.
     pub(super) fn record(&mut self, log_ratio: f64) {
         self.samples = self.samples.saturating_add(1);
         let step = ESTIMATOR_STEP.max(INITIAL_SPREAD / f64::from(self.samples));
@@ -71,21 +78,21 @@
     }
 }
 
-/// What was learned of one class.
+/// Statistics of one class.
 #[derive(Clone)]
 pub(super) struct ClassStatistics {
     mean_work_ms: f64,
     samples: u32,
     longest_time_to_deadline_ms: Millis,
-    /// Error of the memory estimates: measured over estimated.
+    /// Error of the memory estimates: log ratio of measured over estimated memory.
     pub(super) memory_error: LogRatioEstimator,
-    /// Error of the work estimates: measured over estimated work, or latency over the usual one where no work is
-    /// measured.
+    /// Error of the work estimates: log ratio of measured over estimated work, or of latency over
+    /// the usual latency where no work is measured.
     pub(super) work_error: LogRatioEstimator,
 }
 
 impl ClassStatistics {
-    /// Statistics of a class of which nothing was seen.
+    /// Initial statistics of a class, before its first request.
     pub(super) fn new(class: &Class) -> Self {
         let work = class.latency_objective_ms * INITIAL_WORK_SHARE * f64::from(class.threads);
         ClassStatistics {
@@ -97,12 +104,12 @@
         }
     }
 
-    /// Mean work of a query over all its threads, in ms.
+    /// Mean work of a query, summed over its threads, in ms.
     pub(super) fn mean_work_ms(&self) -> f64 {
         self.mean_work_ms
     }
 
-    /// Takes one query's work into the mean.
+    /// Adds one query's work to the mean.
     pub(super) fn record_work(&mut self, work_ms: f64) {
         self.samples += 1;
         let gain = WORK_GAIN.max(1.0 / f64::from(self.samples));
@@ -110,7 +117,8 @@
         self.mean_work_ms += gain * (bounded_work_ms - self.mean_work_ms);
     }
 
-    /// Takes the time that a client had left on arrival, and returns the longest seen, in ms.
+    /// Records the time to the deadline that a request had on arrival, and returns the longest so
+    /// far, in ms.
     pub(super) fn record_time_to_deadline(&mut self, time_to_deadline_ms: Millis) -> Millis {
         self.longest_time_to_deadline_ms =
             self.longest_time_to_deadline_ms.max(time_to_deadline_ms);
@@ -119,12 +127,13 @@
 }
 
 impl Dispatcher {
-    /// Threads that a query of the class runs on.
+    /// Number of threads that run a query of the class.
     pub(super) fn threads(&self, class: usize) -> f64 {
         f64::from(self.settings.classes[class].threads)
     }
 
-    /// A request's work in ms: its estimate, corrected where answers tell the error, else its class's mean.
+    /// Expected work of a request in ms: the client's estimate, or without one the mean of its
+    /// class. The estimate is corrected by its median error where engines report measured work.
     pub(super) fn expected_work_ms(&self, request: &QueuedRequest) -> f64 {
         let statistics = &self.class_statistics[request.class];
         let error = if self.work_is_measured && statistics.work_error.is_established() {
