--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -1,56 +1,61 @@
-//! The concurrency limit of an engine: a bound on threads at the peak of a fading parabola fit.
+//! The concurrency limit of an engine: an upper bound on its threads, at the peak of a parabola
+//! that is fitted to the engine's throughput.
 //!
-//! After Heiss and Wagner, "Adaptive Load Control in Transaction Processing Systems". The served work is fitted against
-//! the running threads; `docs/design.md` describes the method.
+//! The method follows Heiss and Wagner, "Adaptive Load Control in Transaction Processing Systems".
+//! Throughput is fitted against the number of running threads, and older intervals lose weight
+//! exponentially. `docs/design.md` describes the method.
 
 use super::{Dispatcher, Engine, Millis};
 
-/// Outcomes that close an interval. Not a hundred: an engine gives one workload manager some ten a second.
+/// Minimum number of attempts in an interval. 100 would be too many, because an engine serves about
+/// 10 attempts per second for one workload manager.
 const MIN_INTERVAL_OUTCOMES: u32 = 25;
 /// Shortest interval in ms, as in the design.
 const MIN_INTERVAL_MS: f64 = 1000.0;
-/// Share of its weight that an old interval keeps with each new one: about twenty are remembered.
+/// Share of its weight that an old interval keeps with each new one. The fit covers about 20
+/// intervals.
 const INTERVAL_DECAY: f64 = 0.95;
-/// Faded intervals before an engine's own fit is used: fewer fit any noise.
+/// Total weight of the intervals from which an engine's own fit is used. With fewer intervals, the
+/// parabola would follow noise.
 pub(super) const ENGINE_MIN_INTERVALS: f64 = 8.0;
 /// The same for the fit over all engines, whose intervals span many engines.
 pub(super) const POOLED_MIN_INTERVALS: f64 = 3.5;
-/// Determinant over the product of its diagonal below which a fit counts as singular.
+/// A fit is singular if its determinant, divided by the product of its diagonal, is at most this.
 const SINGULAR_DETERMINANT: f64 = 1e-5;
-/// Least time of an interval in ms, against division by zero.
+/// Lower bound on the thread time of an interval in ms, which prevents a division by zero.
 const MIN_INTERVAL_THREAD_TIME_MS: f64 = 1e-9;
-/// Threads a core at the start, as in the design.
+/// Initial concurrency limit in threads per core, as in the design.
 pub(super) const INITIAL_THREADS_PER_CORE: f64 = 2.0;
-/// The limit's lower bound, in shares of its start value.
+/// Lower bound on the limit, as a share of its initial value.
 const MIN_LIMIT_SHARE: f64 = 0.5;
-/// The limit's upper bound, in multiples of its start value.
+/// Upper bound on the limit, in multiples of its initial value.
 const MAX_LIMIT_MULTIPLE: f64 = 4.0;
 
-/// One served attempt, as the fit takes it.
+/// One served attempt, as input to a fit.
 pub(super) struct FitSample {
-    /// Mean threads while it ran, against the start value.
+    /// Mean number of threads while it ran, divided by the initial limit.
     pub(super) threads_ratio: f64,
-    /// Time of its threads, in ms.
+    /// Its latency multiplied by its threads, in ms.
     pub(super) thread_time_ms: f64,
     /// Its work, in ms.
     pub(super) work_ms: f64,
 }
 
-/// How a fit sets the limit anew.
+/// How a fit updates the limit.
 pub(super) struct FitRule {
-    /// Faded intervals before the fit is used.
+    /// Total weight of the intervals from which the fit is used.
     pub(super) min_intervals: f64,
-    /// Change of the limit where the parabola has no peak, in shares of the start value.
+    /// Change of the limit where the parabola has no peak, as a share of the initial limit.
     pub(super) step: f64,
 }
 
-/// Sums of the interval that is still open.
+/// Sums over the interval that is still open.
 #[derive(Default)]
 struct OpenInterval {
     thread_time_ms: f64,
-    /// Thread time, each part multiplied by the threads' ratio.
+    /// Sum of thread time multiplied by the threads ratio of its attempt.
     weighted_thread_time: f64,
-    /// Work, each part multiplied by the threads' ratio.
+    /// Sum of work multiplied by the threads ratio of its attempt.
     weighted_work: f64,
     outcomes: u32,
     started_at_ms: Millis,
@@ -82,12 +87,12 @@
     curvature: f64,
 }
 
-/// Faded moments of pairs of threads and served work, the open interval, and the limit that follows from them.
+/// The sums for a fit of throughput against threads, the open interval, and the resulting limit.
 #[derive(Default)]
 pub(super) struct ParabolaFit {
-    /// Faded sums of the powers 0 to 4 of the threads' ratio.
+    /// Weighted sums of the powers 0 to 4 of the threads ratio.
     thread_powers: [f64; 5],
-    /// Faded sums of the powers 0 to 2 of the threads' ratio, each times the served work.
+    /// Weighted sums of the powers 0 to 2 of the threads ratio, each multiplied by the throughput.
     work_moments: [f64; 3],
     interval: OpenInterval,
     initial_limit: f64,
@@ -97,7 +102,7 @@
 }
 
 impl ParabolaFit {
-    /// A fit without samples, whose limit is `start` threads.
+    /// Creates a fit without samples, whose limit is `initial_limit`.
     pub(super) fn new(initial_limit: f64, now_ms: Millis) -> Self {
         ParabolaFit {
             interval: OpenInterval::starting_at(now_ms),
@@ -108,17 +113,18 @@
         }
     }
 
-    /// The start value, in threads.
+    /// The initial limit.
     pub(super) fn initial_limit(&self) -> f64 {
         self.initial_limit
     }
 
-    /// The concurrency limit, in the unit of the start value.
+    /// The concurrency limit, in the same unit as the initial limit.
     pub(super) fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Adds a served attempt. A full interval fades the earlier ones and sets the limit anew.
+    /// Adds a served attempt. At the end of an interval, older intervals lose weight and the limit
+    /// is updated.
     pub(super) fn add_sample(&mut self, sample: &FitSample, rule: &FitRule, now_ms: Millis) {
         self.interval.add(sample);
         if !self.interval.is_full(now_ms) {
@@ -166,14 +172,16 @@
             self.limit = peak.clamp(self.initial_limit * MIN_LIMIT_SHARE, max_limit);
             return;
         }
-        // Without a peak: step on in the direction that last raised the output, never below the start.
+        // Without a peak, the limit moves one step in the direction that last raised the
+        // throughput, but never below the initial limit.
         self.stepping_up = self.stepping_up == throughput_rose;
         let signed_step = if self.stepping_up { step } else { -step };
         self.limit =
             (self.limit + signed_step * self.initial_limit).clamp(self.initial_limit, max_limit);
     }
 
-    /// The least-squares parabola by Cramer's rule; none where the samples lie too close together.
+    /// Solves for the least-squares parabola by Cramer's rule; returns `None` where the samples are
+    /// too close together.
     fn solve(&self) -> Option<Parabola> {
         let [s0, s1, s2, s3, s4] = self.thread_powers;
         let [t0, t1, t2] = self.work_moments;
@@ -194,14 +202,16 @@
 }
 
 impl Dispatcher {
-    /// Whether a class's threads fit under the engine's limit.
+    /// Whether one more query of the class stays within the engine's concurrency limit.
     ///
-    /// Where this manager's share of an engine is less than the widest query, its threads on all engines have to fit
-    /// under all their limits, or the engine's reported threads under all managers' limits: a manager that holds back
-    /// everything gets no more news (ecd87ede).
+    /// If this manager's share of the engine is smaller than a query of the widest class, one of
+    /// two other limits must hold as well: its threads on all engines stay within the sum of its
+    /// limits, or the engine's reported threads stay within the limit for all managers. A manager
+    /// that sends no queries would get no new information about the engines (ecd87ede).
     pub(super) fn within_concurrency_limit(&self, class: usize, engine: &Engine) -> bool {
         let threads = self.threads(class);
-        // Busy cores say nothing of queries that wait there for memory or a load: only counts will do.
+        // The share of busy cores does not show queries that wait for memory or for a bulk load, so
+        // only reported counts are used.
         let all_managers_limit =
             INITIAL_THREADS_PER_CORE * self.pooled_limit.limit() * self.cores(engine);
         let within_reported_limit =
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -1,30 +1,33 @@
-//! Load estimates: threads that run on each engine, own and others', from its load reports.
+//! Load estimates: the threads that run on each engine, for this manager and, by load reports, for
+//! the other managers.
 
 use super::concurrency_limit::INITIAL_THREADS_PER_CORE;
 use super::health_checks::HEALTH_CHECK_INTERVAL_MS;
 use super::slowdown::{LATENCY_GAIN, PRESSURE_BUSY_SHARE};
 use super::{Dispatcher, Engine, EngineId, LoadReport, Millis, class_statistics::WORK_GAIN};
 
-/// Gain of one report; reports are noisy, and refreshed a few times a second.
+/// Weight of one report in a moving mean. Reports are noisy, and refreshed a few times per second.
 const REPORT_GAIN: f64 = 0.3;
-/// Time constant in ms with which a report fades into the fleet's mean.
+/// Time constant in ms with which an engine's estimate decays from its last report to the fleet's
+/// mean.
 const REPORT_DECAY_MS: Millis = 2000.0;
 
-/// Gain that forgets more the longer the last report is ago.
+/// Weight of a new report in a moving mean: it rises with the age of the last report, and is at
+/// least `min_gain`.
 fn aged_gain(min_gain: f64, age_ms: Millis, time_constant_ms: Millis) -> f64 {
     min_gain.max(1.0 - (-age_ms / time_constant_ms).exp())
 }
 
-/// A reported figure, if it is finite and not negative.
+/// Returns the value if it is finite and not negative.
 fn non_negative(value: Option<f64>) -> Option<f64> {
     value.filter(|value| value.is_finite() && *value >= 0.0)
 }
 
-/// What one engine's load reports tell.
+/// Load of one engine, from its load reports.
 pub(super) struct EngineLoad {
-    /// Threads of other managers' queries, as a moving mean.
+    /// Moving mean of the threads of other managers' queries.
     other_threads: f64,
-    /// Share of its cores busy, as a moving mean.
+    /// Moving mean of the share of its cores that is busy.
     busy_share: f64,
     last_report_at_ms: Millis,
 }
@@ -40,7 +43,7 @@
 }
 
 impl EngineLoad {
-    /// The share of its cores busy.
+    /// The share of its cores that is busy.
     pub(super) fn busy_share(&self) -> f64 {
         self.busy_share
     }
@@ -50,25 +53,26 @@
         now_ms - self.last_report_at_ms
     }
 
-    /// How much its last report still tells, from 1 down to 0; the rest is the fleet's mean.
+    /// Weight of its last report, which decays from 1 to 0; the rest of the weight is on the
+    /// fleet's mean.
     pub(super) fn report_weight(&self, now_ms: Millis) -> f64 {
         (-(now_ms - self.last_report_at_ms) / REPORT_DECAY_MS).exp()
     }
 
-    /// Takes the engine for crowded: others run this many threads there at least.
+    /// Marks the engine as saturated: raises the threads of other managers to this number at least.
     fn mark_saturated(&mut self, threads: f64, now_ms: Millis) {
         self.other_threads = self.other_threads.max(threads);
         self.last_report_at_ms = now_ms;
     }
 
-    /// Forgets the load, but not when it was last reported.
+    /// Clears the load, but keeps the time of the last report.
     pub(super) fn clear_load(&mut self) {
         self.other_threads = 0.0;
         self.busy_share = 0.0;
     }
 }
 
-/// Mean load of the warm engines by other managers' queries.
+/// Moving mean of the load that other managers' queries put on the engines that have warmed up.
 #[derive(Default)]
 pub(super) struct FleetLoad {
     threads_per_core: f64,
@@ -84,17 +88,17 @@
     }
 }
 
-/// Threads that a query runs on, as a mean over the time of this manager's queries.
+/// Mean threads of this manager's queries, weighted by their run time.
 #[derive(Default)]
 pub(super) struct ThreadsPerQuery {
-    /// Faded sum of threads times time.
+    /// Exponentially decaying sum of threads multiplied by run time.
     thread_time_ms: f64,
-    /// Faded sum of time.
+    /// Exponentially decaying sum of run time.
     time_ms: f64,
 }
 
 impl ThreadsPerQuery {
-    /// Takes a query that is sent.
+    /// Adds a query that is sent.
     pub(super) fn record(&mut self, threads: f64, time_ms: f64) {
         self.thread_time_ms += time_ms * threads - WORK_GAIN * self.thread_time_ms;
         self.time_ms += time_ms - WORK_GAIN * self.time_ms;
@@ -110,7 +114,8 @@
 }
 
 impl Dispatcher {
-    /// Threads on an engine: own ones, and others' as reported. With no reports, only latency tells of others'.
+    /// Estimated threads on an engine: those of this manager, and those of others by load reports.
+    /// Without reports, the load of others shows only in the latency.
     pub(super) fn load(&self, engine: &Engine) -> f64 {
         let fleet_threads = if engine.is_warm(self.now_ms) {
             self.fleet_load.threads_per_core * self.cores(engine)
@@ -123,7 +128,7 @@
             + (engine.load.other_threads - fleet_threads) * weight
     }
 
-    /// Takes an engine for crowded, as a report of it would.
+    /// Marks an engine as saturated, as a load report of it would.
     pub(super) fn mark_saturated(&mut self, engine_id: EngineId) {
         if let Some(engine) = self.engines.get_mut(&engine_id) {
             let threads = engine.warm_cores * INITIAL_THREADS_PER_CORE * self.pooled_limit.limit();
@@ -131,9 +136,10 @@
         }
     }
 
-    /// Takes an engine's load report.
+    /// Handles a load report of an engine.
     pub(super) fn on_load_report(&mut self, engine_id: EngineId, report: LoadReport) {
-        // Hung queries hold memory while cores and disks idle: their engine must not look free (29742104).
+        // Hung queries hold memory while cores and disks are idle. The share of granted memory
+        // keeps such an engine from seeming idle (29742104).
         let shares = [report.cpu_busy, report.disk_busy, report.memory_granted];
         let highest_share = shares.into_iter().filter_map(non_negative).reduce(f64::max);
         let threads_per_query = self.threads_per_query.mean();
@@ -145,7 +151,9 @@
         let counted_threads = non_negative(report.inflight)
             .map(|queries| (queries - engine.running.len() as f64) * threads_per_query);
         self.reports_count_queries |= counted_threads.is_some();
-        // Busy cores or disks stand in for threads; at the ceiling, where more do not show, for all that fit.
+        // Without a count, the highest share replaces the threads per core. From the pressure
+        // threshold on, where further threads do not raise it, the engine counts as filled to its
+        // limit.
         let threads_from_busy_share = highest_share.map(|busy| {
             let per_core = if busy < PRESSURE_BUSY_SHARE {
                 busy
@@ -163,13 +171,14 @@
         if self.settings.instances > 1 {
             let other_threads = other_threads.max(0.0);
             engine.load.other_threads += gain * (other_threads - engine.load.other_threads);
-            // An engine that has just started answers soonest, and would hide the crowded ones.
+            // An engine that has just started answers soonest, and would hide the load of the
+            // others in the mean.
             if engine.is_warm(self.now_ms) {
                 let per_core = other_threads / engine.warm_cores;
                 self.fleet_load.record(per_core, self.now_ms);
             }
         }
-        // Where queries are counted, the other shares tell nothing more.
+        // With a count of queries, the shares of disks and memory add no information.
         let busy = if counted_threads.is_some() {
             non_negative(report.cpu_busy)
         } else {
