--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -1,16 +1,19 @@
-//! The queue and its dispatch: waiting requests leave oldest first, each to the engine that costs least.
+//! Dispatch of the queue: waiting requests are sent oldest first, each to the engine with the
+//! lowest placement cost.
 
 use super::requests::{InFlightAttempt, QueuedRequest, ThreadsAtStart};
 use super::{Action, Dispatcher, Engine, EngineId, RequestId};
 
-/// Half-spreads over the usual memory that are granted: four in five queries do not spill.
+/// Memory grant above the median need, in spreads of the estimates' error (median absolute
+/// deviations). With it, four in five queries do not spill to disk.
 const MEMORY_GRANT_SPREADS: f64 = 1.3;
-/// The usual priority of an attempt.
+/// Default priority of an attempt.
 const DEFAULT_PRIORITY: u8 = 1;
 
 impl Dispatcher {
-    /// Sends waiting requests while the oldest one fits. Those held back by their order key, their placement or a guard
-    /// are passed by.
+    /// Sends waiting requests, oldest first, until one finds no engine with capacity or waits for
+    /// health checks. Requests that no engine may run now, because of their order key, placement
+    /// rules or another rule, are skipped.
     pub(super) fn dispatch_queue(&mut self, actions: &mut Vec<Action>) {
         let waiting: Vec<RequestId> = self.queue.values().copied().collect();
         for id in waiting {
@@ -33,7 +36,7 @@
         }
     }
 
-    /// The engines that the rules let a request go to now, whether they have capacity or not.
+    /// The engines on which the rules allow a request now, with or without capacity.
     fn candidates(&self, id: RequestId, request: &QueuedRequest) -> Vec<&Engine> {
         let may_start = request.attempts == 0 || self.within_retry_budget() && self.may_resend(id);
         if !may_start || !self.is_next_for_order_key(id, request) {
@@ -46,7 +49,8 @@
             .collect()
     }
 
-    /// The engine with capacity where the request costs least. The concurrency limit binds only under pressure.
+    /// The engine with capacity that has the lowest placement cost for the request. The concurrency
+    /// limit applies only to engines under pressure.
     fn cheapest_engine(&self, request: &QueuedRequest, candidates: &[&Engine]) -> Option<EngineId> {
         let affinity = self.affinity_engines(request);
         candidates
@@ -108,7 +112,7 @@
         });
     }
 
-    /// Counts an attempt on its engine.
+    /// Counts an attempt on its engine, and returns the threads there.
     fn occupy_engine(
         &mut self,
         id: RequestId,
@@ -135,7 +139,8 @@
         })
     }
 
-    /// Memory in MB that a request is granted, where engines heed it and the error of the estimates is known.
+    /// Memory grant of a request in MB, if engines support grants and the error of the estimates is
+    /// known.
     fn memory_grant_mb(&self, class: usize, estimated_memory_mb: Option<f64>) -> Option<f64> {
         let error = &self.class_statistics[class].memory_error;
         let estimated_mb = estimated_memory_mb?;
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -1,4 +1,4 @@
-//! The engines: what is known of each, and how the endpoint list and manual ejections change it.
+//! The engines: the state of each, and how the endpoint list and manual ejections change it.
 
 use super::concurrency_limit::{INITIAL_THREADS_PER_CORE, ParabolaFit};
 use super::health_checks::FailureDetector;
@@ -15,17 +15,17 @@
 pub(super) struct Engine {
     /// Its latest entry in the endpoint list.
     pub(super) entry: EngineEntry,
-    /// Cores when warm.
+    /// Cores after it has warmed up.
     pub(super) warm_cores: f64,
-    /// This manager's share of the concurrency limit's start value, in threads.
+    /// This manager's share of the initial concurrency limit, in threads.
     pub(super) share_threads: f64,
-    /// Threads of this manager's queries that run there.
+    /// Threads of this manager's queries that run on it.
     pub(super) own_threads: u32,
-    /// The requests whose attempts run there.
+    /// The requests whose attempts run on it.
     pub(super) running: BTreeSet<RequestId>,
     /// Hash of its id.
     pub(super) hash: u64,
-    /// Whether staff have ejected it.
+    /// Whether the on-call staff have ejected it.
     pub(super) is_manually_ejected: bool,
     pub(super) slow_start: SlowStart,
     pub(super) limit: ParabolaFit,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Forgets what was learned of the incarnation before, and starts slowly.
+    /// Discards the estimates of the engine's previous incarnation, and begins a slow start.
     fn reset_after_start(
         &mut self,
         started_at_ms: Millis,
@@ -64,17 +64,17 @@
         self.outlier.clear_errors();
     }
 
-    /// Whether it has its whole capacity.
+    /// Whether it has warmed up, so that its whole capacity is available.
     pub(super) fn is_warm(&self, now_ms: Millis) -> bool {
         self.slow_start.is_warm(now_ms)
     }
 
-    /// Whether it is listed as ready and not ejected by staff.
+    /// Whether it is listed as ready and not manually ejected.
     pub(super) fn is_usable(&self) -> bool {
         self.entry.state == EngineState::Ready && !self.is_manually_ejected
     }
 
-    /// Whether a failure or an ejection keeps it from new work now.
+    /// Whether it gets no new requests now, after a failure or as an ejected outlier.
     pub(super) fn is_paused(&self, now_ms: Millis) -> bool {
         let unavailable_until_ms = self.failures.unavailable_until_ms();
         now_ms < unavailable_until_ms.max(self.outlier.ejected_until_ms())
@@ -82,7 +82,7 @@
 }
 
 impl Dispatcher {
-    /// Takes an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(super) fn on_endpoint_list(&mut self, kind: ListUpdateKind, entries: Vec<EngineEntry>) {
         match kind {
             ListUpdateKind::PollFailed => {
@@ -130,7 +130,8 @@
         engine.entry = entry;
     }
 
-    /// Cores of an engine: those of its machine type, else its listed size.
+    /// Cores of an engine: those of its machine type if the settings have them, else its listed
+    /// size.
     fn listed_cores(&self, entry: &EngineEntry) -> f64 {
         let machine_type = usize::from(entry.machine_type);
         let cores = self.settings.machine_type_cores.get(machine_type).copied();
@@ -142,9 +143,11 @@
         cores.filter(|cores| *cores > 0.0).unwrap_or(listed_size)
     }
 
-    /// Takes a manual ejection or its end. No list, address or start of the engine undoes an ejection.
+    /// Applies a manual ejection or its end. Neither an update of the endpoint list, nor a reuse of
+    /// the address, nor a start of the engine ends a manual ejection.
     ///
-    /// An engine that is given back starts slowly: it was restarted meanwhile, and the list names that late or never.
+    /// An engine that is returned to service begins a slow start: it was restarted during the
+    /// ejection, and the endpoint list reports the restart late or never.
     pub(super) fn on_manual_ejection(&mut self, id: EngineId, is_ejected: bool, at_ms: Millis) {
         let has_changed = if is_ejected {
             self.manual_ejections.insert(id)
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Forgets the engines that are gone from the list and run nothing any more.
+    /// Drops the engines that are removed from the list and have no running attempt.
     pub(super) fn drop_removed_engines(&mut self) {
         self.engines.retain(|_, engine| {
             engine.entry.state != EngineState::Removed || !engine.running.is_empty()
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -1,37 +1,41 @@
-//! Engine selection: which engines may run a request, and what a placement there costs.
+//! Engine selection: which engines may run a request, and what it costs to place it on each.
 
 use super::{DedupScope, Dispatcher, Engine, EngineId, Idempotency, LoadReportMode};
 use super::{hash::mix, requests::QueuedRequest};
 
-/// Cost of an engine that keeps the data set warm, against 1: it is worth some crowding.
+/// Cost factor of the first affinity engine, against 1 for other engines. A data set in the
+/// engine's cache outweighs a somewhat higher load.
 const AFFINITY_COST: f64 = 0.75;
-/// Threads a core added to the load; keeps nearly empty engines alike.
+/// Threads per core that are added to the load, so that nearly idle engines cost about the same.
 const BASE_THREADS_PER_CORE: f64 = 0.3;
-/// Largest tie-breaking part of the cost, so that managers and requests break ties differently.
+/// Upper bound on the part of the cost that breaks ties, differently for each manager and request.
 const MAX_TIE_BREAK_COST: f64 = 0.02;
-/// Values of a tie-breaking hash: the bits of a double's mantissa.
+/// Right shift of a tie-breaking hash, and the number of bits that remain: as many as the mantissa
+/// of an `f64` has.
 const TIE_HASH_SHIFT: u32 = 11;
 const TIE_HASH_BITS: i32 = 53;
-/// Engines that all managers prefer for a data set, by its hash.
+/// Number of engines that all managers prefer for a data set, ranked by hash.
 const AFFINITY_ENGINES: usize = 4;
-/// One engine in so many takes the bulk loads of a data set, the others its readers.
+/// One engine in this many takes the bulk loads of a data set, the others its readers.
 const BULK_LOAD_ENGINE_DIVISOR: u64 = 4;
-/// Rotations that make independent hashes of one engine's.
+/// Bit rotations that derive independent hashes from the hash of an engine.
 const BULK_LOAD_ROTATION: u32 = 17;
 const MANAGER_ROTATION: u32 = 11;
-/// Cost factor where a bulk load and its readers could meet: standing still costs.
+/// Cost factor where a bulk load and its readers could meet, because the readers would wait.
 const SEPARATION_COST: f64 = 4.0;
-/// Cost factor where a bulk load would stand still behind another one.
+/// Cost factor where a bulk load would wait for another one of its data set.
 const OCCUPIED_COST: f64 = 3.0;
-/// Cost factor where another manager's bulk loads of the data set may be.
+/// Cost factor where another manager's bulk loads of the data set may run.
 const OTHER_MANAGER_COST: f64 = 1.3;
-/// Cost factor where crossing zones costs: an equal engine in the own zone wins.
+/// Cost factor of an engine in another zone if cross-zone attempts have a cost. Of two equal
+/// engines, the one in this manager's zone is chosen.
 const CROSS_ZONE_COST: f64 = 1.25;
-/// Cost factor at errors only: an engine that fails at once looks free.
+/// Addition to the cost factor of an engine that answers only with errors, and of one that failed
+/// the same request. An engine that fails queries at once would otherwise seem idle.
 const ERROR_COST: f64 = 4.0;
 
 impl Dispatcher {
-    /// Whether the rules and the engine's health let this request go there.
+    /// Whether the rules and the engine's health allow the request on the engine.
     pub(super) fn is_eligible(&self, request: &QueuedRequest, engine: &Engine) -> bool {
         engine.is_usable()
             && self.placement_allowed(request, engine)
@@ -49,7 +53,8 @@
             && machine_types.is_none_or(|types| types.contains(&engine.entry.machine_type))
     }
 
-    /// Whether the engine drops the request as a repeat, if it ran before.
+    /// Whether the engine would drop the request as a repeat. Also true for a request that cannot
+    /// have run yet, and for a class whose repeats are not dropped by zone or cell.
     fn within_dedup_scope(&self, request: &QueuedRequest, engine: &Engine) -> bool {
         let Some(execution) = request.first_execution else {
             return true;
@@ -61,9 +66,10 @@
         }
     }
 
-    /// Whether the engine is not suspect, or may be tried with this request.
+    /// Whether the engine is not suspect, or may get this request as a trial.
     ///
-    /// A suspect engine is tried with one query at a time, of those that may be sent again.
+    /// A suspect engine gets one query at a time, and only of classes that may run any number of
+    /// times.
     fn allowed_if_suspect(&self, request: &QueuedRequest, engine: &Engine) -> bool {
         let class = &self.settings.classes[request.class];
         let is_safe_trial =
@@ -71,7 +77,8 @@
         !engine.outlier.is_suspect() || is_safe_trial
     }
 
-    /// The engines that their managers prefer for a request's data set, as they keep it warm: by hash, best first.
+    /// The affinity engines for a request's data set, ranked by hash, best first. All managers
+    /// prefer the same engines, so that these keep the data set in their caches.
     pub(super) fn affinity_engines(&self, request: &QueuedRequest) -> Vec<EngineId> {
         let mut ranked: Vec<(u64, EngineId)> = self
             .engines
@@ -90,7 +97,8 @@
             .collect()
     }
 
-    /// What a placement costs; the cheapest engine is chosen. `affinity` are the engines preferred for its data set.
+    /// Cost of placing a request on an engine; the engine with the lowest cost is chosen.
+    /// `affinity` contains the affinity engines for its data set.
     pub(super) fn placement_cost(
         &self,
         request: &QueuedRequest,
@@ -109,13 +117,14 @@
             * self.bulk_load_cost(request, engine)
     }
 
-    /// Whether the class loads in bulk and others wait for that.
+    /// Whether the class is a bulk load and some class waits for bulk loads.
     fn blocks_readers(&self, class: usize) -> bool {
         let classes = &self.settings.classes;
         classes[class].is_bulk_load && classes.iter().any(|class| class.waits_for_bulk_loads)
     }
 
-    /// Readers of a data set may stand still behind its bulk loads: a hash that all managers share parts them.
+    /// Cost factor that keeps bulk loads and readers of a data set on different engines, because
+    /// the readers may have to wait. A hash that all managers share separates the engines.
     fn separation_cost(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
         let class = &self.settings.classes[request.class];
         let hash = engine.hash.rotate_left(BULK_LOAD_ROTATION) ^ u64::from(request.data_set);
@@ -129,8 +138,8 @@
         }
     }
 
-    /// Engines that keep the data set warm cost less. Without reports nothing tells of a crowded engine, and a popular
-    /// data set would overload its affinity engines (04dbf6b8).
+    /// Cost factor that prefers the affinity engines. Without load reports, an overloaded engine is
+    /// not noticed, and a popular data set would overload its affinity engines (04dbf6b8).
     fn affinity_cost(
         &self,
         request: &QueuedRequest,
@@ -146,6 +155,7 @@
         AFFINITY_COST + (1.0 - AFFINITY_COST) * rank_share
     }
 
+    /// Cost factor slightly above 1 that breaks ties by a hash.
     fn tie_break_cost(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
         let hash = mix(engine.hash ^ self.seed ^ request.arrival_number.bits());
         1.0 + MAX_TIE_BREAK_COST * (hash >> TIE_HASH_SHIFT) as f64 / 2f64.powi(TIE_HASH_BITS)
@@ -160,8 +170,9 @@
         }
     }
 
-    /// A bulk load stands still while another one of its data set runs on the engine. Own ones are known; those of
-    /// other managers are kept apart by a hash that all share: each has its part of the engines for a data set.
+    /// Cost factor of a bulk load, which waits while another one of its data set runs on the
+    /// engine. This manager's bulk loads are known. Those of other managers are avoided by a hash
+    /// that all managers share: it gives each manager a part of the engines for a data set.
     fn bulk_load_cost(&self, request: &QueuedRequest, engine: &Engine) -> f64 {
         if !self.settings.classes[request.class].is_bulk_load {
             return 1.0;
@@ -179,7 +190,8 @@
     }
 }
 
-/// Engines with errors cost more, and one that failed this request most: it goes elsewhere where there is another.
+/// Cost factor that rises with the engine's share of errors, and further if the engine has failed
+/// this request: it then runs on another engine if there is one.
 fn error_cost(request: &QueuedRequest, engine: &Engine) -> f64 {
     let repeat_cost = if request.failed_on.contains(&engine.entry.engine) {
         ERROR_COST
