--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,19 +1,25 @@
-//! The decision module: on which engine and when each request runs, and which requests are rejected.
+//! The decision module: on which engine and when each request runs, and which requests are
+//! rejected.
 //!
 //! [`Dispatcher`] owns all state of the decisions. It does no I/O and reads no clock: its host calls
-//! [`Dispatcher::handle`] with the time and one [`Event`] and carries out the [`Action`]s in their order. The core and
-//! the simulator's adapter are such hosts. The same events at the same times give the same actions.
+//! [`Dispatcher::handle`] with the time and one [`Event`], and carries out the [`Action`]s in their
+//! order. The core and the simulator's adapter are such hosts. The same events at the same times
+//! give the same actions.
 //!
 //! Each file holds one concern, its state and its constants:
 //!
 //! - `events`, `settings`, `endpoint_list`: the types between the dispatcher and its host
-//! - `admission`, `dispatch`, `order_keys`, `requests`: requests on their way into the queue, through it and out of it
-//! - `engine`, `engine_selection`, `concurrency_limit`, `slow_start`: engines, and what may be placed on them
+//! - `admission`, `dispatch`, `order_keys`, `requests`: requests from their admission to their end
+//! - `engine`, `engine_selection`, `concurrency_limit`, `slow_start`: engines, and what may be
+//!   placed on them
 //! - `health_checks`, `outlier_ejection`, `hung_attempts`: faults of engines and attempts
 //! - `attempt_end`, `retries`: what follows the end of an attempt
-//! - `class_statistics`, `load_estimate`, `slowdown`, `traffic`: what is measured and learned
+//! - `class_statistics`, `load_estimate`, `slowdown`, `traffic`: measurements, and estimates from
+//!   them
 //!
-//! The constants are tuned. None is read off one deployment; all hold on nine. `docs/design.md` has the method.
+//! The constants are not specific to one deployment. `docs/design.md` describes the method behind
+//! them. An id in parentheses in a comment, such as `18f1f014`, is that of a recorded failure; most
+//! of them have a test in `tests/failures.rs`.
 
 mod admission;
 mod attempt_end;
@@ -61,18 +67,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use traffic::{ServedWork, Traffic};
 
-/// Interval of the housekeeping in ms, well under any latency objective.
+/// Interval in ms between housekeeping ticks, well below any latency objective.
 const TICK_MS: Millis = 50.0;
-/// Token of the housekeeping's timer.
+/// Token of the timer for the housekeeping tick.
 const TICK_TOKEN: u64 = 1;
-/// Start value of the pooled concurrency limit, in multiples of the start value of each engine.
+/// Initial value of the pooled concurrency limit, in multiples of `INITIAL_THREADS_PER_CORE`.
 const INITIAL_POOLED_LIMIT: f64 = 1.0;
 
 /// The decisions of one workload manager.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
-    /// Breaks ties differently at each manager.
+    /// Seed of the hashes that break ties; it differs between managers.
     seed: u64,
     now_ms: Millis,
     last_arrival_number: ArrivalNumber,
@@ -81,41 +87,44 @@
     queue: BTreeMap<ArrivalNumber, RequestId>,
     order_keys: OrderKeys,
     engines: BTreeMap<EngineId, Engine>,
-    /// The engines that staff have ejected, listed or not.
+    /// Engines that the on-call staff have ejected, whether or not the endpoint list contains them.
     manual_ejections: BTreeSet<EngineId>,
-    /// Processes that share this manager's part of what all managers have together.
+    /// Number of processes of this manager, which divide its share of an engine's capacity among
+    /// them.
     capacity_divisor: f64,
-    /// What is learned of each class, by its position in the settings.
+    /// Statistics of each class, by its position in the settings.
     class_statistics: Vec<ClassStatistics>,
     retry_window: RetryWindow,
-    /// Whether the endpoint list was polled since the last poll failed.
+    /// Whether the endpoint list has been polled and no poll has failed since.
     list_polled: bool,
-    /// Whether load reports count queries.
+    /// Whether any load report has contained a count of queries.
     reports_count_queries: bool,
-    /// Whether answers tell the work that they needed.
+    /// Whether any served attempt has come with its measured work.
     work_is_measured: bool,
     threads_per_query: ThreadsPerQuery,
     fleet_load: FleetLoad,
-    /// One fit over all engines, of threads a core against the start value.
+    /// One parabola fit over all engines, for threads per core in multiples of
+    /// `INITIAL_THREADS_PER_CORE`.
     pooled_limit: ParabolaFit,
     slowdown: FleetSlowdown,
     served_work: ServedWork,
     traffic: Traffic,
     health_check_budget: HealthCheckBudget,
-    /// Threads of the widest class.
+    /// Threads per query of the class that uses the most threads.
     max_class_threads: f64,
-    /// This manager's shares of the usable engines, in threads.
+    /// Sum of this manager's shares of the usable engines, in threads; updated at each tick.
     fleet_share_threads: f64,
-    /// Threads of all its attempts in flight.
+    /// Threads of all attempts of this manager that are in flight.
     running_threads: f64,
 }
 
 impl Dispatcher {
-    /// A dispatcher with these settings; `seed` breaks ties differently at each workload manager.
+    /// Creates a dispatcher with these settings. `seed` makes each workload manager break ties
+    /// differently.
     ///
     /// # Errors
     ///
-    /// Returns why the settings cannot be used.
+    /// Returns an error if the settings cannot be used.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Dispatcher {
@@ -128,7 +137,8 @@
         })
     }
 
-    /// Takes one event at `now_ms` and appends what the host is to do.
+    /// Handles one event at the time `now_ms`, and appends the actions that the host must carry
+    /// out.
     pub fn handle(&mut self, now_ms: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now_ms = self.now_ms.max(now_ms);
         self.apply(event, actions);
@@ -178,7 +188,8 @@
         }
     }
 
-    /// Number of listed engines that get nothing at present, as staff or this dispatcher ejected them or they failed.
+    /// Number of listed engines that get no new requests now, because the on-call staff or this
+    /// dispatcher ejected them, or because they failed.
     pub fn ejected_engines(&self) -> usize {
         let is_ejected = |engine: &Engine| {
             let is_paused = engine.is_usable() && engine.is_paused(self.now_ms);
@@ -196,12 +207,13 @@
         &self.settings
     }
 
-    /// The engines that staff have ejected.
+    /// The engines that the on-call staff have ejected.
     pub fn manual_ejections(&self) -> &BTreeSet<EngineId> {
         &self.manual_ejections
     }
 
-    /// Numbers of the requests, the waiting ones among them, the order keys and the engines that it holds.
+    /// Numbers of all requests, of queued requests, of order keys and of engines that are held, in
+    /// this order.
     pub fn state_sizes(&self) -> [usize; 4] {
         [
             self.requests.len(),
@@ -211,7 +223,8 @@
         ]
     }
 
-    /// Takes new settings. What was learned of a class goes by its name; a request keeps the class it came with.
+    /// Replaces the settings. A class keeps its statistics if the new settings have a class of the
+    /// same name; a request keeps the class that it came with.
     fn on_settings(&mut self, new_settings: Settings) {
         let is_used = |class: usize| self.requests.values().any(|request| request.class == class);
         let replaced = new_settings.replacing(&self.settings, is_used);
@@ -236,7 +249,7 @@
         self.settings = settings;
     }
 
-    /// The housekeeping.
+    /// Does the periodic housekeeping.
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer {
             after_ms: TICK_MS,
@@ -267,7 +280,8 @@
         self.shed_load(actions);
     }
 
-    /// This manager's shares of the usable engines' present cores, in threads.
+    /// Sum of this manager's shares of the usable engines, in threads, in proportion to the cores
+    /// that each engine has at present.
     fn usable_share_threads(&self) -> f64 {
         self.engines
             .values()
