--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -205,8 +205,8 @@
         };
         let client_is_waiting = self.now_ms < request.deadline_ms;
         // A request that failed on several engines would only fail again if its client repeated it.
-        let fails_everywhere = request.failed_on.len() >= MAX_FAILING_ENGINES;
-        if self.may_reject(request) && client_is_waiting && !fails_everywhere {
+        let request_is_at_fault = request.failed_on.len() >= MAX_FAILING_ENGINES;
+        if self.may_reject(request) && client_is_waiting && !request_is_at_fault {
             let retry_after_ms = self.retry_after_ms();
             actions.push(Action::Reject {
                 id,
