--- a/src/core/attempt_end.rs
+++ b/src/core/attempt_end.rs
@@ -353,7 +353,7 @@
             return;
         };
         if let Some(key) = request.accepted.order_key {
-            self.leave_order_lease(now, key, id);
+            self.remove_from_order_lease(now, key, id);
         }
         if !request.answered {
             self.metrics.requests_open.decrement();
--- a/src/core/order_lease_admission.rs
+++ b/src/core/order_lease_admission.rs
@@ -17,7 +17,7 @@
     /// Pauses all keys if a process that ended before this one started may have held some.
     pub(super) fn start_order_leases(&mut self, now: Millis) {
         let pause = self.dispatcher.settings().order_key_pause_ms;
-        self.order_leases.start(now, pause);
+        self.order_leases.pause_after_unclean_exit(now, pause);
     }
 
     /// Submits a request to the dispatcher, or holds it until this process has the lease on its key.
@@ -63,7 +63,7 @@
     }
 
     /// A request with this key is over.
-    pub(super) fn leave_order_lease(&mut self, now: Millis, key: OrderKey, id: RequestId) {
+    pub(super) fn remove_from_order_lease(&mut self, now: Millis, key: OrderKey, id: RequestId) {
         self.order_leases.request_closed(now, key, id);
         self.schedule_lease_review(now);
     }
@@ -104,7 +104,7 @@
                 Outcome::NotSent,
             );
         };
-        let event = Request {
+        let request_event = Request {
             id,
             class,
             order_key: accepted.order_key.map_or(0, OrderKey::get),
@@ -117,7 +117,7 @@
                 .max_attempts
                 .map(|limit| limit.min(settings.max_attempts)),
         };
-        self.notify_dispatcher(now, Event::Request(event));
+        self.notify_dispatcher(now, Event::Request(request_event));
     }
 }
 
--- a/src/core/order_lease_admission/tests.rs
+++ b/src/core/order_lease_admission/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the lease admission: the dispatcher does not know a request whose key another process has leased.
 
-use super::super::tests::{attempt_message, listed, taken};
+use super::super::tests::{accepted_request, attempt_message, engine_record};
 use super::*;
 use crate::core::AttemptEvent;
 use crate::core::AttemptRequest;
@@ -21,9 +21,9 @@
 
 /// Locks of which a peer process holds all or none.
 #[derive(Clone, Default)]
-struct LocksOfPeer(Arc<AtomicBool>);
+struct PeerLocks(Arc<AtomicBool>);
 
-impl OrderLocks for LocksOfPeer {
+impl OrderLocks for PeerLocks {
     fn try_lock(&mut self, _: OrderKey) -> bool {
         !self.0.load(Ordering::Relaxed)
     }
@@ -31,10 +31,10 @@
     fn live_peers(&mut self) -> PeerProcesses {
         1
     }
-    fn may_have_held_at_exit(&mut self, _: PeerProcesses) -> bool {
+    fn may_have_held_keys_at_exit(&mut self, _: PeerProcesses) -> bool {
         false
     }
-    fn may_be_left_behind(&self) -> bool {
+    fn earlier_process_may_have_held_keys(&self) -> bool {
         false
     }
 }
@@ -44,8 +44,8 @@
 struct Engines(Vec<(EngineId, RequestId, u16)>);
 
 impl EnginePort for Engines {
-    fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool {
-        self.0.push((engine, ask.id, ask.attempt));
+    fn start_attempt(&mut self, engine: EngineId, request: AttemptRequest) -> bool {
+        self.0.push((engine, request.id, request.attempt));
         true
     }
     fn cancel_attempt(&mut self, _: EngineId, _: RequestId, _: u16, _: bool) {}
@@ -69,7 +69,7 @@
 }
 
 /// Settings with these classes, all ordered by key.
-fn parsed(classes: &[&str]) -> PlatformSettings {
+fn settings_with_classes(classes: &[&str]) -> PlatformSettings {
     let class = |name| {
         format!(
             r#"{{"name":"{name}","effect":"once","promiseMs":500,"giveUpMs":9000,"fifoByKey":true}}"#
@@ -87,7 +87,7 @@
 
 struct TestBench {
     core: Core<Engines>,
-    locks: LocksOfPeer,
+    locks: PeerLocks,
     client: Arc<Client>,
     classes: Vec<Arc<NamedClass>>,
 }
@@ -95,7 +95,10 @@
 impl TestBench {
     /// A core with one ready engine; a peer process holds every lock.
     fn new() -> TestBench {
-        let (parsed, locks) = (parsed(&["load", "count"]), LocksOfPeer::default());
+        let (parsed, locks) = (
+            settings_with_classes(&["load", "count"]),
+            PeerLocks::default(),
+        );
         locks.0.store(true, Ordering::Relaxed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
         let core = Core::new(
@@ -108,13 +111,13 @@
         .expect("core");
         let mut core = core.with_order_locks(Some(Box::new(locks.clone())));
         core.start(0.0);
-        let entries = vec![listed(1, EngineState::Ready)];
+        let engine_records = vec![engine_record(1, EngineState::Ready)];
         core.handle(
             0.0,
             CoreMessage::EndpointList(EndpointListEvent {
                 number: 1,
                 kind: ListUpdateKind::Full,
-                records: entries,
+                records: engine_records,
                 unusable_engines: Vec::new(),
             }),
         );
@@ -126,10 +129,16 @@
         }
     }
 
-    fn take(&mut self, now: Millis, id: RequestId, class: usize, due_ms: Millis) {
-        let mut taken = taken(id, &self.classes[class], due_ms, 50.0, self.client.clone());
-        taken.order_key = Some(OrderKey::new(b"key"));
-        self.core.handle(now, CoreMessage::Request(taken));
+    fn submit(&mut self, now: Millis, id: RequestId, class: usize, deadline_ms: Millis) {
+        let mut request = accepted_request(
+            id,
+            &self.classes[class],
+            deadline_ms,
+            50.0,
+            self.client.clone(),
+        );
+        request.order_key = Some(OrderKey::new(b"key"));
+        self.core.handle(now, CoreMessage::Request(request));
     }
 
     fn release_locks(&self) {
@@ -149,8 +158,8 @@
 #[test]
 fn a_request_reaches_the_dispatcher_once_its_order_key_is_leased() {
     let mut bench = TestBench::new();
-    bench.take(10.0, 1, 0, 9000.0);
-    bench.take(20.0, 2, 0, 9000.0);
+    bench.submit(10.0, 1, 0, 9000.0);
+    bench.submit(20.0, 2, 0, 9000.0);
     bench.core.run_due_timers(100.0);
     assert_eq!(
         (
@@ -187,8 +196,8 @@
 #[test]
 fn a_request_held_for_a_lease_ends_at_its_deadline_or_client_disconnect() {
     let mut bench = TestBench::new();
-    bench.take(10.0, 1, 0, 400.0);
-    bench.take(10.0, 2, 0, 9000.0);
+    bench.submit(10.0, 1, 0, 400.0);
+    bench.submit(10.0, 2, 0, 9000.0);
     bench.core.run_due_timers(400.0);
     assert_eq!(bench.answers(), [(1, false)]);
     bench.core.handle(410.0, CoreMessage::ClientDisconnected(2));
@@ -211,9 +220,9 @@
 #[test]
 fn a_held_request_whose_class_was_removed_is_rejected() {
     let mut bench = TestBench::new();
-    bench.take(10.0, 1, 0, 9000.0);
-    bench.take(10.0, 2, 1, 9000.0);
-    let settings = Some(Box::new(parsed(&["count"]).settings));
+    bench.submit(10.0, 1, 0, 9000.0);
+    bench.submit(10.0, 2, 1, 9000.0);
+    let settings = Some(Box::new(settings_with_classes(&["count"]).settings));
     bench.core.handle(
         20.0,
         CoreMessage::Settings {
--- a/src/core/order_leases.rs
+++ b/src/core/order_leases.rs
@@ -28,9 +28,9 @@
     /// The peer processes that run.
     fn live_peers(&mut self) -> PeerProcesses;
     /// Whether one of these processes, which have ended, may have held a key at that time.
-    fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool;
+    fn may_have_held_keys_at_exit(&mut self, ended: PeerProcesses) -> bool;
     /// Whether a process that ended before this one started may have held a key at that time.
-    fn may_be_left_behind(&self) -> bool;
+    fn earlier_process_may_have_held_keys(&self) -> bool;
 }
 
 /// A lease that this process holds.
@@ -65,20 +65,20 @@
 impl OrderLeases {
     /// Leases by these locks.
     pub(super) fn new(mut locks: Box<dyn OrderLocks>) -> OrderLeases {
-        let others = locks.live_peers();
+        let live_peers = locks.live_peers();
         OrderLeases {
             locks: Some(locks),
-            peers: others,
+            peers: live_peers,
             ..OrderLeases::default()
         }
     }
 
     /// The process starts. A process that ended just before may have had attempts in flight, so all keys are paused.
-    pub(super) fn start(&mut self, now: Millis, pause: Millis) {
+    pub(super) fn pause_after_unclean_exit(&mut self, now: Millis, pause: Millis) {
         if self
             .locks
             .as_ref()
-            .is_some_and(|locks| locks.may_be_left_behind())
+            .is_some_and(|locks| locks.earlier_process_may_have_held_keys())
         {
             self.paused_until = now + pause;
         }
@@ -106,15 +106,15 @@
     /// A request of this key is over, or was never submitted.
     pub(super) fn request_closed(&mut self, now: Millis, key: OrderKey, id: RequestId) {
         if let Some(queue) = self.waiting.get_mut(&key)
-            && let Some(at) = queue.ids.iter().position(|waiter| *waiter == id)
+            && let Some(position) = queue.ids.iter().position(|waiting_id| *waiting_id == id)
         {
-            queue.ids.remove(at);
+            queue.ids.remove(position);
             if queue.ids.is_empty() {
                 self.waiting.remove(&key);
             }
         } else if let Some(lease) = self.held.get_mut(&key) {
             lease.open_requests = lease.open_requests.saturating_sub(1);
-            self.release_if_over(now, key);
+            self.release_if_unused(now, key);
         }
     }
 
@@ -131,27 +131,27 @@
         let Some(locks) = &mut self.locks else {
             return false;
         };
-        let others = locks.live_peers();
-        let gone = std::mem::replace(&mut self.peers, others) & !others;
-        let rests = gone != 0 && locks.may_have_held_at_exit(gone);
-        if rests {
+        let live_peers = locks.live_peers();
+        let ended = std::mem::replace(&mut self.peers, live_peers) & !live_peers;
+        let must_pause = ended != 0 && locks.may_have_held_keys_at_exit(ended);
+        if must_pause {
             self.paused_until = now + pause;
         }
-        rests
+        must_pause
     }
 
     /// Releases the keys whose pause is over, and returns the waiting requests that may be submitted now, in order.
     pub(super) fn review(&mut self, now: Millis, pause: Millis) -> Vec<RequestId> {
         for key in self.pausing.iter().copied().collect::<Vec<_>>() {
-            self.release_if_over(now, key);
+            self.release_if_unused(now, key);
         }
         let mut admitted = Vec::new();
         for key in self.waiting.keys().copied().collect::<Vec<_>>() {
-            let due = self
+            let is_due = self
                 .waiting
                 .get(&key)
                 .is_some_and(|queue| queue.not_before <= now);
-            if !due || !self.acquire(now, pause, key) {
+            if !is_due || !self.acquire(now, pause, key) {
                 continue;
             }
             let Some(queue) = self.waiting.remove(&key) else {
@@ -170,7 +170,7 @@
 
     /// How many keys are held or waited for.
     #[cfg(test)]
-    pub(super) fn entries(&self) -> usize {
+    pub(super) fn key_count(&self) -> usize {
         self.held.len() + self.waiting.len()
     }
 
@@ -199,7 +199,7 @@
         true
     }
 
-    fn release_if_over(&mut self, now: Millis, key: OrderKey) {
+    fn release_if_unused(&mut self, now: Millis, key: OrderKey) {
         let Some(lease) = self.held.get(&key).filter(|lease| lease.open_requests == 0) else {
             return;
         };
--- a/src/core/order_leases/tests.rs
+++ b/src/core/order_leases/tests.rs
@@ -13,42 +13,47 @@
 struct SharedLocks {
     keys: HashMap<OrderKey, u32>,
     live: HashSet<u32>,
-    unclean: HashSet<u32>,
+    ended_uncleanly: HashSet<u32>,
 }
 
 /// The locks of one process.
 struct InMemoryLocks(Arc<Mutex<SharedLocks>>, u32);
 
 impl InMemoryLocks {
-    fn shared<T>(&self, with: impl FnOnce(&mut SharedLocks) -> T) -> T {
-        with(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    fn shared<T>(&self, access: impl FnOnce(&mut SharedLocks) -> T) -> T {
+        access(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 impl OrderLocks for InMemoryLocks {
     fn try_lock(&mut self, key: OrderKey) -> bool {
-        let me = self.1;
-        self.shared(|shared| *shared.keys.entry(key).or_insert(me) == me)
+        let own_id = self.1;
+        self.shared(|shared| *shared.keys.entry(key).or_insert(own_id) == own_id)
     }
     fn unlock(&mut self, key: OrderKey) {
         self.shared(|shared| shared.keys.remove(&key));
     }
     fn live_peers(&mut self) -> PeerProcesses {
-        let me = self.1;
+        let own_id = self.1;
         self.shared(|shared| {
             shared
                 .live
                 .iter()
-                .filter(|p| **p != me)
-                .map(|p| 1 << p)
+                .filter(|process| **process != own_id)
+                .map(|process| 1 << process)
                 .sum()
         })
     }
-    fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool {
-        self.shared(|shared| shared.unclean.iter().any(|p| gone >> p & 1 == 1))
+    fn may_have_held_keys_at_exit(&mut self, ended: PeerProcesses) -> bool {
+        self.shared(|shared| {
+            shared
+                .ended_uncleanly
+                .iter()
+                .any(|process| ended >> process & 1 == 1)
+        })
     }
-    fn may_be_left_behind(&self) -> bool {
-        self.shared(|shared| !shared.unclean.is_empty())
+    fn earlier_process_may_have_held_keys(&self) -> bool {
+        self.shared(|shared| !shared.ended_uncleanly.is_empty())
     }
 }
 
@@ -63,7 +68,7 @@
     fn new() -> TwoProcesses {
         let shared: Arc<Mutex<SharedLocks>> = Arc::default();
         shared.lock().expect("lock").live.extend([0, 1]);
-        let leases = |n| OrderLeases::new(Box::new(InMemoryLocks(shared.clone(), n)));
+        let leases = |id| OrderLeases::new(Box::new(InMemoryLocks(shared.clone(), id)));
         TwoProcesses {
             old: leases(0),
             new: leases(1).into(),
@@ -76,7 +81,7 @@
         let mut shared = self.shared.lock().expect("lock");
         shared.live.remove(&0);
         if shared.keys.values().any(|holder| *holder == 0) {
-            shared.unclean.insert(0);
+            shared.ended_uncleanly.insert(0);
         }
         shared.keys.retain(|_, holder| *holder != 0);
     }
@@ -100,7 +105,7 @@
     assert!(leases.admit(0.0, PAUSE, key(1), 1) && leases.admit(0.0, PAUSE, key(1), 2));
     leases.pause_until(key(1), 100.0);
     leases.request_closed(0.0, key(1), 1);
-    assert!(!leases.needs_review() && leases.entries() == 0);
+    assert!(!leases.needs_review() && leases.key_count() == 0);
 }
 
 #[test]
@@ -140,7 +145,7 @@
     assert!(
         processes.old.review(310.0, PAUSE).is_empty()
             && !processes.old.needs_review()
-            && processes.old.entries() == 0
+            && processes.old.key_count() == 0
     );
     assert_eq!(processes.review(311.0), [1]);
 }
@@ -184,7 +189,10 @@
     assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
     processes.end_old_process();
     processes.new = OrderLeases::new(Box::new(InMemoryLocks(processes.shared.clone(), 1))).into();
-    processes.new.borrow_mut().start(1000.0, PAUSE);
+    processes
+        .new
+        .borrow_mut()
+        .pause_after_unclean_exit(1000.0, PAUSE);
     assert!(!processes.admit(1299.0, key(1), 1));
     assert_eq!(processes.review(1300.0), [1]);
 }
@@ -241,7 +249,7 @@
     processes.new.borrow_mut().request_closed(60.0, key(1), 2);
     assert!(
         !processes.new.borrow().needs_review()
-            && processes.new.borrow().entries() == 0
-            && processes.old.entries() == 0
+            && processes.new.borrow().key_count() == 0
+            && processes.old.key_count() == 0
     );
 }
--- a/src/core/retry/tests.rs
+++ b/src/core/retry/tests.rs
@@ -62,11 +62,11 @@
     metrics: Arc<Metrics>,
     client: Arc<Client>,
     classes: Vec<Arc<NamedClass>>,
-    known: PlatformConstraints,
+    constraints: PlatformConstraints,
 }
 
-fn policy(known: &PlatformConstraints, text: &str) -> Arc<Policy> {
-    let (_, policy) = operator_config::parse_and_check(text, Some(known))
+fn policy(constraints: &PlatformConstraints, text: &str) -> Arc<Policy> {
+    let (_, policy) = operator_config::parse_and_check(text, Some(constraints))
         .unwrap_or_else(|errors| panic!("{errors:?}"));
     Arc::new(policy.expect("a policy"))
 }
@@ -75,7 +75,7 @@
     /// A core with two ready engines and this operator file.
     fn new(text: &str) -> TestBench {
         let parsed = settings_json::parse(SETTINGS.as_bytes()).expect("settings");
-        let known = PlatformConstraints::from_settings(&parsed);
+        let constraints = PlatformConstraints::from_settings(&parsed);
         let limits = Arc::new(Limits::new(256, 32, false, &parsed));
         let metrics: Arc<Metrics> = Arc::default();
         let core = Core::new(
@@ -86,8 +86,8 @@
             metrics.clone(),
         )
         .expect("core");
-        let mut core = core.with_policy(policy(&known, text));
-        let entries = [1, 2]
+        let mut core = core.with_policy(policy(&constraints, text));
+        let engine_records = [1, 2]
             .map(|n| {
                 let entry = EngineEntry {
                     engine: engine_id(n),
@@ -106,7 +106,7 @@
             CoreMessage::EndpointList(EndpointListEvent {
                 number: 1,
                 kind: ListUpdateKind::Full,
-                records: entries,
+                records: engine_records,
                 unusable_engines: Vec::new(),
             }),
         );
@@ -115,12 +115,12 @@
             metrics,
             client: Arc::default(),
             classes: parsed.classes,
-            known,
+            constraints,
         }
     }
 
-    fn take(&mut self, now: Millis, id: RequestId, class: usize) {
-        let taken = AcceptedRequest {
+    fn submit(&mut self, now: Millis, id: RequestId, class: usize) {
+        let request = AcceptedRequest {
             id,
             client_reference: format!("{id:016x}").into(),
             class: self.classes[class].clone(),
@@ -136,18 +136,18 @@
             statement_kind: StatementKind::Query,
             client: self.client.clone(),
         };
-        self.core.handle(now, CoreMessage::Request(taken));
+        self.core.handle(now, CoreMessage::Request(request));
     }
 
     /// Ends the attempt started last with this outcome.
-    fn ends(&mut self, now: Millis, outcome: Outcome) {
+    fn end_last_attempt(&mut self, now: Millis, outcome: Outcome) {
         let (engine, id, attempt) = *self.core.engines.started.last().expect("an attempt");
         let event = AttemptEvent::end(outcome);
         self.core
             .handle(now, attempt_message((engine, id, attempt), event));
     }
 
-    fn started(&self) -> usize {
+    fn attempts_started(&self) -> usize {
         self.core.engines.started.len()
     }
 
@@ -159,12 +159,12 @@
 #[test]
 fn a_request_is_answered_at_once_when_its_policy_allows_no_further_attempt() {
     let mut bench = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 1\n");
-    bench.take(0.0, 1, 0);
-    assert_eq!(bench.started(), 1);
-    bench.ends(10.0, Outcome::Error);
+    bench.submit(0.0, 1, 0);
+    assert_eq!(bench.attempts_started(), 1);
+    bench.end_last_attempt(10.0, Outcome::Error);
     // The dispatcher applies the request's own limit and starts no further attempt.
     assert_eq!(
-        (bench.started(), bench.answers()),
+        (bench.attempts_started(), bench.answers()),
         (1, vec![(1, "refused")])
     );
     assert_eq!(bench.core.open_requests(), 0);
@@ -173,12 +173,12 @@
 #[test]
 fn a_retry_follows_only_the_outcomes_that_the_policy_names() {
     let mut bench = TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\"]\n");
-    bench.take(0.0, 1, 0);
-    bench.ends(10.0, Outcome::Rejected);
-    assert_eq!(bench.started(), 2, "a retry may follow full");
-    bench.ends(20.0, Outcome::Error);
+    bench.submit(0.0, 1, 0);
+    bench.end_last_attempt(10.0, Outcome::Rejected);
+    assert_eq!(bench.attempts_started(), 2, "a retry may follow full");
+    bench.end_last_attempt(20.0, Outcome::Error);
     assert_eq!(
-        (bench.started(), bench.answers().len()),
+        (bench.attempts_started(), bench.answers().len()),
         (2, 1),
         "none may follow an error, and the request ends"
     );
@@ -189,30 +189,30 @@
     let mut bench = TestBench::new(
         "version = 1\n[attempts.default]\nbackoff = { base_ms = 100, max_ms = 100 }\n",
     );
-    bench.take(0.0, 1, 0);
-    bench.ends(10.0, Outcome::Reset);
+    bench.submit(0.0, 1, 0);
+    bench.end_last_attempt(10.0, Outcome::Reset);
     assert_eq!(
         (
-            bench.started(),
+            bench.attempts_started(),
             bench.metrics.retries_delayed_by_backoff.get()
         ),
         (1, 1),
         "a reset may have loaded the engine"
     );
     bench.core.run_due_timers(109.0);
-    assert_eq!(bench.started(), 1);
+    assert_eq!(bench.attempts_started(), 1);
     bench.core.run_due_timers(110.0);
-    assert_eq!(bench.started(), 2, "the backoff is over");
-    let first = bench.core.engines.started[1].0;
-    bench.ends(120.0, Outcome::Rejected);
-    let (second, _, _) = *bench.core.engines.started.last().expect("sent");
+    assert_eq!(bench.attempts_started(), 2, "the backoff is over");
+    let first_engine = bench.core.engines.started[1].0;
+    bench.end_last_attempt(120.0, Outcome::Rejected);
+    let (second_engine, _, _) = *bench.core.engines.started.last().expect("sent");
     // A rejected attempt never ran: its retry starts at once on another engine and waits on the same one.
-    let waited = bench.metrics.retries_delayed_by_backoff.get() == 2;
+    let was_delayed = bench.metrics.retries_delayed_by_backoff.get() == 2;
     assert_eq!(
-        waited,
-        second == first && bench.started() == 2,
-        "{first} {second} {}",
-        bench.started()
+        was_delayed,
+        second_engine == first_engine && bench.attempts_started() == 2,
+        "{first_engine} {second_engine} {}",
+        bench.attempts_started()
     );
 }
 
@@ -220,14 +220,14 @@
 fn an_exhausted_retry_budget_answers_requests_at_once() {
     let text = "version = 1\n[attempts.default]\nbudget = { ratio = 0.0, min_per_s = 0.1, window_s = 10 }\n";
     let mut bench = TestBench::new(text);
-    bench.take(0.0, 1, 0);
-    bench.ends(10.0, Outcome::Error);
-    assert_eq!(bench.started(), 2, "one retry in ten seconds");
-    bench.take(20.0, 2, 0);
-    bench.ends(30.0, Outcome::Error);
+    bench.submit(0.0, 1, 0);
+    bench.end_last_attempt(10.0, Outcome::Error);
+    assert_eq!(bench.attempts_started(), 2, "one retry in ten seconds");
+    bench.submit(20.0, 2, 0);
+    bench.end_last_attempt(30.0, Outcome::Error);
     assert_eq!(
         (
-            bench.started(),
+            bench.attempts_started(),
             bench.metrics.retries_denied_by_budget.get()
         ),
         (3, 1)
@@ -242,7 +242,7 @@
 #[test]
 fn an_attempt_that_exceeds_its_timeout_is_cancelled_and_retried() {
     let mut bench = TestBench::new("version = 1\n[attempts.default]\nattempt_timeout_ms = 500\n");
-    bench.take(0.0, 1, 0);
+    bench.submit(0.0, 1, 0);
     bench.core.run_due_timers(499.0);
     assert!(bench.core.engines.cancelled.is_empty());
     bench.core.run_due_timers(500.0);
@@ -253,27 +253,31 @@
         ),
         (1, 1)
     );
-    assert_eq!(bench.started(), 1, "no retry before the end is confirmed");
+    assert_eq!(
+        bench.attempts_started(),
+        1,
+        "no retry before the end is confirmed"
+    );
     let (engine, id, attempt) = bench.core.engines.cancelled[0];
     let event = AttemptEvent::Cancelled(AttemptEnd::Cancelled);
     bench
         .core
         .handle(510.0, attempt_message((engine, id, attempt), event));
-    assert_eq!(bench.started(), 2);
+    assert_eq!(bench.attempts_started(), 2);
 }
 
 #[test]
 fn a_deadline_during_backoff_leaves_no_state() {
     let text = "version = 1\n[attempts.default]\nmax_attempts = 2\nbackoff = { base_ms = 10000, max_ms = 10000 }\n";
     let mut bench = TestBench::new(text);
-    bench.take(0.0, 1, 0);
-    bench.ends(6000.0, Outcome::Reset);
+    bench.submit(0.0, 1, 0);
+    bench.end_last_attempt(6000.0, Outcome::Reset);
     assert_eq!(bench.metrics.retries_delayed_by_backoff.get(), 1);
     bench.core.run_due_timers(15_000.0);
     assert_eq!(bench.answers(), [(1, "failed")]);
     bench.core.run_due_timers(30_000.0);
     assert_eq!(
-        bench.started(),
+        bench.attempts_started(),
         1,
         "the delayed attempt ended with its request"
     );
@@ -290,26 +294,26 @@
 #[test]
 fn a_settings_reload_lowers_the_attempt_limit_of_open_requests() {
     let mut bench = TestBench::new("version = 1\n[attempts.default]\nmax_attempts = 5\n");
-    bench.take(0.0, 1, 0);
-    let lower = policy(
-        &bench.known,
+    bench.submit(0.0, 1, 0);
+    let lowered_policy = policy(
+        &bench.constraints,
         "version = 1\n[attempts.default]\nmax_attempts = 1\n",
     );
     bench.core.handle(
         5.0,
         CoreMessage::Settings {
             settings: None,
-            policy: lower,
+            policy: lowered_policy,
         },
     );
-    bench.ends(10.0, Outcome::Rejected);
-    assert_eq!((bench.started(), bench.answers().len()), (1, 1));
+    bench.end_last_attempt(10.0, Outcome::Rejected);
+    assert_eq!((bench.attempts_started(), bench.answers().len()), (1, 1));
 }
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_is_never_retried() {
     // No operator file can express this policy: a retry may follow every outcome, for every class.
-    let keys = crate::retry_policy::AttemptPolicy {
+    let default_policy = crate::retry_policy::AttemptPolicy {
         retry_on: Some(crate::retry_policy::OutcomeSet::all()),
         ..Default::default()
     };
@@ -319,7 +323,7 @@
         own_policy: None,
     };
     let classes = vec![class("seat-check"), class("log-load")];
-    let policy = Policy::new(keys, classes, Vec::new(), Vec::new()).expect("policy");
+    let policy = Policy::new(default_policy, classes, Vec::new(), Vec::new()).expect("policy");
     let mut bench = TestBench::new("version = 1\n");
     bench.core.handle(
         0.0,
@@ -328,20 +332,23 @@
             policy: Arc::new(policy),
         },
     );
-    bench.take(0.0, 1, 1);
-    bench.ends(10.0, Outcome::Reset);
-    assert_eq!((bench.started(), bench.answers()), (1, vec![(1, "failed")]));
+    bench.submit(0.0, 1, 1);
+    bench.end_last_attempt(10.0, Outcome::Reset);
+    assert_eq!(
+        (bench.attempts_started(), bench.answers()),
+        (1, vec![(1, "failed")])
+    );
     // A request that was rejected before it ran may be retried.
-    bench.take(20.0, 2, 1);
-    bench.ends(30.0, Outcome::Rejected);
-    assert_eq!(bench.started(), 3);
+    bench.submit(20.0, 2, 1);
+    bench.end_last_attempt(30.0, Outcome::Rejected);
+    assert_eq!(bench.attempts_started(), 3);
 }
 
 #[test]
 fn an_attempt_that_no_retry_may_follow_is_not_cancelled_for_a_retry() {
     let mut bench =
         TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\", \"error\"]\n");
-    bench.take(0.0, 1, 0);
+    bench.submit(0.0, 1, 0);
     bench.core.cancel_attempt(10.0, 1, 0);
     assert_eq!(
         (
@@ -351,7 +358,7 @@
         (0, 1)
     );
     let mut bench = TestBench::new("version = 1\n");
-    bench.take(0.0, 1, 0);
+    bench.submit(0.0, 1, 0);
     bench.core.cancel_attempt(10.0, 1, 0);
     assert_eq!(
         bench.core.engines.cancelled.len(),
@@ -362,20 +369,20 @@
 
 #[test]
 fn each_retry_decision_is_logged_at_debug_and_not_at_info() {
-    let run_at = |level| {
+    let log_at = |level| {
         let log = LogCapture::new(level, LogFormat::Json);
         let mut bench = TestBench::new(
             "version = 1\n[attempts.default]\nmax_attempts = 2\nretry_on = [\"full\"]\n",
         );
-        bench.take(0.0, 1, 0);
-        bench.ends(10.0, Outcome::Rejected);
-        bench.ends(20.0, Outcome::Error);
+        bench.submit(0.0, 1, 0);
+        bench.end_last_attempt(10.0, Outcome::Rejected);
+        bench.end_last_attempt(20.0, Outcome::Error);
         log
     };
-    let log = run_at(LogLevel::Info);
+    let log = log_at(LogLevel::Info);
     assert_eq!(log.text(), "", "nothing at the default level");
     drop(log);
-    let log = run_at(LogLevel::Debug);
+    let log = log_at(LogLevel::Debug);
     let count = |message: &str| log.events(message).len();
     assert_eq!(
         (
--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -23,7 +23,7 @@
     /// Engines without a slot, at most as many as there are slots. The next complete list names the others again.
     waiting: BTreeMap<EngineId, EngineRecord>,
     /// The engine last listed as ready at each address.
-    ready_at: HashMap<SocketAddr, EngineId>,
+    ready_by_address: HashMap<SocketAddr, EngineId>,
     subset: Subset,
     /// The subset as the dispatcher knows it; `None` while it is notified of the complete list.
     reported_subset: Option<BTreeMap<EngineId, EngineEntry>>,
@@ -79,7 +79,7 @@
             capacity,
             engines: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            ready_at: HashMap::new(),
+            ready_by_address: HashMap::new(),
             subset,
             reported_subset: None,
         }
@@ -108,7 +108,7 @@
 
     /// Number of entries in all maps, as a measure of memory use.
     pub(super) fn state_size(&self) -> usize {
-        self.engines.len() + self.waiting.len() + self.ready_at.len()
+        self.engines.len() + self.waiting.len() + self.ready_by_address.len()
     }
 
     /// Whether the engine has a slot and may receive attempts.
@@ -165,13 +165,13 @@
 
     /// Starts the slow start of an engine anew, at `at`: its manual ejection has ended. The dispatcher does this itself
     /// for engines that it knows; for others the new start time is kept here, until they join the subset.
-    pub(super) fn reset_slow_start(&mut self, engine: EngineId, at: Millis) {
+    pub(super) fn reset_slow_start(&mut self, engine: EngineId, started_at: Millis) {
         let outside_subset = self
             .reported_subset
             .as_ref()
             .is_some_and(|subset| !subset.contains_key(&engine));
         if let Some(record) = self.engines.get_mut(&engine).filter(|_| outside_subset) {
-            record.entry.started_at_ms = record.entry.started_at_ms.max(at);
+            record.entry.started_at_ms = record.entry.started_at_ms.max(started_at);
         }
     }
 
@@ -183,7 +183,7 @@
         let all_unavailable = before.as_ref().is_some_and(|subset| {
             !subset.is_empty() && !subset.keys().any(|engine| self.subset.is_ready(*engine))
         });
-        let complete_list = |kind, entries| SubsetChange {
+        let change_without_counts = |kind, entries| SubsetChange {
             kind,
             entries,
             engines_added: 0,
@@ -191,8 +191,8 @@
             all_unavailable,
         };
         match (members, before) {
-            (None, None) => complete_list(kind, changes),
-            (None, Some(_)) => complete_list(
+            (None, None) => change_without_counts(kind, changes),
+            (None, Some(_)) => change_without_counts(
                 ListUpdateKind::Full,
                 self.engines
                     .values()
@@ -235,7 +235,7 @@
         if event.kind == ListUpdateKind::Full {
             self.remove_unlisted(event, &last_position, &mut update);
         }
-        let (removals, others): (Vec<_>, Vec<_>) = event
+        let (removals, listings): (Vec<_>, Vec<_>) = event
             .records
             .iter()
             .enumerate()
@@ -246,7 +246,7 @@
         for record in removals {
             self.apply_removal(record, &mut update);
         }
-        for record in others {
+        for record in listings {
             self.apply_listing(record, &mut update);
         }
         self.fill_free_slots(&mut update);
@@ -261,14 +261,14 @@
         last_position: &HashMap<EngineId, usize>,
         update: &mut RosterUpdate,
     ) {
-        let is_named =
+        let is_in_list =
             |id: &EngineId| last_position.contains_key(id) || event.unusable_engines.contains(id);
-        self.waiting.retain(|id, _| is_named(id));
+        self.waiting.retain(|id, _| is_in_list(id));
         update.removed = self
             .engines
             .keys()
             .copied()
-            .filter(|id| !is_named(id))
+            .filter(|id| !is_in_list(id))
             .collect();
         update.large_removal = update.removed.len() > self.engines.len() / 2;
         update.removed.iter().for_each(|id| self.remove(*id));
@@ -328,7 +328,7 @@
         self.remove(id);
         if record.entry.state == EngineState::Ready {
             let other = self
-                .ready_at
+                .ready_by_address
                 .get(&address)
                 .and_then(|other| self.engines.get_mut(other));
             update.address_conflicts += usize::from(other.is_some());
@@ -341,9 +341,9 @@
                         other.entry.state = EngineState::Draining;
                         update.records.push(other.clone());
                     }
-                    self.ready_at.insert(address, id);
+                    self.ready_by_address.insert(address, id);
                 }
-                None => drop(self.ready_at.insert(address, id)),
+                None => drop(self.ready_by_address.insert(address, id)),
             }
         }
         self.engines.insert(id, record.clone());
@@ -352,8 +352,10 @@
 
     fn remove(&mut self, id: EngineId) {
         let address = self.engines.remove(&id).map(|record| record.address);
-        if let Some(address) = address.filter(|address| self.ready_at.get(address) == Some(&id)) {
-            self.ready_at.remove(&address);
+        if let Some(address) =
+            address.filter(|address| self.ready_by_address.get(address) == Some(&id))
+        {
+            self.ready_by_address.remove(&address);
         }
     }
 }
--- a/src/core/roster/subset_change.rs
+++ b/src/core/roster/subset_change.rs
@@ -33,10 +33,10 @@
                 ..SubsetChange::default()
             };
         };
-        let left = before
+        let removed = before
             .iter()
             .filter(|(engine, _)| !after.contains_key(engine));
-        let mut entries: Vec<EngineEntry> = left
+        let mut entries: Vec<EngineEntry> = removed
             .map(|(_, entry)| EngineEntry {
                 state: EngineState::Removed,
                 ..entry.clone()
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the roster alone: large, inconsistent and early endpoint lists.
 
-use super::super::tests::listed;
+use super::super::tests::engine_record;
 use super::*;
 use crate::node_config::engine_id;
 
@@ -17,11 +17,11 @@
     )
 }
 
-fn event(kind: ListUpdateKind, entries: Vec<EngineRecord>) -> EndpointListEvent {
+fn list_event(kind: ListUpdateKind, engine_records: Vec<EngineRecord>) -> EndpointListEvent {
     EndpointListEvent {
         number: 1,
         kind,
-        records: entries,
+        records: engine_records,
         unusable_engines: Vec::new(),
     }
 }
@@ -32,10 +32,10 @@
         .collect()
 }
 
-fn record_at(id: u32, state: EngineState, port: u16, started_ms: f64) -> EngineRecord {
-    let mut record = listed(id, state);
+fn record_at(id: u32, state: EngineState, port: u16, started_at_ms: f64) -> EngineRecord {
+    let mut record = engine_record(id, state);
     record.address.set_port(port);
-    record.entry.started_at_ms = started_ms;
+    record.entry.started_at_ms = started_at_ms;
     record
 }
 
@@ -43,7 +43,7 @@
     RosterSizes { engines, waiting }
 }
 
-fn ready(roster: &Roster, ids: impl Iterator<Item = u32>) -> usize {
+fn ready_count(roster: &Roster, ids: impl Iterator<Item = u32>) -> usize {
     ids.filter(|id| roster.is_ready(engine_id(*id))).count()
 }
 
@@ -52,7 +52,7 @@
 #[test]
 fn repeated_large_releases_admit_every_new_engine_and_retain_no_removed_one() {
     let mut roster = Roster::new(SLOTS, unbounded_subset());
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(0..1024, EngineState::Ready),
     ));
@@ -71,10 +71,13 @@
         );
         let mut changes = records(old.clone(), EngineState::Draining);
         changes.extend(records(new.clone(), EngineState::Ready));
-        let update = roster.apply(&event(ListUpdateKind::Delta, changes));
-        assert!(update.without_slot.is_empty() && ready(&roster, old.clone()) == 0);
-        assert_eq!((ready(&roster, new), roster.sizes().engines), (614, 1638));
-        roster.apply(&event(
+        let update = roster.apply(&list_event(ListUpdateKind::Delta, changes));
+        assert!(update.without_slot.is_empty() && ready_count(&roster, old.clone()) == 0);
+        assert_eq!(
+            (ready_count(&roster, new), roster.sizes().engines),
+            (614, 1638)
+        );
+        roster.apply(&list_event(
             ListUpdateKind::Delta,
             records(old, EngineState::Removed),
         ));
@@ -90,7 +93,7 @@
 #[test]
 fn engines_beyond_the_capacity_wait_and_get_the_next_free_slot() {
     let mut roster = Roster::new(4, unbounded_subset());
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(1..7, EngineState::Ready),
     ));
@@ -99,7 +102,7 @@
         (4, vec![engine_id(5), engine_id(6)])
     );
     assert!(!roster.is_ready(engine_id(5)) && roster.is_listed(engine_id(5)));
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(5..6, EngineState::Draining),
     ));
@@ -111,13 +114,13 @@
         ),
         (0, 0, sizes(4, 2))
     );
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(1..2, EngineState::Removed),
     ));
     assert_eq!(update.records.len(), 2, "the removal and a new slot");
     assert!(roster.is_ready(engine_id(6)) && roster.sizes() == sizes(4, 1));
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(5..6, EngineState::Removed),
     ));
@@ -130,7 +133,7 @@
         (0, 0, sizes(4, 0))
     );
     // A list of ten that names the same four: four wait, and two exceed the waiting list.
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(2..12, EngineState::Ready),
     ));
@@ -138,12 +141,16 @@
         (update.without_slot.len(), roster.sizes()),
         (6, sizes(4, 4))
     );
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(8..12, EngineState::Ready),
     ));
     assert_eq!(
-        (update.removed.len(), ready(&roster, 8..12), roster.sizes()),
+        (
+            update.removed.len(),
+            ready_count(&roster, 8..12),
+            roster.sizes()
+        ),
         (4, 4, sizes(4, 0))
     );
     assert_eq!(roster.state_size(), 8);
@@ -153,21 +160,21 @@
 #[test]
 fn unknown_removals_and_duplicate_records_are_counted_and_the_last_record_applies() {
     let mut roster = Roster::new(8, unbounded_subset());
-    roster.apply(&event(
+    roster.apply(&list_event(
         ListUpdateKind::Full,
         records(1..4, EngineState::Ready),
     ));
     // The removal of an unknown engine is not forwarded.
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(9..10, EngineState::Removed),
     ));
     assert_eq!((update.records.len(), update.unknown_removals), (0, 1));
     // Two records in one event: the last one applies, also if it is the removal.
-    let twice = [EngineState::Ready, EngineState::Draining]
+    let duplicates = [EngineState::Ready, EngineState::Draining]
         .map(|state| records(1..2, state))
         .concat();
-    let update = roster.apply(&event(ListUpdateKind::Delta, twice));
+    let update = roster.apply(&list_event(ListUpdateKind::Delta, duplicates));
     assert_eq!(
         (
             update.records.len(),
@@ -176,18 +183,18 @@
         ),
         (1, 1, false)
     );
-    let twice = [EngineState::Ready, EngineState::Removed]
+    let duplicates = [EngineState::Ready, EngineState::Removed]
         .map(|state| records(2..3, state))
         .concat();
     assert_eq!(
         roster
-            .apply(&event(ListUpdateKind::Delta, twice))
+            .apply(&list_event(ListUpdateKind::Delta, duplicates))
             .duplicate_records,
         1
     );
     assert!(!roster.is_listed(engine_id(2)));
     // An unchanged record changes nothing. An engine that returns after its removal is like a new one.
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(3..4, EngineState::Ready),
     ));
@@ -200,7 +207,7 @@
         ),
         (1, 0, 0, 0)
     );
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(2..3, EngineState::Ready),
     ));
@@ -211,18 +218,18 @@
 #[test]
 fn of_two_ready_engines_at_one_address_the_one_started_last_is_ready() {
     let mut roster = Roster::new(8, unbounded_subset());
-    roster.apply(&event(
+    roster.apply(&list_event(
         ListUpdateKind::Full,
         vec![
             record_at(1, EngineState::Ready, 1, 0.0),
             record_at(2, EngineState::Ready, 2, 0.0),
         ],
     ));
-    roster.apply(&event(
+    roster.apply(&list_event(
         ListUpdateKind::Delta,
         vec![record_at(1, EngineState::Draining, 1, 0.0)],
     ));
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         vec![record_at(3, EngineState::Ready, 1, 50.0)],
     ));
@@ -230,7 +237,7 @@
         (update.records.len(), roster.is_ready(engine_id(3))),
         (1, true)
     );
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         vec![record_at(4, EngineState::Ready, 2, 60.0)],
     ));
@@ -239,29 +246,35 @@
         .iter()
         .map(|record| (record.entry.engine, record.entry.state))
         .collect();
-    let want = [
+    let expected = [
         (engine_id(2), EngineState::Draining),
         (engine_id(4), EngineState::Ready),
     ];
-    assert_eq!((update.address_conflicts, &reported[..]), (1, &want[..]));
+    assert_eq!(
+        (update.address_conflicts, &reported[..]),
+        (1, &expected[..])
+    );
     // A complete list that still names the earlier engine, in either order, does not make it ready again.
-    let both = || {
+    let same_address = || {
         [
             record_at(4, EngineState::Ready, 2, 60.0),
             record_at(2, EngineState::Ready, 2, 0.0),
         ]
     };
-    for order in [both().to_vec(), both().into_iter().rev().collect()] {
-        roster.apply(&event(ListUpdateKind::Full, order));
+    for order in [
+        same_address().to_vec(),
+        same_address().into_iter().rev().collect(),
+    ] {
+        roster.apply(&list_event(ListUpdateKind::Full, order));
         assert!(roster.is_ready(engine_id(4)) && !roster.is_ready(engine_id(2)));
     }
     // At its own new address the earlier engine is ready again.
-    roster.apply(&event(
+    roster.apply(&list_event(
         ListUpdateKind::Delta,
         vec![record_at(2, EngineState::Ready, 7, 0.0)],
     ));
     assert!(roster.is_ready(engine_id(2)) && roster.is_ready(engine_id(4)));
-    roster.apply(&event(ListUpdateKind::Full, Vec::new()));
+    roster.apply(&list_event(ListUpdateKind::Full, Vec::new()));
     assert_eq!(roster.state_size(), 0);
 }
 
@@ -270,16 +283,16 @@
 #[test]
 fn unusable_records_keep_their_engine_and_large_removals_are_applied_and_counted() {
     let mut roster = Roster::new(8, unbounded_subset());
-    roster.apply(&event(
+    roster.apply(&list_event(
         ListUpdateKind::Full,
         records(1..6, EngineState::Ready),
     ));
     let unusable = vec![engine_id(2), engine_id(7)];
-    let complete = EndpointListEvent {
+    let full_list = EndpointListEvent {
         unusable_engines: unusable,
-        ..event(ListUpdateKind::Full, records(1..2, EngineState::Ready))
+        ..list_event(ListUpdateKind::Full, records(1..2, EngineState::Ready))
     };
-    let update = roster.apply(&complete);
+    let update = roster.apply(&full_list);
     assert_eq!(
         (
             update.removed.len(),
@@ -289,7 +302,7 @@
         (3, true, 2)
     );
     assert!(roster.is_ready(engine_id(2)) && !roster.is_listed(engine_id(7)));
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(2..3, EngineState::Ready),
     ));
@@ -298,11 +311,11 @@
         (1, false),
         "half of them"
     );
-    let update = roster.apply(&event(ListUpdateKind::Full, Vec::new()));
+    let update = roster.apply(&list_event(ListUpdateKind::Full, Vec::new()));
     assert_eq!((update.large_removal, roster.sizes()), (true, sizes(0, 0)));
     assert!(
         !roster
-            .apply(&event(ListUpdateKind::Full, Vec::new()))
+            .apply(&list_event(ListUpdateKind::Full, Vec::new()))
             .large_removal
     );
 }
@@ -337,7 +350,7 @@
             .retain(|_, entry| entry.state != EngineState::Removed);
     }
 
-    fn ready(&self) -> Vec<EngineId> {
+    fn ready_engines(&self) -> Vec<EngineId> {
         let ready = self
             .0
             .values()
@@ -351,7 +364,7 @@
 #[test]
 fn engines_outside_the_subset_are_known_and_stop_being_ready_when_they_drain() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(0..300, EngineState::Ready),
     ));
@@ -362,27 +375,31 @@
     } = roster.subset_sizes();
     assert!((12..=18).contains(&size) && zones == 1, "{size}");
     assert_eq!(
-        (update.records.len(), view.0.len(), ready(&roster, 0..300)),
+        (
+            update.records.len(),
+            view.0.len(),
+            ready_count(&roster, 0..300)
+        ),
         (300, size, 300)
     );
-    let held = view.ready();
-    let other = (0..300)
-        .find(|id| !held.contains(&engine_id(*id)))
+    let subset = view.ready_engines();
+    let outside_id = (0..300)
+        .find(|id| !subset.contains(&engine_id(*id)))
         .expect("an engine outside the subset");
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
-        records(other..other + 1, EngineState::Draining),
+        records(outside_id..outside_id + 1, EngineState::Draining),
     ));
     view.apply(&update.subset_change);
     assert_eq!(
-        (update.records.len(), roster.is_ready(engine_id(other))),
+        (update.records.len(), roster.is_ready(engine_id(outside_id))),
         (1, false)
     );
     // An engine of the subset drains: one update removes it and adds the next in order.
-    let drained = u32::from_be_bytes(held[0].addr);
-    let update = roster.apply(&event(
+    let drained_id = u32::from_be_bytes(subset[0].addr);
+    let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
-        records(drained..drained + 1, EngineState::Draining),
+        records(drained_id..drained_id + 1, EngineState::Draining),
     ));
     view.apply(&update.subset_change);
     assert_eq!(
@@ -390,7 +407,9 @@
         (1, EngineState::Draining)
     );
     assert!(
-        !view.0.contains_key(&held[0]) && !roster.is_ready(held[0]) && roster.is_listed(held[0])
+        !view.0.contains_key(&subset[0])
+            && !roster.is_ready(subset[0])
+            && roster.is_listed(subset[0])
     );
     assert!(view.0.len() >= size - 1 && view.0.values().all(|entry| entry.sharing.is_some()));
 }
@@ -398,9 +417,9 @@
 /// A list grows beyond the subset bound and shrinks below it: the dispatcher knows a subset, then the complete list
 /// again.
 #[test]
-fn a_list_that_crosses_the_subset_bound_switches_between_subset_and_complete_list() {
+fn a_list_that_crosses_the_subset_bound_switches_between_subset_and_whole_list() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(0..16, EngineState::Ready),
     ));
@@ -411,7 +430,7 @@
         (16, None)
     );
     for end in [40, 200] {
-        let update = roster.apply(&event(
+        let update = roster.apply(&list_event(
             ListUpdateKind::Delta,
             records(16..end, EngineState::Ready),
         ));
@@ -424,20 +443,20 @@
     }
     view.apply(
         &roster
-            .apply(&event(
+            .apply(&list_event(
                 ListUpdateKind::Delta,
                 records(12..200, EngineState::Draining),
             ))
             .subset_change,
     );
     assert_eq!(
-        (view.ready().len(), view.0.len()),
+        (view.ready_engines().len(), view.0.len()),
         (12, 200),
         "few ready engines: the complete list"
     );
     view.apply(
         &roster
-            .apply(&event(
+            .apply(&list_event(
                 ListUpdateKind::Delta,
                 records(12..200, EngineState::Removed),
             ))
@@ -451,49 +470,50 @@
 #[test]
 fn removed_or_truncated_subsets_are_refilled_from_the_remaining_engines() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
-    let complete = event(ListUpdateKind::Full, records(0..300, EngineState::Ready));
-    view.apply(&roster.apply(&complete).subset_change);
-    let held = view.ready();
-    let left = || (0..300).filter(|id| !held.contains(&engine_id(*id)));
-    let gone: Vec<EngineRecord> = held
+    let full_list = list_event(ListUpdateKind::Full, records(0..300, EngineState::Ready));
+    view.apply(&roster.apply(&full_list).subset_change);
+    let subset = view.ready_engines();
+    let remaining_ids = || (0..300).filter(|id| !subset.contains(&engine_id(*id)));
+    let removals: Vec<EngineRecord> = subset
         .iter()
         .flat_map(|id| {
             let id = u32::from_be_bytes(id.addr);
             records(id..id + 1, EngineState::Removed)
         })
         .collect();
-    let update = roster.apply(&event(ListUpdateKind::Delta, gone));
+    let update = roster.apply(&list_event(ListUpdateKind::Delta, removals));
     view.apply(&update.subset_change);
     assert!(
-        update.subset_change.all_unavailable && update.subset_change.engines_removed == held.len()
+        update.subset_change.all_unavailable
+            && update.subset_change.engines_removed == subset.len()
     );
     assert!(
-        view.0.len() >= 10 && held.iter().all(|id| !view.0.contains_key(id)),
+        view.0.len() >= 10 && subset.iter().all(|id| !view.0.contains_key(id)),
         "{}",
         view.0.len()
     );
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
-        records(left(), EngineState::Ready),
+        records(remaining_ids(), EngineState::Ready),
     ));
     assert!(
         !update.subset_change.all_unavailable && update.subset_change.entries.is_empty(),
         "the same list again"
     );
-    let cut: Vec<u32> = left().step_by(3).collect();
-    let update = roster.apply(&event(
+    let truncated_ids: Vec<u32> = remaining_ids().step_by(3).collect();
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
-        records(cut.iter().copied(), EngineState::Ready),
+        records(truncated_ids.iter().copied(), EngineState::Ready),
     ));
     view.apply(&update.subset_change);
     assert!(
         update.large_removal
             && view
-                .ready()
+                .ready_engines()
                 .iter()
-                .all(|id| cut.contains(&u32::from_be_bytes(id.addr)))
+                .all(|id| truncated_ids.contains(&u32::from_be_bytes(id.addr)))
     );
-    let update = roster.apply(&event(ListUpdateKind::Full, Vec::new()));
+    let update = roster.apply(&list_event(ListUpdateKind::Full, Vec::new()));
     view.apply(&update.subset_change);
     assert!(
         update.large_removal
@@ -505,8 +525,12 @@
                     ready_zones: 0,
                 }
     );
-    view.apply(&roster.apply(&complete).subset_change);
-    assert_eq!(view.ready(), held, "the same list, the same subset");
+    view.apply(&roster.apply(&full_list).subset_change);
+    assert_eq!(
+        view.ready_engines(),
+        subset,
+        "the same list, the same subset"
+    );
 }
 
 /// A changed membership is reported once, with the difference; an unchanged one is not.
@@ -515,13 +539,13 @@
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
     view.apply(
         &roster
-            .apply(&event(
+            .apply(&list_event(
                 ListUpdateKind::Full,
                 records(0..300, EngineState::Ready),
             ))
             .subset_change,
     );
-    let before = view.ready();
+    let before = view.ready_engines();
     assert!(
         roster
             .set_membership(Membership {
@@ -537,7 +561,9 @@
         })
         .expect("another ordinal");
     view.apply(&change);
-    assert!(change.engines_added > 0 && change.engines_removed > 0 && view.ready() != before);
+    assert!(
+        change.engines_added > 0 && change.engines_removed > 0 && view.ready_engines() != before
+    );
     let change = roster
         .set_membership(Membership {
             instances: 60,
@@ -560,11 +586,11 @@
 #[test]
 fn an_engine_returned_to_service_outside_the_subset_joins_it_in_slow_start() {
     let mut roster = roster_with_small_subset();
-    let update = roster.apply(&event(
+    let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(0..300, EngineState::Ready),
     ));
-    let (mut view, held) = (
+    let (mut view, subset_entries) = (
         DispatcherView::default(),
         update.subset_change.entries.clone(),
     );
@@ -572,7 +598,7 @@
     for id in 0..300 {
         roster.reset_slow_start(engine_id(id), 5000.0);
     }
-    let gone = held.iter().map(|entry| {
+    let removals = subset_entries.iter().map(|entry| {
         record_at(
             u32::from_be_bytes(entry.engine.addr),
             EngineState::Removed,
@@ -582,9 +608,13 @@
     });
     view.apply(
         &roster
-            .apply(&event(ListUpdateKind::Delta, gone.collect()))
+            .apply(&list_event(ListUpdateKind::Delta, removals.collect()))
             .subset_change,
     );
     assert!(!view.0.is_empty() && view.0.values().all(|entry| entry.started_at_ms == 5000.0));
-    assert!(held.iter().all(|entry| entry.started_at_ms == 0.0));
+    assert!(
+        subset_entries
+            .iter()
+            .all(|entry| entry.started_at_ms == 0.0)
+    );
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -48,7 +48,7 @@
 }
 
 /// The record of an engine in the endpoint list.
-pub(super) fn listed(n: u32, state: EngineState) -> EngineRecord {
+pub(super) fn engine_record(n: u32, state: EngineState) -> EngineRecord {
     let entry = EngineEntry {
         engine: engine_id(n),
         state,
@@ -62,19 +62,19 @@
 }
 
 /// A request of this class with this deadline and estimated work, both in ms.
-pub(crate) fn taken(
+pub(crate) fn accepted_request(
     id: RequestId,
     class: &Arc<NamedClass>,
-    due_ms: Millis,
-    cost_ms: f64,
+    deadline: Millis,
+    estimated_work_ms: f64,
     client: Arc<dyn ClientPort>,
 ) -> AcceptedRequest {
     AcceptedRequest {
         id,
         client_reference: id.to_be_bytes().to_vec().into(),
         class: class.clone(),
-        deadline_ms: due_ms,
-        estimated_work_ms: Some(cost_ms),
+        deadline_ms: deadline,
+        estimated_work_ms: Some(estimated_work_ms),
         estimated_memory_mb: None,
         data_set: 0,
         member: Bytes::new(),
@@ -173,12 +173,12 @@
 /// Replaces the engine of the round before, in every second round by a complete list that omits it.
 fn replace_engine(bench: &mut TestCore, now: Millis, engine: u32) {
     if engine.is_multiple_of(2) {
-        let records = vec![listed(engine, EngineState::Ready)];
+        let records = vec![engine_record(engine, EngineState::Ready)];
         bench.apply_list(now, ListUpdateKind::Full, records);
     } else {
         let records = vec![
-            listed(engine, EngineState::Ready),
-            listed(engine - 1, EngineState::Removed),
+            engine_record(engine, EngineState::Ready),
+            engine_record(engine - 1, EngineState::Removed),
         ];
         bench.apply_list(now, ListUpdateKind::Delta, records);
     }
@@ -192,7 +192,7 @@
         let class = bench.classes[(n % 2) as usize].clone();
         let request = AcceptedRequest {
             data_set: id,
-            ..taken(id, &class, deadline_ms, 50.0, Arc::new(NullClient))
+            ..accepted_request(id, &class, deadline_ms, 50.0, Arc::new(NullClient))
         };
         bench.core.handle(now, CoreMessage::Request(request));
         if n >= 10 {
@@ -213,14 +213,14 @@
 /// Over a long day engines are replaced, some omitted from a complete list without a removal record, and clients
 /// disconnect, time out or are served.
 #[test]
-fn state_stays_bounded_over_a_long_day_of_replacements_and_disconnects() {
+fn state_stays_bounded_over_many_replacements_and_disconnects() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":500,"giveUpMs":20000},
         {"name":"b","effect":"repeatable","promiseMs":500,"giveUpMs":20000}],
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6,"cancel":true},"shapes":["std-8c"],"specifics":{"sizeCores":[8],"progressMs":500}}"#;
     let mut bench = TestCore::from_json(text);
     bench.core.start(0.0);
-    let (mut now, mut early) = (0.0, StateSizes::default());
+    let (mut now, mut early_sizes) = (0.0, StateSizes::default());
     for round in 0..3000 {
         now += 20.0;
         bench.core.run_due_timers(now);
@@ -232,11 +232,11 @@
         submit_requests(&mut bench, now, round);
         bench.confirm_cancellations(now);
         if round == 999 {
-            early = bench.core.state_sizes();
+            early_sizes = bench.core.state_sizes();
         }
     }
     let end = bench.core.state_sizes();
-    for (end, early) in all_sizes(&end).iter().zip(all_sizes(&early)) {
+    for (end, early) in all_sizes(&end).iter().zip(all_sizes(&early_sizes)) {
         assert!(
             *end <= early + early / 2 + 8,
             "{:?} grew from {early:?}",
@@ -264,7 +264,7 @@
 /// within the dedup window. The core enforces this against the dispatcher, also after a backoff.
 #[test]
 fn retries_with_an_idempotency_key_stay_within_dedup_scope_and_window() {
-    for (scope, key, reach) in [
+    for (scope, has_key, in_scope) in [
         ("all", true, [1, 2, 3]),
         ("zone", true, [1, 2, 0]),
         ("cell", true, [1, 0, 0]),
@@ -273,7 +273,7 @@
         let mut bench = TestCore::new(idempotency_key_settings(scope), 32);
         // Engines 1 and 2 share a zone; each engine has its own cell.
         let records = [1, 2, 3].map(|n| {
-            let mut record = listed(n, EngineState::Ready);
+            let mut record = engine_record(n, EngineState::Ready);
             (record.entry.zone, record.entry.cell) = (u8::from(n > 2), n as u16);
             record
         });
@@ -281,12 +281,12 @@
         let TestCore {
             mut core, classes, ..
         } = bench;
-        let mut request = taken(1, &classes[0], 20_000.0, 50.0, Arc::new(NullClient));
-        request.idempotency_key = key.then(|| Bytes::from_static(b"k"));
+        let mut request = accepted_request(1, &classes[0], 20_000.0, 50.0, Arc::new(NullClient));
+        request.idempotency_key = has_key.then(|| Bytes::from_static(b"k"));
         core.handle(0.0, CoreMessage::Request(request));
-        let open = core.requests.get_mut(1).expect("open");
-        open.history = AttemptHistory::default();
-        open.history.record_sent(
+        let request = core.requests.get_mut(1).expect("open");
+        request.history = AttemptHistory::default();
+        request.history.record_sent(
             0,
             engine_id(1),
             SentTo {
@@ -295,12 +295,16 @@
                 sent_at_ms: 100.0,
             },
         );
-        open.history.record_end(0, true).expect("out");
-        for (n, reached) in (1..=3).zip(reach) {
+        request.history.record_end(0, true).expect("out");
+        for (n, allowed) in (1..=3).zip(in_scope) {
             let until = core.resend_deadline(700.0, 1, engine_id(n));
-            assert_eq!(until, (reached > 0).then_some(799.0), "{scope} {key} {n}");
+            assert_eq!(
+                until,
+                (allowed > 0).then_some(799.0),
+                "{scope} {has_key} {n}"
+            );
         }
-        let delayed = PlannedAttempt {
+        let planned = PlannedAttempt {
             number: 1,
             engine: engine_id(1),
             timeout_ms: None,
@@ -310,7 +314,7 @@
             Err(Outcome::NotSent)
         );
         assert_eq!(
-            core.send_attempt(800.0, 1, delayed),
+            core.send_attempt(800.0, 1, planned),
             Err(Outcome::NotSent),
             "after a backoff"
         );
@@ -324,7 +328,7 @@
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6},"shapes":["std-8c"],"specifics":{"sizeCores":[8]}}"#;
     let mut bench = TestCore::from_json(text);
-    let records = vec![listed(1, EngineState::Ready)];
+    let records = vec![engine_record(1, EngineState::Ready)];
     bench.apply_list(0.0, ListUpdateKind::Full, records);
     let TestCore {
         mut core,
@@ -332,7 +336,7 @@
         classes,
     } = bench;
     let submit = |core: &mut Core<SilentEngines>, now: Millis, id: u32| {
-        let request = taken(id, &classes[0], now + 20_000.0, 50.0, Arc::new(NullClient));
+        let request = accepted_request(id, &classes[0], now + 20_000.0, 50.0, Arc::new(NullClient));
         core.handle(now, CoreMessage::Request(request));
     };
     submit(&mut core, 1000.0, 1);
@@ -365,13 +369,15 @@
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6,"cancel":true},"shapes":["std-8c"],"specifics":{"sizeCores":[8],"progressMs":500}}"#;
     let mut bench = TestCore::from_json(text);
-    let records = [1, 2].map(|n| listed(n, EngineState::Ready)).to_vec();
+    let records = [1, 2]
+        .map(|n| engine_record(n, EngineState::Ready))
+        .to_vec();
     bench.apply_list(0.0, ListUpdateKind::Full, records);
     let class = bench.classes[0].clone();
     let request = |id: u32| {
         CoreMessage::Request(AcceptedRequest {
             client_reference: Bytes::from_static(b"one name"),
-            ..taken(id, &class, 15_000.0, 900.0, Arc::new(NullClient))
+            ..accepted_request(id, &class, 15_000.0, 900.0, Arc::new(NullClient))
         })
     };
     let TestCore { core, metrics, .. } = &mut bench;
@@ -429,7 +435,9 @@
 fn a_thousand_engines_can_be_ejected_manually_and_returned_to_service() {
     let parsed = crate::engines::EngineContext::settings_for_tests();
     let mut bench = TestCore::new(parsed, 32);
-    let records = (1..=1024).map(|n| listed(n, EngineState::Ready)).collect();
+    let records = (1..=1024)
+        .map(|n| engine_record(n, EngineState::Ready))
+        .collect();
     bench.apply_list(0.0, ListUpdateKind::Full, records);
     let mut set_ejected = |n: u32, ejected| {
         let (reply, mut answer) = tokio::sync::oneshot::channel();
@@ -456,7 +464,7 @@
     let mut bench = TestCore::new(parsed, 256);
     bench.core.start(0.0);
     let record = |n: u32, state| {
-        let mut record = listed(n, state);
+        let mut record = engine_record(n, state);
         record.address = ([127, 1, (n >> 8) as u8, n as u8], 5050).into();
         record
     };
--- a/src/core/tests/attempt_interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -32,7 +32,7 @@
 
 struct Attempt {
     state: AttemptState,
-    retry_follows: bool,
+    retry_may_follow: bool,
 }
 
 /// A connection and the engine's side of it.
@@ -61,20 +61,20 @@
 
 /// All engines, their actors' mailboxes and the events on their way to the core.
 #[derive(Default)]
-struct World {
+struct EngineModel {
     commands: VecDeque<(EngineId, AttemptKey, Option<bool>)>,
     connections: Vec<(EngineId, Connection)>,
     events: VecDeque<(EngineId, AttemptKey, AttemptEvent)>,
     /// Whether the next command finds its mailbox full.
-    dropped: bool,
+    mailbox_is_full: bool,
     non_idempotent: BTreeSet<RequestId>,
     /// Requests that an engine has started to run.
     ran: BTreeSet<RequestId>,
 }
 
-impl World {
-    fn report(&mut self, at: usize, key: AttemptKey, event: AttemptEvent) {
-        let (engine, connection) = &mut self.connections[at];
+impl EngineModel {
+    fn report(&mut self, index: usize, key: AttemptKey, event: AttemptEvent) {
+        let (engine, connection) = &mut self.connections[index];
         if connection.attempts.remove(&key).is_some() {
             self.events.push_back((*engine, key, event));
         }
@@ -85,53 +85,53 @@
         let Some((engine, key, cancellation)) = self.commands.pop_front() else {
             return;
         };
-        let Some(retry_follows) = cancellation else {
-            let mine: Vec<usize> = (0..self.connections.len())
-                .filter(|i| self.connections[*i].0 == engine)
+        let Some(retry_may_follow) = cancellation else {
+            let engine_connections: Vec<usize> = (0..self.connections.len())
+                .filter(|index| self.connections[*index].0 == engine)
                 .collect();
             // Some picks open a new connection.
-            let at = mine
-                .get(pick % (mine.len() + 1).min(MAX_CONNECTIONS))
+            let index = engine_connections
+                .get(pick % (engine_connections.len() + 1).min(MAX_CONNECTIONS))
                 .copied()
                 .unwrap_or_else(|| {
                     self.connections.push((engine, Connection::default()));
                     self.connections.len() - 1
                 });
-            let connection = &mut self.connections[at].1;
+            let connection = &mut self.connections[index].1;
             let mut state = AttemptState::default();
             state.begin_writing(connection.push(Message::Attempt(key)));
             connection.attempts.insert(
                 key,
                 Attempt {
                     state,
-                    retry_follows: false,
+                    retry_may_follow: false,
                 },
             );
             return;
         };
-        for at in 0..self.connections.len() {
-            let connection = &mut self.connections[at].1;
+        for index in 0..self.connections.len() {
+            let connection = &mut self.connections[index].1;
             let Some(mut attempt) = connection.attempts.remove(&key) else {
                 continue;
             };
-            let end = attempt.state.cancel(retry_follows, || {
-                attempt.retry_follows = retry_follows;
+            let end = attempt.state.cancel(retry_may_follow, || {
+                attempt.retry_may_follow = retry_may_follow;
                 let end_position = connection.push(Message::Cancellation(key));
-                if retry_follows {
+                if retry_may_follow {
                     connection.push(Message::Ping(key));
                 }
                 end_position
             });
             connection.attempts.insert(key, attempt);
             if let Some(end) = end {
-                self.report(at, key, AttemptEvent::Cancelled(end));
+                self.report(index, key, AttemptEvent::Cancelled(end));
             }
         }
     }
 
     /// Writes one unit of the queue.
-    fn flush(&mut self, at: usize) {
-        let connection = &mut self.connections[at].1;
+    fn flush(&mut self, index: usize) {
+        let connection = &mut self.connections[index].1;
         connection.written = (connection.written + 1).min(connection.queued);
         while let Some((_, message)) = connection
             .queue
@@ -140,18 +140,18 @@
             connection.arrived.push_back(message);
         }
         let written = connection.written;
-        let left = connection
+        let ended = connection
             .attempts
             .iter_mut()
-            .filter_map(|(key, a)| a.state.wrote(written).map(|end| (*key, end)));
-        for (key, end) in left.collect::<Vec<_>>() {
-            self.report(at, key, AttemptEvent::Cancelled(end));
+            .filter_map(|(key, attempt)| attempt.state.wrote(written).map(|end| (*key, end)));
+        for (key, end) in ended.collect::<Vec<_>>() {
+            self.report(index, key, AttemptEvent::Cancelled(end));
         }
     }
 
     /// The engine receives one message.
-    fn receive_message(&mut self, at: usize) {
-        let Some(message) = self.connections[at].1.arrived.pop_front() else {
+    fn receive_message(&mut self, index: usize) {
+        let Some(message) = self.connections[index].1.arrived.pop_front() else {
             return;
         };
         match message {
@@ -166,16 +166,16 @@
                     self.ran.insert(id) || !self.non_idempotent.contains(&id),
                     "{id} ran twice"
                 );
-                self.connections[at].1.running.insert(key);
+                self.connections[index].1.running.insert(key);
             }
-            Message::Cancellation(key) => _ = self.connections[at].1.running.remove(&key),
-            Message::Ping(key) => self.connections[at].1.answers.push_back((key, None)),
+            Message::Cancellation(key) => _ = self.connections[index].1.running.remove(&key),
+            Message::Ping(key) => self.connections[index].1.answers.push_back((key, None)),
         }
     }
 
     /// The engine ends one attempt with this outcome.
-    fn answer(&mut self, at: usize, outcome: Outcome) {
-        let connection = &mut self.connections[at].1;
+    fn answer(&mut self, index: usize, outcome: Outcome) {
+        let connection = &mut self.connections[index].1;
         let Some(key) = connection.running.pop_first() else {
             return;
         };
@@ -186,16 +186,16 @@
     }
 
     /// The actor receives one answer.
-    fn receive_answer(&mut self, at: usize) {
-        let connection = &mut self.connections[at].1;
-        let Some((key, answers)) = connection.answers.pop_front() else {
+    fn receive_answer(&mut self, index: usize) {
+        let connection = &mut self.connections[index].1;
+        let Some((key, answer)) = connection.answers.pop_front() else {
             return;
         };
         let Some(attempt) = connection.attempts.get_mut(&key) else {
             return;
         };
         let cancelling = attempt.state.is_cancelling();
-        let event = match answers {
+        let event = match answer {
             None => attempt
                 .state
                 .cancellation_confirmed()
@@ -218,13 +218,13 @@
             }
         };
         if let Some(event) = event {
-            self.report(at, key, event);
+            self.report(index, key, event);
         }
     }
 
     /// The connection is lost, and the engine stops its attempts.
-    fn close(&mut self, at: usize) {
-        let (engine, mut connection) = self.connections.remove(at);
+    fn close(&mut self, index: usize) {
+        let (engine, mut connection) = self.connections.remove(index);
         for (key, mut attempt) in std::mem::take(&mut connection.attempts) {
             let cancelling = attempt.state.is_cancelling();
             let end = attempt.state.connection_closed(connection.written);
@@ -244,24 +244,24 @@
 }
 
 #[derive(Clone, Default)]
-struct Port(Arc<Mutex<World>>);
+struct ModelPort(Arc<Mutex<EngineModel>>);
 
-impl Port {
-    fn world(&self) -> MutexGuard<'_, World> {
+impl ModelPort {
+    fn model(&self) -> MutexGuard<'_, EngineModel> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn send(&self, engine: EngineId, key: AttemptKey, cancellation: Option<bool>) -> bool {
-        let mut world = self.world();
-        let full = std::mem::take(&mut world.dropped);
-        if !full {
-            world.commands.push_back((engine, key, cancellation));
+        let mut model = self.model();
+        let is_full = std::mem::take(&mut model.mailbox_is_full);
+        if !is_full {
+            model.commands.push_back((engine, key, cancellation));
         }
-        !full
+        !is_full
     }
 }
 
-impl EnginePort for Port {
+impl EnginePort for ModelPort {
     fn start_attempt(&mut self, engine: EngineId, request: AttemptRequest) -> bool {
         self.send(engine, (request.id, request.attempt), None)
     }
@@ -270,9 +270,9 @@
         engine: EngineId,
         id: RequestId,
         attempt: u16,
-        retry_follows: bool,
+        retry_may_follow: bool,
     ) {
-        self.send(engine, (id, attempt), Some(retry_follows));
+        self.send(engine, (id, attempt), Some(retry_may_follow));
     }
     fn set_priority(&mut self, _: EngineId, _: RequestId, _: u16, _: u8) {}
     fn engine_listed(&mut self, _: &EngineRecord) {}
@@ -291,14 +291,14 @@
     }
 }
 
-fn list_engine(core: &mut Core<Port>, now: Millis, n: u32, state: EngineState) {
-    let entries = vec![listed(n, state)];
+fn list_engine(core: &mut Core<ModelPort>, now: Millis, n: u32, state: EngineState) {
+    let engine_records = vec![engine_record(n, state)];
     core.handle(
         now,
         CoreMessage::EndpointList(EndpointListEvent {
             number: 0,
             kind: ListUpdateKind::Delta,
-            records: entries,
+            records: engine_records,
             unusable_engines: Vec::new(),
         }),
     );
@@ -306,14 +306,14 @@
 
 /// The core with two engines, driven step by step.
 struct Simulation {
-    core: Core<Port>,
-    port: Port,
+    core: Core<ModelPort>,
+    port: ModelPort,
     answers: Arc<AnswerLog>,
     classes: Vec<Arc<NamedClass>>,
     settings: Settings,
     now: Millis,
     next_id: RequestId,
-    disconnected: usize,
+    disconnections: usize,
 }
 
 impl Simulation {
@@ -324,7 +324,7 @@
         "limits":{"attemptsCap":6,"cancel":true},"shapes":["s"],"specifics":{"sizeCores":[8],"progressMs":200}}"#;
         let parsed = settings_json::parse(text.as_bytes()).expect("settings");
         let limits = Arc::new(Limits::new(256, 32, true, &parsed));
-        let port = Port::default();
+        let port = ModelPort::default();
         let settings = parsed.settings.clone();
         let core = Core::new(parsed.settings, 7, port.clone(), limits, Arc::default());
         let mut simulation = Simulation {
@@ -335,7 +335,7 @@
             settings,
             now: 1000.0,
             next_id: 1,
-            disconnected: 0,
+            disconnections: 0,
         };
         simulation.core.start(simulation.now);
         for engine in 1..=ENGINES {
@@ -352,14 +352,14 @@
     /// Runs one step; `pick` is a choice within it. The choices of rare steps are narrowed by `pick` too.
     fn step(&mut self, step: u8, pick: u8) {
         let pick = usize::from(pick);
-        let connections = self.port.world().connections.len();
+        let connections = self.port.model().connections.len();
         match step {
             0 if pick < 48 => self.submit_request(pick),
             1 if self.next_id > 1 && pick % 4 == 0 => {
                 let id = 1 + pick as u32 % (self.next_id - 1);
                 self.core
                     .handle(self.now, CoreMessage::ClientDisconnected(id));
-                self.disconnected += 1;
+                self.disconnections += 1;
             }
             2 if pick % 4 == 0 => {
                 self.now += [20.0, 60.0, 300.0, 900.0][pick / 8 % 4];
@@ -369,19 +369,19 @@
                 let state = [EngineState::Draining, EngineState::Ready][pick / 8 % 2];
                 list_engine(&mut self.core, self.now, 1 + pick as u32 % ENGINES, state);
             }
-            6 => self.port.world().dropped = pick % 4 == 0,
+            6 => self.port.model().mailbox_is_full = pick % 4 == 0,
             19 if pick % 16 == 0 => self.set_manual_ejection(pick),
             20 if pick % 16 == 0 => self.change_max_attempts(pick),
             7..=17 if connections > 0 => self.connection_step(step, pick, pick % connections),
-            18..=20 => self.port.world().deliver_command(pick),
+            18..=20 => self.port.model().deliver_command(pick),
             _ => self.deliver_event(),
         }
     }
 
-    /// Runs one step of the connection at this position.
-    fn connection_step(&mut self, step: u8, pick: usize, at: usize) {
+    /// Runs one step of the connection at this index.
+    fn connection_step(&mut self, step: u8, pick: usize, index: usize) {
         match step {
-            7 if pick.is_multiple_of(32) => self.port.world().close(at),
+            7 if pick.is_multiple_of(32) => self.port.model().close(index),
             8 if pick.is_multiple_of(8) => {
                 let outcomes = [
                     Outcome::Ok,
@@ -389,11 +389,11 @@
                     Outcome::Rejected,
                     Outcome::NotSent,
                 ];
-                self.port.world().answer(at, outcomes[pick / 64 % 4]);
+                self.port.model().answer(index, outcomes[pick / 64 % 4]);
             }
-            9..=12 => self.port.world().flush(at),
-            13..=15 => self.port.world().receive_message(at),
-            16..=17 => self.port.world().receive_answer(at),
+            9..=12 => self.port.model().flush(index),
+            13..=15 => self.port.model().receive_message(index),
+            16..=17 => self.port.model().receive_answer(index),
             _ => self.deliver_event(),
         }
     }
@@ -402,11 +402,11 @@
         let id = self.next_id;
         self.next_id += 1;
         if pick % 2 == 1 {
-            self.port.world().non_idempotent.insert(id);
+            self.port.model().non_idempotent.insert(id);
         }
         let deadline_ms = self.now + 2000.0 + 20.0 * pick as f64;
         let class = &self.classes[pick % 2];
-        let request = taken(id, class, deadline_ms, 30.0, self.answers.clone());
+        let request = accepted_request(id, class, deadline_ms, 30.0, self.answers.clone());
         self.core.handle(self.now, CoreMessage::Request(request));
     }
 
@@ -436,7 +436,7 @@
 
     /// Delivers the next event of an attempt to the core.
     fn deliver_event(&mut self) {
-        let next = self.port.world().events.pop_front();
+        let next = self.port.model().events.pop_front();
         if let Some((engine, (id, attempt), event)) = next {
             let message = attempt_message((engine, id, attempt), event);
             self.core.handle(self.now, message);
@@ -451,11 +451,11 @@
         }
         let answers = &self.answers.0;
         let answered = answers.lock().unwrap_or_else(PoisonError::into_inner).len();
-        let (disconnected, next_id) = (self.disconnected, self.next_id);
+        let (disconnections, next_id) = (self.disconnections, self.next_id);
         assert!(
-            answered + disconnected >= next_id as usize - 1
+            answered + disconnections >= next_id as usize - 1
                 && self.core.state_sizes().requests == 0,
-            "{answered} and {disconnected} of {next_id}"
+            "{answered} and {disconnections} of {next_id}"
         );
     }
 }
--- a/src/core/tests/engine_subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -24,11 +24,12 @@
 }
 
 impl EnginePort for RecordingEngines {
-    fn start_attempt(&mut self, engine: EngineId, ask: AttemptRequest) -> bool {
-        self.0
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .push((engine, ask.id, ask.attempt));
+    fn start_attempt(&mut self, engine: EngineId, request: AttemptRequest) -> bool {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((
+            engine,
+            request.id,
+            request.attempt,
+        ));
         true
     }
     fn cancel_attempt(&mut self, engine: EngineId, id: RequestId, attempt: u16, _: bool) {
@@ -66,14 +67,14 @@
         let mut limits = Limits::new(256, 64, false, &parsed);
         limits.subset_engines = SUBSET_ENGINES;
         let (engines, metrics): (RecordingEngines, Arc<Metrics>) = Default::default();
-        let made = Core::new(
+        let created = Core::new(
             parsed.settings.clone(),
             u64::from(ordinal),
             engines.clone(),
             Arc::new(limits),
             metrics.clone(),
         );
-        let mut core = made.expect("settings that were parsed");
+        let mut core = created.expect("settings that were parsed");
         core.start(0.0);
         Manager {
             core,
@@ -84,32 +85,32 @@
         }
     }
 
-    fn list(&mut self, now: Millis, kind: ListUpdateKind, entries: Vec<EngineRecord>) {
+    fn apply_list(&mut self, now: Millis, kind: ListUpdateKind, engine_records: Vec<EngineRecord>) {
         let event = EndpointListEvent {
             number: 1,
             kind,
-            records: entries,
+            records: engine_records,
             unusable_engines: Vec::new(),
         };
         self.core.handle(now, CoreMessage::EndpointList(event));
     }
 
     /// Submits a request of this work, in ms of one CPU core; returns the attempts started.
-    fn request(&mut self, now: Millis, work_ms: f64) -> Vec<(EngineId, RequestId, u16)> {
+    fn submit(&mut self, now: Millis, work_ms: f64) -> Vec<(EngineId, RequestId, u16)> {
         let id = self.next_id;
         self.next_id += 1;
-        let one = taken(
+        let request = accepted_request(
             id,
             &self.class,
             now + 20_000.0,
             work_ms,
             Arc::new(NullClient),
         );
-        self.core.handle(now, CoreMessage::Request(one));
+        self.core.handle(now, CoreMessage::Request(request));
         self.engines.take()
     }
 
-    fn served(&mut self, now: Millis, attempt: (EngineId, RequestId, u16)) {
+    fn report_served(&mut self, now: Millis, attempt: (EngineId, RequestId, u16)) {
         let body = Some(ResultBody::complete(ResultFormat::Text, Vec::new()));
         let event = AttemptEvent::Ended {
             outcome: Outcome::Ok,
@@ -122,7 +123,7 @@
 }
 
 fn records(ids: impl Iterator<Item = u32>, state: EngineState) -> Vec<EngineRecord> {
-    ids.map(|id| listed(id, state)).collect()
+    ids.map(|id| engine_record(id, state)).collect()
 }
 
 fn subset_metrics(metrics: &Metrics) -> [u64; 4] {
@@ -140,20 +141,20 @@
 #[test]
 fn attempts_continue_on_engines_that_leave_the_subset() {
     let mut manager = Manager::new(100, 7);
-    manager.list(
+    manager.apply_list(
         0.0,
         ListUpdateKind::Full,
         records(0..400, EngineState::Ready),
     );
-    let mut out = Vec::new();
+    let mut attempts = Vec::new();
     for _ in 0..60 {
-        out.extend(manager.request(10.0, 50.0));
+        attempts.extend(manager.submit(10.0, 50.0));
     }
-    let held = manager.core.state_sizes().dispatcher[3];
+    let engines_before = manager.core.state_sizes().dispatcher[3];
     assert!(
-        out.len() > 30 && (24..=36).contains(&held),
-        "{} sent to {held}",
-        out.len()
+        attempts.len() > 30 && (24..=36).contains(&engines_before),
+        "{} sent to {engines_before}",
+        attempts.len()
     );
     // Another ordinal: an entirely different subset.
     let settings = Box::new(fleet_settings(100, 57).settings);
@@ -170,19 +171,25 @@
             && manager.metrics.subset_membership_changes.get() == 1
     );
     assert!(
-        manager.core.state_sizes().dispatcher[3] > held,
+        manager.core.state_sizes().dispatcher[3] > engines_before,
         "engines with attempts in flight, and the new subset"
     );
-    let before: Vec<EngineId> = out.iter().map(|(engine, ..)| *engine).collect();
+    let earlier_engines: Vec<EngineId> = attempts.iter().map(|(engine, ..)| *engine).collect();
     for _ in 0..60 {
-        let again = manager.request(110.0, 50.0);
-        assert!(again.iter().all(|(engine, ..)| !before.contains(engine)));
-        out.extend(again);
+        let later_attempts = manager.submit(110.0, 50.0);
+        assert!(
+            later_attempts
+                .iter()
+                .all(|(engine, ..)| !earlier_engines.contains(engine))
+        );
+        attempts.extend(later_attempts);
     }
-    let all = out.len() as u64;
-    out.into_iter().for_each(|one| manager.served(200.0, one));
+    let request_count = attempts.len() as u64;
+    attempts
+        .into_iter()
+        .for_each(|attempt| manager.report_served(200.0, attempt));
     manager.core.run_due_timers(300.0);
-    assert_eq!(manager.metrics.requests_served.get(), all);
+    assert_eq!(manager.metrics.requests_served.get(), request_count);
     assert!(
         (24..=36).contains(&manager.core.state_sizes().dispatcher[3]),
         "{}",
@@ -192,15 +199,15 @@
 
 /// The metrics of a subset, of a complete list and of an ordinal out of range.
 #[test]
-fn metrics_show_subset_sizes_complete_lists_and_ordinals_out_of_range() {
+fn metrics_show_subset_sizes_whole_lists_and_ordinals_out_of_range() {
     let mut manager = Manager::new(100, 7);
-    manager.list(
+    manager.apply_list(
         0.0,
         ListUpdateKind::Full,
         records(0..20, EngineState::Ready),
     );
     assert_eq!(subset_metrics(&manager.metrics), [20, 1, 100, 7]);
-    manager.list(
+    manager.apply_list(
         0.0,
         ListUpdateKind::Full,
         records(0..400, EngineState::Ready),
@@ -211,7 +218,7 @@
         "{size} and {managers_per_engine}"
     );
     assert_eq!((zones, ordinal, manager.metrics.engines.get()), (1, 7, 400));
-    manager.list(0.0, ListUpdateKind::Full, Vec::new());
+    manager.apply_list(0.0, ListUpdateKind::Full, Vec::new());
     assert_eq!(
         (
             manager.metrics.subset_all_unavailable.get(),
@@ -232,7 +239,7 @@
 
 const MANAGERS: u32 = 40;
 const WORK_MS: f64 = 40.0;
-const STARTED: Millis = 20_000.0;
+const CHANGE_AT_MS: Millis = 20_000.0;
 
 /// Runs the fleet for eleven seconds while each manager learns of `changes` at its own time. Returns the work in ms sent
 /// to each engine, with the time of sending.
@@ -242,19 +249,19 @@
 ) -> BTreeMap<EngineId, Vec<(Millis, f64)>> {
     let mut sent: BTreeMap<EngineId, Vec<(Millis, f64)>> = BTreeMap::new();
     let mut in_flight: Vec<(Millis, usize, (EngineId, RequestId, u16))> = Vec::new();
-    let mut now = STARTED;
-    while now < STARTED + 11_000.0 {
+    let mut now = CHANGE_AT_MS;
+    while now < CHANGE_AT_MS + 11_000.0 {
         for (ordinal, manager) in managers.iter_mut().enumerate() {
             // The managers are notified over five seconds, in an order unlike that of their ordinals.
-            let notified_at = STARTED
+            let notified_at = CHANGE_AT_MS
                 + f64::from((ordinal as u32 * 17) % MANAGERS) * 5000.0 / f64::from(MANAGERS);
             if (notified_at..notified_at + 50.0).contains(&now) {
-                manager.list(now, ListUpdateKind::Delta, changes.to_vec());
+                manager.apply_list(now, ListUpdateKind::Delta, changes.to_vec());
             }
             manager.core.run_due_timers(now);
             let mut started = Vec::new();
             for _ in 0..5 {
-                started.extend(manager.request(now, WORK_MS));
+                started.extend(manager.submit(now, WORK_MS));
             }
             started.extend(manager.engines.take());
             for attempt in started {
@@ -262,13 +269,13 @@
                 in_flight.push((now + 400.0, ordinal, attempt));
             }
         }
-        let (ended, rest): (Vec<_>, Vec<_>) = in_flight
+        let (ended, remaining): (Vec<_>, Vec<_>) = in_flight
             .into_iter()
             .partition(|(ends_at, ..)| *ends_at <= now);
-        in_flight = rest;
+        in_flight = remaining;
         ended
             .into_iter()
-            .for_each(|(_, ordinal, attempt)| managers[ordinal].served(now, attempt));
+            .for_each(|(_, ordinal, attempt)| managers[ordinal].report_served(now, attempt));
         now += 50.0;
     }
     sent
@@ -282,7 +289,7 @@
         .map(|ordinal| Manager::new(MANAGERS, ordinal))
         .collect();
     for manager in &mut managers {
-        manager.list(
+        manager.apply_list(
             0.0,
             ListUpdateKind::Full,
             records(0..150, EngineState::Ready),
@@ -294,30 +301,33 @@
         records(150..200, EngineState::Ready)
             .into_iter()
             .map(|mut record| {
-                record.entry.started_at_ms = STARTED;
+                record.entry.started_at_ms = CHANGE_AT_MS;
                 record
             }),
     );
     let sent = run_fleet(&mut managers, &changes);
-    let mut warming_up = 0.0;
+    let mut slow_start_work_ms = 0.0;
     for id in 150..200 {
         let sends = sent.get(&engine_id(id)).map_or(&[][..], Vec::as_slice);
-        for (at, _) in sends.iter().filter(|(at, _)| *at < STARTED + 9_000.0) {
-            let age = ((at - STARTED) / 10_000.0).clamp(0.0, 1.0);
-            let allowed_ms = 2.0 * (0.3 + 0.7 * age * age) * 1000.0;
+        for (sent_at, _) in sends
+            .iter()
+            .filter(|(sent_at, _)| *sent_at < CHANGE_AT_MS + 9_000.0)
+        {
+            let elapsed_part = ((sent_at - CHANGE_AT_MS) / 10_000.0).clamp(0.0, 1.0);
+            let allowed_ms = 2.0 * (0.3 + 0.7 * elapsed_part * elapsed_part) * 1000.0;
             let window = sends
                 .iter()
-                .filter(|(time, _)| (0.0..1000.0).contains(&(time - at)));
-            let work: f64 = window.map(|(_, work)| work).sum();
+                .filter(|(time, _)| (0.0..1000.0).contains(&(time - sent_at)));
+            let work_ms: f64 = window.map(|(_, work)| work).sum();
             assert!(
-                work <= allowed_ms,
-                "engine {id} got {work} ms at {at}, and {allowed_ms} are allowed"
+                work_ms <= allowed_ms,
+                "engine {id} got {work_ms} ms at {sent_at}, and {allowed_ms} are allowed"
             );
-            warming_up += WORK_MS;
+            slow_start_work_ms += WORK_MS;
         }
     }
     assert!(
-        warming_up > 0.2 * 9_000.0 * 50.0 * 0.3,
-        "engines in slow start take part: {warming_up}"
+        slow_start_work_ms > 0.2 * 9_000.0 * 50.0 * 0.3,
+        "engines in slow start take part: {slow_start_work_ms}"
     );
 }
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -6,7 +6,7 @@
 
 use super::{EngineContext, Fleet};
 use crate::attempt::AttemptEnd;
-use crate::core::tests::taken;
+use crate::core::tests::accepted_request;
 use crate::core::{Answer, ClientPort, Clock, Core, CoreMessage, EnginePort, Handle};
 use crate::decision::{EngineState, ListUpdateKind, Outcome, RequestId};
 use crate::limits::Limits;
@@ -95,7 +95,7 @@
             unusable_engines: Vec::new(),
         };
         core.handle(now, CoreMessage::EndpointList(event));
-        let request = taken(1, &class, now + 9000.0, 50.0, Arc::new(NullClient));
+        let request = accepted_request(1, &class, now + 9000.0, 50.0, Arc::new(NullClient));
         core.handle(now, CoreMessage::Request(request));
         core.handle(now, CoreMessage::ClientDisconnected(1));
         let written = async {
--- a/src/engines/tests/engines_beyond_descriptors.rs
+++ b/src/engines/tests/engines_beyond_descriptors.rs
@@ -1,7 +1,7 @@
 //! Tests of a fleet with more engines than descriptors, and of an endpoint list that churns.
 
 use super::test_bench::{TEST_TIMEOUT, attempt, next_event, record, run_test};
-use crate::core::tests::taken;
+use crate::core::tests::accepted_request;
 use crate::core::{
     AcceptedRequest, Answer, AttemptEvent, ClientPort, Clock, Core, CoreMessage, EnginePort,
     Handle, Mailbox, run,
@@ -191,7 +191,8 @@
         for burst in 0..10 {
             for n in 0..40 {
                 let id = burst * 40 + n;
-                let one = taken(id, &class, handle.now() + 15_000.0, 50.0, client.clone());
+                let one =
+                    accepted_request(id, &class, handle.now() + 15_000.0, 50.0, client.clone());
                 let name = Bytes::from(format!("{id:016x}"));
                 handle
                     .send(CoreMessage::Request(AcceptedRequest {
--- a/src/hot_restart/order_lock_file.rs
+++ b/src/hot_restart/order_lock_file.rs
@@ -157,11 +157,11 @@
         found
     }
 
-    fn may_have_held_at_exit(&mut self, gone: PeerProcesses) -> bool {
-        self.slots_ended_with_keys(gone) != 0
+    fn may_have_held_keys_at_exit(&mut self, ended: PeerProcesses) -> bool {
+        self.slots_ended_with_keys(ended) != 0
     }
 
-    fn may_be_left_behind(&self) -> bool {
+    fn earlier_process_may_have_held_keys(&self) -> bool {
         self.ended_with_keys != 0
     }
 }
--- a/src/hot_restart/order_lock_file/tests.rs
+++ b/src/hot_restart/order_lock_file/tests.rs
@@ -60,13 +60,14 @@
     old.unlock(key(1));
     drop(old);
     assert_eq!(third.live_peers(), slots[1]);
-    assert!(third.may_have_held_at_exit(slots[0]), "it held a key");
+    assert!(third.may_have_held_keys_at_exit(slots[0]), "it held a key");
     assert!(new.try_lock(key(2)), "the key is free");
     new.unlock(key(2));
     drop(new);
     assert_eq!(third.live_peers(), 0);
     assert!(
-        !third.may_have_held_at_exit(slots[1]) && third.may_have_held_at_exit(slots[0] | slots[1])
+        !third.may_have_held_keys_at_exit(slots[1])
+            && third.may_have_held_keys_at_exit(slots[0] | slots[1])
     );
     let _ = fs::remove_file(&path);
 }
@@ -76,14 +77,17 @@
 fn a_kill_before_the_start_is_noticed_until_a_graceful_end() {
     let path = file("kill");
     let mut first = open(&path);
-    assert!(!first.may_be_left_behind() && first.try_lock(key(1)));
+    assert!(!first.earlier_process_may_have_held_keys() && first.try_lock(key(1)));
     let peer = open(&path);
-    assert!(!peer.may_be_left_behind(), "the first one is running");
+    assert!(
+        !peer.earlier_process_may_have_held_keys(),
+        "the first one is running"
+    );
     drop(first);
     let second = open(&path);
-    assert!(second.may_be_left_behind());
+    assert!(second.earlier_process_may_have_held_keys());
     drop((peer, second));
-    assert!(!open(&path).may_be_left_behind());
+    assert!(!open(&path).earlier_process_may_have_held_keys());
     let _ = fs::remove_file(&path);
 }
 
@@ -98,8 +102,8 @@
         .expect("a slot");
     assert!(
         locks.live_peers() == 0
-            && locks.may_have_held_at_exit(1 << unused)
-            && locks.may_be_left_behind()
+            && locks.may_have_held_keys_at_exit(1 << unused)
+            && locks.earlier_process_may_have_held_keys()
     );
     assert!(locks.try_lock(key(1)));
     let _ = fs::remove_file(&path);
