--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -1,9 +1,12 @@
-//! The engines of the endpoint list that have a slot: the dispatcher chooses among them, and attempts reach only them.
-//! Sans-I/O. The number of slots is bounded. An engine without a slot is counted, reported and put on a waiting list; it
-//! gets the next free slot, ready engines first.
+//! The roster: the engines of the endpoint list that have a slot. Attempts are sent only to engines
+//! with a slot, and the dispatcher chooses among them. Sans-I/O.
 //!
-//! Every engine with a slot can be reached, and its draining and its removal are known. The dispatcher is notified of
-//! all of them if the list is short, else of a subset.
+//! The number of slots is bounded. An engine without a slot is counted, reported and put on a
+//! waiting list. A free slot is given to a waiting engine, ready engines first.
+//!
+//! The roster applies every update of an engine with a slot, such as its draining or removal. If
+//! the endpoint list is short, the dispatcher is notified of all these engines, otherwise only of
+//! this manager's subset of them.
 
 mod subset_change;
 
@@ -15,32 +18,35 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// The engines that have a slot and those that wait for one.
+/// The engines that have a slot and the engines that wait for one.
 #[derive(Debug)]
 pub(super) struct Roster {
+    /// The number of slots.
     capacity: usize,
+    /// Engines with a slot.
     engines: BTreeMap<EngineId, EngineRecord>,
-    /// Engines without a slot, at most as many as there are slots. The next complete list names the others again.
+    /// Engines that wait for a slot; at most as many as there are slots. Further engines are
+    /// dropped, and the next full list contains them again.
     waiting: BTreeMap<EngineId, EngineRecord>,
-    /// The engine last listed as ready at each address.
+    /// For each address, the ready engine there that started last.
     ready_by_address: HashMap<SocketAddr, EngineId>,
     subset: Subset,
-    /// The subset as the dispatcher knows it; `None` while it is notified of the complete list.
+    /// The subset of which the dispatcher was notified; `None` while it is notified of all engines.
     reported_subset: Option<BTreeMap<EngineId, EngineEntry>>,
 }
 
-/// Number of engines with a slot and without one.
+/// Number of engines with a slot and of engines that wait for one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RosterSizes {
     pub(super) engines: usize,
     pub(super) waiting: usize,
 }
 
-/// Size of the engine set that the dispatcher knows.
+/// Size of the set of engines of which the dispatcher was notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SubsetSizes {
     pub(super) engines: usize,
-    /// Zones that have a ready engine.
+    /// Number of zones that have a ready engine.
     pub(super) ready_zones: usize,
 }
 
@@ -51,29 +57,30 @@
     pub(super) cell: u16,
 }
 
-/// The result of an event of the endpoint list.
+/// The result of applying an endpoint list event.
 #[derive(Debug, Default)]
 pub(super) struct RosterUpdate {
-    /// Engines that a complete list no longer names.
+    /// Engines that were removed because a full list does not contain them.
     pub(super) removed: Vec<EngineId>,
-    /// A complete list omits more than half of the engines.
+    /// Whether a full list omits more than half of the engines with a slot.
     pub(super) large_removal: bool,
-    /// Records for the engines' actors, in order.
+    /// Records for the engines' actors, in the order in which they apply.
     pub(super) records: Vec<EngineRecord>,
     /// The update for the dispatcher.
     pub(super) subset_change: SubsetChange,
-    /// Engines that newly have no slot.
+    /// Engines that got no slot and were not waiting for one before.
     pub(super) without_slot: Vec<EngineId>,
-    /// Removal records of unknown engines.
+    /// Number of removal records of engines that are not in the roster.
     pub(super) unknown_removals: usize,
-    /// Records that a later record of the same event replaces.
+    /// Number of records that a later record of the same event replaces.
     pub(super) duplicate_records: usize,
-    /// Records of an engine at the address of another engine that is not removed yet.
+    /// Number of records that list an engine as ready at the address of another engine that is not
+    /// removed yet.
     pub(super) address_conflicts: usize,
 }
 
 impl Roster {
-    /// An empty roster with this number of slots.
+    /// Creates an empty roster with this number of slots.
     pub(super) fn new(capacity: usize, subset: Subset) -> Roster {
         Roster {
             capacity,
@@ -100,7 +107,8 @@
         }
     }
 
-    /// The mean number of managers per engine of the subset; `None` while the dispatcher knows the complete list.
+    /// The mean number of managers that share an engine of the subset; `None` while the dispatcher
+    /// is notified of all engines.
     pub(super) fn managers_per_engine(&self) -> Option<f64> {
         let entry = self.reported_subset.as_ref()?.values().next()?;
         entry.sharing.map(|sharing| sharing.mean_managers)
@@ -111,7 +119,7 @@
         self.engines.len() + self.waiting.len() + self.ready_by_address.len()
     }
 
-    /// Whether the engine has a slot and may receive attempts.
+    /// Whether the engine has a slot and is ready, so that attempts may be sent to it.
     pub(super) fn is_ready(&self, engine: EngineId) -> bool {
         self.engines
             .get(&engine)
@@ -127,12 +135,12 @@
         })
     }
 
-    /// Whether the list names the engine, in any state, with or without a slot.
+    /// Whether the engine is in the roster, in any state: it has a slot or waits for one.
     pub(super) fn is_listed(&self, engine: EngineId) -> bool {
         self.engines.contains_key(&engine) || self.waiting.contains_key(&engine)
     }
 
-    /// Applies an event of the endpoint list.
+    /// Applies an endpoint list event.
     pub(super) fn apply(&mut self, event: &EndpointListEvent) -> RosterUpdate {
         let mut update = self.apply_records(event);
         let changed: Vec<EngineId> = update
@@ -157,14 +165,17 @@
         update
     }
 
-    /// Applies a new membership; returns the update for the dispatcher if the subset changes.
+    /// Applies this manager's membership in its fleet. Returns the update for the dispatcher if the
+    /// membership has changed.
     pub(super) fn set_membership(&mut self, membership: Membership) -> Option<SubsetChange> {
         let changed = self.subset.set_membership(membership);
         changed.then(|| self.subset_change(ListUpdateKind::Delta, Vec::new()))
     }
 
-    /// Starts the slow start of an engine anew, at `at`: its manual ejection has ended. The dispatcher does this itself
-    /// for engines that it knows; for others the new start time is kept here, until they join the subset.
+    /// Restarts the slow start of an engine at the time `started_at`, because its manual ejection
+    /// has ended. The dispatcher does this itself for the engines of which it was notified. For an
+    /// engine outside the subset the roster keeps the new start time, which the dispatcher gets
+    /// when the engine joins the subset.
     pub(super) fn reset_slow_start(&mut self, engine: EngineId, started_at: Millis) {
         let outside_subset = self
             .reported_subset
@@ -175,8 +186,9 @@
         }
     }
 
-    /// The update for the dispatcher: `changes` if it knows the complete list, else the difference to the subset that
-    /// it knows.
+    /// Computes the update for the dispatcher: `changes` while the dispatcher is notified of all
+    /// engines, otherwise the difference between the subset that it was notified of last and the
+    /// present one. A switch from the subset to all engines is sent as a full list.
     fn subset_change(&mut self, kind: ListUpdateKind, changes: Vec<EngineEntry>) -> SubsetChange {
         let members = self.subset.engines();
         let before = self.reported_subset.take();
@@ -211,6 +223,7 @@
         }
     }
 
+    /// The entries of the subset's engines, with the data on how managers share them.
     fn member_entries(&self, members: &SubsetEngines) -> BTreeMap<EngineId, EngineEntry> {
         let entry = |(engine, sharing): (&EngineId, &EngineSharing)| {
             let record = self.engines.get(engine)?;
@@ -225,6 +238,7 @@
         members.iter().filter_map(entry).collect()
     }
 
+    /// Applies the records of an event. Of several records of one engine only the last one applies.
     fn apply_records(&mut self, event: &EndpointListEvent) -> RosterUpdate {
         let mut update = RosterUpdate::default();
         let mut last_position = HashMap::new();
@@ -242,7 +256,7 @@
             .filter(|(position, record)| last_position[&record.entry.engine] == *position)
             .map(|(_, record)| record)
             .partition(|record| record.entry.state == EngineState::Removed);
-        // Removals first: they free slots for the other engines of the same event.
+        // Removals are applied first, because they free slots for other engines of the same event.
         for record in removals {
             self.apply_removal(record, &mut update);
         }
@@ -253,8 +267,8 @@
         update
     }
 
-    /// Removes the engines that a complete list omits. An engine whose record is unusable is not omitted: it stays
-    /// unchanged.
+    /// Removes the engines that a full list omits. An engine whose record is unusable does not
+    /// count as omitted and stays unchanged.
     fn remove_unlisted(
         &mut self,
         event: &EndpointListEvent,
@@ -292,7 +306,8 @@
         }
     }
 
-    /// Gives the engine a slot, or puts it on the waiting list if there is none.
+    /// Gives the engine a slot, or puts it on the waiting list if no slot is free. If the waiting
+    /// list is full too, the engine is dropped.
     fn apply_listing(&mut self, record: &EngineRecord, update: &mut RosterUpdate) {
         let id = record.entry.engine;
         if !self.engines.contains_key(&id) && self.engines.len() >= self.capacity {
@@ -320,9 +335,10 @@
         }
     }
 
-    /// Gives the engine a slot. One address belongs to one process, so of two ready engines at an address the one that
-    /// started last has replaced the other. The list may report that later; until then the earlier engine counts as
-    /// draining, as its attempts would reach the new process, which is warming up.
+    /// Gives the engine a slot. Only one process runs at an address, so if two engines are listed
+    /// as ready at one address, the engine that started last has replaced the other. The endpoint
+    /// list may report the replacement later. Until then the earlier engine is treated as draining,
+    /// because attempts for it would reach the new process, which is warming up.
     fn insert(&mut self, mut record: EngineRecord, update: &mut RosterUpdate) {
         let (id, address) = (record.entry.engine, record.address);
         self.remove(id);
--- a/src/core/roster/subset_change.rs
+++ b/src/core/roster/subset_change.rs
@@ -1,4 +1,4 @@
-//! The endpoint list update that the roster prepares for the dispatcher.
+//! The endpoint list update that the roster computes for the dispatcher.
 
 use crate::decision::{EngineEntry, EngineId, EngineState, ListUpdateKind};
 use std::collections::BTreeMap;
@@ -12,14 +12,15 @@
     pub(in crate::core) engines_added: usize,
     /// Number of engines that left the subset.
     pub(in crate::core) engines_removed: usize,
-    /// No engine of the previous subset is ready any more.
+    /// Whether the previous subset had engines and none of them is ready any more.
     pub(in crate::core) all_unavailable: bool,
 }
 
 impl SubsetChange {
-    /// The update that turns the subset `before` into `after`. Engines that left the subset are reported as removed: the
-    /// dispatcher starts no attempt there and forgets them once their attempts have ended. A dispatcher that knew the
-    /// complete list gets the subset as a new complete list.
+    /// Computes the update that turns the subset `before` into `after`. Engines that left the
+    /// subset are reported as removed: the dispatcher starts no new attempts on them, and drops
+    /// their state once their last attempt has ended. If `before` is `None`, the dispatcher was
+    /// notified of all engines, and the subset is sent as a full list.
     pub(super) fn between(
         before: Option<&BTreeMap<EngineId, EngineEntry>>,
         after: &BTreeMap<EngineId, EngineEntry>,
