--- a/src/core/order_lease_admission.rs
+++ b/src/core/order_lease_admission.rs
@@ -1,5 +1,5 @@
-//! Leases on order keys in the core: a request with an order key goes to the dispatcher once this process has the lease
-//! on that key.
+//! Admission under order key leases: a request with an order key is submitted to the dispatcher
+//! once this process holds the lease on that key.
 
 use super::order_leases::{OrderLeases, OrderLocks};
 use super::timers::Timer;
@@ -7,20 +7,22 @@
 use crate::decision::Request;
 
 impl<E: EnginePort> Core<E> {
-    /// Shares order keys with the other processes of this workload manager by these locks.
+    /// Sets the locks by which this process shares order keys with the other processes of this
+    /// workload manager.
     #[must_use]
     pub fn with_order_locks(mut self, locks: Option<Box<dyn OrderLocks>>) -> Self {
         self.order_leases = locks.map(OrderLeases::new).unwrap_or_default();
         self
     }
 
-    /// Pauses all keys if a process that ended before this one started may have held some.
+    /// Pauses all order keys if a process that ended before this one started may have held some.
     pub(super) fn start_order_leases(&mut self, now: Millis) {
         let pause = self.dispatcher.settings().order_key_pause_ms;
         self.order_leases.pause_after_unclean_exit(now, pause);
     }
 
-    /// Submits a request to the dispatcher, or holds it until this process has the lease on its key.
+    /// Submits a request to the dispatcher. A request with an order key is held back until this
+    /// process has the lease on that key.
     pub(super) fn submit_when_leased(&mut self, now: Millis, id: RequestId) {
         let Some(key) = self.order_key(id) else {
             return self.submit_request(now, id);
@@ -34,7 +36,8 @@
         self.schedule_lease_review(now);
     }
 
-    /// Submits the requests whose lease this process has acquired.
+    /// Releases the leases that are no longer needed, and submits the waiting requests whose lease
+    /// this process has acquired.
     pub(super) fn review_order_leases(&mut self, now: Millis) {
         self.lease_review_pending = false;
         let pause = self.dispatcher.settings().order_key_pause_ms;
@@ -44,13 +47,15 @@
         self.schedule_lease_review(now);
     }
 
-    /// A peer process started or ended.
+    /// Checks which peer processes are running, after one has started or ended. All order keys are
+    /// paused if one has ended that may have had attempts in flight.
     pub(super) fn check_peer_processes(&mut self, now: Millis) {
         let pause = self.dispatcher.settings().order_key_pause_ms;
         self.order_leases.check_peers(now, pause);
     }
 
-    /// An attempt of this request ended. As in the dispatcher, its key is paused where the attempt may still run.
+    /// Pauses the order key of a request whose attempt ended with this outcome, if the attempt may
+    /// still run on its engine. The dispatcher pauses the key too.
     pub(super) fn pause_order_key(&mut self, now: Millis, id: RequestId, outcome: Outcome) {
         let may_still_run = matches!(
             outcome,
@@ -62,7 +67,7 @@
         }
     }
 
-    /// A request with this key is over.
+    /// Removes a request that has ended from the lease of its order key.
     pub(super) fn remove_from_order_lease(&mut self, now: Millis, key: OrderKey, id: RequestId) {
         self.order_leases.request_closed(now, key, id);
         self.schedule_lease_review(now);
@@ -74,7 +79,8 @@
             .and_then(|request| request.accepted.order_key)
     }
 
-    /// Sets one timer at a time, and none while no request waits and no key is paused.
+    /// Sets the timer of the next lease review, unless it is set already, or no request waits and
+    /// no key is held for its pause.
     fn schedule_lease_review(&mut self, now: Millis) {
         if !self.lease_review_pending && self.order_leases.needs_review() {
             self.lease_review_pending = true;
@@ -85,14 +91,15 @@
         }
     }
 
-    /// Submits a request to the dispatcher.
+    /// Submits a request to the dispatcher. Rejects it if its class no longer exists.
     fn submit_request(&mut self, now: Millis, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let accepted = &request.accepted;
         let settings = self.dispatcher.settings();
-        // Its class may have been removed while the request waited; nothing of it has run.
+        // The class may have been removed while the request waited for the lease. The request has
+        // not run, so it can be rejected.
         let Some(class) = settings.class_position(&accepted.class.name, &accepted.class.class)
         else {
             return self.answer_client(
--- a/src/core/order_leases.rs
+++ b/src/core/order_leases.rs
@@ -1,7 +1,12 @@
-//! Leases on order keys. During a hot restart two processes are one workload manager, and each keeps the order of a
-//! key among its own requests only. A process therefore acquires a lease on a key before it submits a request with that
-//! key to its dispatcher, and holds the lease until no request of the key is open and the key's pause is over. Requests
-//! of the other process wait for that, unknown to its dispatcher, so that the wait affects no engine's statistics.
+//! Leases on order keys. During a hot restart two processes serve as one workload manager, and the
+//! dispatcher of each orders only its own requests of a key. A process therefore acquires a lease
+//! on a key before it submits a request with that key to its dispatcher. It holds the lease until
+//! no request of the key is open and the key's pause is over. Meanwhile the other process holds
+//! back its requests of the key and does not submit them to its dispatcher, so that the wait
+//! affects no engine's statistics.
+//!
+//! A key is paused for a time from the settings after an attempt of one of its requests that may
+//! still run.
 //!
 //! Sans-I/O: keys are locked through a port, [`OrderLocks`].
 
@@ -9,61 +14,69 @@
 use crate::decision::{Millis, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// While a peer process runs, requests that come later than this after the lease, in ms, wait for the next one.
+/// How long a lease admits new requests while a peer process runs, in ms. Requests that arrive later
+/// wait for the next lease.
 const MAX_LEASE_MS: Millis = 500.0;
 
-/// A process that released a key does not acquire it for this long, in ms: the peer tries every 50 ms.
+/// How long a process that has released a key does not acquire it again for waiting requests, in ms.
+/// A peer tries to acquire the key every 50 ms and so gets it first.
 const REACQUIRE_DELAY_MS: Millis = 120.0;
 
-/// The running peer processes of one workload manager: a bit for each slot in the lock file.
+/// A set of peer processes of one workload manager, with one bit for each process slot in the lock
+/// file.
 pub type PeerProcesses = u64;
 
-/// Locks on order keys, shared by all processes of one workload manager and released when their holder ends. No call
-/// blocks.
+/// Locks on order keys, shared by all processes of one workload manager. The locks of a process are
+/// released when it ends. No call blocks.
 pub trait OrderLocks: Send {
-    /// Locks a key; false where another process holds it.
+    /// Tries to lock a key. Returns false if another process holds the lock.
     fn try_lock(&mut self, key: OrderKey) -> bool;
     /// Unlocks a key.
     fn unlock(&mut self, key: OrderKey);
-    /// The peer processes that run.
+    /// The peer processes that are running.
     fn live_peers(&mut self) -> PeerProcesses;
-    /// Whether one of these processes, which have ended, may have held a key at that time.
+    /// Whether any of these ended processes may have held a key when it ended.
     fn may_have_held_keys_at_exit(&mut self, ended: PeerProcesses) -> bool;
-    /// Whether a process that ended before this one started may have held a key at that time.
+    /// Whether any process that ended before this one started may have held a key when it ended.
     fn earlier_process_may_have_held_keys(&self) -> bool;
 }
 
 /// A lease that this process holds.
 struct Lease {
-    /// Requests of the key that the dispatcher has.
+    /// Number of open requests of the key that were submitted to the dispatcher.
     open_requests: usize,
     acquired_at: Millis,
     paused_until: Millis,
 }
 
-/// Requests that wait for the lease on their key.
+/// The requests that wait for the lease on one key.
 #[derive(Default)]
 struct WaitingRequests {
+    /// In order of arrival.
     ids: VecDeque<RequestId>,
+    /// The earliest time at which this process tries to acquire the key again.
     not_before: Millis,
 }
 
-/// The leases of one process. Without locks there is no peer process, and every request is admitted at once.
+/// The leases of one process. Without locks there is no peer process, and every request is admitted
+/// at once.
 #[derive(Default)]
 pub(super) struct OrderLeases {
     locks: Option<Box<dyn OrderLocks>>,
     held: HashMap<OrderKey, Lease>,
-    /// The keys among them that are held only until their pause is over.
+    /// The held keys that have no open request and are held only until their pause is over.
     pausing: BTreeSet<OrderKey>,
-    /// Ordered by key, so that runs can be repeated.
+    /// Ordered by key, so that runs are reproducible.
     waiting: BTreeMap<OrderKey, WaitingRequests>,
+    /// The peer processes that were running at the last check.
     peers: PeerProcesses,
-    /// Until then no key is acquired: a holder may have ended with an attempt in flight.
+    /// No key is acquired before this time, because a process may have ended with an attempt in
+    /// flight.
     paused_until: Millis,
 }
 
 impl OrderLeases {
-    /// Leases by these locks.
+    /// Creates leases that are based on these locks.
     pub(super) fn new(mut locks: Box<dyn OrderLocks>) -> OrderLeases {
         let live_peers = locks.live_peers();
         OrderLeases {
@@ -73,7 +86,8 @@
         }
     }
 
-    /// The process starts. A process that ended just before may have had attempts in flight, so all keys are paused.
+    /// Pauses all keys if a process that ended before this one started may have held keys: its
+    /// attempts may still run. Called when this process starts.
     pub(super) fn pause_after_unclean_exit(&mut self, now: Millis, pause: Millis) {
         if self
             .locks
@@ -84,7 +98,8 @@
         }
     }
 
-    /// Whether a new request of this key may be submitted now. If not, it waits until [`OrderLeases::review`] returns it.
+    /// Returns true if a new request of this key may be submitted now. Otherwise the request waits
+    /// until [`OrderLeases::review`] returns its id.
     pub(super) fn admit(
         &mut self,
         now: Millis,
@@ -103,7 +118,7 @@
         false
     }
 
-    /// A request of this key is over, or was never submitted.
+    /// Removes a request of this key that has ended, whether it was submitted or still waits.
     pub(super) fn request_closed(&mut self, now: Millis, key: OrderKey, id: RequestId) {
         if let Some(queue) = self.waiting.get_mut(&key)
             && let Some(position) = queue.ids.iter().position(|waiting_id| *waiting_id == id)
@@ -118,15 +133,15 @@
         }
     }
 
-    /// Extends the pause of a key, as an attempt may still run.
+    /// Extends the pause of a held key, because an attempt may still run.
     pub(super) fn pause_until(&mut self, key: OrderKey, until: Millis) {
         if let Some(lease) = self.held.get_mut(&key) {
             lease.paused_until = lease.paused_until.max(until);
         }
     }
 
-    /// Checks which peer processes run. Returns true if one has ended that may have had attempts in flight; all keys are
-    /// paused from now on then.
+    /// Checks which peer processes are running. If one has ended that may have had attempts in
+    /// flight, pauses all keys from now on and returns true.
     pub(super) fn check_peers(&mut self, now: Millis, pause: Millis) -> bool {
         let Some(locks) = &mut self.locks else {
             return false;
@@ -140,7 +155,8 @@
         must_pause
     }
 
-    /// Releases the keys whose pause is over, and returns the waiting requests that may be submitted now, in order.
+    /// Releases the keys whose pause is over and acquires keys for waiting requests. Returns the
+    /// requests that may be submitted now, in the order of their arrival for each key.
     pub(super) fn review(&mut self, now: Millis, pause: Millis) -> Vec<RequestId> {
         for key in self.pausing.iter().copied().collect::<Vec<_>>() {
             self.release_if_unused(now, key);
@@ -163,27 +179,30 @@
         admitted
     }
 
-    /// Whether a later [`OrderLeases::review`] is needed.
+    /// Whether [`OrderLeases::review`] has to be called again later.
     pub(super) fn needs_review(&self) -> bool {
         !self.waiting.is_empty() || !self.pausing.is_empty()
     }
 
-    /// How many keys are held or waited for.
+    /// Number of held keys plus number of keys with waiting requests.
     #[cfg(test)]
     pub(super) fn key_count(&self) -> usize {
         self.held.len() + self.waiting.len()
     }
 
-    /// Whether this process holds the key, or could acquire it, for one more request.
+    /// Acquires the key for a further request, unless this process holds it already. Returns false
+    /// if the request has to wait.
     fn acquire(&mut self, now: Millis, pause: Millis, key: OrderKey) -> bool {
         if let Some(lease) = self.held.get(&key) {
-            // A steady stream of requests would keep the key from the peer process forever.
+            // Without this limit, a continuous sequence of requests would keep the lease here
+            // forever, and the peer process would never get it.
             return self.peers == 0 || now < lease.acquired_at + MAX_LEASE_MS;
         }
         if now < self.paused_until || !self.lock(key) {
             return false;
         }
-        // The lock may be free only because its holder has just ended.
+        // The lock may have become free because its holder has ended, perhaps with attempts in
+        // flight.
         if self.check_peers(now, pause) {
             self.unlock(key);
             return false;
@@ -199,6 +218,7 @@
         true
     }
 
+    /// Releases the key if it has no open request and its pause is over.
     fn release_if_unused(&mut self, now: Millis, key: OrderKey) {
         let Some(lease) = self.held.get(&key).filter(|lease| lease.open_requests == 0) else {
             return;
