--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the roster alone: large, inconsistent and early endpoint lists.
+//! Tests of the roster alone: large and inconsistent endpoint lists, removals that the list reports
+//! late, and subsets.
 
 use super::super::tests::engine_record;
 use super::*;
@@ -6,7 +7,7 @@
 
 const SLOTS: usize = 2048;
 
-/// A subset with room for every slot: the dispatcher always knows the complete list.
+/// A subset with room for every slot, so that the dispatcher is always notified of all engines.
 fn unbounded_subset() -> Subset {
     Subset::new(
         SLOTS,
@@ -47,8 +48,8 @@
     ids.filter(|id| roster.is_ready(engine_id(*id))).count()
 }
 
-/// Of 1,024 engines, 614 are replaced at once in each of twenty rounds, while the old ones drain: every new engine gets
-/// a slot, and no state of a removed one is kept.
+/// In each of twenty rounds, 614 of 1,024 engines are replaced at once, and the old ones drain
+/// before they are removed. Every new engine gets a slot, and no state of a removed one is kept.
 #[test]
 fn repeated_large_releases_admit_every_new_engine_and_retain_no_removed_one() {
     let mut roster = Roster::new(SLOTS, unbounded_subset());
@@ -88,8 +89,9 @@
     }
 }
 
-/// An engine without a slot is reported once, waits and gets the next free slot, ready engines first; one that is
-/// removed meanwhile is forgotten. Engines beyond the waiting list return with the next complete list.
+/// An engine without a slot is reported once, waits and gets the next free slot, ready engines
+/// first. A waiting engine that is removed gets no slot. Engines that exceed the waiting list are
+/// dropped until the next full list.
 #[test]
 fn engines_beyond_the_capacity_wait_and_get_the_next_free_slot() {
     let mut roster = Roster::new(4, unbounded_subset());
@@ -118,7 +120,11 @@
         ListUpdateKind::Delta,
         records(1..2, EngineState::Removed),
     ));
-    assert_eq!(update.records.len(), 2, "the removal and a new slot");
+    assert_eq!(
+        update.records.len(),
+        2,
+        "the removal, and the engine that gets its slot"
+    );
     assert!(roster.is_ready(engine_id(6)) && roster.sizes() == sizes(4, 1));
     let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
@@ -132,7 +138,8 @@
         ),
         (0, 0, sizes(4, 0))
     );
-    // A list of ten that names the same four: four wait, and two exceed the waiting list.
+    // A full list of ten engines, four of which have the slots: four wait, and two exceed the
+    // waiting list.
     let update = roster.apply(&list_event(
         ListUpdateKind::Full,
         records(2..12, EngineState::Ready),
@@ -156,7 +163,8 @@
     assert_eq!(roster.state_size(), 8);
 }
 
-/// Inconsistent records have a defined result and are counted.
+/// Removals of unknown engines and several records of one engine in one event have a defined result
+/// and are counted.
 #[test]
 fn unknown_removals_and_duplicate_records_are_counted_and_the_last_record_applies() {
     let mut roster = Roster::new(8, unbounded_subset());
@@ -164,13 +172,13 @@
         ListUpdateKind::Full,
         records(1..4, EngineState::Ready),
     ));
-    // The removal of an unknown engine is not forwarded.
+    // The removal of an unknown engine is not passed to the engines' actors.
     let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(9..10, EngineState::Removed),
     ));
     assert_eq!((update.records.len(), update.unknown_removals), (0, 1));
-    // Two records in one event: the last one applies, also if it is the removal.
+    // Of two records of one engine in one event the last one applies, also if it is a removal.
     let duplicates = [EngineState::Ready, EngineState::Draining]
         .map(|state| records(1..2, state))
         .concat();
@@ -193,7 +201,8 @@
         1
     );
     assert!(!roster.is_listed(engine_id(2)));
-    // An unchanged record changes nothing. An engine that returns after its removal is like a new one.
+    // A record without changes is not counted as inconsistent. An engine that is listed again after
+    // its removal is treated as a new one.
     let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
         records(3..4, EngineState::Ready),
@@ -214,7 +223,8 @@
     assert!(update.records.len() == 1 && roster.is_ready(engine_id(2)) && roster.state_size() == 5);
 }
 
-/// A new engine at the address of one that is not removed yet is the one reached there.
+/// If a new engine is listed at the address of an engine that is not removed yet, attempts to that
+/// address reach the new engine, so only the new one is ready.
 #[test]
 fn of_two_ready_engines_at_one_address_the_one_started_last_is_ready() {
     let mut roster = Roster::new(8, unbounded_subset());
@@ -254,7 +264,7 @@
         (update.address_conflicts, &reported[..]),
         (1, &expected[..])
     );
-    // A complete list that still names the earlier engine, in either order, does not make it ready again.
+    // A full list that still contains the earlier engine, in either order, does not make it ready.
     let same_address = || {
         [
             record_at(4, EngineState::Ready, 2, 60.0),
@@ -268,7 +278,7 @@
         roster.apply(&list_event(ListUpdateKind::Full, order));
         assert!(roster.is_ready(engine_id(4)) && !roster.is_ready(engine_id(2)));
     }
-    // At its own new address the earlier engine is ready again.
+    // The earlier engine is ready again once it is listed at an address of its own.
     roster.apply(&list_event(
         ListUpdateKind::Delta,
         vec![record_at(2, EngineState::Ready, 7, 0.0)],
@@ -278,8 +288,8 @@
     assert_eq!(roster.state_size(), 0);
 }
 
-/// An unusable record leaves its engine unchanged, also in a complete list. A complete list that omits most engines is
-/// applied and counted.
+/// An unusable record leaves its engine unchanged, also in a full list. A full list that omits more
+/// than half of the engines is applied and counted.
 #[test]
 fn unusable_records_keep_their_engine_and_large_removals_are_applied_and_counted() {
     let mut roster = Roster::new(8, unbounded_subset());
@@ -309,7 +319,7 @@
     assert_eq!(
         (update.removed.len(), update.large_removal),
         (1, false),
-        "half of them"
+        "exactly half of the engines are removed"
     );
     let update = roster.apply(&list_event(ListUpdateKind::Full, Vec::new()));
     assert_eq!((update.large_removal, roster.sizes()), (true, sizes(0, 0)));
@@ -320,7 +330,7 @@
     );
 }
 
-/// A roster of one of a hundred managers, whose dispatcher knows a subset of about 16 engines.
+/// The roster of one of a hundred managers, whose dispatcher is notified of about 16 engines.
 fn roster_with_small_subset() -> Roster {
     Roster::new(
         SLOTS,
@@ -334,7 +344,7 @@
     )
 }
 
-/// The endpoint list as the dispatcher knows it from the updates.
+/// The endpoint list that a dispatcher has after the updates that were applied.
 #[derive(Default)]
 struct DispatcherView(BTreeMap<EngineId, EngineEntry>);
 
@@ -359,8 +369,8 @@
     }
 }
 
-/// The dispatcher knows a subset of a long list, the roster all of it: an engine that drains is not ready any more,
-/// whether it is in the subset or not.
+/// The roster keeps all engines of a long list, and the dispatcher is notified of a subset. An
+/// engine that drains is no longer ready, whether it is in the subset or not.
 #[test]
 fn engines_outside_the_subset_are_known_and_stop_being_ready_when_they_drain() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
@@ -395,7 +405,7 @@
         (update.records.len(), roster.is_ready(engine_id(outside_id))),
         (1, false)
     );
-    // An engine of the subset drains: one update removes it and adds the next in order.
+    // An engine of the subset drains: one update removes it and adds the next engine on its ring.
     let drained_id = u32::from_be_bytes(subset[0].addr);
     let update = roster.apply(&list_event(
         ListUpdateKind::Delta,
@@ -414,8 +424,8 @@
     assert!(view.0.len() >= size - 1 && view.0.values().all(|entry| entry.sharing.is_some()));
 }
 
-/// A list grows beyond the subset bound and shrinks below it: the dispatcher knows a subset, then the complete list
-/// again.
+/// While the list is longer than the subset bound, the dispatcher is notified of a subset, before
+/// and after that of all engines.
 #[test]
 fn a_list_that_crosses_the_subset_bound_switches_between_subset_and_whole_list() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
@@ -452,7 +462,7 @@
     assert_eq!(
         (view.ready_engines().len(), view.0.len()),
         (12, 200),
-        "few ready engines: the complete list"
+        "few engines are ready: the dispatcher gets all engines"
     );
     view.apply(
         &roster
@@ -465,8 +475,8 @@
     assert!(view.0.len() == 12 && view.0.values().all(|entry| entry.sharing.is_none()));
 }
 
-/// All engines of the subset are removed at once, or a complete list is truncated or empty: the dispatcher knows the
-/// remaining engines, and the next in order.
+/// All engines of the subset are removed at once, or a full list is truncated or empty. The subset
+/// is filled again from the engines that remain.
 #[test]
 fn removed_or_truncated_subsets_are_refilled_from_the_remaining_engines() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
@@ -498,7 +508,7 @@
     ));
     assert!(
         !update.subset_change.all_unavailable && update.subset_change.entries.is_empty(),
-        "the same list again"
+        "the same list again changes nothing"
     );
     let truncated_ids: Vec<u32> = remaining_ids().step_by(3).collect();
     let update = roster.apply(&list_event(
@@ -529,11 +539,12 @@
     assert_eq!(
         view.ready_engines(),
         subset,
-        "the same list, the same subset"
+        "the same list gives the same subset"
     );
 }
 
-/// A changed membership is reported once, with the difference; an unchanged one is not.
+/// A changed membership gives one update with the difference between the subsets, an unchanged one
+/// gives none.
 #[test]
 fn only_a_changed_membership_changes_the_subset() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
@@ -571,7 +582,11 @@
         })
         .expect("fewer managers");
     view.apply(&change);
-    assert!(view.0.len() >= 18, "a larger share each: {}", view.0.len());
+    assert!(
+        view.0.len() >= 18,
+        "fewer managers have larger subsets: {}",
+        view.0.len()
+    );
     let change = roster
         .set_membership(Membership {
             instances: 3,
@@ -582,7 +597,8 @@
     assert!(view.0.len() == 300 && view.0.values().all(|entry| entry.sharing.is_none()));
 }
 
-/// The slow start of an engine outside the subset begins when its manual ejection ends.
+/// The slow start of an engine outside the subset begins when its manual ejection ends. The engine
+/// joins the subset later with that start time.
 #[test]
 fn an_engine_returned_to_service_outside_the_subset_joins_it_in_slow_start() {
     let mut roster = roster_with_small_subset();
