--- a/src/core/order_lease_admission/tests.rs
+++ b/src/core/order_lease_admission/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the lease admission: the dispatcher does not know a request whose key another process has leased.
+//! Tests of the admission under order key leases: a request is not submitted to the dispatcher
+//! while another process holds the lease on its key.
 
 use super::super::tests::{accepted_request, attempt_message, engine_record};
 use super::*;
@@ -19,7 +20,7 @@
 
 const PAUSE: Millis = 300.0;
 
-/// Locks of which a peer process holds all or none.
+/// Locks on order keys, all of which a peer process holds while the flag is set.
 #[derive(Clone, Default)]
 struct PeerLocks(Arc<AtomicBool>);
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Fake engines that accept every attempt.
+/// Fake engines that accept every attempt and record it.
 #[derive(Default)]
 struct Engines(Vec<(EngineId, RequestId, u16)>);
 
@@ -55,6 +56,7 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
+/// A fake client that records its answers: the request, and whether it was rejected.
 #[derive(Default)]
 struct Client(Mutex<Vec<(RequestId, bool)>>);
 
@@ -68,7 +70,7 @@
     }
 }
 
-/// Settings with these classes, all ordered by key.
+/// Settings with these classes, whose requests are all ordered by key.
 fn settings_with_classes(classes: &[&str]) -> PlatformSettings {
     let class = |name| {
         format!(
@@ -149,7 +151,7 @@
         self.client.0.lock().expect("answers").clone()
     }
 
-    /// Number of requests that the dispatcher knows.
+    /// Number of requests that were submitted to the dispatcher and have not ended.
     fn dispatcher_requests(&self) -> usize {
         self.core.state_sizes().dispatcher[0]
     }
@@ -182,14 +184,14 @@
     assert_eq!(
         (bench.dispatcher_requests(), &bench.core.engines.0[..]),
         (2, &[first][..]),
-        "the first request of the key is sent"
+        "an attempt of the first request is sent"
     );
     let event = AttemptEvent::end(Outcome::Error);
     bench.core.handle(170.0, attempt_message(first, event));
     assert_eq!(
         bench.core.engines.0.len(),
         2,
-        "then the second request, as its first attempt"
+        "then the first attempt of the second request is sent"
     );
 }
 
@@ -215,8 +217,8 @@
     assert!(bench.core.engines.0.is_empty() && !bench.core.order_leases.needs_review());
 }
 
-/// Classes are found by name after a settings change. A held request of a removed class is rejected, as nothing of it
-/// has run.
+/// After a settings change the class of a held request is looked up by name. If the class was
+/// removed, the request is rejected, because it has not run.
 #[test]
 fn a_held_request_whose_class_was_removed_is_rejected() {
     let mut bench = TestBench::new();
--- a/src/core/order_leases/tests.rs
+++ b/src/core/order_leases/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the order leases of two processes on locks in memory, and of the death of a lease holder.
+//! Tests of the order leases of two processes with locks in memory, including processes that end
+//! while they hold a lease.
 
 use super::*;
 use rstest::rstest;
@@ -8,15 +9,17 @@
 
 const PAUSE: Millis = 300.0;
 
-/// The lock state that both processes share.
+/// State that both processes share: the locks and the running and ended processes.
 #[derive(Default)]
 struct SharedLocks {
+    /// The process that holds the lock on each key.
     keys: HashMap<OrderKey, u32>,
     live: HashSet<u32>,
+    /// Processes that ended while they held keys.
     ended_uncleanly: HashSet<u32>,
 }
 
-/// The locks of one process.
+/// The locks as one process uses them, with the number of the process.
 struct InMemoryLocks(Arc<Mutex<SharedLocks>>, u32);
 
 impl InMemoryLocks {
@@ -57,7 +60,7 @@
     }
 }
 
-/// Two processes of one workload manager.
+/// Two processes of one workload manager: 0 is the old one, 1 the new one.
 struct TwoProcesses {
     shared: Arc<Mutex<SharedLocks>>,
     old: OrderLeases,
@@ -116,17 +119,20 @@
     );
     assert!(
         !processes.admit(0.0, key(1), 1),
-        "the other process has the key"
+        "the other process holds the key"
     );
     assert!(processes.admit(0.0, key(2), 2), "another key is free");
     processes.old.request_closed(10.0, key(1), 1);
-    assert!(processes.review(50.0).is_empty(), "one more is open");
+    assert!(
+        processes.review(50.0).is_empty(),
+        "one more request is open"
+    );
     assert!(!processes.admit(60.0, key(1), 3));
     processes.old.request_closed(70.0, key(1), 2);
     assert_eq!(
         processes.review(100.0),
         [1, 3],
-        "in the order in which they came"
+        "in the order of their arrival"
     );
     assert!(!processes.old.admit(100.0, PAUSE, key(1), 3));
 }
@@ -150,7 +156,8 @@
     assert_eq!(processes.review(311.0), [1]);
 }
 
-/// A further request of the lease holder is admitted: the dispatcher delays it until the pause is over.
+/// A further request of the lease holder is admitted during the pause. The dispatcher delays the
+/// request until the pause is over.
 #[test]
 fn a_paused_key_admits_requests_of_its_lease_holder() {
     let mut processes = TwoProcesses::new();
@@ -161,7 +168,7 @@
     assert!(!processes.old.needs_review() && processes.old.review(400.0, PAUSE).is_empty());
     assert!(
         !processes.admit(400.0, key(1), 1),
-        "its second request is open"
+        "the second request of the lease holder is open"
     );
 }
 
@@ -177,7 +184,7 @@
     }
     assert!(
         !processes.admit(1000.0, key(1), 1),
-        "its attempt may still run"
+        "an attempt of the ended process may still run"
     );
     assert!(processes.review(1299.0).is_empty());
     assert_eq!(processes.review(1300.0), [1]);
@@ -206,24 +213,24 @@
     assert!(processes.admit(20.0, key(1), 1));
 }
 
-/// An unbroken sequence of requests does not keep the lease from the other process.
+/// A continuous sequence of requests does not keep the lease from the other process.
 #[test]
 fn a_lease_in_continuous_use_alternates_between_two_processes() {
     let mut processes = TwoProcesses::new();
     assert!(processes.old.admit(0.0, PAUSE, key(1), 1) && !processes.admit(0.0, key(1), 1));
     assert!(
         processes.old.admit(MAX_LEASE_MS - 1.0, PAUSE, key(1), 2),
-        "within its turn"
+        "the lease still admits new requests"
     );
     assert!(
         !processes.old.admit(MAX_LEASE_MS, PAUSE, key(1), 3),
-        "its turn is over"
+        "the lease has reached its maximum age"
     );
     processes.old.request_closed(600.0, key(1), 1);
     processes.old.request_closed(610.0, key(1), 2);
     assert!(
         processes.old.review(650.0, PAUSE).is_empty(),
-        "it leaves the key alone for a while"
+        "the releasing process does not acquire the key during the reacquire delay"
     );
     assert_eq!(processes.review(650.0), [1]);
     processes.new.borrow_mut().request_closed(700.0, key(1), 1);
