--- a/src/core/retry/tests.rs
+++ b/src/core/retry/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the operators' retry policy in the core: it limits a dispatcher that would start more attempts.
+//! Tests of the operators' retry policy in the core: it denies further attempts that the dispatcher
+//! would start.
 
 use super::super::tests::attempt_message;
 use super::super::*;
@@ -44,7 +45,7 @@
     fn answer(&self, id: RequestId, answer: Answer) {
         let kind = match answer {
             Answer::Served(_) => "served",
-            Answer::Rejected { .. } => "refused",
+            Answer::Rejected { .. } => "rejected",
             Answer::Failed(_) => "failed",
         };
         self.0.lock().expect("answers").push((id, kind));
@@ -57,6 +58,7 @@
     "guarantees":{"coldMs":1,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
     "limits":{"attemptsCap":6,"cancel":true},"shapes":["std-8c"],"specifics":{"sizeCores":[8]}}"#;
 
+/// A core with fake engines and a fake client.
 struct TestBench {
     core: Core<Engines>,
     metrics: Arc<Metrics>,
@@ -65,6 +67,7 @@
     constraints: PlatformConstraints,
 }
 
+/// The policy of this operators' file.
 fn policy(constraints: &PlatformConstraints, text: &str) -> Arc<Policy> {
     let (_, policy) = operator_config::parse_and_check(text, Some(constraints))
         .unwrap_or_else(|errors| panic!("{errors:?}"));
@@ -72,7 +75,7 @@
 }
 
 impl TestBench {
-    /// A core with two ready engines and this operator file.
+    /// Creates a core with two ready engines and the retry policy of this operators' file.
     fn new(text: &str) -> TestBench {
         let parsed = settings_json::parse(SETTINGS.as_bytes()).expect("settings");
         let constraints = PlatformConstraints::from_settings(&parsed);
@@ -139,7 +142,7 @@
         self.core.handle(now, CoreMessage::Request(request));
     }
 
-    /// Ends the attempt started last with this outcome.
+    /// Ends the attempt that was started last with this outcome.
     fn end_last_attempt(&mut self, now: Millis, outcome: Outcome) {
         let (engine, id, attempt) = *self.core.engines.started.last().expect("an attempt");
         let event = AttemptEvent::end(outcome);
@@ -162,10 +165,10 @@
     bench.submit(0.0, 1, 0);
     assert_eq!(bench.attempts_started(), 1);
     bench.end_last_attempt(10.0, Outcome::Error);
-    // The dispatcher applies the request's own limit and starts no further attempt.
+    // The dispatcher applies the request's own attempt limit and starts no further attempt.
     assert_eq!(
         (bench.attempts_started(), bench.answers()),
-        (1, vec![(1, "refused")])
+        (1, vec![(1, "rejected")])
     );
     assert_eq!(bench.core.open_requests(), 0);
 }
@@ -175,12 +178,16 @@
     let mut bench = TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\"]\n");
     bench.submit(0.0, 1, 0);
     bench.end_last_attempt(10.0, Outcome::Rejected);
-    assert_eq!(bench.attempts_started(), 2, "a retry may follow full");
+    assert_eq!(
+        bench.attempts_started(),
+        2,
+        "a retry may follow the outcome full"
+    );
     bench.end_last_attempt(20.0, Outcome::Error);
     assert_eq!(
         (bench.attempts_started(), bench.answers().len()),
         (2, 1),
-        "none may follow an error, and the request ends"
+        "no retry may follow an error, and the request ends"
     );
 }
 
@@ -197,7 +204,7 @@
             bench.metrics.retries_delayed_by_backoff.get()
         ),
         (1, 1),
-        "a reset may have loaded the engine"
+        "an attempt that was reset may have loaded the engine"
     );
     bench.core.run_due_timers(109.0);
     assert_eq!(bench.attempts_started(), 1);
@@ -205,8 +212,9 @@
     assert_eq!(bench.attempts_started(), 2, "the backoff is over");
     let first_engine = bench.core.engines.started[1].0;
     bench.end_last_attempt(120.0, Outcome::Rejected);
-    let (second_engine, _, _) = *bench.core.engines.started.last().expect("sent");
-    // A rejected attempt never ran: its retry starts at once on another engine and waits on the same one.
+    let (second_engine, _, _) = *bench.core.engines.started.last().expect("an attempt");
+    // A rejected attempt never ran, so its retry starts at once on another engine. On the same
+    // engine it waits for the backoff.
     let was_delayed = bench.metrics.retries_delayed_by_backoff.get() == 2;
     assert_eq!(
         was_delayed,
@@ -234,7 +242,7 @@
     );
     assert_eq!(
         bench.answers(),
-        [(2, "refused")],
+        [(2, "rejected")],
         "the denied request is answered at once"
     );
 }
@@ -256,7 +264,7 @@
     assert_eq!(
         bench.attempts_started(),
         1,
-        "no retry before the end is confirmed"
+        "no retry before the end of the attempt is confirmed"
     );
     let (engine, id, attempt) = bench.core.engines.cancelled[0];
     let event = AttemptEvent::Cancelled(AttemptEnd::Cancelled);
@@ -279,7 +287,7 @@
     assert_eq!(
         bench.attempts_started(),
         1,
-        "the delayed attempt ended with its request"
+        "the delayed attempt is dropped with its request"
     );
     assert_eq!(
         (
@@ -287,7 +295,7 @@
             bench.core.state_sizes().dispatcher[0]
         ),
         (0, 0),
-        "neither the core nor the dispatcher keeps state of it"
+        "neither the core nor the dispatcher keeps state of the request"
     );
 }
 
@@ -312,7 +320,8 @@
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_is_never_retried() {
-    // No operator file can express this policy: a retry may follow every outcome, for every class.
+    // No operators' file can express this policy: a retry may follow every outcome, for every
+    // class.
     let default_policy = crate::retry_policy::AttemptPolicy {
         retry_on: Some(crate::retry_policy::OutcomeSet::all()),
         ..Default::default()
@@ -363,7 +372,7 @@
     assert_eq!(
         bench.core.engines.cancelled.len(),
         1,
-        "without a policy it is cancelled"
+        "without a policy the attempt is cancelled"
     );
 }
 
@@ -380,7 +389,7 @@
         log
     };
     let log = log_at(LogLevel::Info);
-    assert_eq!(log.text(), "", "nothing at the default level");
+    assert_eq!(log.text(), "", "nothing is logged at the default level");
     drop(log);
     let log = log_at(LogLevel::Debug);
     let count = |message: &str| log.events(message).len();
@@ -404,7 +413,7 @@
     assert_eq!(
         (sent[0]["after"].as_str(), sent[1]["after"].as_str()),
         (Some("None"), Some("Some(Rejected)")),
-        "a retry names the outcome that it follows"
+        "the event of a retry contains the outcome that it follows"
     );
     let rejected = log.events("dispatcher rejects a request");
     assert_eq!(rejected.len(), 1, "{}", log.text());
