--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the core alone, with fake engines and clients that report nothing.
+//! Tests of the core alone, with fake engines and clients.
 
 mod attempt_interleavings;
 mod engine_subsets;
@@ -41,13 +41,14 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
+/// A fake client that ignores its answers.
 pub(super) struct NullClient;
 
 impl ClientPort for NullClient {
     fn answer(&self, _: RequestId, _: Answer) {}
 }
 
-/// The record of an engine in the endpoint list.
+/// The endpoint list record of the engine with this number, in this state.
 pub(super) fn engine_record(n: u32, state: EngineState) -> EngineRecord {
     let entry = EngineEntry {
         engine: engine_id(n),
@@ -61,7 +62,7 @@
     }
 }
 
-/// A request of this class with this deadline and estimated work, both in ms.
+/// A request of this class, with its deadline in Unix ms and its estimated work in ms.
 pub(crate) fn accepted_request(
     id: RequestId,
     class: &Arc<NamedClass>,
@@ -87,7 +88,7 @@
     }
 }
 
-/// The report of an attempt's event by its engine, with an empty load report.
+/// The message of an attempt's event from its engine, with an empty load report.
 pub(super) fn attempt_message(
     (engine, id, attempt): (EngineId, RequestId, u16),
     event: AttemptEvent,
@@ -109,7 +110,7 @@
 }
 
 impl TestCore {
-    /// A core with these settings and this memory in MB.
+    /// Creates a core with these settings and a memory limit in MB.
     fn new(parsed: PlatformSettings, memory_mb: usize) -> TestCore {
         let limits = Arc::new(Limits::new(256, memory_mb, true, &parsed));
         let metrics: Arc<Metrics> = Arc::default();
@@ -154,6 +155,7 @@
     }
 }
 
+/// Sizes of the core's state and of the dispatcher's, four of each.
 fn all_sizes(sizes: &StateSizes) -> [usize; 8] {
     let core = [
         sizes.requests,
@@ -162,15 +164,18 @@
         sizes.timers,
     ];
     let all = [core, sizes.dispatcher].concat();
-    all.try_into().expect("four figures of each")
+    all.try_into()
+        .expect("four sizes of the core and four of the dispatcher")
 }
 
+/// Number of requests and of client references that the core keeps.
 fn requests_and_references<E: EnginePort>(core: &Core<E>) -> [usize; 2] {
     let sizes = core.state_sizes();
     [sizes.requests, sizes.client_references]
 }
 
-/// Replaces the engine of the round before, in every second round by a complete list that omits it.
+/// Replaces the engine of the previous round. Even numbers come in a full list that omits the old
+/// engine, odd numbers in a delta with its removal record.
 fn replace_engine(bench: &mut TestCore, now: Millis, engine: u32) {
     if engine.is_multiple_of(2) {
         let records = vec![engine_record(engine, EngineState::Ready)];
@@ -184,7 +189,8 @@
     }
 }
 
-/// Submits twenty requests: five time out, five are served and ten clients disconnect at once.
+/// Submits twenty requests: five time out, five are served, and the clients of ten disconnect at
+/// once.
 fn submit_requests(bench: &mut TestCore, now: Millis, round: u32) {
     for n in 0..20 {
         let id = round * 20 + n;
@@ -210,8 +216,9 @@
     }
 }
 
-/// Over a long day engines are replaced, some omitted from a complete list without a removal record, and clients
-/// disconnect, time out or are served.
+/// Runs 3,000 rounds, in which engines are replaced, some of them by a full list without a removal
+/// record, and requests are served, time out or lose their client. The state of the core and the
+/// dispatcher does not grow with the number of rounds.
 #[test]
 fn state_stays_bounded_over_many_replacements_and_disconnects() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":500,"giveUpMs":20000},
@@ -249,7 +256,8 @@
     );
 }
 
-/// Settings with a class of requests with an idempotency key, which engines keep for 700 ms in this scope.
+/// Settings with one class that is idempotent with a key. Engines keep its keys for 700 ms in this
+/// deduplication scope.
 fn idempotency_key_settings(scope: &str) -> PlatformSettings {
     let text = format!(
         r#"{{"nInstances":1,"classes":[{{"name":"a","effect":"by_key","dedupScope":"{scope}","memorySpanMs":700,
@@ -260,8 +268,9 @@
     settings_json::parse(text.as_bytes()).expect("settings")
 }
 
-/// A request that may have run is retried only with an idempotency key, only on engines of the dedup scope and only
-/// within the dedup window. The core enforces this against the dispatcher, also after a backoff.
+/// A request that may have run is retried only if it has an idempotency key, only on engines of the
+/// deduplication scope and only within the deduplication window. The core denies other retries of
+/// the dispatcher, also after a backoff.
 #[test]
 fn retries_with_an_idempotency_key_stay_within_dedup_scope_and_window() {
     for (scope, has_key, in_scope) in [
@@ -284,7 +293,7 @@
         let mut request = accepted_request(1, &classes[0], 20_000.0, 50.0, Arc::new(NullClient));
         request.idempotency_key = has_key.then(|| Bytes::from_static(b"k"));
         core.handle(0.0, CoreMessage::Request(request));
-        let request = core.requests.get_mut(1).expect("open");
+        let request = core.requests.get_mut(1).expect("an open request");
         request.history = AttemptHistory::default();
         request.history.record_sent(
             0,
@@ -295,7 +304,10 @@
                 sent_at_ms: 100.0,
             },
         );
-        request.history.record_end(0, true).expect("out");
+        request
+            .history
+            .record_end(0, true)
+            .expect("an attempt in flight");
         for (n, allowed) in (1..=3).zip(in_scope) {
             let until = core.resend_deadline(700.0, 1, engine_id(n));
             assert_eq!(
@@ -316,12 +328,13 @@
         assert_eq!(
             core.send_attempt(800.0, 1, planned),
             Err(Outcome::NotSent),
-            "after a backoff"
+            "at the end of a backoff"
         );
     }
 }
 
-/// Requests before the shutdown deadline are started, and answered at the deadline; later ones are rejected.
+/// Requests that arrive before the shutdown deadline are started and, if still open, answered at
+/// the deadline. Later ones are rejected.
 #[test]
 fn the_shutdown_deadline_answers_open_requests_and_rejects_new_ones() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":500,"giveUpMs":20000}],
@@ -361,8 +374,9 @@
     );
 }
 
-/// A lost cancellation is repeated. A request whose cancellation nothing confirms fails in time and is not retried, and
-/// neither a disconnect nor a request with the same client reference changes that.
+/// A cancellation that is not confirmed is sent again. If it is never confirmed, the request fails
+/// before its deadline and is not retried. A further request with the same client reference fails,
+/// and a client that disconnects does not free the reference, while the attempt may still run.
 #[test]
 fn an_unconfirmed_cancellation_is_repeated_and_allows_no_retry() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"repeatable","promiseMs":9000,"giveUpMs":20000}],
@@ -382,7 +396,7 @@
     };
     let TestCore { core, metrics, .. } = &mut bench;
     core.handle(0.0, request(1));
-    // No engine reports anything: the attempt is cancelled for its silence.
+    // The engines report no progress, so the attempt is cancelled.
     core.run_due_timers(3001.0);
     assert_eq!(
         (core.engines.started.len(), core.engines.cancelled.len()),
@@ -392,13 +406,13 @@
     core.run_due_timers(3100.0);
     assert!(
         core.engines.cancelled.len() > 1,
-        "the cancellation is repeated"
+        "the cancellation is sent again"
     );
     core.handle(3200.0, request(2));
     assert_eq!(
         metrics.requests_failed.get(),
         1,
-        "the reference is in use while its attempt may run"
+        "the client reference is in use while the attempt may run"
     );
     core.run_due_timers(4990.0);
     assert_eq!(
@@ -419,7 +433,8 @@
         ),
         (2, 1, 0)
     );
-    // After a disconnect the client reference stays in use until the cancellation is confirmed.
+    // After its client has disconnected, the reference stays in use until the cancellation is
+    // confirmed.
     core.handle(6000.0, request(3));
     core.handle(6001.0, CoreMessage::ClientDisconnected(3));
     assert_eq!(core.open_requests(), 0);
@@ -430,7 +445,8 @@
     assert_eq!(requests_and_references(&bench.core), [0, 0]);
 }
 
-/// The on-call staff can eject as many engines as are listed, and return each to service.
+/// The on-call staff can eject all of 1,024 listed engines manually and return each to service. The
+/// ejection of an engine that is not listed is refused.
 #[test]
 fn a_thousand_engines_can_be_ejected_manually_and_returned_to_service() {
     let parsed = crate::engines::EngineContext::settings_for_tests();
@@ -455,8 +471,9 @@
     assert!((1..=1024).all(|n| set_ejected(n, false)));
 }
 
-/// With the memory of a manager of the large fleet, each of its 22,000 engines gets a slot, each drain and each removal
-/// reaches its engine's actor, and no state of them stays.
+/// With 256 MB of memory, as a manager of the large fleet has, each of 22,000 listed engines gets a
+/// slot. Each draining and each removal is passed to the engine's actor, and no state of the
+/// removed engines is kept.
 #[test]
 fn every_drain_and_removal_of_a_large_list_reaches_the_engine_actors() {
     const LISTED: u32 = 22_000;
@@ -494,6 +511,6 @@
     assert_eq!(
         (sizes.roster, sizes.dispatcher[3]),
         (0, 0),
-        "in the roster and in the dispatcher"
+        "state of engines in the roster and in the dispatcher"
     );
 }
--- a/src/core/tests/attempt_interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -1,6 +1,8 @@
-//! A property test: in every interleaving of the core, the engines' actors, their connections and the engines, no engine
-//! receives an attempt of a request while another one may be running, and a non-idempotent request runs once. The model
-//! of a connection uses the real [`AttemptState`]; the core and the dispatcher are the real ones.
+//! A property test of attempts. In every interleaving of the core, the engines' actors, their
+//! connections and the engines, no engine receives an attempt of a request while another attempt of
+//! it may be running, and a non-idempotent request runs only once. The core and the dispatcher are
+//! the real ones. Connections and engines are a model, in which each connection uses the real
+//! [`AttemptState`].
 
 use super::*;
 use crate::attempt::never_ran;
@@ -16,42 +18,49 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 const ENGINES: u32 = 2;
-/// Most connections to one engine.
+/// Maximum number of connections to one engine.
 const MAX_CONNECTIONS: usize = 2;
-/// Size of each message in the model's unit. A message may be written in parts.
+/// Size of each message in units of the model. A message may be written in parts of one unit.
 const MESSAGE_UNITS: u64 = 2;
 
+/// The request's id and the attempt's number.
 type AttemptKey = (RequestId, u16);
 
+/// A message to an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Message {
     Attempt(AttemptKey),
     Cancellation(AttemptKey),
+    /// Follows a cancellation. The engine's answer confirms that it has read the cancellation.
     Ping(AttemptKey),
 }
 
+/// An attempt as its connection keeps it.
 struct Attempt {
     state: AttemptState,
     retry_may_follow: bool,
 }
 
-/// A connection and the engine's side of it.
+/// A connection, at the manager's side and at the engine's.
 #[derive(Default)]
 struct Connection {
     /// Queued messages, each with the write position at which it is completely written.
     queue: VecDeque<(u64, Message)>,
+    /// Units queued since the connection was opened.
     queued: u64,
+    /// Units written since the connection was opened.
     written: u64,
     attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Messages that are written and that the engine has not received.
+    /// Messages that are written and not yet received by the engine.
     arrived: VecDeque<Message>,
-    /// Attempts of this connection that the engine runs.
+    /// Attempts of this connection that the engine is running.
     running: BTreeSet<AttemptKey>,
-    /// Answers that the actor has not received; `None` answers a ping.
+    /// Answers that the actor has not received yet; `None` is the answer to a ping.
     answers: VecDeque<(AttemptKey, Option<Outcome>)>,
 }
 
 impl Connection {
+    /// Queues a message. Returns the write position at which it is completely written.
     fn push(&mut self, message: Message) -> u64 {
         self.queued += MESSAGE_UNITS;
         self.queue.push_back((self.queued, message));
@@ -59,20 +68,24 @@
     }
 }
 
-/// All engines, their actors' mailboxes and the events on their way to the core.
+/// A model of all engines, their connections, their actors' mailboxes, and the events that are
+/// queued for the core.
 #[derive(Default)]
 struct EngineModel {
+    /// Commands in the mailboxes: `None` starts the attempt; `Some` cancels it and contains whether
+    /// a retry may follow.
     commands: VecDeque<(EngineId, AttemptKey, Option<bool>)>,
     connections: Vec<(EngineId, Connection)>,
     events: VecDeque<(EngineId, AttemptKey, AttemptEvent)>,
-    /// Whether the next command finds its mailbox full.
+    /// Whether the next command is dropped because the mailbox is full.
     mailbox_is_full: bool,
     non_idempotent: BTreeSet<RequestId>,
-    /// Requests that an engine has started to run.
+    /// Requests that an engine has started to run, except those that provably never ran.
     ran: BTreeSet<RequestId>,
 }
 
 impl EngineModel {
+    /// Removes an attempt from its connection and queues the event of its end for the core.
     fn report(&mut self, index: usize, key: AttemptKey, event: AttemptEvent) {
         let (engine, connection) = &mut self.connections[index];
         if connection.attempts.remove(&key).is_some() {
@@ -80,7 +93,8 @@
         }
     }
 
-    /// Delivers the next command to its connection.
+    /// Delivers the next command to a connection of its engine; `pick` chooses the connection of an
+    /// attempt.
     fn deliver_command(&mut self, pick: usize) {
         let Some((engine, key, cancellation)) = self.commands.pop_front() else {
             return;
@@ -89,7 +103,7 @@
             let engine_connections: Vec<usize> = (0..self.connections.len())
                 .filter(|index| self.connections[*index].0 == engine)
                 .collect();
-            // Some picks open a new connection.
+            // A choice past the existing connections opens a new one.
             let index = engine_connections
                 .get(pick % (engine_connections.len() + 1).min(MAX_CONNECTIONS))
                 .copied()
@@ -129,7 +143,7 @@
         }
     }
 
-    /// Writes one unit of the queue.
+    /// Writes one unit of the connection's queue.
     fn flush(&mut self, index: usize) {
         let connection = &mut self.connections[index].1;
         connection.written = (connection.written + 1).min(connection.queued);
@@ -149,7 +163,7 @@
         }
     }
 
-    /// The engine receives one message.
+    /// Lets the engine receive one message.
     fn receive_message(&mut self, index: usize) {
         let Some(message) = self.connections[index].1.arrived.pop_front() else {
             return;
@@ -160,11 +174,11 @@
                 let other = |c: &Connection| c.running.iter().any(|k| k.0 == id);
                 assert!(
                     !self.connections.iter().any(|(_, c)| other(c)),
-                    "{id} has two attempts in flight"
+                    "request {id} has two attempts in flight"
                 );
                 assert!(
                     self.ran.insert(id) || !self.non_idempotent.contains(&id),
-                    "{id} ran twice"
+                    "request {id} ran twice"
                 );
                 self.connections[index].1.running.insert(key);
             }
@@ -173,7 +187,7 @@
         }
     }
 
-    /// The engine ends one attempt with this outcome.
+    /// Lets the engine end one attempt with this outcome.
     fn answer(&mut self, index: usize, outcome: Outcome) {
         let connection = &mut self.connections[index].1;
         let Some(key) = connection.running.pop_first() else {
@@ -185,7 +199,7 @@
         connection.answers.push_back((key, Some(outcome)));
     }
 
-    /// The actor receives one answer.
+    /// Lets the actor receive one answer.
     fn receive_answer(&mut self, index: usize) {
         let connection = &mut self.connections[index].1;
         let Some((key, answer)) = connection.answers.pop_front() else {
@@ -222,7 +236,7 @@
         }
     }
 
-    /// The connection is lost, and the engine stops its attempts.
+    /// Closes the connection, upon which the engine stops its attempts.
     fn close(&mut self, index: usize) {
         let (engine, mut connection) = self.connections.remove(index);
         for (key, mut attempt) in std::mem::take(&mut connection.attempts) {
@@ -243,6 +257,7 @@
     }
 }
 
+/// The engine port of the core, which passes commands to the model.
 #[derive(Clone, Default)]
 struct ModelPort(Arc<Mutex<EngineModel>>);
 
@@ -251,6 +266,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Queues a command. Returns false if the mailbox is full.
     fn send(&self, engine: EngineId, key: AttemptKey, cancellation: Option<bool>) -> bool {
         let mut model = self.model();
         let is_full = std::mem::take(&mut model.mailbox_is_full);
@@ -280,6 +296,7 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
+/// The client of all requests, which counts the answers to each request.
 #[derive(Default)]
 struct AnswerLog(Mutex<BTreeMap<RequestId, u32>>);
 
@@ -287,7 +304,7 @@
     fn answer(&self, id: RequestId, _: Answer) {
         let mut answers = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         *answers.entry(id).or_default() += 1;
-        assert_eq!(answers[&id], 1, "{id} was answered twice");
+        assert_eq!(answers[&id], 1, "request {id} was answered twice");
     }
 }
 
@@ -304,7 +321,7 @@
     );
 }
 
-/// The core with two engines, driven step by step.
+/// The core and the model of two engines, run step by step.
 struct Simulation {
     core: Core<ModelPort>,
     port: ModelPort,
@@ -349,7 +366,8 @@
         simulation
     }
 
-    /// Runs one step; `pick` is a choice within it. The choices of rare steps are narrowed by `pick` too.
+    /// Runs one step. `pick` chooses a variant of the step, and makes rare steps rarer: for most of
+    /// its values a rare step delivers an event or a command instead.
     fn step(&mut self, step: u8, pick: u8) {
         let pick = usize::from(pick);
         let connections = self.port.model().connections.len();
@@ -443,7 +461,8 @@
         }
     }
 
-    /// Every request is answered in the end, although no further event arrives.
+    /// Runs the timers for 20 seconds without further events. Then every request is answered or its
+    /// client has disconnected, and the core keeps no state of requests.
     fn finish(mut self) {
         for _ in 0..400 {
             self.now += 50.0;
@@ -455,12 +474,12 @@
         assert!(
             answered + disconnections >= next_id as usize - 1
                 && self.core.state_sizes().requests == 0,
-            "{answered} and {disconnections} of {next_id}"
+            "{answered} answers and {disconnections} disconnections; the next request id is {next_id}"
         );
     }
 }
 
-/// Runs the same sequences of steps every time.
+/// The seed is fixed, so each run tests the same sequences of steps.
 #[test]
 fn no_interleaving_runs_two_attempts_of_a_request_at_once() {
     let config = Config {
--- a/src/core/tests/engine_subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -1,5 +1,5 @@
-//! Tests of engine subsets in the core: attempts during a change, the metrics, and the slow start budget of a fleet of
-//! dispatchers whose endpoint lists differ.
+//! Tests of engine subsets in the core: attempts while the subset changes, the metrics, and the
+//! slow start budget of a fleet of managers whose endpoint lists differ.
 
 use super::*;
 use crate::decision::EngineId;
@@ -11,6 +11,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 
+/// The subset bound of each manager.
 const SUBSET_ENGINES: usize = 32;
 
 /// Fake engines that accept every attempt and record it.
@@ -41,7 +42,8 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
-/// The settings of one manager of a fleet whose engines have one CPU core and a slow start of ten seconds.
+/// The settings of one manager of a fleet. Each engine has one CPU core and a slow start of ten
+/// seconds.
 fn fleet_settings(instances: u32, ordinal: u32) -> PlatformSettings {
     let text = format!(
         r#"{{"nInstances":{instances},"ordinal":{ordinal},
@@ -74,7 +76,7 @@
             Arc::new(limits),
             metrics.clone(),
         );
-        let mut core = created.expect("settings that were parsed");
+        let mut core = created.expect("valid settings");
         core.start(0.0);
         Manager {
             core,
@@ -95,7 +97,8 @@
         self.core.handle(now, CoreMessage::EndpointList(event));
     }
 
-    /// Submits a request of this work, in ms of one CPU core; returns the attempts started.
+    /// Submits a request with this estimated work in ms of one CPU core. Returns the attempts that
+    /// were started.
     fn submit(&mut self, now: Millis, work_ms: f64) -> Vec<(EngineId, RequestId, u16)> {
         let id = self.next_id;
         self.next_id += 1;
@@ -110,6 +113,7 @@
         self.engines.take()
     }
 
+    /// Reports that the attempt succeeded.
     fn report_served(&mut self, now: Millis, attempt: (EngineId, RequestId, u16)) {
         let body = Some(ResultBody::complete(ResultFormat::Text, Vec::new()));
         let event = AttemptEvent::Ended {
@@ -126,6 +130,7 @@
     ids.map(|id| engine_record(id, state)).collect()
 }
 
+/// The subset's engines and zones, the managers per engine, and the ordinal.
 fn subset_metrics(metrics: &Metrics) -> [u64; 4] {
     [
         &metrics.subset_size,
@@ -136,8 +141,8 @@
     .map(Gauge::get)
 }
 
-/// An engine that leaves the subset completes its attempts. It gets no further attempt and is forgotten once its last
-/// one has ended.
+/// An engine that leaves the subset completes its attempts in flight. It gets no further attempt,
+/// and the dispatcher drops its state once its last attempt has ended.
 #[test]
 fn attempts_continue_on_engines_that_leave_the_subset() {
     let mut manager = Manager::new(100, 7);
@@ -153,10 +158,10 @@
     let engines_before = manager.core.state_sizes().dispatcher[3];
     assert!(
         attempts.len() > 30 && (24..=36).contains(&engines_before),
-        "{} sent to {engines_before}",
+        "{} attempts sent to a subset of {engines_before} engines",
         attempts.len()
     );
-    // Another ordinal: an entirely different subset.
+    // With another ordinal the manager has an entirely different subset.
     let settings = Box::new(fleet_settings(100, 57).settings);
     manager.core.handle(
         20.0,
@@ -172,7 +177,7 @@
     );
     assert!(
         manager.core.state_sizes().dispatcher[3] > engines_before,
-        "engines with attempts in flight, and the new subset"
+        "the dispatcher has the engines with attempts in flight and the new subset"
     );
     let earlier_engines: Vec<EngineId> = attempts.iter().map(|(engine, ..)| *engine).collect();
     for _ in 0..60 {
@@ -197,7 +202,7 @@
     );
 }
 
-/// The metrics of a subset, of a complete list and of an ordinal out of range.
+/// The metrics of a subset, of a list that is used whole, and of an ordinal out of range.
 #[test]
 fn metrics_show_subset_sizes_whole_lists_and_ordinals_out_of_range() {
     let mut manager = Manager::new(100, 7);
@@ -215,7 +220,7 @@
     let [size, zones, managers_per_engine, ordinal] = subset_metrics(&manager.metrics);
     assert!(
         (24..=36).contains(&size) && (6..=9).contains(&managers_per_engine),
-        "{size} and {managers_per_engine}"
+        "{size} engines, {managers_per_engine} managers per engine"
     );
     assert_eq!((zones, ordinal, manager.metrics.engines.get()), (1, 7, 400));
     manager.apply_list(0.0, ListUpdateKind::Full, Vec::new());
@@ -238,11 +243,13 @@
 }
 
 const MANAGERS: u32 = 40;
+/// Estimated work of each request, in ms.
 const WORK_MS: f64 = 40.0;
+/// When the new engines start and the endpoint list changes.
 const CHANGE_AT_MS: Millis = 20_000.0;
 
-/// Runs the fleet for eleven seconds while each manager learns of `changes` at its own time. Returns the work in ms sent
-/// to each engine, with the time of sending.
+/// Runs the fleet for eleven seconds, in which each manager is notified of `changes` at its own
+/// time. Returns for each engine the time and the work in ms of each attempt that was sent to it.
 fn run_fleet(
     managers: &mut [Manager],
     changes: &[EngineRecord],
@@ -252,7 +259,8 @@
     let mut now = CHANGE_AT_MS;
     while now < CHANGE_AT_MS + 11_000.0 {
         for (ordinal, manager) in managers.iter_mut().enumerate() {
-            // The managers are notified over five seconds, in an order unlike that of their ordinals.
+            // The managers are notified within five seconds, in an order that differs from the
+            // order of their ordinals.
             let notified_at = CHANGE_AT_MS
                 + f64::from((ordinal as u32 * 17) % MANAGERS) * 5000.0 / f64::from(MANAGERS);
             if (notified_at..notified_at + 50.0).contains(&now) {
@@ -281,8 +289,9 @@
     sent
 }
 
-/// A fleet whose managers learn of changes up to five seconds apart: in any window of a second, no engine in slow start
-/// gets more work than the permitted multiple of its capacity.
+/// The managers of a fleet are notified of changes up to five seconds apart. Together they send an
+/// engine in slow start, in any window of one second, no more work than the permitted multiple of
+/// its capacity.
 #[test]
 fn managers_with_differing_lists_keep_the_slow_start_budget_together() {
     let mut managers: Vec<Manager> = (0..MANAGERS)
@@ -295,7 +304,7 @@
             records(0..150, EngineState::Ready),
         );
     }
-    // A third of all engines drain, and as many start in their place.
+    // A third of the engines drain, and as many new ones start.
     let mut changes = records(0..50, EngineState::Draining);
     changes.extend(
         records(150..200, EngineState::Ready)
@@ -321,13 +330,13 @@
             let work_ms: f64 = window.map(|(_, work)| work).sum();
             assert!(
                 work_ms <= allowed_ms,
-                "engine {id} got {work_ms} ms at {sent_at}, and {allowed_ms} are allowed"
+                "engine {id} got {work_ms} ms of work in the second from {sent_at}; {allowed_ms} ms are allowed"
             );
             slow_start_work_ms += WORK_MS;
         }
     }
     assert!(
         slow_start_work_ms > 0.2 * 9_000.0 * 50.0 * 0.3,
-        "engines in slow start take part: {slow_start_work_ms}"
+        "engines in slow start got only {slow_start_work_ms} ms of work"
     );
 }
