--- a/src/core/order_leases/tests.rs
+++ b/src/core/order_leases/tests.rs
@@ -175,7 +175,7 @@
 #[rstest]
 #[case::detected_by_a_peer_check(true)]
 #[case::detected_by_a_lock_attempt(false)]
-fn keys_are_paused_after_a_process_died_with_a_lease(#[case] checks_peers: bool) {
+fn keys_are_paused_after_a_process_exited_with_a_lease(#[case] checks_peers: bool) {
     let mut processes = TwoProcesses::new();
     assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
     processes.end_old_process();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn keys_are_paused_at_start_after_a_process_died_with_a_lease() {
+fn keys_are_paused_at_start_after_a_process_exited_with_a_lease() {
     let mut processes = TwoProcesses::new();
     assert!(processes.old.admit(0.0, PAUSE, key(1), 1));
     processes.end_old_process();
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -51,7 +51,7 @@
 /// In each of twenty rounds, 614 of 1,024 engines are replaced at once, and the old ones drain
 /// before they are removed. Every new engine gets a slot, and no state of a removed one is kept.
 #[test]
-fn repeated_large_releases_admit_every_new_engine_and_retain_no_removed_one() {
+fn repeated_large_replacements_give_every_new_engine_a_slot_and_keep_no_removed_one() {
     let mut roster = Roster::new(SLOTS, unbounded_subset());
     let update = roster.apply(&list_event(
         ListUpdateKind::Full,
@@ -372,7 +372,7 @@
 /// The roster keeps all engines of a long list, and the dispatcher is notified of a subset. An
 /// engine that drains is no longer ready, whether it is in the subset or not.
 #[test]
-fn engines_outside_the_subset_are_known_and_stop_being_ready_when_they_drain() {
+fn engines_outside_the_subset_stay_in_the_roster_and_are_not_ready_once_they_drain() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
     let update = roster.apply(&list_event(
         ListUpdateKind::Full,
