--- a/src/core/order_lease_admission/tests.rs
+++ b/src/core/order_lease_admission/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the admission under order key leases: a request is not submitted to the dispatcher
 //! while another process holds the lease on its key.
 
-use super::super::tests::{accepted_request, attempt_message, engine_record};
+use super::super::tests::{accepted_request, attempt_message, list_record};
 use super::*;
 use crate::core::AttemptEvent;
 use crate::core::AttemptRequest;
@@ -113,7 +113,7 @@
         .expect("core");
         let mut core = core.with_order_locks(Some(Box::new(locks.clone())));
         core.start(0.0);
-        let engine_records = vec![engine_record(1, EngineState::Ready)];
+        let engine_records = vec![list_record(1, EngineState::Ready)];
         core.handle(
             0.0,
             CoreMessage::EndpointList(EndpointListEvent {
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the roster alone: large and inconsistent endpoint lists, removals that the list reports
 //! late, and subsets.
 
-use super::super::tests::engine_record;
+use super::super::tests::list_record;
 use super::*;
 use crate::node_config::engine_id;
 
@@ -18,7 +18,7 @@
     )
 }
 
-fn list_event(kind: ListUpdateKind, engine_records: Vec<EngineRecord>) -> EndpointListEvent {
+fn event(kind: ListUpdateKind, engine_records: Vec<EngineRecord>) -> EndpointListEvent {
     EndpointListEvent {
         number: 1,
         kind,
@@ -34,7 +34,7 @@
 }
 
 fn record_at(id: u32, state: EngineState, port: u16, started_at_ms: f64) -> EngineRecord {
-    let mut record = engine_record(id, state);
+    let mut record = list_record(id, state);
     record.address.set_port(port);
     record.entry.started_at_ms = started_at_ms;
     record
@@ -44,7 +44,8 @@
     RosterSizes { engines, waiting }
 }
 
-fn ready_count(roster: &Roster, ids: impl Iterator<Item = u32>) -> usize {
+/// Number of these engines that are ready.
+fn ready(roster: &Roster, ids: impl Iterator<Item = u32>) -> usize {
     ids.filter(|id| roster.is_ready(engine_id(*id))).count()
 }
 
@@ -53,7 +54,7 @@
 #[test]
 fn repeated_large_replacements_give_every_new_engine_a_slot_and_keep_no_removed_one() {
     let mut roster = Roster::new(SLOTS, unbounded_subset());
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(0..1024, EngineState::Ready),
     ));
@@ -72,13 +73,10 @@
         );
         let mut changes = records(old.clone(), EngineState::Draining);
         changes.extend(records(new.clone(), EngineState::Ready));
-        let update = roster.apply(&list_event(ListUpdateKind::Delta, changes));
-        assert!(update.without_slot.is_empty() && ready_count(&roster, old.clone()) == 0);
-        assert_eq!(
-            (ready_count(&roster, new), roster.sizes().engines),
-            (614, 1638)
-        );
-        roster.apply(&list_event(
+        let update = roster.apply(&event(ListUpdateKind::Delta, changes));
+        assert!(update.without_slot.is_empty() && ready(&roster, old.clone()) == 0);
+        assert_eq!((ready(&roster, new), roster.sizes().engines), (614, 1638));
+        roster.apply(&event(
             ListUpdateKind::Delta,
             records(old, EngineState::Removed),
         ));
@@ -95,7 +93,7 @@
 #[test]
 fn engines_beyond_the_capacity_wait_and_get_the_next_free_slot() {
     let mut roster = Roster::new(4, unbounded_subset());
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(1..7, EngineState::Ready),
     ));
@@ -104,7 +102,7 @@
         (4, vec![engine_id(5), engine_id(6)])
     );
     assert!(!roster.is_ready(engine_id(5)) && roster.is_listed(engine_id(5)));
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(5..6, EngineState::Draining),
     ));
@@ -116,17 +114,13 @@
         ),
         (0, 0, sizes(4, 2))
     );
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(1..2, EngineState::Removed),
     ));
-    assert_eq!(
-        update.records.len(),
-        2,
-        "the removal, and the engine that gets its slot"
-    );
+    assert_eq!(update.records.len(), 2, "a removal and a listing");
     assert!(roster.is_ready(engine_id(6)) && roster.sizes() == sizes(4, 1));
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(5..6, EngineState::Removed),
     ));
@@ -140,7 +134,7 @@
     );
     // A full list of ten engines, four of which have the slots: four wait, and two exceed the
     // waiting list.
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(2..12, EngineState::Ready),
     ));
@@ -148,16 +142,12 @@
         (update.without_slot.len(), roster.sizes()),
         (6, sizes(4, 4))
     );
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(8..12, EngineState::Ready),
     ));
     assert_eq!(
-        (
-            update.removed.len(),
-            ready_count(&roster, 8..12),
-            roster.sizes()
-        ),
+        (update.removed.len(), ready(&roster, 8..12), roster.sizes()),
         (4, 4, sizes(4, 0))
     );
     assert_eq!(roster.state_size(), 8);
@@ -168,12 +158,12 @@
 #[test]
 fn unknown_removals_and_duplicate_records_are_counted_and_the_last_record_applies() {
     let mut roster = Roster::new(8, unbounded_subset());
-    roster.apply(&list_event(
+    roster.apply(&event(
         ListUpdateKind::Full,
         records(1..4, EngineState::Ready),
     ));
     // The removal of an unknown engine is not passed to the engines' actors.
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(9..10, EngineState::Removed),
     ));
@@ -182,7 +172,7 @@
     let duplicates = [EngineState::Ready, EngineState::Draining]
         .map(|state| records(1..2, state))
         .concat();
-    let update = roster.apply(&list_event(ListUpdateKind::Delta, duplicates));
+    let update = roster.apply(&event(ListUpdateKind::Delta, duplicates));
     assert_eq!(
         (
             update.records.len(),
@@ -196,14 +186,14 @@
         .concat();
     assert_eq!(
         roster
-            .apply(&list_event(ListUpdateKind::Delta, duplicates))
+            .apply(&event(ListUpdateKind::Delta, duplicates))
             .duplicate_records,
         1
     );
     assert!(!roster.is_listed(engine_id(2)));
     // A record without changes is not counted as inconsistent. An engine that is listed again after
     // its removal is treated as a new one.
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(3..4, EngineState::Ready),
     ));
@@ -216,7 +206,7 @@
         ),
         (1, 0, 0, 0)
     );
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(2..3, EngineState::Ready),
     ));
@@ -228,18 +218,18 @@
 #[test]
 fn of_two_ready_engines_at_one_address_the_one_started_last_is_ready() {
     let mut roster = Roster::new(8, unbounded_subset());
-    roster.apply(&list_event(
+    roster.apply(&event(
         ListUpdateKind::Full,
         vec![
             record_at(1, EngineState::Ready, 1, 0.0),
             record_at(2, EngineState::Ready, 2, 0.0),
         ],
     ));
-    roster.apply(&list_event(
+    roster.apply(&event(
         ListUpdateKind::Delta,
         vec![record_at(1, EngineState::Draining, 1, 0.0)],
     ));
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         vec![record_at(3, EngineState::Ready, 1, 50.0)],
     ));
@@ -247,7 +237,7 @@
         (update.records.len(), roster.is_ready(engine_id(3))),
         (1, true)
     );
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         vec![record_at(4, EngineState::Ready, 2, 60.0)],
     ));
@@ -275,16 +265,16 @@
         same_address().to_vec(),
         same_address().into_iter().rev().collect(),
     ] {
-        roster.apply(&list_event(ListUpdateKind::Full, order));
+        roster.apply(&event(ListUpdateKind::Full, order));
         assert!(roster.is_ready(engine_id(4)) && !roster.is_ready(engine_id(2)));
     }
     // The earlier engine is ready again once it is listed at an address of its own.
-    roster.apply(&list_event(
+    roster.apply(&event(
         ListUpdateKind::Delta,
         vec![record_at(2, EngineState::Ready, 7, 0.0)],
     ));
     assert!(roster.is_ready(engine_id(2)) && roster.is_ready(engine_id(4)));
-    roster.apply(&list_event(ListUpdateKind::Full, Vec::new()));
+    roster.apply(&event(ListUpdateKind::Full, Vec::new()));
     assert_eq!(roster.state_size(), 0);
 }
 
@@ -293,14 +283,14 @@
 #[test]
 fn unusable_records_keep_their_engine_and_large_removals_are_applied_and_counted() {
     let mut roster = Roster::new(8, unbounded_subset());
-    roster.apply(&list_event(
+    roster.apply(&event(
         ListUpdateKind::Full,
         records(1..6, EngineState::Ready),
     ));
     let unusable = vec![engine_id(2), engine_id(7)];
     let full_list = EndpointListEvent {
         unusable_engines: unusable,
-        ..list_event(ListUpdateKind::Full, records(1..2, EngineState::Ready))
+        ..event(ListUpdateKind::Full, records(1..2, EngineState::Ready))
     };
     let update = roster.apply(&full_list);
     assert_eq!(
@@ -312,7 +302,7 @@
         (3, true, 2)
     );
     assert!(roster.is_ready(engine_id(2)) && !roster.is_listed(engine_id(7)));
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(2..3, EngineState::Ready),
     ));
@@ -321,11 +311,11 @@
         (1, false),
         "exactly half of the engines are removed"
     );
-    let update = roster.apply(&list_event(ListUpdateKind::Full, Vec::new()));
+    let update = roster.apply(&event(ListUpdateKind::Full, Vec::new()));
     assert_eq!((update.large_removal, roster.sizes()), (true, sizes(0, 0)));
     assert!(
         !roster
-            .apply(&list_event(ListUpdateKind::Full, Vec::new()))
+            .apply(&event(ListUpdateKind::Full, Vec::new()))
             .large_removal
     );
 }
@@ -360,7 +350,8 @@
             .retain(|_, entry| entry.state != EngineState::Removed);
     }
 
-    fn ready_engines(&self) -> Vec<EngineId> {
+    /// The ready engines of the list.
+    fn ready(&self) -> Vec<EngineId> {
         let ready = self
             .0
             .values()
@@ -374,7 +365,7 @@
 #[test]
 fn engines_outside_the_subset_stay_in_the_roster_and_are_not_ready_once_they_drain() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(0..300, EngineState::Ready),
     ));
@@ -385,18 +376,14 @@
     } = roster.subset_sizes();
     assert!((12..=18).contains(&size) && zones == 1, "{size}");
     assert_eq!(
-        (
-            update.records.len(),
-            view.0.len(),
-            ready_count(&roster, 0..300)
-        ),
+        (update.records.len(), view.0.len(), ready(&roster, 0..300)),
         (300, size, 300)
     );
-    let subset = view.ready_engines();
+    let subset = view.ready();
     let outside_id = (0..300)
         .find(|id| !subset.contains(&engine_id(*id)))
         .expect("an engine outside the subset");
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(outside_id..outside_id + 1, EngineState::Draining),
     ));
@@ -407,7 +394,7 @@
     );
     // An engine of the subset drains: one update removes it and adds the next engine on its ring.
     let drained_id = u32::from_be_bytes(subset[0].addr);
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Delta,
         records(drained_id..drained_id + 1, EngineState::Draining),
     ));
@@ -429,7 +416,7 @@
 #[test]
 fn a_list_that_crosses_the_subset_bound_switches_between_subset_and_whole_list() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(0..16, EngineState::Ready),
     ));
@@ -440,7 +427,7 @@
         (16, None)
     );
     for end in [40, 200] {
-        let update = roster.apply(&list_event(
+        let update = roster.apply(&event(
             ListUpdateKind::Delta,
             records(16..end, EngineState::Ready),
         ));
@@ -453,20 +440,20 @@
     }
     view.apply(
         &roster
-            .apply(&list_event(
+            .apply(&event(
                 ListUpdateKind::Delta,
                 records(12..200, EngineState::Draining),
             ))
             .subset_change,
     );
     assert_eq!(
-        (view.ready_engines().len(), view.0.len()),
+        (view.ready().len(), view.0.len()),
         (12, 200),
         "few engines are ready: the dispatcher gets all engines"
     );
     view.apply(
         &roster
-            .apply(&list_event(
+            .apply(&event(
                 ListUpdateKind::Delta,
                 records(12..200, EngineState::Removed),
             ))
@@ -480,9 +467,9 @@
 #[test]
 fn removed_or_truncated_subsets_are_refilled_from_the_remaining_engines() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
-    let full_list = list_event(ListUpdateKind::Full, records(0..300, EngineState::Ready));
+    let full_list = event(ListUpdateKind::Full, records(0..300, EngineState::Ready));
     view.apply(&roster.apply(&full_list).subset_change);
-    let subset = view.ready_engines();
+    let subset = view.ready();
     let remaining_ids = || (0..300).filter(|id| !subset.contains(&engine_id(*id)));
     let removals: Vec<EngineRecord> = subset
         .iter()
@@ -491,7 +478,7 @@
             records(id..id + 1, EngineState::Removed)
         })
         .collect();
-    let update = roster.apply(&list_event(ListUpdateKind::Delta, removals));
+    let update = roster.apply(&event(ListUpdateKind::Delta, removals));
     view.apply(&update.subset_change);
     assert!(
         update.subset_change.all_unavailable
@@ -502,7 +489,7 @@
         "{}",
         view.0.len()
     );
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(remaining_ids(), EngineState::Ready),
     ));
@@ -511,7 +498,7 @@
         "the same list again changes nothing"
     );
     let truncated_ids: Vec<u32> = remaining_ids().step_by(3).collect();
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(truncated_ids.iter().copied(), EngineState::Ready),
     ));
@@ -519,11 +506,11 @@
     assert!(
         update.large_removal
             && view
-                .ready_engines()
+                .ready()
                 .iter()
                 .all(|id| truncated_ids.contains(&u32::from_be_bytes(id.addr)))
     );
-    let update = roster.apply(&list_event(ListUpdateKind::Full, Vec::new()));
+    let update = roster.apply(&event(ListUpdateKind::Full, Vec::new()));
     view.apply(&update.subset_change);
     assert!(
         update.large_removal
@@ -536,11 +523,7 @@
                 }
     );
     view.apply(&roster.apply(&full_list).subset_change);
-    assert_eq!(
-        view.ready_engines(),
-        subset,
-        "the same list gives the same subset"
-    );
+    assert_eq!(view.ready(), subset, "the list gives the same subset");
 }
 
 /// A changed membership gives one update with the difference between the subsets, an unchanged one
@@ -550,13 +533,13 @@
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
     view.apply(
         &roster
-            .apply(&list_event(
+            .apply(&event(
                 ListUpdateKind::Full,
                 records(0..300, EngineState::Ready),
             ))
             .subset_change,
     );
-    let before = view.ready_engines();
+    let before = view.ready();
     assert!(
         roster
             .set_membership(Membership {
@@ -572,9 +555,7 @@
         })
         .expect("another ordinal");
     view.apply(&change);
-    assert!(
-        change.engines_added > 0 && change.engines_removed > 0 && view.ready_engines() != before
-    );
+    assert!(change.engines_added > 0 && change.engines_removed > 0 && view.ready() != before);
     let change = roster
         .set_membership(Membership {
             instances: 60,
@@ -602,7 +583,7 @@
 #[test]
 fn an_engine_returned_to_service_outside_the_subset_joins_it_in_slow_start() {
     let mut roster = roster_with_small_subset();
-    let update = roster.apply(&list_event(
+    let update = roster.apply(&event(
         ListUpdateKind::Full,
         records(0..300, EngineState::Ready),
     ));
@@ -624,7 +605,7 @@
     });
     view.apply(
         &roster
-            .apply(&list_event(ListUpdateKind::Delta, removals.collect()))
+            .apply(&event(ListUpdateKind::Delta, removals.collect()))
             .subset_change,
     );
     assert!(!view.0.is_empty() && view.0.values().all(|entry| entry.started_at_ms == 5000.0));
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -49,7 +49,7 @@
 }
 
 /// The endpoint list record of the engine with this number, in this state.
-pub(super) fn engine_record(n: u32, state: EngineState) -> EngineRecord {
+pub(super) fn list_record(n: u32, state: EngineState) -> EngineRecord {
     let entry = EngineEntry {
         engine: engine_id(n),
         state,
@@ -178,12 +178,12 @@
 /// engine, odd numbers in a delta with its removal record.
 fn replace_engine(bench: &mut TestCore, now: Millis, engine: u32) {
     if engine.is_multiple_of(2) {
-        let records = vec![engine_record(engine, EngineState::Ready)];
+        let records = vec![list_record(engine, EngineState::Ready)];
         bench.apply_list(now, ListUpdateKind::Full, records);
     } else {
         let records = vec![
-            engine_record(engine, EngineState::Ready),
-            engine_record(engine - 1, EngineState::Removed),
+            list_record(engine, EngineState::Ready),
+            list_record(engine - 1, EngineState::Removed),
         ];
         bench.apply_list(now, ListUpdateKind::Delta, records);
     }
@@ -282,7 +282,7 @@
         let mut bench = TestCore::new(idempotency_key_settings(scope), 32);
         // Engines 1 and 2 share a zone; each engine has its own cell.
         let records = [1, 2, 3].map(|n| {
-            let mut record = engine_record(n, EngineState::Ready);
+            let mut record = list_record(n, EngineState::Ready);
             (record.entry.zone, record.entry.cell) = (u8::from(n > 2), n as u16);
             record
         });
@@ -341,7 +341,7 @@
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6},"shapes":["std-8c"],"specifics":{"sizeCores":[8]}}"#;
     let mut bench = TestCore::from_json(text);
-    let records = vec![engine_record(1, EngineState::Ready)];
+    let records = vec![list_record(1, EngineState::Ready)];
     bench.apply_list(0.0, ListUpdateKind::Full, records);
     let TestCore {
         mut core,
@@ -383,9 +383,7 @@
         "guarantees":{"coldMs":1000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3},
         "limits":{"attemptsCap":6,"cancel":true},"shapes":["std-8c"],"specifics":{"sizeCores":[8],"progressMs":500}}"#;
     let mut bench = TestCore::from_json(text);
-    let records = [1, 2]
-        .map(|n| engine_record(n, EngineState::Ready))
-        .to_vec();
+    let records = [1, 2].map(|n| list_record(n, EngineState::Ready)).to_vec();
     bench.apply_list(0.0, ListUpdateKind::Full, records);
     let class = bench.classes[0].clone();
     let request = |id: u32| {
@@ -452,7 +450,7 @@
     let parsed = crate::engines::EngineContext::settings_for_tests();
     let mut bench = TestCore::new(parsed, 32);
     let records = (1..=1024)
-        .map(|n| engine_record(n, EngineState::Ready))
+        .map(|n| list_record(n, EngineState::Ready))
         .collect();
     bench.apply_list(0.0, ListUpdateKind::Full, records);
     let mut set_ejected = |n: u32, ejected| {
@@ -481,7 +479,7 @@
     let mut bench = TestCore::new(parsed, 256);
     bench.core.start(0.0);
     let record = |n: u32, state| {
-        let mut record = engine_record(n, state);
+        let mut record = list_record(n, state);
         record.address = ([127, 1, (n >> 8) as u8, n as u8], 5050).into();
         record
     };
--- a/src/core/tests/attempt_interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -309,7 +309,7 @@
 }
 
 fn list_engine(core: &mut Core<ModelPort>, now: Millis, n: u32, state: EngineState) {
-    let engine_records = vec![engine_record(n, state)];
+    let engine_records = vec![list_record(n, state)];
     core.handle(
         now,
         CoreMessage::EndpointList(EndpointListEvent {
--- a/src/core/tests/engine_subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -127,7 +127,7 @@
 }
 
 fn records(ids: impl Iterator<Item = u32>, state: EngineState) -> Vec<EngineRecord> {
-    ids.map(|id| engine_record(id, state)).collect()
+    ids.map(|id| list_record(id, state)).collect()
 }
 
 /// The subset's engines and zones, the managers per engine, and the ordinal.
