--- a/src/core/retry/tests.rs
+++ b/src/core/retry/tests.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_retry_follows_only_the_outcomes_that_the_policy_names() {
+fn a_retry_follows_only_the_outcomes_that_the_policy_allows() {
     let mut bench = TestBench::new("version = 1\n[attempts.default]\nretry_on = [\"full\"]\n");
     bench.submit(0.0, 1, 0);
     bench.end_last_attempt(10.0, Outcome::Rejected);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// A request of this class, with its deadline in Unix ms and its estimated work in ms.
+/// A request of this class with this deadline and this estimated work, both in ms.
 pub(crate) fn accepted_request(
     id: RequestId,
     class: &Arc<NamedClass>,
