--- a/src/engines/flight/tests.rs
+++ b/src/engines/flight/tests.rs
@@ -4,8 +4,8 @@
 use crate::decision::Outcome;
 use crate::engines::context::AfterCancellation;
 use crate::engines::tests::test_bench::{
-    EngineTestBench, LARGE, attempt, attempt_with_statement, cancel, is_cancelled, is_ended,
-    run_test, start,
+    EngineTestBench, LARGE_STATEMENT_BYTES, attempt, attempt_with_statement, cancel_message,
+    is_cancelled, is_ended, run_test, start_message,
 };
 use crate::node_config::EngineProtocol;
 use bytes::Bytes;
@@ -26,8 +26,10 @@
 fn cancelled_attempt_without_a_connection_ends_at_once() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
-        bench.send(start(attempt(1))).await;
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench.send(start_message(attempt(1))).await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -41,12 +43,14 @@
 fn cancellation_ends_once_its_reset_is_sent_and_spares_other_calls() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
-        bench.send(start(attempt(1))).await;
-        bench.send(start(attempt(2))).await;
+        bench.send(start_message(attempt(1))).await;
+        bench.send(start_message(attempt(2))).await;
         let mut peer = peer(&bench).await;
         let (_first, mut first) = peer.accept().await.expect("a call").expect("a call");
         let (_second, mut second) = peer.accept().await.expect("a call").expect("a call");
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
         // The peer is not polled meanwhile: what it reads afterwards was sent by then.
         assert!(is_cancelled(
             &bench.next_event().await,
@@ -68,13 +72,16 @@
 fn cancellation_before_a_retry_ends_once_a_ping_behind_its_reset_is_answered() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut peer = peer(&bench).await;
         let (_call, mut answer) = peer.accept().await.expect("a call").expect("a call");
         bench
-            .send(cancel(1, AfterCancellation::RetryMayFollow))
+            .send(cancel_message(1, AfterCancellation::RetryMayFollow))
             .await;
-        assert!(bench.is_silent().await, "the peer has read nothing of it");
+        assert!(
+            bench.has_no_event().await,
+            "the peer has read nothing of it"
+        );
         tokio::select! {
             biased;
             event = bench.next_event() => assert!(is_cancelled(&event, 1, AttemptEnd::Cancelled)),
@@ -92,7 +99,7 @@
     const UNUSABLE: &[u8] = &[0, 0, 0, 0, 1, 0xff];
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut peer = peer(&bench).await;
         let (_call, mut answer) = peer.accept().await.expect("a call").expect("a call");
         let head = http::Response::builder().header("content-type", "application/grpc");
@@ -103,7 +110,7 @@
         // One turn of the peer writes the answer. It reads nothing after that until it has its next turn.
         poll_fn(|context| std::task::Poll::Ready(peer.poll_accept(context).is_ready())).await;
         assert!(
-            bench.is_silent().await,
+            bench.has_no_event().await,
             "the peer has read nothing of the end"
         );
         tokio::select! {
@@ -120,16 +127,23 @@
 fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
-        bench.send(start(attempt(2))).await;
+        bench.send(start_message(attempt(2))).await;
         let mut peer = peer(&bench).await;
         let _second = peer.accept().await.expect("a call").expect("a call");
-        bench.send(start(attempt_with_statement(1, LARGE))).await;
+        bench
+            .send(start_message(attempt_with_statement(
+                1,
+                LARGE_STATEMENT_BYTES,
+            )))
+            .await;
         let _first = peer.accept().await.expect("a call").expect("a call");
         // All that both sockets take is written in these turns.
         for _ in 0..1000 {
             tokio::task::yield_now().await;
         }
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
         let (mut connection_lost, mut reset) = (false, false);
         for _ in 0..2 {
             let event = bench.next_event().await;
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -5,8 +5,8 @@
 use crate::decision::Outcome;
 use crate::engines::context::AfterCancellation;
 use crate::engines::tests::test_bench::{
-    EngineTestBench, LARGE, TEST_TIMEOUT, attempt, attempt_with_statement, cancel, is_cancelled,
-    is_ended, run_test, start,
+    EngineTestBench, LARGE_STATEMENT_BYTES, TEST_TIMEOUT, attempt, attempt_with_statement,
+    cancel_message, is_cancelled, is_ended, run_test, start_message,
 };
 use crate::log::capture::LogCapture;
 use crate::node_config::EngineProtocol;
@@ -21,7 +21,7 @@
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         // The flag is set before the actor reads the message.
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         bench.admission.set_manually_ejected(true);
         assert!(is_ended(
             &bench.next_event().await,
@@ -41,19 +41,21 @@
 fn cancelled_attempt_that_waits_ends_at_once_and_is_not_written() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt(1))).await;
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench.send(start_message(attempt(1))).await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
             AttemptEnd::NeverSent
         ));
-        bench.send(start(attempt(2))).await;
+        bench.send(start_message(attempt(2))).await;
         let mut peer = bench.accept().await;
         let mut text = [0; 64];
         let n = peer.read(&mut text).await.expect("bytes");
         assert!(text[..n].starts_with(b"ASK 0000000000000002 "));
-        assert!(bench.is_silent().await, "cancelled once, reported once");
+        assert!(bench.has_no_event().await, "cancelled once, reported once");
     });
 }
 
@@ -68,7 +70,7 @@
             [(1, now, f64::INFINITY), (2, 1e13, now), (3, 1e13, 1e13)]
         {
             bench
-                .send(start(AttemptRequest {
+                .send(start_message(AttemptRequest {
                     deadline_ms,
                     send_before_ms,
                     ..attempt(id)
@@ -99,9 +101,11 @@
     run_test(async {
         for _ in 0..40 {
             let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-            bench.send(start(attempt(1))).await;
+            bench.send(start_message(attempt(1))).await;
             tokio::task::yield_now().await;
-            bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+            bench
+                .send(cancel_message(1, AfterCancellation::NoRetry))
+                .await;
             assert!(
                 is_cancelled(&bench.next_event().await, 1, AttemptEnd::NeverSent),
                 "it was written"
@@ -117,7 +121,7 @@
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         for id in 1..4 {
-            bench.send(start(attempt(id))).await;
+            bench.send(start_message(attempt(id))).await;
             let mut peer = bench.accept().await;
             let mut received = Vec::new();
             while !received.ends_with(b"          \r\n") {
@@ -145,7 +149,7 @@
             ("0000000000000001 update -", 16_385),
         ] {
             let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-            bench.send(start(attempt(1))).await;
+            bench.send(start_message(attempt(1))).await;
             let mut peer = bench.accept().await;
             peer.read_u8().await.expect("a byte");
             let all = format!("{answer} 0\r\n\r\n").repeat(most);
@@ -172,11 +176,15 @@
 fn slow_reader_receives_attempt_then_cancellation_and_the_end_is_reported_once() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut peer = bench.accept().await;
         let mut received = vec![peer.read_u8().await.expect("a byte")];
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
         while !received.ends_with(b"QUIT 0000000000000001\r\n") {
             received.push(peer.read_u8().await.expect("a byte"));
         }
@@ -186,7 +194,7 @@
             1,
             AttemptEnd::Cancelled
         ));
-        assert!(bench.is_silent().await);
+        assert!(bench.has_no_event().await);
     });
 }
 
@@ -196,11 +204,11 @@
 fn cancellation_before_a_retry_ends_once_the_engine_confirms_it() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut peer = bench.accept().await;
         let mut received = vec![peer.read_u8().await.expect("a byte")];
         bench
-            .send(cancel(1, AfterCancellation::RetryMayFollow))
+            .send(cancel_message(1, AfterCancellation::RetryMayFollow))
             .await;
         while !received.ends_with(b"QUIT 0000000000000001\r\nNOOP 0000000000000001\r\n") {
             received.push(peer.read_u8().await.expect("a byte"));
@@ -208,7 +216,7 @@
         peer.write_all(b"00000000000000aa green - 0\r\n\r\n")
             .await
             .expect("answer");
-        assert!(bench.is_silent().await, "another tag");
+        assert!(bench.has_no_event().await, "another tag");
         peer.write_all(b"0000000000000001 green - 0\r\n\r\n")
             .await
             .expect("answer");
@@ -225,11 +233,11 @@
 fn unconfirmed_cancellation_closes_the_connection() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut peer = bench.accept().await;
         let mut all = vec![peer.read_u8().await.expect("a byte")];
         bench
-            .send(cancel(1, AfterCancellation::RetryMayFollow))
+            .send(cancel_message(1, AfterCancellation::RetryMayFollow))
             .await;
         while peer.read_buf(&mut all).await.is_ok_and(|n| n > 0) {}
         assert!(is_cancelled(
@@ -251,20 +259,27 @@
             limits.cancellation_write_timeout = TEST_TIMEOUT;
         })
         .await;
-        bench.send(start(attempt_with_statement(1, LARGE))).await;
+        bench
+            .send(start_message(attempt_with_statement(
+                1,
+                LARGE_STATEMENT_BYTES,
+            )))
+            .await;
         let mut peer = bench.accept().await;
         let mut first = [0; 4];
         peer.read_exact(&mut first).await.expect("bytes");
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
         assert!(
-            bench.is_silent().await,
+            bench.has_no_event().await,
             "the cancellation is not written yet"
         );
         let mut all = Vec::new();
         while !all.ends_with(b"QUIT 0000000000000001\r\n") {
             assert!(peer.read_buf(&mut all).await.expect("bytes") > 0);
         }
-        assert!(all.len() > LARGE);
+        assert!(all.len() > LARGE_STATEMENT_BYTES);
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -279,11 +294,18 @@
 fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt_with_statement(1, LARGE))).await;
+        bench
+            .send(start_message(attempt_with_statement(
+                1,
+                LARGE_STATEMENT_BYTES,
+            )))
+            .await;
         let mut peer = bench.accept().await;
         peer.read_exact(&mut [0; 4]).await.expect("bytes");
-        bench.send(start(attempt(2))).await;
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+        bench.send(start_message(attempt(2))).await;
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
         let mut other = bench.accept().await;
         assert!(is_cancelled(
             &bench.next_event().await,
@@ -296,7 +318,10 @@
         assert_eq!(&text, b"ASK 0000000000000002");
         let mut rest = Vec::new();
         while peer.read_buf(&mut rest).await.is_ok_and(|n| n > 0) {}
-        assert!(rest.len() < LARGE, "it never receives it completely");
+        assert!(
+            rest.len() < LARGE_STATEMENT_BYTES,
+            "it never receives it completely"
+        );
     });
 }
 
@@ -305,18 +330,25 @@
 fn reset_while_cancellation_is_queued_is_reported_once() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt_with_statement(1, LARGE))).await;
+        bench
+            .send(start_message(attempt_with_statement(
+                1,
+                LARGE_STATEMENT_BYTES,
+            )))
+            .await;
         let mut peer = bench.accept().await;
         peer.read_exact(&mut [0; 4]).await.expect("bytes");
-        bench.send(cancel(1, AfterCancellation::NoRetry)).await;
-        assert!(bench.is_silent().await);
+        bench
+            .send(cancel_message(1, AfterCancellation::NoRetry))
+            .await;
+        assert!(bench.has_no_event().await);
         drop(peer);
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
             AttemptEnd::NeverSent
         ));
-        assert!(bench.is_silent().await);
+        assert!(bench.has_no_event().await);
     });
 }
 
@@ -330,13 +362,20 @@
             ("served batches=3 2\r\na\n", false),
         ] {
             let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-            bench.send(start(attempt(1))).await;
-            bench.send(start(attempt_with_statement(2, LARGE))).await;
+            bench.send(start_message(attempt(1))).await;
+            bench
+                .send(start_message(attempt_with_statement(
+                    2,
+                    LARGE_STATEMENT_BYTES,
+                )))
+                .await;
             let mut peer = bench.accept().await;
             peer.read_exact(&mut [0; 20]).await.expect("bytes");
-            bench.send(cancel(1, AfterCancellation::NoRetry)).await;
+            bench
+                .send(cancel_message(1, AfterCancellation::NoRetry))
+                .await;
             assert!(
-                bench.is_silent().await,
+                bench.has_no_event().await,
                 "the cancellation is queued behind what is not read"
             );
             peer.write_all(format!("0000000000000001 {answer}\r\n").as_bytes())
@@ -366,7 +405,7 @@
     run_test(async {
         let log = LogCapture::new(LogLevel::Debug, LogFormat::Json);
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut peer = bench.accept().await;
         // All of it is read: a peer that closes with bytes unread resets the connection.
         let mut received = Vec::new();
--- a/src/engines/tests/connection_reuse.rs
+++ b/src/engines/tests/connection_reuse.rs
@@ -1,6 +1,8 @@
 //! Tests of which connection carries an attempt whose reference an earlier attempt had.
 
-use super::test_bench::{EngineTestBench, TEST_TIMEOUT, attempt, is_ended, run_test, start};
+use super::test_bench::{
+    EngineTestBench, TEST_TIMEOUT, attempt, is_ended, run_test, start_message,
+};
 use crate::core::AttemptRequest;
 use crate::decision::{Outcome, RequestId};
 use crate::engines::context::EngineMessage;
@@ -12,7 +14,7 @@
 
 /// The message that starts the retry of a request.
 fn start_retry(id: RequestId) -> EngineMessage {
-    start(AttemptRequest {
+    start_message(AttemptRequest {
         attempt: 1,
         ..attempt(id)
     })
@@ -24,8 +26,8 @@
     while !received.ends_with(b"          \r\n") {
         assert!(peer.read_buf(&mut received).await.expect("bytes") > 0);
     }
-    let asked = format!("ASK {id:016x} ");
-    assert!(received.starts_with(asked.as_bytes()));
+    let expected_prefix = format!("ASK {id:016x} ");
+    assert!(received.starts_with(expected_prefix.as_bytes()));
     let answer = format!("{id:016x} overload - 0\r\n\r\n");
     peer.write_all(answer.as_bytes()).await.expect("answer");
     let event = bench.next_event().await;
@@ -34,9 +36,9 @@
 
 /// A bench whose engine may have one connection, which has carried the first attempt of request 1 and is idle.
 async fn bench_with_one_connection() -> (EngineTestBench, TcpStream) {
-    let only_one = |limits: &mut Limits| limits.connections_per_engine = 1;
-    let mut bench = EngineTestBench::with_limits(EngineProtocol::Lines, only_one).await;
-    bench.send(start(attempt(1))).await;
+    let one_connection = |limits: &mut Limits| limits.connections_per_engine = 1;
+    let mut bench = EngineTestBench::with_limits(EngineProtocol::Lines, one_connection).await;
+    bench.send(start_message(attempt(1))).await;
     let mut first = bench.accept().await;
     reject(&mut bench, &mut first, 1).await;
     (bench, first)
@@ -52,13 +54,13 @@
 fn a_retry_takes_another_connection_and_other_requests_share_both() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut first = bench.accept().await;
         reject(&mut bench, &mut first, 1).await;
         bench.send(start_retry(1)).await;
         let mut second = bench.accept().await;
         reject(&mut bench, &mut second, 1).await;
-        bench.send(start(attempt(2))).await;
+        bench.send(start_message(attempt(2))).await;
         // Of two idle connections the one that answered last is chosen.
         reject(&mut bench, &mut second, 2).await;
         assert_eq!(bench.context.metrics.engine_connections.get(), 2);
@@ -82,7 +84,7 @@
 fn a_retry_is_not_sent_where_the_only_connection_is_busy() {
     run_test(async {
         let (mut bench, mut first) = bench_with_one_connection().await;
-        bench.send(start(attempt(2))).await;
+        bench.send(start_message(attempt(2))).await;
         bench.send(start_retry(1)).await;
         let event = bench.next_event().await;
         assert!(is_ended(&event, 1, Outcome::NoConnectionSlot), "{event:?}");
@@ -98,12 +100,12 @@
             limits.references_per_connection = 2;
         })
         .await;
-        bench.send(start(attempt(1))).await;
+        bench.send(start_message(attempt(1))).await;
         let mut first = bench.accept().await;
         reject(&mut bench, &mut first, 1).await;
-        bench.send(start(attempt(2))).await;
+        bench.send(start_message(attempt(2))).await;
         reject(&mut bench, &mut first, 2).await;
-        bench.send(start(attempt(3))).await;
+        bench.send(start_message(attempt(3))).await;
         let mut second = bench.accept().await;
         expect_closed(&mut first).await;
         reject(&mut bench, &mut second, 3).await;
--- a/src/engines/tests/test_bench.rs
+++ b/src/engines/tests/test_bench.rs
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 
 /// Bytes of a statement that the buffers of both sockets do not take in.
-pub(in crate::engines) const LARGE: usize = 24 << 20;
+pub(in crate::engines) const LARGE_STATEMENT_BYTES: usize = 24 << 20;
 
 /// Longest wait for anything that a test expects.
 pub(in crate::engines) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
@@ -93,7 +93,7 @@
     }
 
     /// Whether the core receives nothing, after all actors had their turns.
-    pub(in crate::engines) async fn is_silent(&mut self) -> bool {
+    pub(in crate::engines) async fn has_no_event(&mut self) -> bool {
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
@@ -180,12 +180,15 @@
 }
 
 /// The message that starts this attempt.
-pub(in crate::engines) fn start(attempt: AttemptRequest) -> EngineMessage {
+pub(in crate::engines) fn start_message(attempt: AttemptRequest) -> EngineMessage {
     EngineMessage::StartAttempt(Box::new(attempt))
 }
 
 /// The message that cancels the only attempt of this request.
-pub(in crate::engines) fn cancel(request: RequestId, after: AfterCancellation) -> EngineMessage {
+pub(in crate::engines) fn cancel_message(
+    request: RequestId,
+    after: AfterCancellation,
+) -> EngineMessage {
     EngineMessage::CancelAttempt {
         attempt: AttemptId { request, number: 0 },
         after,
