--- a/src/engines/carried_references.rs
+++ b/src/engines/carried_references.rs
@@ -27,12 +27,12 @@
 
     /// Records that the connection was given an attempt with this reference.
     pub(super) fn record(&mut self, reference: &Bytes) {
-        self.numbers.push(number_of(reference));
+        self.numbers.push(parse_reference(reference));
     }
 
     /// Whether the connection may be given an attempt with this reference.
-    pub(super) fn allow(&self, reference: &Bytes) -> bool {
-        !self.is_full() && !self.numbers.contains(&number_of(reference))
+    pub(super) fn allows(&self, reference: &Bytes) -> bool {
+        !self.is_full() && !self.numbers.contains(&parse_reference(reference))
     }
 
     /// Whether the connection takes no further attempts.
@@ -43,7 +43,7 @@
 
 /// The number of a reference. Front ends accept no reference but 16 hex digits; any other one counts as one and the same
 /// here, which at worst opens a connection more.
-fn number_of(reference: &Bytes) -> u64 {
+fn parse_reference(reference: &Bytes) -> u64 {
     let digits = std::str::from_utf8(reference).unwrap_or_default();
     u64::from_str_radix(digits, 16).unwrap_or_default()
 }
--- a/src/engines/carried_references/tests.rs
+++ b/src/engines/carried_references/tests.rs
@@ -8,20 +8,20 @@
 fn a_reference_is_allowed_once() {
     let mut carried = CarriedReferences::new(8);
     let reference = Bytes::from_static(b"00000000000000ab");
-    assert!(carried.allow(&reference));
+    assert!(carried.allows(&reference));
     carried.record(&reference);
-    assert!(!carried.allow(&reference));
-    assert!(!carried.allow(&Bytes::from_static(b"00000000000000AB")));
-    assert!(carried.allow(&Bytes::from_static(b"00000000000000ac")));
+    assert!(!carried.allows(&reference));
+    assert!(!carried.allows(&Bytes::from_static(b"00000000000000AB")));
+    assert!(carried.allows(&Bytes::from_static(b"00000000000000ac")));
 }
 
 #[test]
-fn nothing_is_allowed_at_the_limit_as_no_reference_may_be_forgotten() {
+fn no_reference_is_allowed_once_the_limit_is_reached() {
     let mut carried = CarriedReferences::new(2);
     for reference in ["0000000000000001", "0000000000000002"] {
         assert!(!carried.is_full());
         carried.record(&Bytes::from_static(reference.as_bytes()));
     }
     assert!(carried.is_full());
-    assert!(!carried.allow(&Bytes::from_static(b"0000000000000003")));
+    assert!(!carried.allows(&Bytes::from_static(b"0000000000000003")));
 }
--- a/src/engines/connection_choice.rs
+++ b/src/engines/connection_choice.rs
@@ -26,7 +26,7 @@
 
 impl ConnectionEntry {
     /// Whether nothing is on it and nothing more may be, so that it is of no use.
-    pub(super) fn is_used_up(&self) -> bool {
+    pub(super) fn should_retire(&self) -> bool {
         self.carried.is_full() && self.load.is_idle()
     }
 }
@@ -49,12 +49,12 @@
     index: usize,
     load: &'a ConnectionLoad,
     counts: AttemptCounts,
-    is_silent: bool,
+    is_answer_overdue: bool,
 }
 
 impl Candidate<'_> {
     /// Whether an attempt with this use may join, before a further connection is considered.
-    fn fits(&self, usage: ConnectionUse, now_ms: Millis, limits: &Limits) -> bool {
+    fn is_suitable_for(&self, usage: ConnectionUse, now_ms: Millis, limits: &Limits) -> bool {
         let shared_limit = limits
             .shared_attempts_per_connection
             .min(limits.attempts_per_connection);
@@ -77,7 +77,7 @@
     let limits = &context.limits;
     let now_ms = context.core.now();
     let candidates = candidates(connections, &attempt.client_reference, now_ms, limits);
-    if let Some(index) = best_fit(&candidates, usage, now_ms, limits) {
+    if let Some(index) = most_loaded_suitable(&candidates, usage, now_ms, limits) {
         return ConnectionChoice::Existing(index);
     }
     if connections.len() < limits.connections_per_engine {
@@ -101,18 +101,18 @@
         .enumerate()
         .filter(|(_, connection)| !connection.load.is_evicted())
         // A late answer to an earlier attempt with this reference would be taken for this one's.
-        .filter(|(_, connection)| connection.carried.allow(reference))
+        .filter(|(_, connection)| connection.carried.allows(reference))
         .map(|(index, connection)| Candidate {
             index,
             load: &connection.load,
             counts: connection.load.counts(),
-            is_silent: connection.load.is_silent(now_ms, limits),
+            is_answer_overdue: connection.load.is_answer_overdue(now_ms, limits),
         })
         .collect()
 }
 
 /// The fullest connection that fits, then the one that answered last, so that the others become idle and close.
-fn best_fit(
+fn most_loaded_suitable(
     candidates: &[Candidate<'_>],
     usage: ConnectionUse,
     now_ms: Millis,
@@ -120,7 +120,9 @@
 ) -> Option<usize> {
     candidates
         .iter()
-        .filter(|candidate| !candidate.is_silent && candidate.fits(usage, now_ms, limits))
+        .filter(|candidate| {
+            !candidate.is_answer_overdue && candidate.is_suitable_for(usage, now_ms, limits)
+        })
         .max_by_key(|candidate| {
             let counts = candidate.counts;
             (
@@ -133,7 +135,10 @@
 }
 
 fn slot_purpose(candidates: &[Candidate<'_>], usage: ConnectionUse) -> SlotPurpose {
-    if candidates.iter().all(|candidate| candidate.is_silent) {
+    if candidates
+        .iter()
+        .all(|candidate| candidate.is_answer_overdue)
+    {
         return SlotPurpose::FirstConnection;
     }
     match usage {
@@ -150,7 +155,7 @@
         .filter(|candidate| candidate.counts.all < limits.attempts_per_connection)
         .min_by_key(|candidate| {
             let counts = candidate.counts;
-            (candidate.is_silent, counts.exclusive, counts.all)
+            (candidate.is_answer_overdue, counts.exclusive, counts.all)
         })
         .map(|candidate| candidate.index)
 }
--- a/src/engines/connection_load.rs
+++ b/src/engines/connection_load.rs
@@ -97,7 +97,7 @@
     }
 
     /// Marks the connection as evicted.
-    pub(super) fn evict(&self) {
+    pub(super) fn mark_evicted(&self) {
         self.evicted.store(true, Ordering::Relaxed);
     }
 
@@ -116,7 +116,7 @@
 
     /// Whether an answer is overdue, counting progress reports as answers. The connections of a machine that vanished
     /// stay open and silent; only a new connection, which never comes up, shows the fault.
-    pub(super) fn is_silent(&self, now_ms: Millis, limits: &Limits) -> bool {
+    pub(super) fn is_answer_overdue(&self, now_ms: Millis, limits: &Limits) -> bool {
         !self.is_idle() && now_ms - self.last_activity_ms() as f64 > limits.connection_silent_ms
     }
 
--- a/src/engines/connection_slots.rs
+++ b/src/engines/connection_slots.rs
@@ -43,13 +43,13 @@
     /// It waits for the descriptor of an evicted connection and has none yet.
     waits_for_descriptor: bool,
     /// The connection was evicted in favour of whoever holds the other end, who waits for its descriptor.
-    successor: Option<oneshot::Sender<()>>,
+    descriptor_waiter: Option<oneshot::Sender<()>>,
 }
 
 impl SlotEntry {
     /// Whether it was evicted: its descriptor passes on to another entry, so only one of the two counts.
     fn is_evicted(&self) -> bool {
-        self.successor.is_some()
+        self.descriptor_waiter.is_some()
     }
 
     fn may_be_evicted(&self) -> bool {
@@ -141,7 +141,7 @@
             load: load.clone(),
             eviction: eviction.clone(),
             waits_for_descriptor: descriptor_freed.is_some(),
-            successor: None,
+            descriptor_waiter: None,
         });
         self.update_gauge(&table);
         Some(ConnectionSlot {
@@ -154,9 +154,9 @@
 
     /// Evicts this connection; the receiver resolves once its descriptor is free.
     fn evict(&self, entry: &mut SlotEntry) -> oneshot::Receiver<()> {
-        let (successor, descriptor_freed) = oneshot::channel();
-        entry.successor = Some(successor);
-        entry.load.evict();
+        let (descriptor_waiter, descriptor_freed) = oneshot::channel();
+        entry.descriptor_waiter = Some(descriptor_waiter);
+        entry.load.mark_evicted();
         entry.eviction.notify_one();
         self.metrics.engine_connections_evicted.increment();
         descriptor_freed
@@ -199,8 +199,8 @@
         let mut table = self.slots.table();
         let entry = table.entries.remove(&self.id);
         self.slots.update_gauge(&table);
-        if let Some(successor) = entry.and_then(|entry| entry.successor) {
-            let _ = successor.send(());
+        if let Some(descriptor_waiter) = entry.and_then(|entry| entry.descriptor_waiter) {
+            let _ = descriptor_waiter.send(());
         }
     }
 }
--- a/src/engines/connection_slots/tests.rs
+++ b/src/engines/connection_slots/tests.rs
@@ -24,7 +24,7 @@
 #[test]
 fn reserved_slots_are_for_first_connections_and_busy_ones_are_not_evicted() {
     let (slots, shared, reserved) = slots();
-    let all: Vec<_> = (0..shared)
+    let shared_slots: Vec<_> = (0..shared)
         .map(|_| {
             slots
                 .acquire(&busy_load(1.0), SlotPurpose::AdditionalConnection)
@@ -39,7 +39,7 @@
                 .acquire(&busy_load(1.0), SlotPurpose::ExclusiveUse)
                 .is_none()
     );
-    let first: Vec<_> = (0..reserved)
+    let reserved_slots: Vec<_> = (0..reserved)
         .map(|_| {
             slots
                 .acquire(&busy_load(1.0), SlotPurpose::FirstConnection)
@@ -52,12 +52,12 @@
             .is_none(),
         "all are busy"
     );
-    drop(first);
+    drop(reserved_slots);
     assert!(
         slots
             .acquire(&busy_load(1.0), SlotPurpose::FirstConnection)
             .is_some()
-            && all.len() == shared
+            && shared_slots.len() == shared
     );
     assert_eq!(slots.metrics.engine_connections_evicted.get(), 0);
 }
@@ -66,10 +66,10 @@
 #[test]
 fn longest_idle_connection_is_evicted_once_and_its_descriptor_awaited() {
     let (slots, shared, reserved) = slots();
-    let mut all = Vec::new();
-    for n in 0..shared + reserved {
-        let load = busy_load(1000.0 + n as f64);
-        all.push((
+    let mut acquired = Vec::new();
+    for index in 0..shared + reserved {
+        let load = busy_load(1000.0 + index as f64);
+        acquired.push((
             slots
                 .acquire(&load, SlotPurpose::FirstConnection)
                 .expect("a slot"),
@@ -78,15 +78,16 @@
     }
     [7, 3, 5]
         .into_iter()
-        .for_each(|n: usize| all[n].1.end_attempt(ConnectionUse::Shared));
-    let mut successor = slots
+        .for_each(|index: usize| acquired[index].1.end_attempt(ConnectionUse::Shared));
+    let mut replacement = slots
         .acquire(&busy_load(2000.0), SlotPurpose::FirstConnection)
         .expect("a slot");
-    assert!(all[3].1.is_evicted() && !all[5].1.is_evicted());
+    assert!(acquired[3].1.is_evicted() && !acquired[5].1.is_evicted());
     assert!(
-        all[3].0.evicted().now_or_never().is_some() && all[5].0.evicted().now_or_never().is_none()
+        acquired[3].0.evicted().now_or_never().is_some()
+            && acquired[5].0.evicted().now_or_never().is_none()
     );
-    let mut descriptor_ready = Box::pin(successor.descriptor_ready());
+    let mut descriptor_ready = Box::pin(replacement.descriptor_ready());
     assert!(
         descriptor_ready.as_mut().now_or_never().is_none(),
         "the socket is still open"
@@ -95,12 +96,12 @@
         .acquire(&busy_load(2000.0), SlotPurpose::ExclusiveUse)
         .expect("a slot");
     assert!(
-        all[5].1.is_evicted(),
+        acquired[5].1.is_evicted(),
         "the next one, as the longest idle is evicted already"
     );
-    drop(all.remove(3));
+    drop(acquired.remove(3));
     assert!(descriptor_ready.now_or_never().is_some());
-    drop((successor, next, all));
+    drop((replacement, next, acquired));
     assert_eq!(slots.metrics.engine_connections_open.get(), 0);
     assert!(slots.table().entries.is_empty());
 }
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -73,7 +73,7 @@
     /// Drops the entries of connections that are closed, and of those that are to close, as they are of no more use.
     fn forget_connections(&mut self) {
         self.connections
-            .retain(|connection| !connection.mailbox.is_closed() && !connection.is_used_up());
+            .retain(|connection| !connection.mailbox.is_closed() && !connection.should_retire());
     }
 
     /// Has an idle connection close; false where there is none. Its actor ends once its mailbox is closed.
