--- a/src/engines/fleet.rs
+++ b/src/engines/fleet.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::{self, error::TrySendError};
 
 /// One engine of the list.
-struct FleetMember {
+struct FleetEntry {
     address: SocketAddr,
     /// The mailbox of the engine's actor, since its first attempt. The actor ends with its last connection, which
     /// closes the mailbox; the next attempt starts another one.
@@ -20,9 +20,9 @@
     admission: Arc<Admission>,
 }
 
-impl FleetMember {
-    fn new(address: SocketAddr) -> FleetMember {
-        FleetMember {
+impl FleetEntry {
+    fn new(address: SocketAddr) -> FleetEntry {
+        FleetEntry {
             address,
             mailbox: None,
             admission: Arc::default(),
@@ -33,28 +33,28 @@
 /// All engines that the endpoint list names. An engine that is not in use costs its entry alone.
 pub(crate) struct Fleet {
     context: EngineContext,
-    members: HashMap<EngineId, FleetMember>,
+    entries: HashMap<EngineId, FleetEntry>,
 }
 
 impl Fleet {
     pub(crate) fn new(context: EngineContext) -> Fleet {
         Fleet {
             context,
-            members: HashMap::new(),
+            entries: HashMap::new(),
         }
     }
 
     /// Number of engines that the fleet knows.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
-        self.members.len()
+        self.entries.len()
     }
 
     /// Sends to the engine's actor, if there is one. A full mailbox drops the message: the core repeats a
     /// cancellation, and a state or an ejection takes effect through the admission.
     fn send_to_actor(&self, engine: EngineId, message: EngineMessage) {
-        let member = self.members.get(&engine);
-        if let Some(mailbox) = member.and_then(|member| member.mailbox.as_ref()) {
+        let entry = self.entries.get(&engine);
+        if let Some(mailbox) = entry.and_then(|entry| entry.mailbox.as_ref()) {
             let _ = mailbox.try_send(message);
         }
     }
@@ -63,12 +63,12 @@
 /// Starts the actor of an engine; returns its mailbox.
 fn spawn_actor(
     engine: EngineId,
-    member: &FleetMember,
+    entry: &FleetEntry,
     context: &EngineContext,
 ) -> mpsc::Sender<EngineMessage> {
     let (mailbox, messages) = mpsc::channel(context.limits.mailbox_messages);
-    let admission = member.admission.clone();
-    let address = member.address;
+    let admission = entry.admission.clone();
+    let address = entry.address;
     let context = context.clone();
     match context.protocol {
         EngineProtocol::Flight => {
@@ -83,19 +83,19 @@
 
 impl EnginePort for Fleet {
     fn start_attempt(&mut self, engine: EngineId, attempt: AttemptRequest) -> bool {
-        let Some(member) = self.members.get_mut(&engine) else {
+        let Some(entry) = self.entries.get_mut(&engine) else {
             return false;
         };
         let mut message = EngineMessage::StartAttempt(Box::new(attempt));
-        if let Some(mailbox) = &member.mailbox {
+        if let Some(mailbox) = &entry.mailbox {
             match mailbox.try_send(message) {
                 Ok(()) => return true,
                 Err(TrySendError::Full(_)) => return false,
-                Err(TrySendError::Closed(unread)) => message = unread,
+                Err(TrySendError::Closed(unsent)) => message = unsent,
             }
         }
-        let mailbox = spawn_actor(engine, member, &self.context);
-        member.mailbox.insert(mailbox).try_send(message).is_ok()
+        let mailbox = spawn_actor(engine, entry, &self.context);
+        entry.mailbox.insert(mailbox).try_send(message).is_ok()
     }
 
     fn cancel_attempt(
@@ -120,15 +120,14 @@
     fn engine_listed(&mut self, record: &EngineRecord) {
         let engine = record.entry.engine;
         let state = record.entry.state;
-        let known_address = self.members.get(&engine).map(|member| member.address);
-        if known_address != Some(record.address) && state == EngineState::Ready {
+        let listed_address = self.entries.get(&engine).map(|entry| entry.address);
+        if listed_address != Some(record.address) && state == EngineState::Ready {
             // Attempts on their way to the old address would reach whatever process has it now, if any.
             self.engine_removed(engine);
-            self.members
-                .insert(engine, FleetMember::new(record.address));
+            self.entries.insert(engine, FleetEntry::new(record.address));
         }
-        if let Some(member) = self.members.get(&engine) {
-            member.admission.set_not_ready(state != EngineState::Ready);
+        if let Some(entry) = self.entries.get(&engine) {
+            entry.admission.set_not_ready(state != EngineState::Ready);
         }
         self.send_to_actor(engine, EngineMessage::StateChanged(state));
         if state == EngineState::Removed {
@@ -137,16 +136,16 @@
     }
 
     fn set_manually_ejected(&mut self, engine: EngineId, ejected: bool) {
-        if let Some(member) = self.members.get(&engine) {
-            member.admission.set_manually_ejected(ejected);
+        if let Some(entry) = self.entries.get(&engine) {
+            entry.admission.set_manually_ejected(ejected);
         }
         self.send_to_actor(engine, EngineMessage::ManualEjectionChanged);
     }
 
     /// Dropping the mailbox ends the actor, once its attempts are over.
     fn engine_removed(&mut self, engine: EngineId) {
-        if let Some(member) = self.members.remove(&engine) {
-            member.admission.set_not_ready(true);
+        if let Some(entry) = self.entries.remove(&engine) {
+            entry.admission.set_not_ready(true);
         }
     }
 }
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -44,18 +44,18 @@
         let context = EngineContext::for_tests(core);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let at = |state| EngineRecord {
+        let record_in_state = |state| EngineRecord {
             address,
             ..record(1, state)
         };
-        for last in [EngineState::Draining, EngineState::Removed] {
+        for final_state in [EngineState::Draining, EngineState::Removed] {
             let mut fleet = Fleet::new(context.clone());
-            fleet.engine_listed(&at(EngineState::Ready));
+            fleet.engine_listed(&record_in_state(EngineState::Ready));
             assert!(fleet.start_attempt(engine_id(1), attempt(1)));
             // No actor has a turn before the test waits.
             (1..context.limits.mailbox_messages)
                 .for_each(|_| fleet.set_priority(engine_id(1), 9, 0, 2));
-            fleet.engine_listed(&at(last));
+            fleet.engine_listed(&record_in_state(final_state));
             let event = next_event(&mut core_messages).await;
             assert!(is_ended(&event, 1, Outcome::NoConnection), "{event:?}");
             assert_eq!(context.metrics.engine_connections.get(), 0);
@@ -84,21 +84,21 @@
         let class = parsed.classes[0].clone();
         let mut core =
             Core::new(parsed.settings, 7, Fleet::new(context), limits, metrics).expect("core");
-        let entries = vec![EngineRecord {
+        let engine_records = vec![EngineRecord {
             address,
             ..record(1, EngineState::Ready)
         }];
         let event = EndpointListEvent {
             number: 1,
             kind: ListUpdateKind::Full,
-            records: entries,
+            records: engine_records,
             unusable_engines: Vec::new(),
         };
         core.handle(now, CoreMessage::EndpointList(event));
         let request = accepted_request(1, &class, now + 9000.0, 50.0, Arc::new(NullClient));
         core.handle(now, CoreMessage::Request(request));
         core.handle(now, CoreMessage::ClientDisconnected(1));
-        let written = async {
+        let first_byte_read = async {
             let mut peer = listener.accept().await.expect("accept").0;
             // At the end of the connection nothing has come.
             peer.read_u8().await.is_ok()
@@ -107,7 +107,7 @@
             event = next_event(&mut core_messages) => {
                 assert!(is_cancelled(&event, 1, AttemptEnd::NeverSent), "{event:?}");
             }
-            true = written => panic!("it was written"),
+            true = first_byte_read => panic!("it was written"),
         }
     });
 }
--- a/src/engines/tests/engines_beyond_descriptors.rs
+++ b/src/engines/tests/engines_beyond_descriptors.rs
@@ -17,8 +17,8 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// Engines of this process: each answers every attempt, once `hold` has a permit where there is one.
-async fn engines(count: u32, hold: Option<Arc<Semaphore>>) -> Vec<EngineRecord> {
+/// Engines of this process: each answers every attempt, once `answer_permits` has a permit where there is one.
+async fn start_engines(count: u32, answer_permits: Option<Arc<Semaphore>>) -> Vec<EngineRecord> {
     let mut records = Vec::new();
     for id in 1..=count {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
@@ -27,34 +27,39 @@
             address,
             ..record(id, EngineState::Ready)
         });
-        let hold = hold.clone();
+        let answer_permits = answer_permits.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(stream, hold.clone()));
+                tokio::spawn(serve_connection(stream, answer_permits.clone()));
             }
         });
     }
     records
 }
 
-async fn serve(stream: TcpStream, hold: Option<Arc<Semaphore>>) -> std::io::Result<()> {
-    let (from, mut to) = stream.into_split();
-    let (mut from, mut text) = (BufReader::new(from), String::new());
-    while from.read_line(&mut text).await? > 0 {
-        let words: Vec<&str> = text.split_ascii_whitespace().collect();
-        if let ["ASK", name, _, length] = words[..] {
+async fn serve_connection(
+    stream: TcpStream,
+    answer_permits: Option<Arc<Semaphore>>,
+) -> std::io::Result<()> {
+    let (reader, mut writer) = stream.into_split();
+    let (mut reader, mut line) = (BufReader::new(reader), String::new());
+    while reader.read_line(&mut line).await? > 0 {
+        let words: Vec<&str> = line.split_ascii_whitespace().collect();
+        if let ["ASK", reference, _, length] = words[..] {
             let mut body = vec![0; length.parse::<usize>().unwrap_or_default() + 2];
-            from.read_exact(&mut body).await?;
-            if let Some(hold) = &hold {
-                hold.acquire()
+            reader.read_exact(&mut body).await?;
+            if let Some(answer_permits) = &answer_permits {
+                answer_permits
+                    .acquire()
                     .await
                     .map_err(std::io::Error::other)?
                     .forget();
             }
-            to.write_all(format!("{name} served batches=1 2\r\na\n\r\n").as_bytes())
+            writer
+                .write_all(format!("{reference} served batches=1 2\r\na\n\r\n").as_bytes())
                 .await?;
         }
-        text.clear();
+        line.clear();
     }
     Ok(())
 }
@@ -68,13 +73,13 @@
 }
 
 impl FleetTestBench {
-    async fn new(count: u32, hold: Option<Arc<Semaphore>>) -> FleetTestBench {
+    async fn new(count: u32, answer_permits: Option<Arc<Semaphore>>) -> FleetTestBench {
         let (core, core_messages) = Handle::new(64, Clock::new());
         let context = EngineContext::with_descriptors(core, 64);
         let connection_limit =
             (context.limits.engine_connections + context.limits.engine_connections_reserved) as u64;
         let mut fleet = Fleet::new(context.clone());
-        engines(count, hold)
+        start_engines(count, answer_permits)
             .await
             .iter()
             .for_each(|record| fleet.engine_listed(record));
@@ -129,13 +134,13 @@
 #[test]
 fn busy_connections_are_not_evicted_and_the_next_attempt_gets_no_slot() {
     run_test(async {
-        let hold = Arc::new(Semaphore::new(0));
-        let mut bench = FleetTestBench::new(40, Some(hold.clone())).await;
+        let answer_permits = Arc::new(Semaphore::new(0));
+        let mut bench = FleetTestBench::new(40, Some(answer_permits.clone())).await;
         let connection_limit = bench.connection_limit as u32;
         (1..=connection_limit).for_each(|n| bench.start_attempt(n, n));
         bench.start_attempt(connection_limit + 1, 1000);
         assert_eq!(bench.next_end().await, (1000, Outcome::NoConnectionSlot));
-        hold.add_permits(1);
+        answer_permits.add_permits(1);
         let (served, outcome) = bench.next_end().await;
         assert_eq!(outcome, Outcome::Ok);
         bench.start_attempt(connection_limit + 1, 1001);
@@ -143,7 +148,7 @@
             .filter(|n| *n != served)
             .chain([1001])
             .collect();
-        hold.add_permits(open.len());
+        answer_permits.add_permits(open.len());
         while !open.is_empty() {
             let (id, outcome) = bench.next_end().await;
             assert_eq!(outcome, Outcome::Ok);
@@ -154,9 +159,9 @@
 }
 
 /// A client that passes on whether each answer was a result.
-struct CountingClient(mpsc::UnboundedSender<bool>);
+struct ForwardingClient(mpsc::UnboundedSender<bool>);
 
-impl ClientPort for CountingClient {
+impl ClientPort for ForwardingClient {
     fn answer(&self, _: RequestId, answer: Answer) {
         let _ = self.0.send(matches!(answer, Answer::Served(_)));
     }
@@ -177,28 +182,28 @@
         let core =
             Core::new(settings, 7, Fleet::new(context), limits, metrics.clone()).expect("core");
         tokio::spawn(run(core, mailbox, Clock::new()));
-        let entries = engines(200, None).await;
+        let engine_records = start_engines(200, None).await;
         handle
             .send(CoreMessage::EndpointList(EndpointListEvent {
                 number: 1,
                 kind: ListUpdateKind::Full,
-                records: entries,
+                records: engine_records,
                 unusable_engines: Vec::new(),
             }))
             .await;
         let (sender, mut answers) = mpsc::unbounded_channel();
-        let client: Arc<dyn ClientPort> = Arc::new(CountingClient(sender));
+        let client: Arc<dyn ClientPort> = Arc::new(ForwardingClient(sender));
         for burst in 0..10 {
             for n in 0..40 {
                 let id = burst * 40 + n;
-                let one =
+                let request =
                     accepted_request(id, &class, handle.now() + 15_000.0, 50.0, client.clone());
-                let name = Bytes::from(format!("{id:016x}"));
+                let reference = Bytes::from(format!("{id:016x}"));
                 handle
                     .send(CoreMessage::Request(AcceptedRequest {
-                        client_reference: name,
+                        client_reference: reference,
                         data_set: id,
-                        ..one
+                        ..request
                     }))
                     .await;
             }
@@ -225,11 +230,11 @@
         let listener = socket.listen(1).expect("listen");
         let address = listener.local_addr().expect("address");
         // Connections that nobody accepts, until one more does not come up.
-        let mut crowd = Vec::new();
+        let mut unaccepted = Vec::new();
         while let Ok(Ok(stream)) =
             timeout(Duration::from_millis(50), TcpStream::connect(address)).await
         {
-            crowd.push(stream);
+            unaccepted.push(stream);
         }
         bench.fleet.engine_listed(&EngineRecord {
             address,
@@ -240,7 +245,7 @@
         assert_eq!(bench.context.metrics.engine_connections_open.get(), 0);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(stream, None));
+                tokio::spawn(serve_connection(stream, None));
             }
         });
         for id in 2.. {
@@ -261,36 +266,38 @@
 fn replaced_engines_leave_no_actor_entry_or_descriptor() {
     run_test(async {
         let mut bench = FleetTestBench::new(0, None).await;
-        let list = |fleet: &mut Fleet, ids: std::ops::Range<u32>, state| {
+        let list_engines = |fleet: &mut Fleet, ids: std::ops::Range<u32>, state| {
             ids.for_each(|id| fleet.engine_listed(&record(id, state)));
         };
-        list(&mut bench.fleet, 0..1024, EngineState::Ready);
+        list_engines(&mut bench.fleet, 0..1024, EngineState::Ready);
         for round in 0..8 {
             let (old, new) = (
                 round * 614..(round + 1) * 614,
                 (round + 1) * 614 + 410..(round + 2) * 614 + 410,
             );
-            list(&mut bench.fleet, old.clone(), EngineState::Draining);
-            list(&mut bench.fleet, new.clone(), EngineState::Ready);
+            list_engines(&mut bench.fleet, old.clone(), EngineState::Draining);
+            list_engines(&mut bench.fleet, new.clone(), EngineState::Ready);
             for id in new.take(20) {
                 bench.start_attempt(id, id);
             }
             for _ in 0..20 {
                 assert_eq!(bench.next_end().await.1, Outcome::NoConnection);
             }
-            list(&mut bench.fleet, old, EngineState::Removed);
+            list_engines(&mut bench.fleet, old, EngineState::Removed);
         }
-        let tasks = || {
+        let alive_tasks = || {
             tokio::runtime::Handle::current()
                 .metrics()
                 .num_alive_tasks()
         };
-        let over = async {
-            while tasks() > 0 {
+        let all_tasks_ended = async {
+            while alive_tasks() > 0 {
                 tokio::task::yield_now().await;
             }
         };
-        timeout(TEST_TIMEOUT, over).await.expect("no actor stays");
+        timeout(TEST_TIMEOUT, all_tasks_ended)
+            .await
+            .expect("no actor stays");
         assert_eq!(
             (
                 bench.fleet.len(),
