--- a/src/engines/admission.rs
+++ b/src/engines/admission.rs
@@ -1,15 +1,16 @@
-//! Whether an engine may be sent new attempts.
+//! Whether new attempts may be sent to an engine.
 //!
-//! Owned by the engine's entry in the fleet, and shared with the engine's actor and its connections, which read it
-//! just before they write an attempt. So a draining or an ejection takes effect at once, even where the message that
-//! announces it waits in a mailbox or was dropped because the mailbox was full.
+//! The engine's entry in the fleet shares this state with the engine's actor and its connections,
+//! which read it right before they write an attempt. So draining and manual ejection take effect at
+//! once, even if the message about them is still queued, or was dropped because the mailbox was
+//! full.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The two independent reasons for which an engine takes no new attempts.
+/// The two independent reasons for which no new attempts may be sent to an engine.
 ///
-/// Relaxed ordering is enough: each flag stands for itself and publishes no other data, and all readers run on the
-/// runtime's one thread.
+/// Relaxed ordering is enough: each flag is independent of the other and guards no other memory,
+/// and all readers run on the single thread of the runtime.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     manually_ejected: AtomicBool,
@@ -17,17 +18,18 @@
 }
 
 impl Admission {
-    /// Records that on-call staff ejected the engine, or restored it.
+    /// Records that the on-call staff ejected the engine (true) or returned it to service (false).
     pub(crate) fn set_manually_ejected(&self, ejected: bool) {
         self.manually_ejected.store(ejected, Ordering::Relaxed);
     }
 
-    /// Records whether the endpoint list names the engine as anything but ready: draining, or removed.
+    /// Records whether the engine's state in the endpoint list is other than ready: draining or
+    /// removed.
     pub(crate) fn set_not_ready(&self, not_ready: bool) {
         self.not_ready.store(not_ready, Ordering::Relaxed);
     }
 
-    /// Whether the engine takes no new attempts.
+    /// Whether no new attempts may be sent to the engine.
     pub(crate) fn is_closed(&self) -> bool {
         self.manually_ejected.load(Ordering::Relaxed) || self.not_ready.load(Ordering::Relaxed)
     }
--- a/src/engines/context.rs
+++ b/src/engines/context.rs
@@ -1,4 +1,4 @@
-//! What the actors of all engines share, and the messages that an engine's actor receives.
+//! The state that the actors of all engines share, and the messages to an engine's actor.
 
 use super::connection_slots::ConnectionSlots;
 use crate::core::{AttemptEvent, AttemptRequest, CoreMessage, Handle};
@@ -8,12 +8,12 @@
 use crate::node_config::EngineProtocol;
 use std::sync::Arc;
 
-/// Names one attempt of one request, at whatever engine.
+/// Identifies one attempt of a request, whichever engine runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptId {
-    /// Its request.
+    /// The request.
     pub(crate) request: RequestId,
-    /// Its number among the attempts of the request, from 0.
+    /// The number of the attempt among those of the request, from 0.
     pub(crate) number: u16,
 }
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// Whether another attempt may follow a cancelled one. If so, the engine has to confirm that it read the
-/// cancellation before the end of the attempt is reported.
+/// Whether another attempt may follow a cancelled one. If so, the end of the attempt is reported
+/// only after the engine has confirmed that it read the cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AfterCancellation {
     /// Another attempt may follow.
@@ -55,40 +55,42 @@
 /// A message to an engine's actor, which passes it on to its connections.
 #[derive(Clone, Debug)]
 pub(crate) enum EngineMessage {
-    /// Start an attempt. Boxed, as a mailbox allocates space for some messages from the start.
+    /// Start an attempt. Boxed, because a mailbox allocates space for several messages when it is
+    /// created.
     StartAttempt(Box<AttemptRequest>),
     /// Cancel an attempt.
     CancelAttempt {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// What may come after it.
+        /// Whether another attempt may follow.
         after: AfterCancellation,
     },
-    /// Give an attempt another priority.
+    /// Change the priority of an attempt.
     SetPriority {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
         /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// The endpoint list names this state of the engine.
+    /// The engine has this state in the endpoint list.
     StateChanged(EngineState),
-    /// On-call staff ejected the engine or restored it: see [`Admission`](super::admission::Admission).
+    /// The on-call staff ejected the engine or returned it to service; see
+    /// [`Admission`](super::admission::Admission).
     ManualEjectionChanged,
 }
 
-/// What the actors of all engines share.
+/// The state that the actors of all engines share.
 #[derive(Clone)]
 pub(crate) struct EngineContext {
-    /// The core, which is sent the events of attempts.
+    /// The handle of the core, which receives the events of attempts.
     pub(crate) core: Handle,
     pub(crate) limits: Arc<Limits>,
     pub(crate) metrics: Arc<Metrics>,
-    /// What the engines speak.
+    /// The protocol of all engines.
     pub(crate) protocol: EngineProtocol,
-    /// Memory for results that are not complete yet.
+    /// The memory for results that are not complete yet.
     pub(crate) partial_results: Arc<MemoryPool>,
-    /// Slots of connections to engines.
+    /// The slots of the connections to all engines.
     pub(crate) slots: Arc<ConnectionSlots>,
 }
 
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Sends the core an event of an attempt, with the load report that came along.
+    /// Sends an event of an attempt to the core, with the load report that the engine sent with it.
     pub(crate) async fn send_event(
         &self,
         engine: EngineId,
@@ -129,7 +131,7 @@
             .await;
     }
 
-    /// Sends the core an event of an attempt that no load report came along with.
+    /// Sends an event of an attempt to the core, without a load report.
     pub(crate) async fn send_event_without_report(
         &self,
         engine: EngineId,
@@ -143,12 +145,12 @@
 
 #[cfg(test)]
 impl EngineContext {
-    /// A context with 256 descriptors for engines that speak the line protocol.
+    /// Creates a context with 256 descriptors, for engines with the line protocol.
     pub(crate) fn for_tests(core: Handle) -> EngineContext {
         EngineContext::with_descriptors(core, 256)
     }
 
-    /// The same with so many descriptors.
+    /// Creates a context with this number of descriptors, for engines with the line protocol.
     pub(crate) fn with_descriptors(core: Handle, descriptors: usize) -> EngineContext {
         let limits = Arc::new(Limits::new(
             descriptors,
@@ -159,7 +161,7 @@
         EngineContext::new(core, limits, Arc::default(), EngineProtocol::Lines)
     }
 
-    /// Settings with one class.
+    /// Creates settings with one class.
     pub(crate) fn settings_for_tests() -> crate::settings_json::PlatformSettings {
         let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"repeatable","promiseMs":5000,"giveUpMs":15000}],
             "guarantees":{"coldMs":1,"coldShare":0.3,"overloadForMs":1,"tipMultiple":3},
--- a/src/engines/fleet.rs
+++ b/src/engines/fleet.rs
@@ -1,4 +1,4 @@
-//! All engines of the endpoint list, and the actor of each that is in use.
+//! All engines of the endpoint list, with an actor for each engine in use.
 
 use super::admission::Admission;
 use super::context::{AttemptId, EngineContext, EngineMessage};
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::{self, error::TrySendError};
 
-/// One engine of the list.
+/// One engine of the endpoint list.
 struct FleetEntry {
     address: SocketAddr,
-    /// The mailbox of the engine's actor, since its first attempt. The actor ends with its last connection, which
-    /// closes the mailbox; the next attempt starts another one.
+    /// The mailbox of the engine's actor; `None` before the first attempt. The actor ends when its
+    /// last connection closes, and its mailbox closes too; the next attempt starts a new actor.
     mailbox: Option<mpsc::Sender<EngineMessage>>,
     admission: Arc<Admission>,
 }
@@ -30,7 +30,8 @@
     }
 }
 
-/// All engines that the endpoint list names. An engine that is not in use costs its entry alone.
+/// All engines of the endpoint list. An engine that is not in use needs only an entry: no actor and
+/// no connection.
 pub(crate) struct Fleet {
     context: EngineContext,
     entries: HashMap<EngineId, FleetEntry>,
@@ -44,14 +45,15 @@
         }
     }
 
-    /// Number of engines that the fleet knows.
+    /// The number of engines in the fleet.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Sends to the engine's actor, if there is one. A full mailbox drops the message: the core repeats a
-    /// cancellation, and a state or an ejection takes effect through the admission.
+    /// Sends a message to the engine's actor, if there is one. If the mailbox is full, the message
+    /// is dropped: the core repeats a cancellation, and a new state or a manual ejection takes
+    /// effect through [`Admission`].
     fn send_to_actor(&self, engine: EngineId, message: EngineMessage) {
         let entry = self.entries.get(&engine);
         if let Some(mailbox) = entry.and_then(|entry| entry.mailbox.as_ref()) {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Starts the actor of an engine; returns its mailbox.
+/// Starts the actor of an engine and returns the actor's mailbox.
 fn spawn_actor(
     engine: EngineId,
     entry: &FleetEntry,
@@ -122,7 +124,7 @@
         let state = record.entry.state;
         let listed_address = self.entries.get(&engine).map(|entry| entry.address);
         if listed_address != Some(record.address) && state == EngineState::Ready {
-            // Attempts on their way to the old address would reach whatever process has it now, if any.
+            // Unsent attempts for the old address could reach another process that uses it now.
             self.engine_removed(engine);
             self.entries.insert(engine, FleetEntry::new(record.address));
         }
@@ -142,7 +144,7 @@
         self.send_to_actor(engine, EngineMessage::ManualEjectionChanged);
     }
 
-    /// Dropping the mailbox ends the actor, once its attempts are over.
+    /// Dropping the mailbox ends the actor once its attempts have ended.
     fn engine_removed(&mut self, engine: EngineId) {
         if let Some(entry) = self.entries.remove(&engine) {
             entry.admission.set_not_ready(true);
--- a/src/engines/mod.rs
+++ b/src/engines/mod.rs
@@ -1,8 +1,9 @@
-//! Engines, by the protocol that they speak.
+//! Connections to the engines and the attempts on them, with one module per engine protocol.
 //!
-//! The [`Fleet`] has an entry for each engine of the endpoint list. An engine in use has one actor, which owns the
-//! engine's connections and lives as long as it has any. The core calls the fleet through
-//! [`EnginePort`](crate::core::EnginePort); actors answer with [`AttemptEvent`](crate::core::AttemptEvent)s.
+//! The [`Fleet`] has an entry for each engine of the endpoint list. An engine in use has one actor,
+//! which owns the engine's connections and ends when the last of them closes. The core calls the
+//! fleet through [`EnginePort`](crate::core::EnginePort); the actors report
+//! [`AttemptEvent`](crate::core::AttemptEvent)s to the core.
 
 mod admission;
 mod carried_references;
