--- a/src/engines/carried_references/tests.rs
+++ b/src/engines/carried_references/tests.rs
@@ -1,9 +1,10 @@
-//! Tests of this module.
+//! Tests of the references that a connection has carried.
 
 use super::CarriedReferences;
 use bytes::Bytes;
 
-/// In either case of their letters digits name the same reference to an engine that reads numbers.
+/// Hex digits in upper and lower case are the same reference for an engine that parses it as a
+/// number.
 #[test]
 fn a_reference_is_allowed_once() {
     let mut carried = CarriedReferences::new(8);
--- a/src/engines/connection_choice.rs
+++ b/src/engines/connection_choice.rs
@@ -1,10 +1,12 @@
-//! Which of an engine's connections carries the next attempt.
+//! The choice of the connection that carries the next attempt on an engine.
 //!
-//! One answer that cannot be parsed ends its connection and all attempts on it. So a non-idempotent attempt has a
-//! connection of its own, and others share one in small groups, while there are slots for further connections. A
-//! connection that was idle may be reset by the peer just as the next request is written, which leaves open whether it
-//! ran; so a non-idempotent attempt takes a new connection unless an existing one answered a moment ago. No attempt goes
-//! over a connection that has carried its reference before ([`CarriedReferences`]).
+//! An answer that cannot be parsed ends its connection and all attempts on it. So, as long as there
+//! are slots for further connections, a non-idempotent attempt gets a connection of its own, and
+//! other attempts share connections in small groups. The peer may reset an idle connection just as
+//! the next request is written; it is then unknown whether the request ran. So a non-idempotent
+//! attempt gets a new connection unless an existing one
+//! [answered recently](ConnectionLoad::answered_recently). No attempt is sent on a connection that
+//! has carried its reference before ([`CarriedReferences`]).
 
 use super::carried_references::CarriedReferences;
 use super::connection_load::{AttemptCounts, ConnectionLoad, ConnectionUse};
@@ -17,7 +19,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// One connection, as its engine's actor sees it.
+/// What the engine's actor keeps of one connection.
 pub(super) struct ConnectionEntry {
     pub(super) mailbox: mpsc::Sender<EngineMessage>,
     pub(super) load: Arc<ConnectionLoad>,
@@ -25,26 +27,26 @@
 }
 
 impl ConnectionEntry {
-    /// Whether nothing is on it and nothing more may be, so that it is of no use.
+    /// Whether the connection is idle and can take no further attempt, so that it is to be closed.
     pub(super) fn should_retire(&self) -> bool {
         self.carried.is_full() && self.load.is_idle()
     }
 }
 
-/// What carries an attempt.
+/// The connection that carries an attempt.
 pub(super) enum ConnectionChoice {
     /// The connection at this index.
     Existing(usize),
-    /// A new one, which has its slot.
+    /// A new connection, for which this slot was acquired.
     New {
         slot: ConnectionSlot,
         load: Arc<ConnectionLoad>,
     },
-    /// Nothing: the engine has no connection that may, and there is no slot for one.
+    /// No connection: no existing one may carry the attempt, and there is no slot for a new one.
     NoSlot,
 }
 
-/// A connection that takes further attempts, with its load at the time of the choice.
+/// A connection that may carry the attempt, with its load at the time of the choice.
 struct Candidate<'a> {
     index: usize,
     load: &'a ConnectionLoad,
@@ -53,7 +55,7 @@
 }
 
 impl Candidate<'_> {
-    /// Whether an attempt with this use may join, before a further connection is considered.
+    /// Whether an attempt with this use is assigned to the connection rather than to a new one.
     fn is_suitable_for(&self, usage: ConnectionUse, now_ms: Millis, limits: &Limits) -> bool {
         let shared_limit = limits
             .shared_attempts_per_connection
@@ -67,7 +69,8 @@
     }
 }
 
-/// Chooses the connection for this attempt: an existing one that fits, else a new one, else the least loaded.
+/// Chooses the connection for this attempt: a suitable existing one, otherwise a new one, otherwise
+/// the least loaded one.
 pub(super) fn choose_connection(
     connections: &[ConnectionEntry],
     attempt: &AttemptRequest,
@@ -100,7 +103,7 @@
         .iter()
         .enumerate()
         .filter(|(_, connection)| !connection.load.is_evicted())
-        // A late answer to an earlier attempt with this reference would be taken for this one's.
+        // A late answer to an earlier attempt with this reference would be matched to the new one.
         .filter(|(_, connection)| connection.carried.allows(reference))
         .map(|(index, connection)| Candidate {
             index,
@@ -111,7 +114,8 @@
         .collect()
 }
 
-/// The fullest connection that fits, then the one that answered last, so that the others become idle and close.
+/// Returns the suitable connection with the most attempts; among equals, the one that answered
+/// last. The other connections then become idle and are closed.
 fn most_loaded_suitable(
     candidates: &[Candidate<'_>],
     usage: ConnectionUse,
@@ -147,8 +151,8 @@
     }
 }
 
-/// Of the connections below their limit: one that answers before a silent one, then the one with the fewest attempts
-/// that would like it to themselves, then the one with the fewest attempts.
+/// Returns a connection below the limit of attempts per connection: preferably one without an
+/// overdue answer, then one with the fewest exclusive attempts, then one with the fewest attempts.
 fn least_loaded(candidates: &[Candidate<'_>], limits: &Limits) -> Option<usize> {
     candidates
         .iter()
--- a/src/engines/connection_load.rs
+++ b/src/engines/connection_load.rs
@@ -1,24 +1,25 @@
-//! What one connection to an engine carries, and when its engine last answered on it.
+//! The attempts on one connection to an engine, and the time of the engine's last answer on it.
 //!
-//! Shared by the connection's actor, its engine's actor, which chooses among connections by it, and the table of
-//! connection slots, which looks for an idle one to evict.
+//! Shared by the connection's actor, by the engine's actor, which chooses among its connections,
+//! and by the table of connection slots, which evicts idle connections.
 
 use crate::core::AttemptRequest;
 use crate::decision::{Idempotency, Millis};
 use crate::limits::Limits;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 
-/// How an attempt would like to use a connection.
+/// How an attempt uses a connection, as far as there are enough connection slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionUse {
-    /// A connection of its own: the attempt is non-idempotent, and a fault of another attempt must not end it.
+    /// A connection of its own: the attempt is non-idempotent, and a fault of another attempt must
+    /// not end it.
     Exclusive,
-    /// A connection together with others.
+    /// A connection that other attempts use too.
     Shared,
 }
 
 impl ConnectionUse {
-    /// The use that fits this attempt.
+    /// Returns the use for this attempt, by the idempotency of its class.
     pub(super) fn of(attempt: &AttemptRequest) -> ConnectionUse {
         match attempt.class.class.idempotency {
             Idempotency::NonIdempotent => ConnectionUse::Exclusive,
@@ -27,37 +28,39 @@
     }
 }
 
-/// Number of attempts that a connection carries.
+/// The number of attempts on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptCounts {
-    /// All of them.
+    /// All attempts.
     pub(super) all: usize,
-    /// Those that would like the connection to themselves.
+    /// Attempts with [`ConnectionUse::Exclusive`].
     pub(super) exclusive: usize,
 }
 
 /// The load of one connection.
 ///
-/// Relaxed ordering is enough: all readers and writers run on the runtime's one thread; the atomics serve to share
-/// the counters among tasks that have to be `Send`.
+/// Relaxed ordering is enough: all readers and writers run on the single thread of the runtime. The
+/// counters are atomic only because the tasks that share them have to be `Send`.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionLoad {
     attempts: AtomicUsize,
     exclusive_attempts: AtomicUsize,
-    /// Unix time in ms of the last answer; 0 before the first.
+    /// Unix time in ms of the last answer; 0 before the first answer.
     last_answer_ms: AtomicU64,
-    /// Unix time in ms since which attempts have been in flight without a break; 0 before the first.
+    /// Unix time in ms at which the connection last became busy; 0 before the first attempt. It is
+    /// not updated if the engine has not answered since then.
     busy_since_ms: AtomicU64,
-    /// The connection was evicted: it takes no further attempts.
+    /// Whether the connection was evicted and takes no further attempts.
     evicted: AtomicBool,
 }
 
 impl ConnectionLoad {
-    /// Counts one more attempt.
+    /// Counts an attempt that starts.
     pub(super) fn begin_attempt(&self, usage: ConnectionUse, now_ms: Millis) {
         let last_answer_ms = self.last_answer_ms();
         let busy_since_ms = self.busy_since_ms.load(Ordering::Relaxed);
-        // Attempts that were cancelled without an answer leave the clock running: the engine may be unreachable.
+        // If the earlier attempts were cancelled without an answer, the time is kept: the engine
+        // may be unreachable.
         let answered_since_busy = busy_since_ms == 0 || last_answer_ms >= busy_since_ms;
         if self.attempts.fetch_add(1, Ordering::Relaxed) == 0 && answered_since_busy {
             self.busy_since_ms.store(now_ms as u64, Ordering::Relaxed);
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Counts an attempt off that was begun with the same use.
+    /// Counts the end of an attempt that was started with the same use.
     pub(super) fn end_attempt(&self, usage: ConnectionUse) {
         self.attempts.fetch_sub(1, Ordering::Relaxed);
         if usage == ConnectionUse::Exclusive {
@@ -75,22 +78,23 @@
         }
     }
 
-    /// Records an answer of the engine on this connection.
+    /// Records the time of an answer of the engine on this connection.
     pub(super) fn record_answer(&self, now_ms: Millis) {
         self.last_answer_ms.store(now_ms as u64, Ordering::Relaxed);
     }
 
-    /// Unix time in ms of the last answer; 0 before the first.
+    /// Unix time in ms of the last answer; 0 before the first answer.
     pub(super) fn last_answer_ms(&self) -> u64 {
         self.last_answer_ms.load(Ordering::Relaxed)
     }
 
-    /// Whether no attempt is on it.
+    /// Whether the connection carries no attempt.
     pub(super) fn is_idle(&self) -> bool {
         self.attempts.load(Ordering::Relaxed) == 0
     }
 
-    /// Unix time in ms at which it last became busy, or had an answer.
+    /// Unix time in ms at which the connection last became busy or received an answer, whichever is
+    /// later; 0 before both.
     pub(super) fn last_activity_ms(&self) -> u64 {
         self.last_answer_ms()
             .max(self.busy_since_ms.load(Ordering::Relaxed))
@@ -106,7 +110,7 @@
         self.evicted.load(Ordering::Relaxed)
     }
 
-    /// The attempts that it carries now.
+    /// The number of attempts that the connection carries now.
     pub(super) fn counts(&self) -> AttemptCounts {
         AttemptCounts {
             all: self.attempts.load(Ordering::Relaxed),
@@ -114,13 +118,14 @@
         }
     }
 
-    /// Whether an answer is overdue, counting progress reports as answers. The connections of a machine that vanished
-    /// stay open and silent; only a new connection, which never comes up, shows the fault.
+    /// Whether an answer is overdue, where a progress report counts as an answer. If the engine's
+    /// machine fails without closing its connections, they stay open without answers; only a new
+    /// connection, which is never established, reveals the fault.
     pub(super) fn is_answer_overdue(&self, now_ms: Millis, limits: &Limits) -> bool {
         !self.is_idle() && now_ms - self.last_activity_ms() as f64 > limits.connection_silent_ms
     }
 
-    /// Whether the last answer is so recent that the connection can be relied on.
+    /// Whether the last answer is so recent that the connection is assumed to work.
     pub(super) fn answered_recently(&self, now_ms: Millis, limits: &Limits) -> bool {
         now_ms - self.last_answer_ms() as f64 <= limits.connection_proven_ms
     }
