--- a/src/engines/connection_slots.rs
+++ b/src/engines/connection_slots.rs
@@ -1,7 +1,9 @@
-//! The slots, one a descriptor, that the connections to all engines share, and which connection is evicted.
+//! The slots that the connections to all engines share, one for each descriptor, and the eviction
+//! of connections.
 //!
-//! A listed engine costs no descriptor, so there may be many more engines than descriptors: the connection that has
-//! been idle longest is evicted in favour of the one that is needed now. `docs/large-lists.md` has the design.
+//! An engine in the endpoint list needs no descriptor, so there may be many more engines than
+//! descriptors. If a connection is needed and no slot is free, the connection that has been idle
+//! longest is evicted. The design is described in `docs/large-lists.md`.
 
 use super::connection_load::ConnectionLoad;
 use crate::limits::Limits;
@@ -11,14 +13,15 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{Notify, oneshot};
 
-/// What a connection is wanted for.
+/// Why a connection is to be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SlotPurpose {
-    /// The engine has no connection that answers: without this one it cannot be reached.
+    /// The engine has no usable connection, so without this one it cannot be reached.
     FirstConnection,
-    /// A non-idempotent attempt is to have a connection of its own.
+    /// A non-idempotent attempt needs a connection of its own.
     ExclusiveUse,
-    /// The other connections of the engine carry much already.
+    /// The other connections of the engine already carry as many attempts as should share one, or
+    /// an exclusive one.
     AdditionalConnection,
 }
 
@@ -40,14 +43,16 @@
 struct SlotEntry {
     load: Arc<ConnectionLoad>,
     eviction: Arc<Notify>,
-    /// It waits for the descriptor of an evicted connection and has none yet.
+    /// Whether the connection still waits for the descriptor of an evicted one.
     waits_for_descriptor: bool,
-    /// The connection was evicted in favour of whoever holds the other end, who waits for its descriptor.
+    /// Set if the connection was evicted: notifies the new connection that waits for its
+    /// descriptor.
     descriptor_waiter: Option<oneshot::Sender<()>>,
 }
 
 impl SlotEntry {
-    /// Whether it was evicted: its descriptor passes on to another entry, so only one of the two counts.
+    /// Whether the connection was evicted. Its descriptor is assigned to another entry, and only
+    /// that entry counts as a slot in use.
     fn is_evicted(&self) -> bool {
         self.descriptor_waiter.is_some()
     }
@@ -58,7 +63,8 @@
 }
 
 impl SlotTable {
-    /// Slots in use, those aside whose descriptor is already promised to another entry.
+    /// The number of slots in use, without those whose descriptor is already assigned to another
+    /// entry.
     fn in_use(&self) -> usize {
         let entries = self.entries.values();
         entries.filter(|entry| !entry.is_evicted()).count()
@@ -79,13 +85,14 @@
     }
 }
 
-/// The slot of one connection. Dropping it frees the descriptor, so it has to be dropped after the socket.
+/// The slot of one connection. Dropping it makes the descriptor available to another connection, so
+/// it has to be dropped after the socket.
 #[derive(Debug)]
 pub(super) struct ConnectionSlot {
     slots: Arc<ConnectionSlots>,
     id: u64,
     eviction: Arc<Notify>,
-    /// Resolves once the evicted connection has closed its socket; none where a descriptor was free.
+    /// Resolves once the evicted connection has closed its socket; `None` if a descriptor was free.
     descriptor_freed: Option<oneshot::Receiver<()>>,
 }
 
@@ -102,7 +109,8 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Publishes the number of connections that have a descriptor; those that wait for one are not counted.
+    /// Updates the metric of open connections: those that have a descriptor. Connections that wait
+    /// for one are not counted.
     fn update_gauge(&self, table: &SlotTable) {
         let entries = table.entries.values();
         self.metrics
@@ -110,8 +118,8 @@
             .set(entries.filter(|entry| !entry.waits_for_descriptor).count());
     }
 
-    /// Slots that a connection for this purpose may fill. Some are reserved for engines that could not be reached
-    /// otherwise.
+    /// The number of slots that may be in use before a connection for this purpose needs an
+    /// eviction. Some slots are reserved for engines that cannot be reached otherwise.
     fn capacity_for(&self, purpose: SlotPurpose) -> usize {
         let shared = self.limits.share(self.limits.engine_connections);
         let reserved = self.limits.share(self.limits.engine_connections_reserved);
@@ -121,8 +129,8 @@
         }
     }
 
-    /// Acquires a slot for a connection with this load; none where all are in use and no connection may be evicted
-    /// for this purpose. Only an idle connection is ever evicted.
+    /// Acquires a slot for a connection with this load. Returns `None` if all slots are in use and
+    /// no connection may be evicted for this purpose. Only idle connections are evicted.
     pub(super) fn acquire(
         self: &Arc<ConnectionSlots>,
         load: &Arc<ConnectionLoad>,
@@ -152,7 +160,7 @@
         })
     }
 
-    /// Evicts this connection; the receiver resolves once its descriptor is free.
+    /// Evicts this connection. The returned receiver resolves once its descriptor is free.
     fn evict(&self, entry: &mut SlotEntry) -> oneshot::Receiver<()> {
         let (descriptor_waiter, descriptor_freed) = oneshot::channel();
         entry.descriptor_waiter = Some(descriptor_waiter);
@@ -164,12 +172,14 @@
 }
 
 impl ConnectionSlot {
-    /// Names the connection in the log: no other connection of this process, to whatever engine, has this number.
+    /// The number that identifies the connection in the log. It is unique among the connections of
+    /// this process to all engines.
     pub(super) fn number(&self) -> u64 {
         self.id
     }
 
-    /// Resolves once the slot has its descriptor, so that a socket may be opened. To be awaited once.
+    /// Resolves once the slot has its descriptor, so that a socket may be opened. Must be called
+    /// only once.
     pub(super) fn descriptor_ready(&mut self) -> impl Future<Output = ()> + Send + 'static {
         let descriptor_freed = self.descriptor_freed.take();
         let slots = self.slots.clone();
@@ -178,7 +188,8 @@
             let Some(descriptor_freed) = descriptor_freed else {
                 return;
             };
-            // An error means that the evicted slot is gone, which frees the descriptor as well.
+            // An error means that the sender was dropped with the evicted slot; the descriptor is
+            // free then too.
             let _ = descriptor_freed.await;
             let mut table = slots.table();
             if let Some(entry) = table.entries.get_mut(&id) {
@@ -188,7 +199,7 @@
         }
     }
 
-    /// Resolves once the connection is evicted. Nothing is in flight on it then, and nothing will be.
+    /// Resolves once the connection is evicted. It then carries no attempt and gets no further one.
     pub(super) async fn evicted(&self) {
         self.eviction.notified().await;
     }
--- a/src/engines/connection_slots/tests.rs
+++ b/src/engines/connection_slots/tests.rs
@@ -6,7 +6,7 @@
 use crate::engines::connection_load::ConnectionUse;
 use futures::FutureExt;
 
-/// The table, with its numbers of shared and reserved slots.
+/// Creates a table; returns it with its numbers of shared and reserved slots.
 fn slots() -> (Arc<ConnectionSlots>, usize, usize) {
     let context = EngineContext::for_tests(Handle::new(1, Clock::new()).0);
     let shared = context.limits.engine_connections;
@@ -20,7 +20,7 @@
     load
 }
 
-/// The reserved slots are for engines without a connection alone, and a busy connection is not evicted.
+/// Only engines without a connection get a reserved slot, and a busy connection is not evicted.
 #[test]
 fn reserved_slots_are_for_first_connections_and_busy_ones_are_not_evicted() {
     let (slots, shared, reserved) = slots();
@@ -50,7 +50,7 @@
         slots
             .acquire(&busy_load(1.0), SlotPurpose::FirstConnection)
             .is_none(),
-        "all are busy"
+        "all connections are busy"
     );
     drop(reserved_slots);
     assert!(
@@ -62,7 +62,8 @@
     assert_eq!(slots.metrics.engine_connections_evicted.get(), 0);
 }
 
-/// The connection that has been idle longest is evicted, once, and its descriptor is ready only when it is dropped.
+/// The connection that has been idle longest is evicted, and only once. Its descriptor is ready only
+/// after its slot is dropped.
 #[test]
 fn longest_idle_connection_is_evicted_once_and_its_descriptor_awaited() {
     let (slots, shared, reserved) = slots();
@@ -90,14 +91,14 @@
     let mut descriptor_ready = Box::pin(replacement.descriptor_ready());
     assert!(
         descriptor_ready.as_mut().now_or_never().is_none(),
-        "the socket is still open"
+        "the socket of the evicted connection is still open"
     );
     let next = slots
         .acquire(&busy_load(2000.0), SlotPurpose::ExclusiveUse)
         .expect("a slot");
     assert!(
         acquired[5].1.is_evicted(),
-        "the next one, as the longest idle is evicted already"
+        "the second longest idle connection, as the longest idle one is already evicted"
     );
     drop(acquired.remove(3));
     assert!(descriptor_ready.now_or_never().is_some());
