--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the fleet: which engines can be reached, and what takes effect although a mailbox is full.
+//! Tests of the fleet: which engines can be reached, and what takes effect even if a mailbox is
+//! full.
 
 mod connection_reuse;
 mod engines_beyond_descriptors;
@@ -16,8 +17,9 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Every engine of the list can be reached, however few descriptors there are, also while as many others drain. An
-/// engine that cannot be reached is chosen all the same, and would take most of a fleet's requests without sending any.
+/// Attempts can be started on every ready engine of the list, even if there are far fewer
+/// descriptors than engines and many other engines drain. An engine that cannot be reached would
+/// still be selected, and would get most requests of a fleet without any of them being sent.
 #[test]
 fn every_listed_engine_takes_attempts_beyond_the_descriptors() {
     run_test(async {
@@ -29,14 +31,15 @@
         for id in (615..=1024).chain(2001..=2614) {
             assert!(
                 fleet.start_attempt(engine_id(id), attempt(id)),
-                "engine {id} cannot be reached"
+                "no attempt can be started on engine {id}"
             );
         }
     });
 }
 
-/// A drain takes effect although its message finds the mailbox full, as after a turn in which much was sent to one
-/// engine: attempts that wait in the mailbox are not sent, and no connection is made.
+/// Draining takes effect even if the mailbox has no space for its message, as happens after the
+/// core has sent many messages to one engine at once. Attempts that wait in the mailbox are not
+/// sent, and no connection is opened.
 #[test]
 fn drain_takes_effect_although_the_mailbox_is_full() {
     run_test(async {
@@ -52,7 +55,7 @@
             let mut fleet = Fleet::new(context.clone());
             fleet.engine_listed(&record_in_state(EngineState::Ready));
             assert!(fleet.start_attempt(engine_id(1), attempt(1)));
-            // No actor has a turn before the test waits.
+            // No actor runs before the test awaits.
             (1..context.limits.mailbox_messages)
                 .for_each(|_| fleet.set_priority(engine_id(1), 9, 0, 2));
             fleet.engine_listed(&record_in_state(final_state));
@@ -63,8 +66,9 @@
     });
 }
 
-/// An attempt whose client has disconnected is not written, although its cancellation finds the mailbox full: the
-/// mailbox has capacity for the attempt alone here, and no actor has a turn between the two messages.
+/// An attempt whose client has disconnected is not written, even if the mailbox has no space for
+/// its cancellation. Here the mailbox has space for the attempt only, and no actor runs between the
+/// two messages.
 #[test]
 fn disconnect_of_the_client_takes_effect_although_the_mailbox_is_full() {
     run_test(async {
@@ -100,19 +104,19 @@
         core.handle(now, CoreMessage::ClientDisconnected(1));
         let first_byte_read = async {
             let mut peer = listener.accept().await.expect("accept").0;
-            // At the end of the connection nothing has come.
+            // An error means that the connection ended before any byte arrived.
             peer.read_u8().await.is_ok()
         };
         tokio::select! {
             event = next_event(&mut core_messages) => {
                 assert!(is_cancelled(&event, 1, AttemptEnd::NeverSent), "{event:?}");
             }
-            true = first_byte_read => panic!("it was written"),
+            true = first_byte_read => panic!("the cancelled attempt was written"),
         }
     });
 }
 
-/// A client that takes no answer.
+/// A client that ignores its answers.
 struct NullClient;
 
 impl ClientPort for NullClient {
--- a/src/engines/tests/connection_reuse.rs
+++ b/src/engines/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Tests of which connection carries an attempt whose reference an earlier attempt had.
+//! Tests of the choice of the connection for an attempt whose reference an earlier attempt had.
 
 use super::test_bench::{
     EngineTestBench, TEST_TIMEOUT, attempt, is_ended, run_test, start_message,
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The message that starts the retry of a request.
+/// Returns the message that starts the retry of a request.
 fn start_retry(id: RequestId) -> EngineMessage {
     start_message(AttemptRequest {
         attempt: 1,
@@ -20,7 +20,7 @@
     })
 }
 
-/// Reads one attempt, which has to have this reference, and rejects it.
+/// Reads one attempt on the engine's side, checks its reference, and rejects it.
 async fn reject(bench: &mut EngineTestBench, peer: &mut TcpStream, id: RequestId) {
     let mut received = Vec::new();
     while !received.ends_with(b"          \r\n") {
@@ -34,7 +34,8 @@
     assert!(is_ended(&event, id, Outcome::Rejected), "{event:?}");
 }
 
-/// A bench whose engine may have one connection, which has carried the first attempt of request 1 and is idle.
+/// Creates a bench whose engine may have only one connection. The connection has carried the first
+/// attempt of request 1 and is idle.
 async fn bench_with_one_connection() -> (EngineTestBench, TcpStream) {
     let one_connection = |limits: &mut Limits| limits.connections_per_engine = 1;
     let mut bench = EngineTestBench::with_limits(EngineProtocol::Lines, one_connection).await;
@@ -46,10 +47,14 @@
 
 async fn expect_closed(peer: &mut TcpStream) {
     let read = timeout(TEST_TIMEOUT, peer.read(&mut [0])).await;
-    assert_eq!(read.expect("the end in time").expect("the end"), 0);
+    assert_eq!(
+        read.expect("the end of the connection in time")
+            .expect("the end of the connection"),
+        0
+    );
 }
 
-/// A retry does not go over the connection of its first attempt, other requests do.
+/// A retry is not sent on the connection of its first attempt; other requests are.
 #[test]
 fn a_retry_takes_another_connection_and_other_requests_share_both() {
     run_test(async {
@@ -61,13 +66,14 @@
         let mut second = bench.accept().await;
         reject(&mut bench, &mut second, 1).await;
         bench.send(start_message(attempt(2))).await;
-        // Of two idle connections the one that answered last is chosen.
+        // Of two idle connections, the one that answered last is chosen.
         reject(&mut bench, &mut second, 2).await;
         assert_eq!(bench.context.metrics.engine_connections.get(), 2);
     });
 }
 
-/// Where an engine may have no further connection, an idle one that carried the reference makes room.
+/// If an engine may have no further connection, an idle one that has carried the reference is
+/// closed and replaced.
 #[test]
 fn a_retry_replaces_an_idle_connection_where_no_other_is_allowed() {
     run_test(async {
@@ -79,7 +85,9 @@
     });
 }
 
-/// Where the only connection is busy, the attempt is none: another engine may be tried, or the same one later.
+/// If the only connection is busy and has carried the reference, the retry ends without a
+/// connection slot, which does not count as an attempt. Another engine may be tried, or the same
+/// one later.
 #[test]
 fn a_retry_is_not_sent_where_the_only_connection_is_busy() {
     run_test(async {
@@ -92,7 +100,8 @@
     });
 }
 
-/// A connection that has carried as many references as it can keep takes no more, and is closed once it is idle.
+/// A connection that has reached its limit of references takes no further attempts and is closed
+/// once it is idle.
 #[test]
 fn a_connection_is_replaced_once_it_can_keep_no_further_reference() {
     run_test(async {
--- a/src/engines/tests/engines_beyond_descriptors.rs
+++ b/src/engines/tests/engines_beyond_descriptors.rs
@@ -1,4 +1,4 @@
-//! Tests of a fleet with more engines than descriptors, and of an endpoint list that churns.
+//! Tests of a fleet with more engines than descriptors, and of an endpoint list that changes often.
 
 use super::test_bench::{TEST_TIMEOUT, attempt, next_event, record, run_test};
 use crate::core::tests::accepted_request;
@@ -17,7 +17,8 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// Engines of this process: each answers every attempt, once `answer_permits` has a permit where there is one.
+/// Starts fake engines in this process. Each answers every attempt; if `answer_permits` is given,
+/// it waits for a permit before each answer.
 async fn start_engines(count: u32, answer_permits: Option<Arc<Semaphore>>) -> Vec<EngineRecord> {
     let mut records = Vec::new();
     for id in 1..=count {
@@ -64,7 +65,7 @@
     Ok(())
 }
 
-/// A fleet without a core, on the smallest machine's descriptors.
+/// A fleet without a core, with the 64 descriptors of the smallest machine.
 struct FleetTestBench {
     fleet: Fleet,
     context: EngineContext,
@@ -103,12 +104,13 @@
         );
         match event {
             AttemptEvent::Ended { outcome, .. } => (id, outcome),
-            event => panic!("no end: {event:?}"),
+            event => panic!("expected the end of an attempt, got {event:?}"),
         }
     }
 }
 
-/// Eight engines for each descriptor are used in turn, twice: idle connections are evicted, and every attempt is served.
+/// Eight engines for each connection slot are used in turn, twice. Idle connections are evicted, and
+/// every attempt is served.
 #[test]
 fn idle_connections_are_evicted_and_every_attempt_is_served() {
     run_test(async {
@@ -129,8 +131,9 @@
     });
 }
 
-/// A connection that carries an attempt is never evicted. Where all do, a further attempt comes back at once without a
-/// slot, and the next one finds a slot as soon as one of them is served.
+/// A connection that carries an attempt is never evicted. If all connections carry one, a further
+/// attempt ends at once without a connection slot. As soon as one of them is served, the next
+/// attempt gets a slot.
 #[test]
 fn busy_connections_are_not_evicted_and_the_next_attempt_gets_no_slot() {
     run_test(async {
@@ -158,7 +161,7 @@
     });
 }
 
-/// A client that passes on whether each answer was a result.
+/// A client that forwards, for each answer, whether it was a result.
 struct ForwardingClient(mpsc::UnboundedSender<bool>);
 
 impl ClientPort for ForwardingClient {
@@ -167,8 +170,8 @@
     }
 }
 
-/// Core, dispatcher and fleet with 200 engines on the descriptors of the smallest machine serve bursts of more requests
-/// than there are connections completely.
+/// Core, dispatcher and fleet with 200 engines and the 64 descriptors of the smallest machine serve
+/// every request of bursts that have more requests than there are connections.
 #[test]
 fn bursts_on_more_engines_than_descriptors_are_served_completely() {
     run_test(async {
@@ -219,8 +222,8 @@
     });
 }
 
-/// Where an engine accepts no connection, the attempt comes back unsent and holds no descriptor; once the engine accepts
-/// it serves as any other.
+/// While an engine accepts no connection, an attempt ends unsent and holds no descriptor. Once the
+/// engine accepts connections, it serves attempts like any other engine.
 #[test]
 fn engine_that_accepts_late_fails_unsent_attempts_then_serves() {
     run_test(async {
@@ -229,7 +232,7 @@
         socket.bind(([127, 0, 0, 1], 0).into()).expect("bind");
         let listener = socket.listen(1).expect("listen");
         let address = listener.local_addr().expect("address");
-        // Connections that nobody accepts, until one more does not come up.
+        // Opens connections, none of which is accepted, until a further one cannot be established.
         let mut unaccepted = Vec::new();
         while let Ok(Ok(stream)) =
             timeout(Duration::from_millis(50), TcpStream::connect(address)).await
@@ -260,8 +263,8 @@
     });
 }
 
-/// Six in ten of a thousand engines are replaced at once, several times over, while the old ones drain and some of the
-/// new ones refuse connections: neither actors nor entries nor descriptors remain of those that were removed.
+/// In each of 8 rounds, 614 of 1024 engines are replaced at once, while the old ones drain and some
+/// of the new ones refuse connections. No actor, entry or descriptor of a removed engine remains.
 #[test]
 fn replaced_engines_leave_no_actor_entry_or_descriptor() {
     run_test(async {
@@ -297,7 +300,7 @@
         };
         timeout(TEST_TIMEOUT, all_tasks_ended)
             .await
-            .expect("no actor stays");
+            .expect("all actors end in time");
         assert_eq!(
             (
                 bench.fleet.len(),
--- a/src/engines/tests/test_bench.rs
+++ b/src/engines/tests/test_bench.rs
@@ -1,4 +1,5 @@
-//! What the tests of engines' actors share: an actor of either protocol and the bare socket that it connects to.
+//! Shared parts of the tests of engine actors: an actor of either protocol, with the plain socket
+//! that it connects to.
 
 use crate::attempt::AttemptEnd;
 use crate::core::{
@@ -19,13 +20,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Bytes of a statement that the buffers of both sockets do not take in.
+/// The size of a statement that exceeds the buffers of both sockets.
 pub(in crate::engines) const LARGE_STATEMENT_BYTES: usize = 24 << 20;
 
-/// Longest wait for anything that a test expects.
+/// The longest time that a test waits for an expected event.
 pub(in crate::engines) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An engine's actor with the peer that it connects to.
+/// An engine's actor, with the listener of the peer that it connects to.
 pub(in crate::engines) struct EngineTestBench {
     pub(in crate::engines) listener: TcpListener,
     mailbox: mpsc::Sender<EngineMessage>,
@@ -39,7 +40,7 @@
         EngineTestBench::with_limits(protocol, |_| {}).await
     }
 
-    /// The same with changed limits.
+    /// Creates a bench with changed limits.
     pub(in crate::engines) async fn with_limits(
         protocol: EngineProtocol,
         change: impl FnOnce(&mut Limits),
@@ -87,12 +88,12 @@
         accepted.expect("a connection in time").expect("accept").0
     }
 
-    /// The next event that the core receives, with its request.
+    /// Returns the next event that the core receives, with its request.
     pub(in crate::engines) async fn next_event(&mut self) -> (RequestId, AttemptEvent) {
         next_event(&mut self.core_messages).await
     }
 
-    /// Whether the core receives nothing, after all actors had their turns.
+    /// Whether the core has received nothing after all actors have run.
     pub(in crate::engines) async fn has_no_event(&mut self) -> bool {
         for _ in 0..100 {
             tokio::task::yield_now().await;
@@ -103,18 +104,18 @@
     }
 }
 
-/// The next event that the core receives, with its request.
+/// Returns the next event that the core receives, with its request.
 pub(in crate::engines) async fn next_event(
     core_messages: &mut Mailbox,
 ) -> (RequestId, AttemptEvent) {
     let message = timeout(TEST_TIMEOUT, core_messages.next_message()).await;
     match message.expect("an event in time") {
         Some(CoreMessage::Attempt { id, event, .. }) => (id, event),
-        _ => panic!("no event of an attempt"),
+        _ => panic!("expected an event of an attempt"),
     }
 }
 
-/// A record of the endpoint list for an engine that nothing connects to.
+/// Creates a record of the endpoint list for an engine at a loopback port where nothing listens.
 pub(in crate::engines) fn record(id: u32, state: EngineState) -> EngineRecord {
     let entry = EngineEntry {
         engine: engine_id(id),
@@ -128,7 +129,7 @@
     }
 }
 
-/// Whether the event reports this end of the request's cancelled attempt.
+/// Whether the event reports that the request's cancelled attempt ended in this way.
 pub(in crate::engines) fn is_cancelled(
     event: &(RequestId, AttemptEvent),
     id: RequestId,
@@ -146,7 +147,7 @@
     matches!(event, (request, AttemptEvent::Ended { outcome, .. }) if *request == id && *outcome == expected)
 }
 
-/// Runs a test on a runtime of one thread, as the program does.
+/// Runs a test on a runtime with a single thread, like that of the program.
 pub(in crate::engines) fn run_test<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -155,12 +156,12 @@
     runtime.block_on(test);
 }
 
-/// An attempt with a small statement.
+/// Creates an attempt with a small statement.
 pub(in crate::engines) fn attempt(id: RequestId) -> AttemptRequest {
     attempt_with_statement(id, 10)
 }
 
-/// An attempt with a statement of so many bytes.
+/// Creates an attempt with a statement of this many bytes.
 pub(in crate::engines) fn attempt_with_statement(id: RequestId, bytes: usize) -> AttemptRequest {
     let class = EngineContext::settings_for_tests().classes[0].clone();
     AttemptRequest {
@@ -179,12 +180,12 @@
     }
 }
 
-/// The message that starts this attempt.
+/// Returns the message that starts this attempt.
 pub(in crate::engines) fn start_message(attempt: AttemptRequest) -> EngineMessage {
     EngineMessage::StartAttempt(Box::new(attempt))
 }
 
-/// The message that cancels the only attempt of this request.
+/// Returns the message that cancels the only attempt of this request.
 pub(in crate::engines) fn cancel_message(
     request: RequestId,
     after: AfterCancellation,
