--- a/src/engines/connection_slots/tests.rs
+++ b/src/engines/connection_slots/tests.rs
@@ -62,8 +62,8 @@
     assert_eq!(slots.metrics.engine_connections_evicted.get(), 0);
 }
 
-/// The connection that has been idle longest is evicted, and only once. Its descriptor is ready only
-/// after its slot is dropped.
+/// The connection that has been idle longest is evicted, and only once. Its descriptor is ready
+/// only after its slot is dropped.
 #[test]
 fn longest_idle_connection_is_evicted_once_and_its_descriptor_awaited() {
     let (slots, shared, reserved) = slots();
--- a/src/engines/tests/engines_beyond_descriptors.rs
+++ b/src/engines/tests/engines_beyond_descriptors.rs
@@ -109,8 +109,8 @@
     }
 }
 
-/// Eight engines for each connection slot are used in turn, twice. Idle connections are evicted, and
-/// every attempt is served.
+/// Eight engines for each connection slot are used in turn, twice. Idle connections are evicted,
+/// and every attempt is served.
 #[test]
 fn idle_connections_are_evicted_and_every_attempt_is_served() {
     run_test(async {
