--- a/src/engines/line_protocol/answer.rs
+++ b/src/engines/line_protocol/answer.rs
@@ -32,7 +32,7 @@
     #[error("a page of a result is not complete rows of text")]
     PageText,
     #[error("{count} answers since the last end of an attempt")]
-    Uneventful { count: usize },
+    TooManyUneventfulAnswers { count: usize },
     #[error("the rest of an answer did not come in time")]
     Incomplete,
 }
@@ -174,12 +174,12 @@
     if !crate::clients::is_client_reference(reference) {
         return Err(AnswerError::Reference);
     }
-    if !are_fields(fields) {
+    if !is_field_list(fields) {
         return Err(AnswerError::Fields);
     }
     let reference = 0..reference.len();
-    let status = word_after(&reference, status);
-    let fields = word_after(&status, fields);
+    let status = word_range_after(&reference, status);
+    let fields = word_range_after(&status, fields);
     Ok(Head {
         reference,
         status,
@@ -189,13 +189,13 @@
 }
 
 /// The range of a word that follows the one with this range, behind one space.
-fn word_after(previous: &Range<usize>, word: &[u8]) -> Range<usize> {
+fn word_range_after(previous: &Range<usize>, word: &[u8]) -> Range<usize> {
     let start = previous.end + 1;
     start..start + word.len()
 }
 
 /// Whether this is a list of `NAME=VALUE`, or the `-` that stands for an empty one.
-fn are_fields(text: &[u8]) -> bool {
+fn is_field_list(text: &[u8]) -> bool {
     text == b"-"
         || text
             .split(|byte| *byte == b',')
--- a/src/engines/line_protocol/command.rs
+++ b/src/engines/line_protocol/command.rs
@@ -29,7 +29,7 @@
 
 impl Command {
     /// The line for the attempt or tag with this name.
-    pub(super) fn line(self, name: &[u8]) -> Vec<u8> {
+    pub(super) fn encode(self, reference: &[u8]) -> Vec<u8> {
         let (verb, argument) = match self {
             Command::Cancel => ("QUIT", None),
             Command::Release => ("FREE", None),
@@ -40,7 +40,7 @@
         let mut line = Vec::with_capacity(32);
         line.extend_from_slice(verb.as_bytes());
         line.push(b' ');
-        line.extend_from_slice(name);
+        line.extend_from_slice(reference);
         if let Some(argument) = argument {
             line.extend_from_slice(format!(" {argument}").as_bytes());
         }
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -14,7 +14,7 @@
 
 use super::answer::AnswerError;
 use super::command::Command;
-use super::unsent_attempts::UnsentAttempts;
+use super::unsent_attempts::ConnectionEventSender;
 use crate::attempt::AttemptState;
 use crate::core::AttemptRequest;
 use crate::decision::EngineId;
@@ -24,7 +24,7 @@
 use crate::engines::context::{AttemptId, EngineContext, EngineMessage};
 use crate::net::{self, Outbox};
 use crate::node_config::format_engine_id;
-use attempt_ends::AttemptReport;
+use attempt_ends::EndedAttempt;
 use bytes::{Bytes, BytesMut};
 use cancellations::Cancellations;
 use result_pages::ResultPages;
@@ -58,11 +58,11 @@
     /// Its engine was removed from the list, and its attempts did not end within the grace for that.
     EngineRemoved,
     /// Its engine takes no attempts, and it carries none.
-    EngineClosed,
+    AdmissionClosed,
     /// Its descriptor is needed for another connection.
     Evicted,
     /// Its engine's actor gives it nothing more.
-    Retired,
+    MailboxClosed,
     Idle,
 }
 
@@ -99,7 +99,7 @@
     admission: Arc<Admission>,
     load: Arc<ConnectionLoad>,
     /// Where attempts go back to that were never sent.
-    unsent_attempts: UnsentAttempts,
+    event_sender: ConnectionEventSender,
     mailbox: mpsc::Receiver<EngineMessage>,
     /// The engine's actor has ended: no more messages come.
     mailbox_closed: bool,
@@ -110,7 +110,7 @@
     partly_written: Option<PartlyWritten>,
     cancellations: Cancellations,
     /// Ends that are to be reported to the core.
-    ended: Vec<AttemptReport>,
+    ended_attempts: Vec<EndedAttempt>,
     input: BytesMut,
     output: Outbox,
     idle_since: Instant,
@@ -119,7 +119,7 @@
     /// Answers since the last that ended an attempt, as `Limits::uneventful_answers` counts them.
     uneventful_answers: usize,
     /// When the connection is closed because its engine was removed from the list.
-    removal_at: Option<Instant>,
+    removal_grace_ends_at: Option<Instant>,
 }
 
 impl Connection {
@@ -127,7 +127,7 @@
         engine: EngineId,
         number: u64,
         mailbox: mpsc::Receiver<EngineMessage>,
-        unsent_attempts: UnsentAttempts,
+        event_sender: ConnectionEventSender,
         load: Arc<ConnectionLoad>,
         context: EngineContext,
         admission: Arc<Admission>,
@@ -138,20 +138,20 @@
             context,
             admission,
             load,
-            unsent_attempts,
+            event_sender,
             mailbox,
             mailbox_closed: false,
             queued: VecDeque::new(),
             sent: HashMap::new(),
             partly_written: None,
             cancellations: Cancellations::default(),
-            ended: Vec::new(),
+            ended_attempts: Vec::new(),
             input: BytesMut::new(),
             output: Outbox::default(),
             idle_since: Instant::now(),
             partial_answer_since: None,
             uneventful_answers: 0,
-            removal_at: None,
+            removal_grace_ends_at: None,
         }
     }
 
@@ -162,15 +162,15 @@
         if let Some(stream) = stream {
             self.serve_and_close(stream, &slot).await;
         }
-        self.log_left_attempts();
+        self.log_remaining_attempts();
         self.mailbox.close();
         self.receive_waiting_messages();
-        self.give_back_queued(was_connected);
+        self.return_queued_attempts(was_connected);
         drop(slot);
-        self.fail_queued();
+        self.end_queued_attempts();
         self.end_sent_attempts();
-        self.report_ended().await;
-        self.unsent_attempts.report_closed();
+        self.report_ended_attempts().await;
+        self.event_sender.report_closed();
     }
 
     /// Connects; none where that fails, takes too long, or no attempt waits for it any more. Messages are handled
@@ -195,7 +195,7 @@
                 () = slot.evicted() => return None,
                 Some(message) = self.mailbox.recv() => self.handle_message(message),
             }
-            self.report_ended().await;
+            self.report_ended_attempts().await;
             if self.queued.is_empty() && Instant::now() > give_up_at {
                 return None;
             }
@@ -244,21 +244,21 @@
             self.receive_waiting_messages();
             self.write_next_attempt();
             self.output.flush(stream)?;
-            self.process_written();
-            self.report_ended().await;
+            self.process_written_bytes();
+            self.report_ended_attempts().await;
             if self.output.is_empty() && !self.queued.is_empty() {
                 continue;
             }
             if self.is_idle() && self.admission.is_closed() {
-                return Ok(CloseReason::EngineClosed);
+                return Ok(CloseReason::AdmissionClosed);
             }
             if self.is_idle() && self.mailbox_closed {
-                return Ok(CloseReason::Retired);
+                return Ok(CloseReason::MailboxClosed);
             }
             if let Flow::Close(reason) = self.wait_for_event(stream, slot).await? {
                 return Ok(reason);
             }
-            self.report_ended().await;
+            self.report_ended_attempts().await;
         }
     }
 
@@ -284,7 +284,7 @@
                 Some(message) => self.handle_message(message),
                 None => {
                     self.mailbox_closed = true;
-                    self.begin_removal();
+                    self.start_removal_grace();
                 }
             },
             ready = stream.writable(), if !self.output.is_empty() => ready?,
@@ -334,7 +334,7 @@
         let pages = self.sent.values().filter_map(|sent| sent.pages.as_ref());
         Timers {
             idle: self.is_idle().then_some(idle_until),
-            removal: self.removal_at,
+            removal: self.removal_grace_ends_at,
             partial_answer: self
                 .partial_answer_since
                 .map(|since| since + limits.partial_answer_timeout),
@@ -364,15 +364,15 @@
     }
 
     /// Starts the grace for open attempts after which the connection of a removed engine is closed.
-    fn begin_removal(&mut self) {
+    fn start_removal_grace(&mut self) {
         let grace = self.context.limits.removed_engine_grace;
-        self.removal_at
+        self.removal_grace_ends_at
             .get_or_insert_with(|| Instant::now() + grace);
     }
 
     /// Queues a command for the engine.
     fn send_command(&mut self, command: Command, reference: &Bytes) {
-        self.output.push(command.line(reference));
+        self.output.push(command.encode(reference));
     }
 
     /// The reference under which an attempt was sent.
--- a/src/engines/line_protocol/connection/answers.rs
+++ b/src/engines/line_protocol/connection/answers.rs
@@ -1,6 +1,6 @@
 //! What a connection does with the answers of its engine: ends of attempts, pages of results and progress reports.
 
-use super::events_log::IgnoredAnswer;
+use super::events_log::IgnoredAnswerReason;
 use super::result_pages::{PageInsertion, ResultPages};
 use super::{Connection, ConnectionError, SentAttempt};
 use crate::attempt::{AttemptEnd, never_ran};
@@ -30,7 +30,7 @@
             // Answers without end would keep the attempts behind them in flight, and the core busy.
             let count = self.uneventful_answers;
             if count > self.context.limits.uneventful_answers {
-                return Err(AnswerError::Uneventful { count }.into());
+                return Err(AnswerError::TooManyUneventfulAnswers { count }.into());
             }
         }
         if self.input.is_empty() {
@@ -43,7 +43,7 @@
 
     async fn handle_answer(&mut self, answer: Answer) -> Result<(), ConnectionError> {
         self.idle_since = Instant::now();
-        self.unsent_attempts.reset_failures();
+        self.event_sender.reset_failures();
         self.load.record_answer(self.context.core.now());
         if answer.status == AnswerStatus::Confirmed {
             self.confirm_cancellations(&answer);
@@ -51,14 +51,14 @@
         }
         let Some(sent) = self.sent.get(&answer.reference) else {
             // The attempt was cancelled meanwhile, or never sent. The connection is good all the same.
-            self.ignore_answer(&answer, IgnoredAnswer::NoSuchAttempt);
+            self.ignore_answer(&answer, IgnoredAnswerReason::NoSuchAttempt);
             return Ok(());
         };
         let has_pages = sent.pages.is_some();
         match answer.status {
             // An engine may repeat its answer; the copy has no effect.
             AnswerStatus::Served if has_pages => {
-                self.ignore_answer(&answer, IgnoredAnswer::RepeatedResult);
+                self.ignore_answer(&answer, IgnoredAnswerReason::RepeatedResult);
             }
             AnswerStatus::Served => self.handle_first_page(&answer).await?,
             AnswerStatus::Page => self.handle_further_page(&answer).await?,
@@ -89,7 +89,7 @@
         // The engine has dropped the other pages of an attempt that is being cancelled.
         if !sent.state.begin_result() && count > 1 {
             let event = AttemptEvent::Cancelled(AttemptEnd::Answered);
-            self.end_answered(&answer.reference, answer.load_report(), event)
+            self.end_answered_attempt(&answer.reference, answer.load_report(), event)
                 .await;
             return Ok(());
         }
@@ -98,7 +98,7 @@
             self.context.metrics.result_pages.increment();
             self.send_command(Command::NextPage(number), &answer.reference);
         }
-        self.end_if_complete(&answer.reference).await;
+        self.end_if_result_complete(&answer.reference).await;
         Ok(())
     }
 
@@ -111,13 +111,13 @@
             .zip(number)
             .filter(|(pages, number)| pages.is_missing(*number));
         let Some((pages, number)) = wanted else {
-            self.ignore_answer(answer, IgnoredAnswer::UnexpectedPage);
+            self.ignore_answer(answer, IgnoredAnswerReason::UnexpectedPage);
             return Ok(());
         };
         answer.check_page()?;
         match pages.insert(number, answer.body.clone(), &self.context.limits) {
             PageInsertion::TooLarge => self.release_result(&answer.reference, Outcome::Error),
-            PageInsertion::Inserted => self.end_if_complete(&answer.reference).await,
+            PageInsertion::Inserted => self.end_if_result_complete(&answer.reference).await,
         }
         Ok(())
     }
@@ -129,7 +129,7 @@
         let attempt = AttemptId::from(&*sent.request);
         self.context.metrics.progress_notes.increment();
         self.uneventful_answers += 1;
-        let event = AttemptEvent::Progress(progress_of(answer));
+        let event = AttemptEvent::Progress(parse_progress(answer));
         self.context
             .send_event(self.engine, attempt, answer.load_report(), event)
             .await;
@@ -150,35 +150,40 @@
         } else {
             AttemptEvent::end(outcome)
         };
-        self.end_answered(&answer.reference, answer.load_report(), event)
+        self.end_answered_attempt(&answer.reference, answer.load_report(), event)
             .await;
     }
 
     /// Ends an attempt that the engine has answered.
-    async fn end_answered(&mut self, reference: &Bytes, report: LoadReport, event: AttemptEvent) {
-        let Some(SentAttempt { request, .. }) = self.take_answered(reference) else {
+    async fn end_answered_attempt(
+        &mut self,
+        reference: &Bytes,
+        report: LoadReport,
+        event: AttemptEvent,
+    ) {
+        let Some(SentAttempt { request, .. }) = self.remove_answered_attempt(reference) else {
             return;
         };
         self.load.end_attempt(ConnectionUse::of(&request));
-        self.log_ended(&request, &event);
+        self.log_attempt_end(&request, &event);
         self.context
             .send_event(self.engine, (&*request).into(), report, event)
             .await;
     }
 
     /// Ends an attempt with its result once all pages are in.
-    async fn end_if_complete(&mut self, reference: &Bytes) {
+    async fn end_if_result_complete(&mut self, reference: &Bytes) {
         let Some(sent) = self.sent.get_mut(reference) else {
             return;
         };
         if let Some(pages) = sent.pages.take_if(|pages| pages.is_complete()) {
             let (report, event) = pages.finish(&self.context.limits);
-            self.end_answered(reference, report, event).await;
+            self.end_answered_attempt(reference, report, event).await;
         }
     }
 
     /// Passes over an answer that nothing asked for, or that was given already.
-    pub(super) fn ignore_answer(&mut self, answer: &Answer, reason: IgnoredAnswer) {
+    pub(super) fn ignore_answer(&mut self, answer: &Answer, reason: IgnoredAnswerReason) {
         self.log_ignored_answer(answer, reason);
         self.context.metrics.engine_unexpected_answers.increment();
         self.uneventful_answers += self.context.limits.unexpected_answer_weight;
@@ -199,7 +204,7 @@
 }
 
 /// The progress that an answer reports; none where it merely shows that the attempt is alive.
-fn progress_of(answer: &Answer) -> Option<Progress> {
+fn parse_progress(answer: &Answer) -> Option<Progress> {
     let value = answer.number("num")?;
     match answer.field("n")? {
         b"pct" => Some(Progress::ShareDone(value)),
--- a/src/engines/line_protocol/connection/attempt_ends.rs
+++ b/src/engines/line_protocol/connection/attempt_ends.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 
 /// The end of an attempt, to be reported to the core.
-pub(super) struct AttemptReport {
+pub(super) struct EndedAttempt {
     request: Box<AttemptRequest>,
     event: AttemptEvent,
 }
@@ -18,22 +18,22 @@
     /// Counts an attempt off; the core receives its end with the next report.
     pub(super) fn end_attempt(&mut self, request: Box<AttemptRequest>, event: AttemptEvent) {
         self.load.end_attempt(ConnectionUse::of(&request));
-        self.log_ended(&request, &event);
-        self.ended.push(AttemptReport { request, event });
+        self.log_attempt_end(&request, &event);
+        self.ended_attempts.push(EndedAttempt { request, event });
     }
 
     /// Reports to the core the ends that are due.
-    pub(super) async fn report_ended(&mut self) {
-        for report in std::mem::take(&mut self.ended) {
-            let attempt = (&*report.request).into();
+    pub(super) async fn report_ended_attempts(&mut self) {
+        for ended in std::mem::take(&mut self.ended_attempts) {
+            let attempt = (&*ended.request).into();
             self.context
-                .send_event_without_report(self.engine, attempt, report.event)
+                .send_event_without_report(self.engine, attempt, ended.event)
                 .await;
         }
     }
 
     /// Ends the queued attempts: they are not sent at all.
-    pub(super) fn fail_queued(&mut self) {
+    pub(super) fn end_queued_attempts(&mut self) {
         for request in std::mem::take(&mut self.queued) {
             self.end_attempt(request, AttemptEvent::end(Outcome::NoConnection));
         }
@@ -42,17 +42,17 @@
     /// Gives the queued attempts of a closed connection back, so that another one takes them: a connection that was up
     /// and failed means nothing for attempts that it never sent. There is no await point here, so no message about the
     /// attempts can be missed in between.
-    pub(super) fn give_back_queued(&mut self, was_connected: bool) {
+    pub(super) fn return_queued_attempts(&mut self, was_connected: bool) {
         let carried_attempts = !self.sent.is_empty() || !self.queued.is_empty();
-        let earlier_failures = self.unsent_attempts.count_closed(carried_attempts);
-        let may_give_back = earlier_failures < self.context.limits.returned_connections;
-        if !was_connected || self.admission.is_closed() || !may_give_back {
+        let earlier_failures = self.event_sender.count_closed_connection(carried_attempts);
+        let may_return = earlier_failures < self.context.limits.returned_connections;
+        if !was_connected || self.admission.is_closed() || !may_return {
             return;
         }
         for request in std::mem::take(&mut self.queued) {
             let usage = ConnectionUse::of(&request);
             self.load.end_attempt(usage);
-            if let Err(request) = self.unsent_attempts.give_back(request) {
+            if let Err(request) = self.event_sender.return_attempt(request) {
                 self.load.begin_attempt(usage, self.context.core.now());
                 self.queued.push_back(request);
             }
--- a/src/engines/line_protocol/connection/attempt_queue.rs
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -21,15 +21,15 @@
             }
             EngineMessage::ManualEjectionChanged => {
                 if self.admission.is_closed() {
-                    self.fail_queued();
+                    self.end_queued_attempts();
                 }
             }
-            EngineMessage::StateChanged(EngineState::Ready) => self.removal_at = None,
+            EngineMessage::StateChanged(EngineState::Ready) => self.removal_grace_ends_at = None,
             EngineMessage::StateChanged(state) => {
                 // An engine that drains may be sent nothing that was not begun before.
-                self.fail_queued();
+                self.end_queued_attempts();
                 if state == EngineState::Removed {
-                    self.begin_removal();
+                    self.start_removal_grace();
                 }
             }
         }
@@ -56,7 +56,7 @@
     /// at most one can be partly written when its engine starts to drain.
     pub(super) fn write_next_attempt(&mut self) {
         if self.admission.is_closed() {
-            self.fail_queued();
+            self.end_queued_attempts();
         }
         while self.output.is_empty() {
             let Some(request) = self.queued.pop_front() else {
@@ -72,7 +72,7 @@
     }
 
     fn write_attempt(&mut self, request: Box<AttemptRequest>, now_ms: f64) {
-        self.log_written(&request);
+        self.log_attempt_queued_for_writing(&request);
         self.output.push(attempt_line(&request, now_ms));
         self.output.push(request.statement.clone());
         let end_mark = self.output.push(LINE_END);
--- a/src/engines/line_protocol/connection/cancellations.rs
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -5,7 +5,7 @@
 //! overtake a cancellation that was merely written. Commands of one connection are read in order, so the answer to a
 //! command that follows the cancellation is that confirmation.
 
-use super::events_log::IgnoredAnswer;
+use super::events_log::IgnoredAnswerReason;
 use super::{Connection, SentAttempt};
 use crate::attempt::{AttemptEnd, AttemptState};
 use crate::core::AttemptEvent;
@@ -39,7 +39,7 @@
 
 impl Cancellations {
     /// Queues a cancellation for the engine; returns the count of bytes written by which it is complete.
-    fn send(
+    fn queue(
         &mut self,
         command: Command,
         reference: &Bytes,
@@ -47,11 +47,11 @@
         output: &mut Outbox,
         limits: &Limits,
     ) -> u64 {
-        let end_mark = output.push(command.line(reference));
+        let end_mark = output.push(command.encode(reference));
         let (tag, timeout) = match after {
             AfterCancellation::RetryMayFollow => {
                 let tag = self.next_tag();
-                output.push(Command::Confirm.line(&tag));
+                output.push(Command::Confirm.encode(&tag));
                 (Some(tag), limits.cancellation_confirm_timeout)
             }
             AfterCancellation::NoRetry => (None, limits.cancellation_write_timeout),
@@ -76,7 +76,7 @@
     }
 
     /// Forgets those of an attempt that has ended.
-    fn forget(&mut self, reference: &Bytes) {
+    fn remove_attempt(&mut self, reference: &Bytes) {
         self.pending
             .retain(|pending| pending.reference != *reference);
     }
@@ -95,7 +95,7 @@
     }
 
     /// Puts those back at the front that wait for a confirmation.
-    fn put_back(&mut self, mut unconfirmed: VecDeque<Cancellation>) {
+    fn requeue_unconfirmed(&mut self, mut unconfirmed: VecDeque<Cancellation>) {
         unconfirmed.append(&mut self.pending);
         self.pending = unconfirmed;
     }
@@ -130,7 +130,7 @@
             Command::Cancel
         };
         let end = sent.state.cancel(after.retry_may_follow(), || {
-            self.cancellations.send(
+            self.cancellations.queue(
                 command,
                 &reference,
                 after,
@@ -152,9 +152,9 @@
 
     /// Removes an attempt that an answer has ended, with its cancellations: the connection is not to be closed for
     /// those, as they serve no purpose any more.
-    pub(super) fn take_answered(&mut self, reference: &Bytes) -> Option<SentAttempt> {
+    pub(super) fn remove_answered_attempt(&mut self, reference: &Bytes) -> Option<SentAttempt> {
         self.uneventful_answers = 0;
-        self.cancellations.forget(reference);
+        self.cancellations.remove_attempt(reference);
         self.sent.remove(reference)
     }
 
@@ -162,7 +162,7 @@
     pub(super) fn confirm_cancellations(&mut self, confirmation: &Answer) {
         let tag = &confirmation.reference;
         let Some(confirmed) = self.cancellations.take_confirmed(tag) else {
-            return self.ignore_answer(confirmation, IgnoredAnswer::UnknownTag);
+            return self.ignore_answer(confirmation, IgnoredAnswerReason::UnknownTag);
         };
         for cancellation in confirmed {
             let sent = self.sent.get_mut(&cancellation.reference);
@@ -173,7 +173,7 @@
     }
 
     /// Acts on what has been written by now: attempts that are complete, and cancellations that end their attempt.
-    pub(super) fn process_written(&mut self) {
+    pub(super) fn process_written_bytes(&mut self) {
         let written = self.output.written();
         let mut unconfirmed = VecDeque::new();
         for cancellation in self.cancellations.take_written(written) {
@@ -184,7 +184,7 @@
                 None => {}
             }
         }
-        self.cancellations.put_back(unconfirmed);
+        self.cancellations.requeue_unconfirmed(unconfirmed);
         let completed = self
             .partly_written
             .take_if(|partly| partly.end_mark <= written);
--- a/src/engines/line_protocol/connection/events_log.rs
+++ b/src/engines/line_protocol/connection/events_log.rs
@@ -12,7 +12,7 @@
 
 /// Why an answer has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum IgnoredAnswer {
+pub(super) enum IgnoredAnswerReason {
     /// No attempt with its reference is on the connection.
     NoSuchAttempt,
     /// Its attempt has the first page of its result already.
@@ -45,7 +45,7 @@
         None
     }
 
-    pub(super) fn log_written(&self, request: &AttemptRequest) {
+    pub(super) fn log_attempt_queued_for_writing(&self, request: &AttemptRequest) {
         tracing::debug!(
             id = request.id,
             attempt = request.attempt,
@@ -56,7 +56,7 @@
         );
     }
 
-    pub(super) fn log_ended(&self, request: &AttemptRequest, event: &AttemptEvent) {
+    pub(super) fn log_attempt_end(&self, request: &AttemptRequest, event: &AttemptEvent) {
         let (outcome, cancelled) = match event {
             AttemptEvent::Ended { outcome, .. } => (Some(outcome), None),
             AttemptEvent::Cancelled(end) => (None, Some(end)),
@@ -86,7 +86,7 @@
         );
     }
 
-    pub(super) fn log_ignored_answer(&self, answer: &Answer, reason: IgnoredAnswer) {
+    pub(super) fn log_ignored_answer(&self, answer: &Answer, reason: IgnoredAnswerReason) {
         tracing::debug!(
             engine = %format_engine_id(self.engine),
             connection = self.number,
@@ -98,7 +98,7 @@
     }
 
     /// Logs how many attempts a connection that is over leaves to others or ends.
-    pub(super) fn log_left_attempts(&self) {
+    pub(super) fn log_remaining_attempts(&self) {
         if self.queued.is_empty() && self.sent.is_empty() {
             return;
         }
--- a/src/engines/line_protocol/connection/result_pages.rs
+++ b/src/engines/line_protocol/connection/result_pages.rs
@@ -34,18 +34,18 @@
 
 impl ResultPages {
     /// Starts with the first of so many pages.
-    pub(super) fn new(first: &Answer, count: usize, context: &EngineContext) -> ResultPages {
+    pub(super) fn new(first_answer: &Answer, count: usize, context: &EngineContext) -> ResultPages {
         let limits = &context.limits;
         let mut pages = vec![None; count];
-        pages[0] = Some(first.body.clone());
+        pages[0] = Some(first_answer.body.clone());
         let mut reservation = MemoryReservation::new(&context.partial_results);
         // A first page is never refused: most results have no other.
-        reservation.set(first.body.len(), partial_result_bytes(limits));
+        reservation.set(first_answer.body.len(), partial_result_bytes(limits));
         ResultPages {
             pages,
-            measured_work_ms: first.number("cpu"),
-            measured_memory_mb: first.number("used"),
-            load_report: first.load_report(),
+            measured_work_ms: first_answer.number("cpu"),
+            measured_memory_mb: first_answer.number("used"),
+            load_report: first_answer.load_report(),
             next_page_due: Instant::now() + limits.page_timeout,
             reservation,
         }
@@ -60,16 +60,18 @@
     pub(super) fn insert(&mut self, number: usize, page: Bytes, limits: &Limits) -> PageInsertion {
         self.pages[number] = Some(page);
         self.next_page_due = Instant::now() + limits.page_timeout;
-        let bytes = self.bytes();
-        let has_memory = self.reservation.set(bytes, partial_result_bytes(limits));
-        if bytes > limits.result_bytes || !has_memory {
+        let total_bytes = self.total_bytes();
+        let has_memory = self
+            .reservation
+            .set(total_bytes, partial_result_bytes(limits));
+        if total_bytes > limits.result_bytes || !has_memory {
             PageInsertion::TooLarge
         } else {
             PageInsertion::Inserted
         }
     }
 
-    fn bytes(&self) -> usize {
+    fn total_bytes(&self) -> usize {
         self.pages.iter().flatten().map(Bytes::len).sum()
     }
 
@@ -85,11 +87,15 @@
 
     /// The load report, and the end of the attempt with the complete result; without one where it is too large.
     pub(super) fn finish(self, limits: &Limits) -> (LoadReport, AttemptEvent) {
-        let fits = self.bytes() <= limits.result_bytes;
+        let is_within_limit = self.total_bytes() <= limits.result_bytes;
         let pages: Vec<Bytes> = self.pages.into_iter().flatten().collect();
-        let body = fits.then(|| ResultBody::complete(ResultFormat::Text, pages));
+        let body = is_within_limit.then(|| ResultBody::complete(ResultFormat::Text, pages));
         let event = AttemptEvent::Ended {
-            outcome: if fits { Outcome::Ok } else { Outcome::Error },
+            outcome: if is_within_limit {
+                Outcome::Ok
+            } else {
+                Outcome::Error
+            },
             measured_work_ms: self.measured_work_ms,
             measured_memory_mb: self.measured_memory_mb,
             body,
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -1,7 +1,7 @@
 //! The actor of one engine: assigns attempts to connections, opens connections, and ends with the last of them.
 
 use super::connection::Connection;
-use super::unsent_attempts::{ConnectionEvent, UnsentAttempts};
+use super::unsent_attempts::{ConnectionEvent, ConnectionEventSender};
 use crate::core::{AttemptEvent, AttemptRequest};
 use crate::decision::{EngineId, Outcome};
 use crate::engines::admission::Admission;
@@ -22,13 +22,13 @@
     context: EngineContext,
     admission: Arc<Admission>,
 ) {
-    let (unsent_attempts, mut connection_events) = UnsentAttempts::new();
+    let (event_sender, mut connection_events) = ConnectionEventSender::new();
     let mut engine = Engine {
         id,
         address,
         context,
         admission,
-        unsent_attempts,
+        event_sender,
         connections: Vec::new(),
     };
     loop {
@@ -44,7 +44,7 @@
                 None => return,
             },
         };
-        engine.forget_connections();
+        engine.remove_unusable_connections();
         match message {
             Some(EngineMessage::StartAttempt(attempt)) => engine.start_attempt(attempt).await,
             Some(message) => engine.send_to_connections(&message),
@@ -52,7 +52,7 @@
                 && connection_events.is_empty()
                 && messages.is_empty() =>
             {
-                return engine.retire(messages).await;
+                return engine.stop(messages).await;
             }
             None => {}
         }
@@ -65,19 +65,19 @@
     address: SocketAddr,
     context: EngineContext,
     admission: Arc<Admission>,
-    unsent_attempts: UnsentAttempts,
+    event_sender: ConnectionEventSender,
     connections: Vec<ConnectionEntry>,
 }
 
 impl Engine {
     /// Drops the entries of connections that are closed, and of those that are to close, as they are of no more use.
-    fn forget_connections(&mut self) {
+    fn remove_unusable_connections(&mut self) {
         self.connections
             .retain(|connection| !connection.mailbox.is_closed() && !connection.should_retire());
     }
 
     /// Has an idle connection close; false where there is none. Its actor ends once its mailbox is closed.
-    fn retire_idle_connection(&mut self) -> bool {
+    fn close_idle_connection(&mut self) -> bool {
         let idle = self
             .connections
             .iter()
@@ -103,7 +103,7 @@
         let usage = ConnectionUse::of(&attempt);
         let mut choice = choose_connection(&self.connections, &attempt, &self.context);
         // All connections that the engine may have carried this reference before: an idle one makes room.
-        if matches!(choice, ConnectionChoice::NoSlot) && self.retire_idle_connection() {
+        if matches!(choice, ConnectionChoice::NoSlot) && self.close_idle_connection() {
             choice = choose_connection(&self.connections, &attempt, &self.context);
         }
         let index = match choice {
@@ -118,8 +118,8 @@
         connection
             .load
             .begin_attempt(usage, self.context.core.now());
-        let start = EngineMessage::StartAttempt(attempt);
-        if let Err(refused) = connection.mailbox.try_send(start) {
+        let start_message = EngineMessage::StartAttempt(attempt);
+        if let Err(refused) = connection.mailbox.try_send(start_message) {
             connection.load.end_attempt(usage);
             if let EngineMessage::StartAttempt(attempt) = refused.into_inner() {
                 self.report_unsent(&attempt, Outcome::NoConnection).await;
@@ -134,7 +134,7 @@
             self.id,
             slot.number(),
             messages,
-            self.unsent_attempts.clone(),
+            self.event_sender.clone(),
             load.clone(),
             self.context.clone(),
             self.admission.clone(),
@@ -152,7 +152,7 @@
     /// the actor is woken to look.
     async fn reject(&self, attempt: &AttemptRequest, outcome: Outcome) {
         self.report_unsent(attempt, outcome).await;
-        self.unsent_attempts.report_closed();
+        self.event_sender.report_closed();
     }
 
     async fn report_unsent(&self, attempt: &AttemptRequest, outcome: Outcome) {
@@ -163,7 +163,7 @@
 
     /// Ends the actor after its last connection. An attempt sent from now on finds the mailbox closed and starts a new
     /// actor; one that came just before is reported as unsent.
-    async fn retire(&self, mut messages: mpsc::Receiver<EngineMessage>) {
+    async fn stop(&self, mut messages: mpsc::Receiver<EngineMessage>) {
         messages.close();
         while let Ok(message) = messages.try_recv() {
             if let EngineMessage::StartAttempt(attempt) = message {
--- a/src/engines/line_protocol/unsent_attempts.rs
+++ b/src/engines/line_protocol/unsent_attempts.rs
@@ -15,21 +15,24 @@
 
 /// The sending half, one clone for each connection.
 #[derive(Clone)]
-pub(super) struct UnsentAttempts {
+pub(super) struct ConnectionEventSender {
     events: mpsc::UnboundedSender<ConnectionEvent>,
     /// Connections in a row that failed before an answer of the engine: several of them are the engine's fault, not
     /// the connections'. Relaxed ordering is enough, as the count publishes no other data.
-    failed_connections: Arc<AtomicUsize>,
+    consecutive_failures: Arc<AtomicUsize>,
 }
 
-impl UnsentAttempts {
+impl ConnectionEventSender {
     /// The sending half and the engine's actor's receiver. The channel holds no more than the core's attempts on this
     /// engine and one event for each connection, so it needs no bound of its own.
-    pub(super) fn new() -> (UnsentAttempts, mpsc::UnboundedReceiver<ConnectionEvent>) {
+    pub(super) fn new() -> (
+        ConnectionEventSender,
+        mpsc::UnboundedReceiver<ConnectionEvent>,
+    ) {
         let (events, receiver) = mpsc::unbounded_channel();
-        let sender = UnsentAttempts {
+        let sender = ConnectionEventSender {
             events,
-            failed_connections: Arc::default(),
+            consecutive_failures: Arc::default(),
         };
         (sender, receiver)
     }
@@ -38,7 +41,7 @@
     ///
     /// # Errors
     /// Returns the attempt where the engine's actor has ended.
-    pub(super) fn give_back(
+    pub(super) fn return_attempt(
         &self,
         attempt: Box<AttemptRequest>,
     ) -> Result<(), Box<AttemptRequest>> {
@@ -57,13 +60,13 @@
 
     /// The engine answered.
     pub(super) fn reset_failures(&self) {
-        self.failed_connections.store(0, Ordering::Relaxed);
+        self.consecutive_failures.store(0, Ordering::Relaxed);
     }
 
     /// Counts a connection that closed; returns how many failed in a row before it. One that carried nothing was
     /// closed on purpose and is no failure.
-    pub(super) fn count_closed(&self, carried_attempts: bool) -> usize {
-        self.failed_connections
+    pub(super) fn count_closed_connection(&self, carried_attempts: bool) -> usize {
+        self.consecutive_failures
             .fetch_add(usize::from(carried_attempts), Ordering::Relaxed)
     }
 }
