--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -17,7 +17,7 @@
 
 /// An attempt that waits for a connection when on-call staff eject its engine ends unsent, and no connection is made.
 #[test]
-fn manual_ejection_fails_attempts_that_wait_without_connecting() {
+fn manual_ejection_ends_waiting_attempts_without_connecting() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         // The flag is set before the actor reads the message.
@@ -38,7 +38,7 @@
 
 /// A cancelled attempt that was never handed to a socket ends at once, and nothing of it is written.
 #[test]
-fn cancelled_attempt_that_waits_ends_at_once_and_is_not_written() {
+fn cancelled_waiting_attempt_ends_at_once_and_is_not_written() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         bench.send(start_message(attempt(1))).await;
@@ -53,8 +53,8 @@
         bench.send(start_message(attempt(2))).await;
         let mut peer = bench.accept().await;
         let mut text = [0; 64];
-        let n = peer.read(&mut text).await.expect("bytes");
-        assert!(text[..n].starts_with(b"ASK 0000000000000002 "));
+        let byte_count = peer.read(&mut text).await.expect("bytes");
+        assert!(text[..byte_count].starts_with(b"ASK 0000000000000002 "));
         assert!(bench.has_no_event().await, "cancelled once, reported once");
     });
 }
@@ -132,7 +132,7 @@
                 .expect("answer");
             let event = bench.next_event().await;
             assert!(
-                matches!(event, (at, AttemptEvent::Ended { outcome: Outcome::Ok, .. }) if at == id),
+                matches!(event, (ended_id, AttemptEvent::Ended { outcome: Outcome::Ok, .. }) if ended_id == id),
                 "{event:?}"
             );
             drop(peer);
@@ -144,7 +144,7 @@
 #[test]
 fn uneventful_answers_past_the_limit_close_the_connection() {
     run_test(async {
-        for (answer, most) in [
+        for (answer, repetitions) in [
             ("00000000000000aa served batches=1", 129),
             ("0000000000000001 update -", 16_385),
         ] {
@@ -152,7 +152,7 @@
             bench.send(start_message(attempt(1))).await;
             let mut peer = bench.accept().await;
             peer.read_u8().await.expect("a byte");
-            let all = format!("{answer} 0\r\n\r\n").repeat(most);
+            let all = format!("{answer} 0\r\n\r\n").repeat(repetitions);
             let writes = tokio::spawn(async move {
                 let _ = peer.write_all(all.as_bytes()).await;
                 peer
@@ -239,7 +239,11 @@
         bench
             .send(cancel_message(1, AfterCancellation::RetryMayFollow))
             .await;
-        while peer.read_buf(&mut all).await.is_ok_and(|n| n > 0) {}
+        while peer
+            .read_buf(&mut all)
+            .await
+            .is_ok_and(|byte_count| byte_count > 0)
+        {}
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -252,7 +256,7 @@
 /// No end is reported before the cancellation is written: a peer that does not read keeps the attempt in flight. Once it
 /// reads, it receives the complete attempt and then the cancellation.
 #[test]
-fn cancellation_ends_no_sooner_than_it_is_written() {
+fn cancelled_attempt_does_not_end_before_its_cancellation_is_written() {
     run_test(async {
         // The peer needs longer than the usual timeout on a busy machine, and a timeout would end the attempt another way.
         let mut bench = EngineTestBench::with_limits(EngineProtocol::Lines, |limits| {
@@ -317,7 +321,11 @@
         other.read_exact(&mut text).await.expect("bytes");
         assert_eq!(&text, b"ASK 0000000000000002");
         let mut rest = Vec::new();
-        while peer.read_buf(&mut rest).await.is_ok_and(|n| n > 0) {}
+        while peer
+            .read_buf(&mut rest)
+            .await
+            .is_ok_and(|byte_count| byte_count > 0)
+        {}
         assert!(
             rest.len() < LARGE_STATEMENT_BYTES,
             "it never receives it completely"
