--- a/src/engines/line_protocol/answer.rs
+++ b/src/engines/line_protocol/answer.rs
@@ -1,5 +1,5 @@
-//! The answers of an engine: a head line of four words separated by spaces, `REFERENCE STATUS FIELDS LENGTH`, then a
-//! body of LENGTH bytes and a line end.
+//! Parses the answers of an engine. An answer is a head line of four words separated by spaces,
+//! `REFERENCE STATUS FIELDS LENGTH`, followed by a body of LENGTH bytes and a line end.
 
 use super::command::LINE_END;
 use crate::clients::parse_non_negative;
@@ -8,7 +8,8 @@
 use std::ops::Range;
 use thiserror::Error;
 
-/// Why what an engine sent is no valid answer. The connection cannot go on: where the next answer begins is unknown.
+/// Why the input from an engine is not a valid answer. The connection is closed after this error,
+/// because the start of the next answer cannot be found.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum AnswerError {
     #[error("the head of an answer is longer than {limit_bytes} bytes")]
@@ -17,7 +18,7 @@
     HeadLineEnd,
     #[error("the head of an answer does not have four words")]
     WordCount,
-    #[error("the length of a body is no number up to {limit_bytes}")]
+    #[error("the body length of an answer is not a whole number of at most {limit_bytes} bytes")]
     BodyLength { limit_bytes: usize },
     #[error("the reference of an answer is not 16 hex digits")]
     Reference,
@@ -27,34 +28,35 @@
     BodyLineEnd,
     #[error("an answer has an unknown status")]
     UnknownStatus,
-    #[error("a result has no number of pages from 1 to {limit_pages}")]
+    #[error("the page count of a result is not a whole number from 1 to {limit_pages}")]
     PageCount { limit_pages: usize },
-    #[error("a page of a result is not complete rows of text")]
+    #[error("a page of a result does not consist of complete rows of text")]
     PageText,
-    #[error("{count} answers since the last end of an attempt")]
+    #[error("too many answers since the last end of an attempt: weighted count {count}")]
     TooManyUneventfulAnswers { count: usize },
-    #[error("the rest of an answer did not come in time")]
+    #[error("the rest of an answer did not arrive in time")]
     Incomplete,
 }
 
-/// What an answer says of the attempt that it names.
+/// What an answer reports about the attempt that it refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerStatus {
-    /// Confirms that all commands up to the named tag were read; about no attempt.
+    /// The engine has read all commands up to the one with this tag. The answer refers to no
+    /// attempt.
     Confirmed,
-    /// It ended well; the body is the first page of its result.
+    /// The attempt succeeded. The body is the first page of its result.
     Served,
-    /// A further page of its result.
+    /// A further page of the attempt's result.
     Page,
-    /// A report of its progress.
+    /// A progress report of the attempt.
     Progress,
-    /// The engine rejected it for lack of capacity.
+    /// The engine rejected the attempt for lack of capacity.
     Overloaded,
-    /// It failed.
+    /// The attempt failed.
     Failed,
-    /// The engine knows no such attempt.
+    /// The engine has no attempt with this reference.
     NotFound,
-    /// A status that this program does not know.
+    /// A status that this program does not support.
     Unknown,
 }
 
@@ -76,7 +78,7 @@
 /// One answer of an engine.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Answer {
-    /// Names the attempt by its client's reference; of a confirmation, its tag.
+    /// Client reference of the attempt. In a confirmation: the tag of the confirmed command.
     pub(super) reference: Bytes,
     pub(super) status: AnswerStatus,
     fields: Bytes,
@@ -97,12 +99,13 @@
         self.field(name).and_then(parse_whole_number)
     }
 
-    /// The value of a field that is a finite number, not negative.
+    /// The value of a field that is a finite, non-negative number.
     pub(super) fn number(&self, name: &str) -> Option<f64> {
         self.field(name).and_then(parse_non_negative)
     }
 
-    /// The load report, such as `l=inflight:7;util:0.61`, by the names of the settings or the protocol's own.
+    /// The load report, such as `l=inflight:7;util:0.61`. Each figure is accepted under its name in
+    /// the settings and under the protocol's own name.
     pub(super) fn load_report(&self) -> LoadReport {
         let mut report = LoadReport::default();
         let parts = self.field("l").unwrap_or_default();
@@ -123,11 +126,11 @@
         report
     }
 
-    /// Checks that the body can be a page of a result: complete rows of text. Anything else would be passed on to the
-    /// client as a result.
+    /// Checks that the body can be a page of a result, which consists of complete rows of text.
+    /// Without the check, any other body would be forwarded to the client as a result.
     ///
     /// # Errors
-    /// [`AnswerError::PageText`] where it cannot.
+    /// [`AnswerError::PageText`] if the body cannot be a page of a result.
     pub(super) fn check_page(&self) -> Result<(), AnswerError> {
         let is_allowed = |c: char| !c.is_control() || c == '\t' || c == '\n';
         let ends_a_row = self.body.last().is_none_or(|byte| *byte == b'\n');
@@ -146,7 +149,7 @@
     Some(number as usize)
 }
 
-/// Where the parts of a head stand in the buffer.
+/// Positions of the parts of a head line in the buffer.
 struct Head {
     reference: Range<usize>,
     status: Range<usize>,
@@ -154,7 +157,7 @@
     body_bytes: usize,
 }
 
-/// Parses a head, without its line end.
+/// Parses a head line, given without its line end.
 fn parse_head(line: &[u8], max_body_bytes: usize) -> Result<Head, AnswerError> {
     let mut words = line.split(|byte| *byte == b' ');
     let (Some(reference), Some(status), Some(fields), Some(length), None) = (
@@ -188,13 +191,13 @@
     })
 }
 
-/// The range of a word that follows the one with this range, behind one space.
+/// Returns the range of `word`, which follows the word at `previous` after one space.
 fn word_range_after(previous: &Range<usize>, word: &[u8]) -> Range<usize> {
     let start = previous.end + 1;
     start..start + word.len()
 }
 
-/// Whether this is a list of `NAME=VALUE`, or the `-` that stands for an empty one.
+/// Whether the text is a list of `NAME=VALUE`, or the `-` that stands for an empty list.
 fn is_field_list(text: &[u8]) -> bool {
     text == b"-"
         || text
@@ -202,10 +205,11 @@
             .all(|pair| pair.contains(&b'='))
 }
 
-/// Takes one complete answer off the front of the buffer; none where more bytes have to come.
+/// Takes one complete answer from the front of the buffer. Returns `None` if it is not complete
+/// yet.
 ///
 /// # Errors
-/// Names what makes the front of the buffer no answer.
+/// Returns the reason if the front of the buffer is not a valid answer.
 pub(super) fn take_answer(
     buffer: &mut BytesMut,
     max_head_bytes: usize,
--- a/src/engines/line_protocol/command.rs
+++ b/src/engines/line_protocol/command.rs
@@ -1,18 +1,18 @@
-//! The commands of the line protocol, as they are written to an engine.
+//! Encodes the commands of the line protocol that are sent to an engine.
 
 use crate::core::AttemptRequest;
 use crate::decision::Millis;
 
-/// The end of a line, and of a statement.
+/// Ends each line and each statement.
 pub(super) const LINE_END: &[u8] = b"\r\n";
 
-/// Priority that an engine assumes where none is named.
+/// Priority that an engine assumes if the attempt line contains none.
 const DEFAULT_PRIORITY: u8 = 1;
 
-/// Shortest patience named to an engine, in ms.
+/// Shortest `patience` (time left until the deadline) that is sent to an engine, in ms.
 const MIN_PATIENCE_MS: Millis = 1.0;
 
-/// A command of one line, about the attempt or tag that it names.
+/// A command of one line, which refers to an attempt or a tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
     /// Cancel an attempt that has not ended.
@@ -23,12 +23,12 @@
     NextPage(usize),
     /// Give an attempt this priority.
     SetPriority(u8),
-    /// Answer with the tag, once all commands before this one have been read.
+    /// Answer with the tag once all commands before this one have been read.
     Confirm,
 }
 
 impl Command {
-    /// The line for the attempt or tag with this name.
+    /// Encodes the command for the attempt or tag with this reference.
     pub(super) fn encode(self, reference: &[u8]) -> Vec<u8> {
         let (verb, argument) = match self {
             Command::Cancel => ("QUIT", None),
@@ -49,7 +49,7 @@
     }
 }
 
-/// The line that begins an attempt; its statement and a line end follow.
+/// Encodes the line that starts an attempt. The statement and a line end follow it.
 pub(super) fn attempt_line(attempt: &AttemptRequest, now_ms: Millis) -> Vec<u8> {
     let patience_ms = (attempt.deadline_ms - now_ms).max(MIN_PATIENCE_MS);
     let class = &attempt.class.name;
--- a/src/engines/line_protocol/mod.rs
+++ b/src/engines/line_protocol/mod.rs
@@ -1,7 +1,8 @@
-//! Engines that speak the platform's line protocol over TCP.
+//! Engines that are reached over TCP with the platform's line protocol.
 //!
-//! One actor an engine ([`engine`]) assigns attempts to the engine's connections; each connection is an actor too
-//! ([`connection`]). [`command`] encodes what is sent and [`answer`] parses what is received.
+//! Each engine has an actor ([`engine`]) that assigns attempts to the engine's connections. Each
+//! connection is an actor of its own ([`connection`]). [`command`] encodes what is sent, and
+//! [`answer`] parses what is received.
 
 mod answer;
 mod command;
