--- a/src/engines/line_protocol/connection/events_log.rs
+++ b/src/engines/line_protocol/connection/events_log.rs
@@ -1,5 +1,6 @@
-//! What a connection logs at `debug`: which attempts it carries, how each of them ends on it, and which answers it
-//! passes over. Each event names the connection by its number, as one engine may have several.
+//! Log events of a connection at `debug`: which attempts it carries, how each of them ends on it,
+//! and which answers it ignores. Each event contains the number of the connection, as one engine
+//! may have several.
 
 use super::{Connection, SentAttempt};
 use crate::core::{AttemptEvent, AttemptRequest};
@@ -10,21 +11,21 @@
 use tokio::net::TcpStream;
 use tokio::time::error::Elapsed;
 
-/// Why an answer has no effect.
+/// Why an answer is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IgnoredAnswerReason {
-    /// No attempt with its reference is on the connection.
+    /// The connection carries no attempt with this reference.
     NoSuchAttempt,
-    /// Its attempt has the first page of its result already.
+    /// The first page of the attempt's result has already arrived.
     RepeatedResult,
-    /// A page that its attempt does not wait for.
+    /// The attempt does not wait for this page.
     UnexpectedPage,
-    /// A confirmation of no cancellation that waits for one.
+    /// No pending cancellation has the tag of this confirmation.
     UnknownTag,
 }
 
 impl Connection {
-    /// Passes the result of connecting on, and logs it.
+    /// Logs the result of connecting, and returns the stream if there is one.
     pub(super) fn log_connected(
         &self,
         connected: Result<io::Result<TcpStream>, Elapsed>,
@@ -36,10 +37,10 @@
                 return Some(stream);
             }
             Ok(Err(error)) => {
-                tracing::debug!(engine = %format_engine_id(engine), connection, %error, "no connection to an engine");
+                tracing::debug!(engine = %format_engine_id(engine), connection, %error, "connecting to an engine failed");
             }
             Err(error) => {
-                tracing::debug!(engine = %format_engine_id(engine), connection, %error, "no connection to an engine");
+                tracing::debug!(engine = %format_engine_id(engine), connection, %error, "connecting to an engine failed");
             }
         }
         None
@@ -52,7 +53,7 @@
             engine = %format_engine_id(self.engine),
             connection = self.number,
             r#ref = %lossy_text(&request.client_reference),
-            "attempt handed to its connection"
+            "attempt queued for writing on its connection"
         );
     }
 
@@ -73,7 +74,7 @@
         );
     }
 
-    /// Logs an answer that ends an attempt.
+    /// Logs an answer that ends an attempt without a result.
     pub(super) fn log_final_answer(&self, answer: &Answer, sent: &SentAttempt) {
         tracing::debug!(
             id = sent.request.id,
@@ -97,7 +98,7 @@
         );
     }
 
-    /// Logs how many attempts a connection that is over leaves to others or ends.
+    /// Logs how many attempts are unfinished when the connection ends.
     pub(super) fn log_remaining_attempts(&self) {
         if self.queued.is_empty() && self.sent.is_empty() {
             return;
@@ -107,7 +108,7 @@
             connection = self.number,
             written = self.sent.len(),
             unsent = self.queued.len(),
-            "connection to an engine is over with attempts on it"
+            "connection to an engine ended with unfinished attempts"
         );
     }
 }
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of one engine's actor against a peer that is a bare socket.
+//! Tests of the actor of one engine. The engine is a plain TCP socket that the test reads and
+//! writes.
 
 use crate::attempt::AttemptEnd;
 use crate::core::{AttemptEvent, AttemptRequest};
@@ -15,7 +16,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::sleep;
 
-/// An attempt that waits for a connection when on-call staff eject its engine ends unsent, and no connection is made.
+/// If on-call staff eject an engine while an attempt waits for a connection, the attempt ends
+/// unsent and no connection is made.
 #[test]
 fn manual_ejection_ends_waiting_attempts_without_connecting() {
     run_test(async {
@@ -36,7 +38,8 @@
     });
 }
 
-/// A cancelled attempt that was never handed to a socket ends at once, and nothing of it is written.
+/// A cancelled attempt that was not yet written to a socket ends at once, and nothing of it is
+/// written.
 #[test]
 fn cancelled_waiting_attempt_ends_at_once_and_is_not_written() {
     run_test(async {
@@ -55,12 +58,16 @@
         let mut text = [0; 64];
         let byte_count = peer.read(&mut text).await.expect("bytes");
         assert!(text[..byte_count].starts_with(b"ASK 0000000000000002 "));
-        assert!(bench.has_no_event().await, "cancelled once, reported once");
+        assert!(
+            bench.has_no_event().await,
+            "the end of the cancelled attempt is reported once"
+        );
     });
 }
 
-/// The limits in time of an attempt are checked once more as it is written, as a connection may come up late. An attempt
-/// past them ends as never sent, and the one behind it is written.
+/// The time limits of an attempt are checked again when it is written, because the connection may
+/// open late. An expired attempt ends without being sent, and the attempt queued behind it is
+/// written.
 #[test]
 fn attempt_past_its_deadline_or_send_limit_is_not_written() {
     run_test(async {
@@ -94,8 +101,8 @@
     });
 }
 
-/// A cancellation that waits in the mailbox as the connection comes up holds for the queued attempt. Which of the two the
-/// runtime shows first is left to chance, so it is tried often.
+/// A cancellation that waits in the mailbox when the connection opens takes effect on the queued
+/// attempt. The runtime may deliver either of the two first, so the test repeats the case.
 #[test]
 fn cancellation_that_arrives_with_the_connection_takes_effect() {
     run_test(async {
@@ -108,14 +115,15 @@
                 .await;
             assert!(
                 is_cancelled(&bench.next_event().await, 1, AttemptEnd::NeverSent),
-                "it was written"
+                "the cancelled attempt was written"
             );
         }
     });
 }
 
-/// An engine that closes an idle connection just as an attempt is started has not received it: the attempt goes over
-/// another connection. Neither the runtime nor the actor has looked at the socket in between.
+/// An engine that closes an idle connection just before an attempt starts has not received the
+/// attempt, which is sent on another connection. Neither the runtime nor the actor has polled the
+/// socket in between.
 #[test]
 fn idle_connection_closed_by_its_peer_is_replaced_before_the_next_attempt() {
     run_test(async {
@@ -140,7 +148,7 @@
     });
 }
 
-/// Unexpected answers or progress reports without end close their connection and end its attempts.
+/// Endless unexpected answers or progress reports close their connection and end its attempts.
 #[test]
 fn uneventful_answers_past_the_limit_close_the_connection() {
     run_test(async {
@@ -170,8 +178,8 @@
     });
 }
 
-/// An engine that reads a byte at a time receives the attempt and the cancellation in this order; the end is reported
-/// once, also where the cancellation is sent to the actor twice.
+/// An engine that reads one byte at a time receives the attempt and then the cancellation. The end
+/// is reported once, even if the actor receives the cancellation twice.
 #[test]
 fn slow_reader_receives_attempt_then_cancellation_and_the_end_is_reported_once() {
     run_test(async {
@@ -198,8 +206,9 @@
     });
 }
 
-/// Where another attempt may follow, a cancellation that was merely written proves nothing, as connections are read in no
-/// order among each other; the answer to the command behind it does. An answer with another tag proves nothing either.
+/// If a retry may follow, a cancellation that is only written proves nothing, because an engine
+/// reads its connections in any order. The answer to the command after the cancellation is the
+/// proof. An answer with another tag is not.
 #[test]
 fn cancellation_before_a_retry_ends_once_the_engine_confirms_it() {
     run_test(async {
@@ -216,7 +225,10 @@
         peer.write_all(b"00000000000000aa green - 0\r\n\r\n")
             .await
             .expect("answer");
-        assert!(bench.has_no_event().await, "another tag");
+        assert!(
+            bench.has_no_event().await,
+            "an answer with another tag does not confirm the cancellation"
+        );
         peer.write_all(b"0000000000000001 green - 0\r\n\r\n")
             .await
             .expect("answer");
@@ -228,7 +240,8 @@
     });
 }
 
-/// An engine that reads and answers nothing has its connection closed before another attempt may follow.
+/// The connection to an engine that reads a cancellation but does not answer is closed before a
+/// retry may follow.
 #[test]
 fn unconfirmed_cancellation_closes_the_connection() {
     run_test(async {
@@ -253,12 +266,13 @@
     });
 }
 
-/// No end is reported before the cancellation is written: a peer that does not read keeps the attempt in flight. Once it
-/// reads, it receives the complete attempt and then the cancellation.
+/// The end is not reported before the cancellation is written: a peer that does not read keeps the
+/// attempt in flight. Once it reads, it receives the complete attempt and then the cancellation.
 #[test]
 fn cancelled_attempt_does_not_end_before_its_cancellation_is_written() {
     run_test(async {
-        // The peer needs longer than the usual timeout on a busy machine, and a timeout would end the attempt another way.
+        // On a busy machine the peer needs longer than the default timeout, and a timeout would end
+        // the attempt in another way.
         let mut bench = EngineTestBench::with_limits(EngineProtocol::Lines, |limits| {
             limits.cancellation_write_timeout = TEST_TIMEOUT;
         })
@@ -292,8 +306,8 @@
     });
 }
 
-/// The wait for a peer that reads nothing is bounded. Its connection is closed, so that it never receives the attempt
-/// completely, and the attempt queued behind goes over another connection.
+/// The wait for a peer that reads nothing is bounded. Its connection is closed, so that it never
+/// receives the complete attempt. The attempt queued behind is sent on another connection.
 #[test]
 fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
     run_test(async {
@@ -328,12 +342,13 @@
         {}
         assert!(
             rest.len() < LARGE_STATEMENT_BYTES,
-            "it never receives it completely"
+            "the peer never receives the complete attempt"
         );
     });
 }
 
-/// Where the connection fails while the cancellation is queued, one end is reported: that of the cancellation.
+/// If the connection fails while the cancellation is queued, exactly one end is reported: the end
+/// of the cancelled attempt.
 #[test]
 fn reset_while_cancellation_is_queued_is_reported_once() {
     run_test(async {
@@ -360,8 +375,9 @@
     });
 }
 
-/// A complete result that crosses the cancellation is passed on; further pages, which the engine drops as it reads the
-/// cancellation, are not asked for.
+/// A complete result that arrives while the cancellation is queued is forwarded. The further pages
+/// of a larger result are not requested, because the engine drops them when it reads the
+/// cancellation.
 #[test]
 fn answers_that_cross_a_cancellation_end_the_attempt() {
     run_test(async {
@@ -384,7 +400,7 @@
                 .await;
             assert!(
                 bench.has_no_event().await,
-                "the cancellation is queued behind what is not read"
+                "the cancellation is queued behind output that the peer has not read"
             );
             peer.write_all(format!("0000000000000001 {answer}\r\n").as_bytes())
                 .await
@@ -407,15 +423,17 @@
     });
 }
 
-/// The log at `debug` names the connection of each attempt, the answers that have no effect, and why it was closed.
+/// The log at `debug` contains the connection of each attempt, the answers that were ignored, and
+/// why the connection was closed.
 #[test]
-fn log_names_the_connection_of_each_attempt_and_the_reasons_of_its_events() {
+fn debug_log_contains_the_connection_of_each_attempt_and_the_reasons_of_its_events() {
     run_test(async {
         let log = LogCapture::new(LogLevel::Debug, LogFormat::Json);
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         bench.send(start_message(attempt(1))).await;
         let mut peer = bench.accept().await;
-        // All of it is read: a peer that closes with bytes unread resets the connection.
+        // The peer reads all of the attempt, because closing a socket with unread bytes resets the
+        // connection.
         let mut received = Vec::new();
         while !received.ends_with(b"          \r\n") {
             assert!(peer.read_buf(&mut received).await.expect("bytes") > 0);
@@ -432,12 +450,20 @@
             }
         };
         let logged = tokio::time::timeout(TEST_TIMEOUT, is_logged).await;
-        logged.unwrap_or_else(|_| panic!("no close in {}", log.text()));
+        logged.unwrap_or_else(|_| {
+            panic!(
+                "the log does not contain the close of the connection: {}",
+                log.text()
+            )
+        });
         let event = |message| log.events(message).remove(0);
         let number = event("connection to an engine opened")["connection"].clone();
         assert!(number.is_u64(), "{}", log.text());
-        let handed = event("attempt handed to its connection");
-        assert_eq!((&handed["connection"], &handed["id"]), (&number, &1.into()));
+        let queued_for_writing = event("attempt queued for writing on its connection");
+        assert_eq!(
+            (&queued_for_writing["connection"], &queued_for_writing["id"]),
+            (&number, &1.into())
+        );
         let ignored = event("answer ignored");
         assert_eq!(ignored["reason"], "NoSuchAttempt");
         assert_eq!(event("answer without a result")["status"], "Failed");
