--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -1,8 +1,9 @@
-//! The actor of one connection to an engine: connects, writes attempts and commands, reads answers, and reports the
-//! end of each attempt that it was given.
+//! The actor of one connection to an engine. It connects, writes attempts and commands, reads
+//! answers, and reports the end of each attempt that was assigned to it.
 //!
-//! It owns its socket, its attempts and their pages of results. Its engine's actor sends it messages; the connection
-//! sends events of attempts to the core, and gives back attempts that it never sent.
+//! The actor owns its socket, its attempts and the pages of their results. It receives messages
+//! from its engine's actor, returns unsent attempts to that actor, and sends events of attempts to
+//! the core.
 
 mod answers;
 mod attempt_ends;
@@ -37,10 +38,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Pages of the largest size that are read before what was read is parsed.
+/// Number of pages of the largest size that are read at once, before the input is parsed.
 const PAGES_PER_READ: usize = 2;
 
-/// Why a connection cannot go on.
+/// Why a connection failed.
 #[derive(Debug, Error)]
 enum ConnectionError {
     #[error("the socket failed: {0}")]
@@ -51,41 +52,41 @@
     CancellationTimeout,
 }
 
-/// Why a connection is closed without a fault of its own.
+/// Why a connection is closed without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
     ClosedByEngine,
-    /// Its engine was removed from the list, and its attempts did not end within the grace for that.
+    /// The engine was removed from the list, and the attempts did not end within the grace period.
     EngineRemoved,
-    /// Its engine takes no attempts, and it carries none.
+    /// The engine accepts no attempts, and the connection carries none.
     AdmissionClosed,
-    /// Its descriptor is needed for another connection.
+    /// The file descriptor is needed for another connection.
     Evicted,
-    /// Its engine's actor gives it nothing more.
+    /// The engine's actor has closed the mailbox, and the connection carries no attempts.
     MailboxClosed,
     Idle,
 }
 
-/// Whether a connection goes on.
+/// Whether a connection continues to be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flow {
     Continue,
-    /// It is to be closed, without a fault.
+    /// The connection is to be closed without an error.
     Close(CloseReason),
 }
 
-/// An attempt that is written, or being written, to this connection.
+/// An attempt that has been written to this connection, or is being written.
 struct SentAttempt {
     request: Box<AttemptRequest>,
-    /// Its marks are counts of bytes written.
+    /// Marks of the state are counts of bytes written to this connection.
     state: AttemptState,
-    /// Pages of its result, once the first one is in.
+    /// Pages of the result, once the first page has arrived.
     pages: Option<ResultPages>,
 }
 
 /// The attempt whose last bytes are still in the output queue.
 struct PartlyWritten {
-    /// Count of bytes written by which it is complete.
+    /// Count of bytes written at which the attempt is complete.
     end_mark: u64,
     reference: Bytes,
 }
@@ -93,32 +94,34 @@
 /// The state of the actor.
 pub(super) struct Connection {
     engine: EngineId,
-    /// Names it in the log.
+    /// Identifies the connection in the log.
     number: u64,
     context: EngineContext,
     admission: Arc<Admission>,
     load: Arc<ConnectionLoad>,
-    /// Where attempts go back to that were never sent.
+    /// Sends events to the engine's actor, such as the return of an unsent attempt.
     event_sender: ConnectionEventSender,
     mailbox: mpsc::Receiver<EngineMessage>,
-    /// The engine's actor has ended: no more messages come.
+    /// The engine's actor has closed the mailbox, so no more messages arrive.
     mailbox_closed: bool,
-    /// Attempts of which nothing is written yet.
+    /// Attempts of which nothing has been written yet.
     queued: VecDeque<Box<AttemptRequest>>,
-    /// Attempts that have been written at least in part, by their client's reference.
+    /// Attempts that have been written at least in part, by their client reference.
     sent: HashMap<Bytes, SentAttempt>,
     partly_written: Option<PartlyWritten>,
     cancellations: Cancellations,
-    /// Ends that are to be reported to the core.
+    /// Attempts whose ends are still to be reported to the core.
     ended_attempts: Vec<EndedAttempt>,
     input: BytesMut,
     output: Outbox,
     idle_since: Instant,
-    /// Since when the input has begun, but not completed, an answer.
+    /// Since when the input has held an incomplete answer.
     partial_answer_since: Option<Instant>,
-    /// Answers since the last that ended an attempt, as `Limits::uneventful_answers` counts them.
+    /// Answers since the last one that ended an attempt, counted as for
+    /// `Limits::uneventful_answers`.
     uneventful_answers: usize,
-    /// When the connection is closed because its engine was removed from the list.
+    /// When the connection is closed even with open attempts, because its engine was removed from
+    /// the list or its mailbox was closed.
     removal_grace_ends_at: Option<Instant>,
 }
 
@@ -155,7 +158,8 @@
         }
     }
 
-    /// Connects, serves until the connection closes, and reports the ends of all attempts that are left.
+    /// Connects, serves until the connection closes, and reports the ends of all remaining
+    /// attempts.
     pub(super) async fn run(mut self, address: SocketAddr, mut slot: ConnectionSlot) {
         let stream = self.connect(address, &mut slot).await;
         let was_connected = stream.is_some();
@@ -173,8 +177,9 @@
         self.event_sender.report_closed();
     }
 
-    /// Connects; none where that fails, takes too long, or no attempt waits for it any more. Messages are handled
-    /// meanwhile: an attempt cancelled by then, or whose engine drains, is not sent.
+    /// Connects. Returns `None` if connecting fails or takes too long, or if no attempt waits for
+    /// the connection any more. Messages are handled meanwhile, so that an attempt is not sent if
+    /// it is cancelled or its engine starts to drain.
     async fn connect(
         &mut self,
         address: SocketAddr,
@@ -187,7 +192,7 @@
             descriptor_ready.await;
             TcpStream::connect(address).await
         };
-        // Boxed to be dropped on return: a socket that is still connecting holds a descriptor.
+        // Boxed to be dropped on return: a socket that is still connecting holds a file descriptor.
         let mut connecting = Box::pin(timeout(connect_timeout, connect));
         loop {
             tokio::select! {
@@ -215,8 +220,8 @@
                 self.count_error(&error);
             }
         }
-        // The ends that are reported next assume that the engine gets no more of the output than it has by now: a
-        // reset discards what the kernel still holds.
+        // The ends that are reported next assume that the engine receives no more of the output
+        // than it has now. A reset discards the bytes that the kernel still holds.
         if !self.output.is_empty() {
             let _ = stream.set_zero_linger();
         }
@@ -231,7 +236,7 @@
         }
     }
 
-    /// Serves until the connection is to be closed, for the reason returned.
+    /// Serves until the connection is to be closed, and returns the reason.
     async fn serve(
         &mut self,
         stream: &TcpStream,
@@ -274,12 +279,12 @@
             .unwrap_or_else(|| Instant::now() + self.context.limits.engine_idle_timeout);
         tokio::select! {
             biased;
-            // First: a connection that failed while it was idle is noticed before anything is written to it.
+            // Polled first, so that the failure of an idle connection is noticed before a write.
             ready = stream.readable() => {
                 ready?;
                 return self.receive(stream).await;
             }
-            // A closed mailbox would be ready at once and for ever, so it is asked no more.
+            // A closed mailbox is always ready at once, so it is not polled any more.
             message = self.mailbox.recv(), if !self.mailbox_closed => match message {
                 Some(message) => self.handle_message(message),
                 None => {
@@ -294,9 +299,10 @@
         Ok(Flow::Continue)
     }
 
-    /// Before the first attempt on an idle connection: reads what is there. The engine may have closed the connection
-    /// while it was idle, and a message may wait in the mailbox, before the runtime has looked there; an attempt
-    /// written after either could be lost, or run for nothing.
+    /// Reads the available input before the first attempt is written to an idle connection. The
+    /// engine may have closed the connection while it was idle, or a message may wait in the
+    /// mailbox, and the runtime may not have polled either yet. An attempt written after that could
+    /// be lost, or run needlessly.
     async fn check_idle_connection(&mut self, stream: &TcpStream) -> Result<Flow, ConnectionError> {
         if !self.sent.is_empty() || self.queued.is_empty() {
             return Ok(Flow::Continue);
@@ -305,11 +311,11 @@
         self.receive(stream).await
     }
 
-    /// Reads what is there and handles its answers; closes at the end of the stream.
+    /// Reads the available input and handles its answers. Closes at the end of the stream.
     async fn receive(&mut self, stream: &TcpStream) -> Result<Flow, ConnectionError> {
         let max_bytes = self.context.limits.page_bytes * PAGES_PER_READ;
         let is_open = net::read_available(stream, &mut self.input, max_bytes);
-        // Answers that were complete before the connection failed count.
+        // Answers that arrived completely before the connection failed are still handled.
         self.handle_input().await?;
         match is_open? {
             true => Ok(Flow::Continue),
@@ -323,7 +329,7 @@
         }
     }
 
-    /// Whether no attempt is on it and nothing waits to be written.
+    /// Whether the connection carries no attempt and has nothing left to write.
     fn is_idle(&self) -> bool {
         self.sent.is_empty() && self.queued.is_empty() && self.output.is_empty()
     }
@@ -343,7 +349,7 @@
         }
     }
 
-    /// Acts on the timers that are due.
+    /// Handles the timers that are due.
     fn handle_timers(&mut self, timers: &Timers, now: Instant) -> Result<Flow, ConnectionError> {
         if is_due(timers.removal, now) {
             return Ok(Flow::Close(CloseReason::EngineRemoved));
@@ -351,11 +357,12 @@
         if is_due(timers.idle, now) {
             return Ok(Flow::Close(CloseReason::Idle));
         }
-        // An engine that reads nothing, or answers nothing, would keep the attempt in flight for ever.
+        // Otherwise an engine that reads or answers nothing would keep the attempt in flight for
+        // ever.
         if is_due(timers.cancellation, now) {
             return Err(ConnectionError::CancellationTimeout);
         }
-        // Behind an incomplete answer no other one can be found.
+        // The next answer cannot be found until the incomplete one has arrived.
         if is_due(timers.partial_answer, now) {
             return Err(AnswerError::Incomplete.into());
         }
@@ -363,7 +370,8 @@
         Ok(Flow::Continue)
     }
 
-    /// Starts the grace for open attempts after which the connection of a removed engine is closed.
+    /// Starts the grace period for open attempts, after which a removed engine's connection is
+    /// closed.
     fn start_removal_grace(&mut self) {
         let grace = self.context.limits.removed_engine_grace;
         self.removal_grace_ends_at
@@ -375,7 +383,7 @@
         self.output.push(command.encode(reference));
     }
 
-    /// The reference under which an attempt was sent.
+    /// Returns the client reference under which an attempt was sent.
     fn reference_of(&self, attempt: AttemptId) -> Option<Bytes> {
         let mut sent = self.sent.iter();
         sent.find(|(_, sent)| AttemptId::from(&*sent.request) == attempt)
--- a/src/engines/line_protocol/connection/answers.rs
+++ b/src/engines/line_protocol/connection/answers.rs
@@ -1,4 +1,5 @@
-//! What a connection does with the answers of its engine: ends of attempts, pages of results and progress reports.
+//! How a connection handles the answers of its engine: ends of attempts, pages of results and
+//! progress reports.
 
 use super::events_log::IgnoredAnswerReason;
 use super::result_pages::{PageInsertion, ResultPages};
@@ -13,7 +14,8 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-/// The `num` of a `queued` progress report that waits for a bulk load; any other waits for memory.
+/// Value of `num` in a `queued` progress report while the attempt waits for a bulk load. With any
+/// other value it waits for memory.
 const WAITING_FOR_BULK_LOAD: f64 = 2.0;
 
 impl Connection {
@@ -27,7 +29,8 @@
             };
             self.partial_answer_since = None;
             self.handle_answer(answer).await?;
-            // Answers without end would keep the attempts behind them in flight, and the core busy.
+            // An engine that sends answers without ending any attempt would keep the attempts in
+            // flight and the core busy.
             let count = self.uneventful_answers;
             if count > self.context.limits.uneventful_answers {
                 return Err(AnswerError::TooManyUneventfulAnswers { count }.into());
@@ -50,20 +53,22 @@
             return Ok(());
         }
         let Some(sent) = self.sent.get(&answer.reference) else {
-            // The attempt was cancelled meanwhile, or never sent. The connection is good all the same.
+            // The attempt was cancelled in the meantime or was never sent. The connection is still
+            // usable.
             self.ignore_answer(&answer, IgnoredAnswerReason::NoSuchAttempt);
             return Ok(());
         };
         let has_pages = sent.pages.is_some();
         match answer.status {
-            // An engine may repeat its answer; the copy has no effect.
+            // An engine may repeat its answer. The repetition has no effect.
             AnswerStatus::Served if has_pages => {
                 self.ignore_answer(&answer, IgnoredAnswerReason::RepeatedResult);
             }
             AnswerStatus::Served => self.handle_first_page(&answer).await?,
             AnswerStatus::Page => self.handle_further_page(&answer).await?,
             AnswerStatus::Progress => self.handle_progress(&answer).await,
-            // Any other answer after the first page means that the pages are lost, and the statement has run.
+            // Any other answer after the first page means that the statement has run and that the
+            // remaining pages are lost.
             _ if has_pages => self.end_without_result(&answer, Outcome::Error).await,
             AnswerStatus::Overloaded => self.end_without_result(&answer, Outcome::Rejected).await,
             AnswerStatus::Failed => self.end_without_result(&answer, Outcome::Error).await,
@@ -75,7 +80,7 @@
         Ok(())
     }
 
-    /// Handles a good answer with the first page of its result; asks for the other pages.
+    /// Handles an answer with the first page of a result, and requests the other pages.
     async fn handle_first_page(&mut self, answer: &Answer) -> Result<(), ConnectionError> {
         let limit_pages = self.context.limits.pages_per_result;
         let count = answer.whole_number("batches").unwrap_or(0);
@@ -102,7 +107,7 @@
         Ok(())
     }
 
-    /// Handles a page that was asked for.
+    /// Handles a further page, which is ignored if it was not requested.
     async fn handle_further_page(&mut self, answer: &Answer) -> Result<(), ConnectionError> {
         let sent = self.sent.get_mut(&answer.reference);
         let pages = sent.and_then(|sent| sent.pages.as_mut());
@@ -135,7 +140,7 @@
             .await;
     }
 
-    /// Ends an attempt with an answer that brings no result.
+    /// Ends an attempt after an answer without a result.
     async fn end_without_result(&mut self, answer: &Answer, outcome: Outcome) {
         let Some(sent) = self.sent.get_mut(&answer.reference) else {
             return;
@@ -171,7 +176,7 @@
             .await;
     }
 
-    /// Ends an attempt with its result once all pages are in.
+    /// Ends an attempt with its result once all pages have arrived.
     async fn end_if_result_complete(&mut self, reference: &Bytes) {
         let Some(sent) = self.sent.get_mut(reference) else {
             return;
@@ -182,14 +187,15 @@
         }
     }
 
-    /// Passes over an answer that nothing asked for, or that was given already.
+    /// Ignores an answer that was not requested or repeats an earlier one. It is logged and counted
+    /// as unexpected.
     pub(super) fn ignore_answer(&mut self, answer: &Answer, reason: IgnoredAnswerReason) {
         self.log_ignored_answer(answer, reason);
         self.context.metrics.engine_unexpected_answers.increment();
         self.uneventful_answers += self.context.limits.unexpected_answer_weight;
     }
 
-    /// Releases results whose next page did not come in time.
+    /// Releases results whose next page did not arrive in time.
     pub(super) fn release_overdue_results(&mut self, now: Instant) {
         let is_overdue = |sent: &SentAttempt| {
             let pages = sent.pages.as_ref();
@@ -203,7 +209,7 @@
     }
 }
 
-/// The progress that an answer reports; none where it merely shows that the attempt is alive.
+/// The progress that an answer reports. `None` if it only shows that the attempt has not ended.
 fn parse_progress(answer: &Answer) -> Option<Progress> {
     let value = answer.number("num")?;
     match answer.field("n")? {
--- a/src/engines/line_protocol/connection/attempt_ends.rs
+++ b/src/engines/line_protocol/connection/attempt_ends.rs
@@ -1,4 +1,5 @@
-//! The ends of attempts on a connection: what is reported to the core, and what goes back to the engine's actor.
+//! Ends the attempts of a connection: reports their ends to the core, or returns unsent attempts to
+//! the engine's actor.
 
 use super::Connection;
 use crate::attempt::AttemptEnd;
@@ -8,21 +9,22 @@
 use crate::engines::line_protocol::command::Command;
 use bytes::Bytes;
 
-/// The end of an attempt, to be reported to the core.
+/// An attempt that has ended, and the event to be reported to the core.
 pub(super) struct EndedAttempt {
     request: Box<AttemptRequest>,
     event: AttemptEvent,
 }
 
 impl Connection {
-    /// Counts an attempt off; the core receives its end with the next report.
+    /// Removes an attempt from the load of the connection. Its end is sent to the core with the
+    /// next call of `report_ended_attempts`.
     pub(super) fn end_attempt(&mut self, request: Box<AttemptRequest>, event: AttemptEvent) {
         self.load.end_attempt(ConnectionUse::of(&request));
         self.log_attempt_end(&request, &event);
         self.ended_attempts.push(EndedAttempt { request, event });
     }
 
-    /// Reports to the core the ends that are due.
+    /// Reports the pending ends of attempts to the core.
     pub(super) async fn report_ended_attempts(&mut self) {
         for ended in std::mem::take(&mut self.ended_attempts) {
             let attempt = (&*ended.request).into();
@@ -32,15 +34,16 @@
         }
     }
 
-    /// Ends the queued attempts: they are not sent at all.
+    /// Ends the queued attempts without sending them.
     pub(super) fn end_queued_attempts(&mut self) {
         for request in std::mem::take(&mut self.queued) {
             self.end_attempt(request, AttemptEvent::end(Outcome::NoConnection));
         }
     }
 
-    /// Gives the queued attempts of a closed connection back, so that another one takes them: a connection that was up
-    /// and failed means nothing for attempts that it never sent. There is no await point here, so no message about the
+    /// Returns the queued attempts of a closed connection to the engine's actor, so that another
+    /// connection sends them. The failure of an established connection proves nothing about
+    /// attempts that were never sent on it. There is no await point here, so no message about the
     /// attempts can be missed in between.
     pub(super) fn return_queued_attempts(&mut self, was_connected: bool) {
         let carried_attempts = !self.sent.is_empty() || !self.queued.is_empty();
@@ -66,7 +69,8 @@
             let was_cancelled = sent.state.is_cancelling();
             let event = match sent.state.connection_closed(written) {
                 end if was_cancelled => AttemptEvent::Cancelled(end),
-                // An attempt that was not written completely provably never ran; any other may have.
+                // An attempt that was not written completely provably never ran. Any other may have
+                // run.
                 AttemptEnd::NeverSent => AttemptEvent::end(Outcome::NoConnection),
                 _ => AttemptEvent::end(Outcome::Reset),
             };
@@ -74,7 +78,8 @@
         }
     }
 
-    /// Has the engine release a result that is not wanted any more; its attempt ends with this outcome.
+    /// Sends the engine the command to release a result that is no longer needed, and ends the
+    /// attempt with this outcome.
     pub(super) fn release_result(&mut self, reference: &Bytes, outcome: Outcome) {
         if let Some(sent) = self.sent.remove(reference) {
             self.send_command(Command::Release, reference);
--- a/src/engines/line_protocol/connection/attempt_queue.rs
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -1,4 +1,5 @@
-//! What a connection is asked to do: attempts wait in its queue until they are written, one at a time.
+//! Handles messages of the engine's actor, and the queue in which attempts wait until they are
+//! written, one at a time.
 
 use super::{Connection, PartlyWritten, SentAttempt};
 use crate::attempt::AttemptState;
@@ -26,7 +27,8 @@
             }
             EngineMessage::StateChanged(EngineState::Ready) => self.removal_grace_ends_at = None,
             EngineMessage::StateChanged(state) => {
-                // An engine that drains may be sent nothing that was not begun before.
+                // A draining engine must not be sent an attempt of which nothing has been written
+                // yet.
                 self.end_queued_attempts();
                 if state == EngineState::Removed {
                     self.start_removal_grace();
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Puts the next attempt into the output queue once that is empty. Only one attempt at a time is being written, so
-    /// at most one can be partly written when its engine starts to drain.
+    /// Moves the next attempt to the output queue once that queue is empty. Only one attempt is
+    /// written at a time, so at most one can be partly written when the engine starts to drain.
     pub(super) fn write_next_attempt(&mut self) {
         if self.admission.is_closed() {
             self.end_queued_attempts();
@@ -63,7 +65,8 @@
                 return;
             };
             let now_ms = self.context.core.now();
-            // Time has passed since it was queued, as a connection may come up late or accept nothing for long.
+            // The attempt may have expired in the queue: connecting may take long, and the engine
+            // may accept no output for long.
             match request.expired(now_ms) {
                 Some(event) => self.end_attempt(request, event),
                 None => self.write_attempt(request, now_ms),
--- a/src/engines/line_protocol/connection/cancellations.rs
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -1,9 +1,10 @@
-//! Cancellations on a connection, from the command to the proof that the attempt is over.
+//! Cancellations on a connection, from the command to the proof that the attempt has ended.
 //!
-//! A cancelled attempt has ended once its cancellation was written. Where another attempt may follow, the engine has to
-//! confirm that it read the cancellation: connections are read in no order among each other, so the next attempt could
-//! overtake a cancellation that was merely written. Commands of one connection are read in order, so the answer to a
-//! command that follows the cancellation is that confirmation.
+//! If no retry may follow, a cancelled attempt has ended once its cancellation is written. If a
+//! retry may follow, the engine has to confirm that it has read the cancellation. An engine reads
+//! its connections in any order, so a retry on another connection could be read before a
+//! cancellation that is only written. The commands of one connection are read in order, so the
+//! answer to a command sent after the cancellation is the confirmation.
 
 use super::events_log::IgnoredAnswerReason;
 use super::{Connection, SentAttempt};
@@ -18,19 +19,19 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// A cancellation on its way to the engine.
+/// A cancellation that is not written or not confirmed yet.
 struct Cancellation {
-    /// Count of bytes written by which it is complete.
+    /// Count of bytes written at which the cancellation is complete.
     end_mark: u64,
-    /// The reference of its attempt.
+    /// Client reference of the cancelled attempt.
     reference: Bytes,
-    /// The tag by which the engine confirms it, where that is needed.
+    /// Tag with which the engine confirms the cancellation, if that is needed.
     tag: Option<Bytes>,
-    /// When it must have been written, and confirmed.
+    /// When the cancellation must have been written and, if it has a tag, confirmed.
     due_at: Instant,
 }
 
-/// Cancellations that are not written or not confirmed yet, in order.
+/// Cancellations that are not written or not confirmed yet, in the order in which they are written.
 #[derive(Default)]
 pub(super) struct Cancellations {
     pending: VecDeque<Cancellation>,
@@ -38,7 +39,8 @@
 }
 
 impl Cancellations {
-    /// Queues a cancellation for the engine; returns the count of bytes written by which it is complete.
+    /// Queues a cancellation for the engine. Returns the count of bytes written at which it is
+    /// complete.
     fn queue(
         &mut self,
         command: Command,
@@ -70,31 +72,33 @@
         Bytes::from(format!("{:016x}", self.last_tag))
     }
 
-    /// When the first of them must have been written and confirmed.
+    /// When the cancellation that is due first must have been written and, if it has a tag,
+    /// confirmed.
     pub(super) fn first_due(&self) -> Option<Instant> {
         self.pending.iter().map(|pending| pending.due_at).min()
     }
 
-    /// Forgets those of an attempt that has ended.
+    /// Removes the cancellations of an attempt that has ended.
     fn remove_attempt(&mut self, reference: &Bytes) {
         self.pending
             .retain(|pending| pending.reference != *reference);
     }
 
-    /// Removes all up to the one with this tag; none where no cancellation has it.
+    /// Removes all cancellations up to the one with this tag. Returns `None` if no cancellation has
+    /// it.
     fn take_confirmed(&mut self, tag: &Bytes) -> Option<Vec<Cancellation>> {
         let mut pending = self.pending.iter();
         let last = pending.position(|pending| pending.tag.as_ref() == Some(tag))?;
         Some(self.pending.drain(..=last).collect())
     }
 
-    /// Removes those that are complete once so many bytes are written.
+    /// Removes the cancellations that are complete once `written` bytes are written.
     fn take_written(&mut self, written: u64) -> Vec<Cancellation> {
         let is_written = |pending: &mut Cancellation| pending.end_mark <= written;
         std::iter::from_fn(|| self.pending.pop_front_if(is_written)).collect()
     }
 
-    /// Puts those back at the front that wait for a confirmation.
+    /// Puts cancellations that wait for a confirmation back at the front.
     fn requeue_unconfirmed(&mut self, mut unconfirmed: VecDeque<Cancellation>) {
         unconfirmed.append(&mut self.pending);
         self.pending = unconfirmed;
@@ -102,7 +106,7 @@
 }
 
 impl Connection {
-    /// Cancels an attempt of which nothing is written yet.
+    /// Cancels a queued attempt, of which nothing has been written yet.
     pub(super) fn cancel_queued(&mut self, attempt: AttemptId, after: AfterCancellation) {
         let mut queued = self.queued.iter();
         let Some(index) = queued.position(|request| AttemptId::from(&**request) == attempt) else {
@@ -123,7 +127,8 @@
         let Some(sent) = self.sent.get_mut(&reference) else {
             return;
         };
-        // A statement that has ended holds pages of its result; one that has not is running.
+        // If the statement has ended, the engine holds pages of its result. Otherwise it is
+        // running.
         let command = if sent.state.has_result() {
             Command::Release
         } else {
@@ -150,15 +155,15 @@
         }
     }
 
-    /// Removes an attempt that an answer has ended, with its cancellations: the connection is not to be closed for
-    /// those, as they serve no purpose any more.
+    /// Removes an attempt that an answer has ended, with its cancellations. They are no longer
+    /// needed, so the connection must not be closed because they are overdue.
     pub(super) fn remove_answered_attempt(&mut self, reference: &Bytes) -> Option<SentAttempt> {
         self.uneventful_answers = 0;
         self.cancellations.remove_attempt(reference);
         self.sent.remove(reference)
     }
 
-    /// The engine confirms that it has read all commands up to a tag.
+    /// Handles the engine's confirmation that it has read all commands up to a tag.
     pub(super) fn confirm_cancellations(&mut self, confirmation: &Answer) {
         let tag = &confirmation.reference;
         let Some(confirmed) = self.cancellations.take_confirmed(tag) else {
@@ -172,7 +177,8 @@
         }
     }
 
-    /// Acts on what has been written by now: attempts that are complete, and cancellations that end their attempt.
+    /// Updates the attempts for the output written so far: marks completely written attempts as
+    /// sent, and ends attempts whose written cancellation needs no confirmation.
     pub(super) fn process_written_bytes(&mut self) {
         let written = self.output.written();
         let mut unconfirmed = VecDeque::new();
--- a/src/engines/line_protocol/connection/result_pages.rs
+++ b/src/engines/line_protocol/connection/result_pages.rs
@@ -1,4 +1,4 @@
-//! The pages of one result, collected until it is complete.
+//! Collects the pages of one result until the result is complete.
 
 use crate::core::{AttemptEvent, ResultBody, ResultFormat};
 use crate::decision::{LoadReport, Outcome};
@@ -8,38 +8,39 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-/// What became of a page.
+/// The result of inserting a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PageInsertion {
-    /// It is kept.
+    /// The page was inserted.
     Inserted,
-    /// The result outgrew what a client takes, or all results together outgrew their memory.
+    /// The result exceeds the size that a client accepts, or all incomplete results together exceed
+    /// their memory.
     TooLarge,
 }
 
-/// A result of which the first page is in.
+/// A result whose first page has arrived.
 pub(super) struct ResultPages {
-    /// By number; none where a page has not come yet.
+    /// Pages by number. `None` for a page that has not arrived yet.
     pages: Vec<Option<Bytes>>,
-    /// Work of the statement in ms, where the engine reported it.
+    /// Work of the statement in ms, if the engine reported it.
     measured_work_ms: Option<f64>,
-    /// Memory of the statement in MB, where the engine reported it.
+    /// Memory of the statement in MB, if the engine reported it.
     measured_memory_mb: Option<f64>,
     /// The load report that came with the first page.
     load_report: LoadReport,
-    /// When the next page must have come.
+    /// When the next page must have arrived.
     next_page_due: Instant,
     reservation: MemoryReservation,
 }
 
 impl ResultPages {
-    /// Starts with the first of so many pages.
+    /// Creates a result of `count` pages from the answer with the first page.
     pub(super) fn new(first_answer: &Answer, count: usize, context: &EngineContext) -> ResultPages {
         let limits = &context.limits;
         let mut pages = vec![None; count];
         pages[0] = Some(first_answer.body.clone());
         let mut reservation = MemoryReservation::new(&context.partial_results);
-        // A first page is never refused: most results have no other.
+        // A first page is always accepted, because most results have only one.
         reservation.set(first_answer.body.len(), partial_result_bytes(limits));
         ResultPages {
             pages,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Whether the page with this number has yet to come.
+    /// Whether the page with this number has not arrived yet.
     pub(super) fn is_missing(&self, number: usize) -> bool {
         self.pages.get(number).is_some_and(Option::is_none)
     }
@@ -75,17 +76,18 @@
         self.pages.iter().flatten().map(Bytes::len).sum()
     }
 
-    /// When the next page must have come.
+    /// When the next page must have arrived.
     pub(super) fn next_page_due(&self) -> Instant {
         self.next_page_due
     }
 
-    /// Whether all pages are in.
+    /// Whether all pages have arrived.
     pub(super) fn is_complete(&self) -> bool {
         self.pages.iter().all(Option::is_some)
     }
 
-    /// The load report, and the end of the attempt with the complete result; without one where it is too large.
+    /// Returns the load report and the end of the attempt. The end contains the complete result, or
+    /// no result if that is too large.
     pub(super) fn finish(self, limits: &Limits) -> (LoadReport, AttemptEvent) {
         let is_within_limit = self.total_bytes() <= limits.result_bytes;
         let pages: Vec<Bytes> = self.pages.into_iter().flatten().collect();
@@ -104,7 +106,7 @@
     }
 }
 
-/// Bytes that all incomplete results may take together.
+/// Bytes that all incomplete results together may use.
 fn partial_result_bytes(limits: &Limits) -> usize {
     limits.share(limits.partial_result_bytes)
 }
--- a/src/engines/line_protocol/connection/timers.rs
+++ b/src/engines/line_protocol/connection/timers.rs
@@ -1,23 +1,24 @@
-//! The times at which a connection to an engine has to act although nothing happens on it.
+//! The times at which a connection has to act even though no event occurs on it.
 
 use tokio::time::Instant;
 
-/// The timers of one connection; each is none where it does not run.
+/// The timers of one connection. A timer that does not run is `None`.
 pub(super) struct Timers {
-    /// The connection has been idle for long enough to be closed.
+    /// When the connection has been idle for long enough to be closed.
     pub(super) idle: Option<Instant>,
-    /// The engine was removed from the endpoint list, and the grace for its open attempts is over.
+    /// When the grace period for the open attempts of an engine that was removed from the endpoint
+    /// list is over.
     pub(super) removal: Option<Instant>,
-    /// An answer stopped short.
+    /// When the rest of an incomplete answer must have arrived.
     pub(super) partial_answer: Option<Instant>,
-    /// A cancellation was not written, or not confirmed.
+    /// When a cancellation must have been written and confirmed.
     pub(super) cancellation: Option<Instant>,
-    /// The next page of a result did not come.
+    /// When the next page of a result must have arrived.
     pub(super) page: Option<Instant>,
 }
 
 impl Timers {
-    /// The first that is due.
+    /// The time of the timer that is due first.
     pub(super) fn first(&self) -> Option<Instant> {
         let all = [
             self.idle,
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -1,4 +1,5 @@
-//! The actor of one engine: assigns attempts to connections, opens connections, and ends with the last of them.
+//! The actor of one engine. It assigns attempts to connections, opens connections, and ends after
+//! the last connection has closed.
 
 use super::connection::Connection;
 use super::unsent_attempts::{ConnectionEvent, ConnectionEventSender};
@@ -14,7 +15,8 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Runs one engine as long as it has connections, or until it is removed from the list and its attempts have ended.
+/// Runs the actor of one engine as long as the engine has connections, or until the engine is
+/// removed from the list and its attempts have ended.
 pub(crate) async fn run(
     id: EngineId,
     address: SocketAddr,
@@ -34,7 +36,8 @@
     loop {
         let message = tokio::select! {
             biased;
-            // First: an unsent attempt is assigned before a message that could cancel it.
+            // Polled first, so that an unsent attempt is assigned before a message that may cancel
+            // it.
             Some(event) = connection_events.recv() => match event {
                 ConnectionEvent::Unsent(attempt) => Some(EngineMessage::StartAttempt(attempt)),
                 ConnectionEvent::Closed => None,
@@ -70,13 +73,15 @@
 }
 
 impl Engine {
-    /// Drops the entries of connections that are closed, and of those that are to close, as they are of no more use.
+    /// Removes the entries of connections that are closed, and of idle ones that may carry no
+    /// further attempts. Removing the entry of an idle connection closes it.
     fn remove_unusable_connections(&mut self) {
         self.connections
             .retain(|connection| !connection.mailbox.is_closed() && !connection.should_retire());
     }
 
-    /// Has an idle connection close; false where there is none. Its actor ends once its mailbox is closed.
+    /// Closes an idle connection: its actor ends once its mailbox is closed. Returns false if no
+    /// connection is idle.
     fn close_idle_connection(&mut self) -> bool {
         let idle = self
             .connections
@@ -86,23 +91,24 @@
             .is_some()
     }
 
-    /// Sends to all connections, as each of them knows which attempts it has.
+    /// Sends a message to all connections, because each connection keeps its own list of attempts.
     fn send_to_connections(&self, message: &EngineMessage) {
         for connection in &self.connections {
             let _ = connection.mailbox.try_send(message.clone());
         }
     }
 
-    /// Assigns an attempt to one of the connections, or to a new one.
+    /// Assigns an attempt to an existing connection or to a new one.
     async fn start_attempt(&mut self, attempt: Box<AttemptRequest>) {
-        // An attempt that a failed connection gave back must not open another one to an engine that is draining or
-        // ejected by now.
+        // An attempt that a failed connection returned must not open another connection to an
+        // engine that is draining or ejected by now.
         if self.admission.is_closed() {
             return self.reject(&attempt, Outcome::NoConnection).await;
         }
         let usage = ConnectionUse::of(&attempt);
         let mut choice = choose_connection(&self.connections, &attempt, &self.context);
-        // All connections that the engine may have carried this reference before: an idle one makes room.
+        // Every connection that the engine may have has carried this reference before. An idle one
+        // is closed to make room for a new one.
         if matches!(choice, ConnectionChoice::NoSlot) && self.close_idle_connection() {
             choice = choose_connection(&self.connections, &attempt, &self.context);
         }
@@ -127,7 +133,7 @@
         }
     }
 
-    /// Starts the actor of a new connection; returns the connection's index.
+    /// Starts the actor of a new connection, and returns the index of the connection.
     fn open_connection(&mut self, slot: ConnectionSlot, load: Arc<ConnectionLoad>) -> usize {
         let (mailbox, messages) = mpsc::channel(self.context.limits.mailbox_messages);
         let connection = Connection::new(
@@ -148,8 +154,8 @@
         self.connections.len() - 1
     }
 
-    /// Reports the end of an attempt that no connection takes. An engine without connections may end after that, so
-    /// the actor is woken to look.
+    /// Reports the end of an attempt that no connection can carry. The actor may have no
+    /// connections left and is woken to check whether it ends.
     async fn reject(&self, attempt: &AttemptRequest, outcome: Outcome) {
         self.report_unsent(attempt, outcome).await;
         self.event_sender.report_closed();
@@ -161,8 +167,9 @@
             .await;
     }
 
-    /// Ends the actor after its last connection. An attempt sent from now on finds the mailbox closed and starts a new
-    /// actor; one that came just before is reported as unsent.
+    /// Ends the actor after its last connection has closed. An attempt that is sent later finds the
+    /// mailbox closed and starts a new actor. An attempt that arrived just before is reported as
+    /// unsent.
     async fn stop(&self, mut messages: mpsc::Receiver<EngineMessage>) {
         messages.close();
         while let Ok(message) = messages.try_recv() {
--- a/src/engines/line_protocol/unsent_attempts.rs
+++ b/src/engines/line_protocol/unsent_attempts.rs
@@ -1,30 +1,33 @@
-//! The way back from a connection to its engine's actor, for attempts that the connection never sent.
+//! Events that connections send to their engine's actor, such as an attempt that was never sent.
 
 use crate::core::AttemptRequest;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::mpsc;
 
-/// What a connection's actor, or the engine's own, tells the engine's actor.
+/// An event for the engine's actor. It is sent by a connection's actor or by the engine's actor
+/// itself.
 pub(super) enum ConnectionEvent {
-    /// The connection never sent this attempt: another one may.
+    /// The connection never sent this attempt, so that another connection may send it.
     Unsent(Box<AttemptRequest>),
-    /// The connection is closed, or was not opened.
+    /// A connection has closed, or none was opened.
     Closed,
 }
 
-/// The sending half, one clone for each connection.
+/// Sends connection events to the engine's actor. Each connection has a clone.
 #[derive(Clone)]
 pub(super) struct ConnectionEventSender {
     events: mpsc::UnboundedSender<ConnectionEvent>,
-    /// Connections in a row that failed before an answer of the engine: several of them are the engine's fault, not
-    /// the connections'. Relaxed ordering is enough, as the count publishes no other data.
+    /// Number of connections that failed in a row, without an answer of the engine in between.
+    /// Several failures in a row indicate a fault of the engine, not of the connections. Relaxed
+    /// ordering is enough, because the count publishes no other data.
     consecutive_failures: Arc<AtomicUsize>,
 }
 
 impl ConnectionEventSender {
-    /// The sending half and the engine's actor's receiver. The channel holds no more than the core's attempts on this
-    /// engine and one event for each connection, so it needs no bound of its own.
+    /// Creates the sender, and the receiver for the engine's actor. The channel holds at most the
+    /// core's attempts on this engine and one event for each connection, so it needs no bound of
+    /// its own.
     pub(super) fn new() -> (
         ConnectionEventSender,
         mpsc::UnboundedReceiver<ConnectionEvent>,
@@ -37,10 +40,10 @@
         (sender, receiver)
     }
 
-    /// Gives an attempt back.
+    /// Returns an unsent attempt to the engine's actor.
     ///
     /// # Errors
-    /// Returns the attempt where the engine's actor has ended.
+    /// Returns the attempt if the engine's actor has ended.
     pub(super) fn return_attempt(
         &self,
         attempt: Box<AttemptRequest>,
@@ -52,19 +55,19 @@
         }
     }
 
-    /// Reports that a connection is closed, or that none was opened.
+    /// Reports that a connection has closed, or that none was opened.
     pub(super) fn report_closed(&self) {
-        // Without an engine's actor nobody has to know.
+        // If the engine's actor has ended, the event is not needed.
         let _ = self.events.send(ConnectionEvent::Closed);
     }
 
-    /// The engine answered.
+    /// Resets the count of failed connections, because the engine has answered.
     pub(super) fn reset_failures(&self) {
         self.consecutive_failures.store(0, Ordering::Relaxed);
     }
 
-    /// Counts a connection that closed; returns how many failed in a row before it. One that carried nothing was
-    /// closed on purpose and is no failure.
+    /// Counts a closed connection, and returns how many failed in a row before it. A connection
+    /// that carried no attempts was closed on purpose and does not count as failed.
     pub(super) fn count_closed_connection(&self, carried_attempts: bool) -> usize {
         self.consecutive_failures
             .fetch_add(usize::from(carried_attempts), Ordering::Relaxed)
