--- a/src/engines/line_protocol/answer.rs
+++ b/src/engines/line_protocol/answer.rs
@@ -108,13 +108,13 @@
     /// the settings and under the protocol's own name.
     pub(super) fn load_report(&self) -> LoadReport {
         let mut report = LoadReport::default();
-        let parts = self.field("l").unwrap_or_default();
-        for part in parts.split(|byte| *byte == b';') {
-            let Some(colon) = part.iter().position(|byte| *byte == b':') else {
+        let figures = self.field("l").unwrap_or_default();
+        for figure in figures.split(|byte| *byte == b';') {
+            let Some(colon) = figure.iter().position(|byte| *byte == b':') else {
                 continue;
             };
-            let value = parse_non_negative(&part[colon + 1..]);
-            match &part[..colon] {
+            let value = parse_non_negative(&figure[colon + 1..]);
+            match &figure[..colon] {
                 b"rif" | b"inflight" => report.inflight = value,
                 b"busy" | b"util" => report.cpu_busy = value,
                 b"x1" => report.disk_busy = value,
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -85,7 +85,7 @@
 }
 
 /// The attempt whose last bytes are still in the output queue.
-struct PartlyWritten {
+struct PartlyWrittenAttempt {
     /// Count of bytes written at which the attempt is complete.
     end_mark: u64,
     reference: Bytes,
@@ -105,10 +105,10 @@
     /// The engine's actor has closed the mailbox, so no more messages arrive.
     mailbox_closed: bool,
     /// Attempts of which nothing has been written yet.
-    queued: VecDeque<Box<AttemptRequest>>,
+    queued_attempts: VecDeque<Box<AttemptRequest>>,
     /// Attempts that have been written at least in part, by their client reference.
-    sent: HashMap<Bytes, SentAttempt>,
-    partly_written: Option<PartlyWritten>,
+    sent_attempts: HashMap<Bytes, SentAttempt>,
+    partly_written: Option<PartlyWrittenAttempt>,
     cancellations: Cancellations,
     /// Attempts whose ends are still to be reported to the core.
     ended_attempts: Vec<EndedAttempt>,
@@ -144,8 +144,8 @@
             event_sender,
             mailbox,
             mailbox_closed: false,
-            queued: VecDeque::new(),
-            sent: HashMap::new(),
+            queued_attempts: VecDeque::new(),
+            sent_attempts: HashMap::new(),
             partly_written: None,
             cancellations: Cancellations::default(),
             ended_attempts: Vec::new(),
@@ -201,7 +201,7 @@
                 Some(message) = self.mailbox.recv() => self.handle_message(message),
             }
             self.report_ended_attempts().await;
-            if self.queued.is_empty() && Instant::now() > give_up_at {
+            if self.queued_attempts.is_empty() && Instant::now() > give_up_at {
                 return None;
             }
         }
@@ -251,7 +251,7 @@
             self.output.flush(stream)?;
             self.process_written_bytes();
             self.report_ended_attempts().await;
-            if self.output.is_empty() && !self.queued.is_empty() {
+            if self.output.is_empty() && !self.queued_attempts.is_empty() {
                 continue;
             }
             if self.is_idle() && self.admission.is_closed() {
@@ -304,7 +304,7 @@
     /// mailbox, and the runtime may not have polled either yet. An attempt written after that could
     /// be lost, or run needlessly.
     async fn check_idle_connection(&mut self, stream: &TcpStream) -> Result<Flow, ConnectionError> {
-        if !self.sent.is_empty() || self.queued.is_empty() {
+        if !self.sent_attempts.is_empty() || self.queued_attempts.is_empty() {
             return Ok(Flow::Continue);
         }
         tokio::task::yield_now().await;
@@ -331,13 +331,16 @@
 
     /// Whether the connection carries no attempt and has nothing left to write.
     fn is_idle(&self) -> bool {
-        self.sent.is_empty() && self.queued.is_empty() && self.output.is_empty()
+        self.sent_attempts.is_empty() && self.queued_attempts.is_empty() && self.output.is_empty()
     }
 
     fn timers(&self) -> Timers {
         let limits = &self.context.limits;
         let idle_until = self.idle_since + limits.engine_idle_timeout;
-        let pages = self.sent.values().filter_map(|sent| sent.pages.as_ref());
+        let pages = self
+            .sent_attempts
+            .values()
+            .filter_map(|sent| sent.pages.as_ref());
         Timers {
             idle: self.is_idle().then_some(idle_until),
             removal: self.removal_grace_ends_at,
@@ -385,7 +388,7 @@
 
     /// Returns the client reference under which an attempt was sent.
     fn reference_of(&self, attempt: AttemptId) -> Option<Bytes> {
-        let mut sent = self.sent.iter();
+        let mut sent = self.sent_attempts.iter();
         sent.find(|(_, sent)| AttemptId::from(&*sent.request) == attempt)
             .map(|(reference, _)| reference.clone())
     }
--- a/src/engines/line_protocol/connection/answers.rs
+++ b/src/engines/line_protocol/connection/answers.rs
@@ -52,7 +52,7 @@
             self.confirm_cancellations(&answer);
             return Ok(());
         }
-        let Some(sent) = self.sent.get(&answer.reference) else {
+        let Some(sent) = self.sent_attempts.get(&answer.reference) else {
             // The attempt was cancelled in the meantime or was never sent. The connection is still
             // usable.
             self.ignore_answer(&answer, IgnoredAnswerReason::NoSuchAttempt);
@@ -83,23 +83,23 @@
     /// Handles an answer with the first page of a result, and requests the other pages.
     async fn handle_first_page(&mut self, answer: &Answer) -> Result<(), ConnectionError> {
         let limit_pages = self.context.limits.pages_per_result;
-        let count = answer.whole_number("batches").unwrap_or(0);
-        if !(1..=limit_pages).contains(&count) {
+        let page_count = answer.whole_number("batches").unwrap_or(0);
+        if !(1..=limit_pages).contains(&page_count) {
             return Err(AnswerError::PageCount { limit_pages }.into());
         }
         answer.check_page()?;
-        let Some(sent) = self.sent.get_mut(&answer.reference) else {
+        let Some(sent) = self.sent_attempts.get_mut(&answer.reference) else {
             return Ok(());
         };
         // The engine has dropped the other pages of an attempt that is being cancelled.
-        if !sent.state.begin_result() && count > 1 {
+        if !sent.state.begin_result() && page_count > 1 {
             let event = AttemptEvent::Cancelled(AttemptEnd::Answered);
             self.end_answered_attempt(&answer.reference, answer.load_report(), event)
                 .await;
             return Ok(());
         }
-        sent.pages = Some(ResultPages::new(answer, count, &self.context));
-        for number in 1..count {
+        sent.pages = Some(ResultPages::new(answer, page_count, &self.context));
+        for number in 1..page_count {
             self.context.metrics.result_pages.increment();
             self.send_command(Command::NextPage(number), &answer.reference);
         }
@@ -109,13 +109,13 @@
 
     /// Handles a further page, which is ignored if it was not requested.
     async fn handle_further_page(&mut self, answer: &Answer) -> Result<(), ConnectionError> {
-        let sent = self.sent.get_mut(&answer.reference);
+        let sent = self.sent_attempts.get_mut(&answer.reference);
         let pages = sent.and_then(|sent| sent.pages.as_mut());
         let number = answer.whole_number("batch");
-        let wanted = pages
+        let requested_page = pages
             .zip(number)
             .filter(|(pages, number)| pages.is_missing(*number));
-        let Some((pages, number)) = wanted else {
+        let Some((pages, number)) = requested_page else {
             self.ignore_answer(answer, IgnoredAnswerReason::UnexpectedPage);
             return Ok(());
         };
@@ -128,7 +128,7 @@
     }
 
     async fn handle_progress(&mut self, answer: &Answer) {
-        let Some(sent) = self.sent.get(&answer.reference) else {
+        let Some(sent) = self.sent_attempts.get(&answer.reference) else {
             return;
         };
         let attempt = AttemptId::from(&*sent.request);
@@ -142,12 +142,12 @@
 
     /// Ends an attempt after an answer without a result.
     async fn end_without_result(&mut self, answer: &Answer, outcome: Outcome) {
-        let Some(sent) = self.sent.get_mut(&answer.reference) else {
+        let Some(sent) = self.sent_attempts.get_mut(&answer.reference) else {
             return;
         };
         let was_cancelled = sent.state.is_cancelling();
         let end = sent.state.answered(!never_ran(outcome));
-        if let Some(sent) = self.sent.get(&answer.reference) {
+        if let Some(sent) = self.sent_attempts.get(&answer.reference) {
             self.log_final_answer(answer, sent);
         }
         let event = if was_cancelled {
@@ -178,7 +178,7 @@
 
     /// Ends an attempt with its result once all pages have arrived.
     async fn end_if_result_complete(&mut self, reference: &Bytes) {
-        let Some(sent) = self.sent.get_mut(reference) else {
+        let Some(sent) = self.sent_attempts.get_mut(reference) else {
             return;
         };
         if let Some(pages) = sent.pages.take_if(|pages| pages.is_complete()) {
@@ -201,7 +201,10 @@
             let pages = sent.pages.as_ref();
             pages.is_some_and(|pages| pages.next_page_due() <= now)
         };
-        let overdue = self.sent.iter().filter(|(_, sent)| is_overdue(sent));
+        let overdue = self
+            .sent_attempts
+            .iter()
+            .filter(|(_, sent)| is_overdue(sent));
         let references: Vec<Bytes> = overdue.map(|(reference, _)| reference.clone()).collect();
         for reference in references {
             self.release_result(&reference, Outcome::TimedOut);
--- a/src/engines/line_protocol/connection/attempt_ends.rs
+++ b/src/engines/line_protocol/connection/attempt_ends.rs
@@ -36,7 +36,7 @@
 
     /// Ends the queued attempts without sending them.
     pub(super) fn end_queued_attempts(&mut self) {
-        for request in std::mem::take(&mut self.queued) {
+        for request in std::mem::take(&mut self.queued_attempts) {
             self.end_attempt(request, AttemptEvent::end(Outcome::NoConnection));
         }
     }
@@ -46,18 +46,18 @@
     /// attempts that were never sent on it. There is no await point here, so no message about the
     /// attempts can be missed in between.
     pub(super) fn return_queued_attempts(&mut self, was_connected: bool) {
-        let carried_attempts = !self.sent.is_empty() || !self.queued.is_empty();
+        let carried_attempts = !self.sent_attempts.is_empty() || !self.queued_attempts.is_empty();
         let earlier_failures = self.event_sender.count_closed_connection(carried_attempts);
         let may_return = earlier_failures < self.context.limits.returned_connections;
         if !was_connected || self.admission.is_closed() || !may_return {
             return;
         }
-        for request in std::mem::take(&mut self.queued) {
+        for request in std::mem::take(&mut self.queued_attempts) {
             let usage = ConnectionUse::of(&request);
             self.load.end_attempt(usage);
             if let Err(request) = self.event_sender.return_attempt(request) {
                 self.load.begin_attempt(usage, self.context.core.now());
-                self.queued.push_back(request);
+                self.queued_attempts.push_back(request);
             }
         }
     }
@@ -65,7 +65,7 @@
     /// Ends the sent attempts of a closed connection.
     pub(super) fn end_sent_attempts(&mut self) {
         let written = self.output.written();
-        for (_, mut sent) in std::mem::take(&mut self.sent) {
+        for (_, mut sent) in std::mem::take(&mut self.sent_attempts) {
             let was_cancelled = sent.state.is_cancelling();
             let event = match sent.state.connection_closed(written) {
                 end if was_cancelled => AttemptEvent::Cancelled(end),
@@ -81,7 +81,7 @@
     /// Sends the engine the command to release a result that is no longer needed, and ends the
     /// attempt with this outcome.
     pub(super) fn release_result(&mut self, reference: &Bytes, outcome: Outcome) {
-        if let Some(sent) = self.sent.remove(reference) {
+        if let Some(sent) = self.sent_attempts.remove(reference) {
             self.send_command(Command::Release, reference);
             self.end_attempt(sent.request, AttemptEvent::end(outcome));
         }
--- a/src/engines/line_protocol/connection/attempt_queue.rs
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -1,7 +1,7 @@
 //! Handles messages of the engine's actor, and the queue in which attempts wait until they are
 //! written, one at a time.
 
-use super::{Connection, PartlyWritten, SentAttempt};
+use super::{Connection, PartlyWrittenAttempt, SentAttempt};
 use crate::attempt::AttemptState;
 use crate::core::{AttemptEvent, AttemptRequest};
 use crate::decision::{EngineState, Outcome};
@@ -41,12 +41,12 @@
         if self.admission.is_closed() {
             self.end_attempt(attempt, AttemptEvent::end(Outcome::NoConnection));
         } else {
-            self.queued.push_back(attempt);
+            self.queued_attempts.push_back(attempt);
         }
     }
 
     fn set_priority(&mut self, attempt: AttemptId, priority: u8) {
-        let mut queued = self.queued.iter_mut();
+        let mut queued = self.queued_attempts.iter_mut();
         if let Some(request) = queued.find(|request| AttemptId::from(&***request) == attempt) {
             request.priority = priority;
         } else if let Some(reference) = self.reference_of(attempt) {
@@ -61,7 +61,7 @@
             self.end_queued_attempts();
         }
         while self.output.is_empty() {
-            let Some(request) = self.queued.pop_front() else {
+            let Some(request) = self.queued_attempts.pop_front() else {
                 return;
             };
             let now_ms = self.context.core.now();
@@ -80,7 +80,7 @@
         self.output.push(request.statement.clone());
         let end_mark = self.output.push(LINE_END);
         let reference = request.client_reference.clone();
-        self.partly_written = Some(PartlyWritten {
+        self.partly_written = Some(PartlyWrittenAttempt {
             end_mark,
             reference: reference.clone(),
         });
@@ -91,6 +91,6 @@
             state,
             pages: None,
         };
-        self.sent.insert(reference, sent);
+        self.sent_attempts.insert(reference, sent);
     }
 }
--- a/src/engines/line_protocol/connection/cancellations.rs
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -75,26 +75,29 @@
     /// When the cancellation that is due first must have been written and, if it has a tag,
     /// confirmed.
     pub(super) fn first_due(&self) -> Option<Instant> {
-        self.pending.iter().map(|pending| pending.due_at).min()
+        self.pending
+            .iter()
+            .map(|cancellation| cancellation.due_at)
+            .min()
     }
 
     /// Removes the cancellations of an attempt that has ended.
     fn remove_attempt(&mut self, reference: &Bytes) {
         self.pending
-            .retain(|pending| pending.reference != *reference);
+            .retain(|cancellation| cancellation.reference != *reference);
     }
 
     /// Removes all cancellations up to the one with this tag. Returns `None` if no cancellation has
     /// it.
     fn take_confirmed(&mut self, tag: &Bytes) -> Option<Vec<Cancellation>> {
         let mut pending = self.pending.iter();
-        let last = pending.position(|pending| pending.tag.as_ref() == Some(tag))?;
+        let last = pending.position(|cancellation| cancellation.tag.as_ref() == Some(tag))?;
         Some(self.pending.drain(..=last).collect())
     }
 
     /// Removes the cancellations that are complete once `written` bytes are written.
     fn take_written(&mut self, written: u64) -> Vec<Cancellation> {
-        let is_written = |pending: &mut Cancellation| pending.end_mark <= written;
+        let is_written = |cancellation: &mut Cancellation| cancellation.end_mark <= written;
         std::iter::from_fn(|| self.pending.pop_front_if(is_written)).collect()
     }
 
@@ -108,13 +111,13 @@
 impl Connection {
     /// Cancels a queued attempt, of which nothing has been written yet.
     pub(super) fn cancel_queued(&mut self, attempt: AttemptId, after: AfterCancellation) {
-        let mut queued = self.queued.iter();
+        let mut queued = self.queued_attempts.iter();
         let Some(index) = queued.position(|request| AttemptId::from(&**request) == attempt) else {
             return;
         };
         let nothing_to_send = || 0;
         let end = AttemptState::default().cancel(after.retry_may_follow(), nothing_to_send);
-        if let (Some(end), Some(request)) = (end, self.queued.remove(index)) {
+        if let (Some(end), Some(request)) = (end, self.queued_attempts.remove(index)) {
             self.end_attempt(request, AttemptEvent::Cancelled(end));
         }
     }
@@ -124,7 +127,7 @@
         let Some(reference) = self.reference_of(attempt) else {
             return;
         };
-        let Some(sent) = self.sent.get_mut(&reference) else {
+        let Some(sent) = self.sent_attempts.get_mut(&reference) else {
             return;
         };
         // If the statement has ended, the engine holds pages of its result. Otherwise it is
@@ -149,7 +152,7 @@
     }
 
     fn end_cancelled(&mut self, reference: &Bytes, end: AttemptEnd) {
-        if let Some(sent) = self.sent.remove(reference) {
+        if let Some(sent) = self.sent_attempts.remove(reference) {
             self.idle_since = Instant::now();
             self.end_attempt(sent.request, AttemptEvent::Cancelled(end));
         }
@@ -160,7 +163,7 @@
     pub(super) fn remove_answered_attempt(&mut self, reference: &Bytes) -> Option<SentAttempt> {
         self.uneventful_answers = 0;
         self.cancellations.remove_attempt(reference);
-        self.sent.remove(reference)
+        self.sent_attempts.remove(reference)
     }
 
     /// Handles the engine's confirmation that it has read all commands up to a tag.
@@ -170,7 +173,7 @@
             return self.ignore_answer(confirmation, IgnoredAnswerReason::UnknownTag);
         };
         for cancellation in confirmed {
-            let sent = self.sent.get_mut(&cancellation.reference);
+            let sent = self.sent_attempts.get_mut(&cancellation.reference);
             if let Some(end) = sent.and_then(|sent| sent.state.cancellation_confirmed()) {
                 self.end_cancelled(&cancellation.reference, end);
             }
@@ -183,7 +186,7 @@
         let written = self.output.written();
         let mut unconfirmed = VecDeque::new();
         for cancellation in self.cancellations.take_written(written) {
-            let sent = self.sent.get_mut(&cancellation.reference);
+            let sent = self.sent_attempts.get_mut(&cancellation.reference);
             match sent.and_then(|sent| sent.state.wrote(written)) {
                 Some(end) => self.end_cancelled(&cancellation.reference, end),
                 None if cancellation.tag.is_some() => unconfirmed.push_back(cancellation),
@@ -196,7 +199,7 @@
             .take_if(|partly| partly.end_mark <= written);
         if let Some(completed) = completed {
             self.context.metrics.attempts_written.increment();
-            if let Some(sent) = self.sent.get_mut(&completed.reference) {
+            if let Some(sent) = self.sent_attempts.get_mut(&completed.reference) {
                 sent.state.wrote(written);
             }
         }
--- a/src/engines/line_protocol/connection/events_log.rs
+++ b/src/engines/line_protocol/connection/events_log.rs
@@ -100,14 +100,14 @@
 
     /// Logs how many attempts are unfinished when the connection ends.
     pub(super) fn log_remaining_attempts(&self) {
-        if self.queued.is_empty() && self.sent.is_empty() {
+        if self.queued_attempts.is_empty() && self.sent_attempts.is_empty() {
             return;
         }
         tracing::debug!(
             engine = %format_engine_id(self.engine),
             connection = self.number,
-            written = self.sent.len(),
-            unsent = self.queued.len(),
+            written = self.sent_attempts.len(),
+            unsent = self.queued_attempts.len(),
             "connection to an engine ended with unfinished attempts"
         );
     }
--- a/src/engines/line_protocol/connection/result_pages.rs
+++ b/src/engines/line_protocol/connection/result_pages.rs
@@ -34,10 +34,14 @@
 }
 
 impl ResultPages {
-    /// Creates a result of `count` pages from the answer with the first page.
-    pub(super) fn new(first_answer: &Answer, count: usize, context: &EngineContext) -> ResultPages {
+    /// Creates a result of `page_count` pages from the answer with the first page.
+    pub(super) fn new(
+        first_answer: &Answer,
+        page_count: usize,
+        context: &EngineContext,
+    ) -> ResultPages {
         let limits = &context.limits;
-        let mut pages = vec![None; count];
+        let mut pages = vec![None; page_count];
         pages[0] = Some(first_answer.body.clone());
         let mut reservation = MemoryReservation::new(&context.partial_results);
         // A first page is always accepted, because most results have only one.
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -103,7 +103,9 @@
         // An attempt that a failed connection returned must not open another connection to an
         // engine that is draining or ejected by now.
         if self.admission.is_closed() {
-            return self.reject(&attempt, Outcome::NoConnection).await;
+            return self
+                .end_without_connection(&attempt, Outcome::NoConnection)
+                .await;
         }
         let usage = ConnectionUse::of(&attempt);
         let mut choice = choose_connection(&self.connections, &attempt, &self.context);
@@ -116,7 +118,9 @@
             ConnectionChoice::Existing(index) => index,
             ConnectionChoice::New { slot, load } => self.open_connection(slot, load),
             ConnectionChoice::NoSlot => {
-                return self.reject(&attempt, Outcome::NoConnectionSlot).await;
+                return self
+                    .end_without_connection(&attempt, Outcome::NoConnectionSlot)
+                    .await;
             }
         };
         let connection = &mut self.connections[index];
@@ -156,7 +160,7 @@
 
     /// Reports the end of an attempt that no connection can carry. The actor may have no
     /// connections left and is woken to check whether it ends.
-    async fn reject(&self, attempt: &AttemptRequest, outcome: Outcome) {
+    async fn end_without_connection(&self, attempt: &AttemptRequest, outcome: Outcome) {
         self.report_unsent(attempt, outcome).await;
         self.event_sender.report_closed();
     }
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -160,9 +160,9 @@
             bench.send(start_message(attempt(1))).await;
             let mut peer = bench.accept().await;
             peer.read_u8().await.expect("a byte");
-            let all = format!("{answer} 0\r\n\r\n").repeat(repetitions);
-            let writes = tokio::spawn(async move {
-                let _ = peer.write_all(all.as_bytes()).await;
+            let all_answers = format!("{answer} 0\r\n\r\n").repeat(repetitions);
+            let writer_task = tokio::spawn(async move {
+                let _ = peer.write_all(all_answers.as_bytes()).await;
                 peer
             });
             let event = loop {
@@ -173,7 +173,7 @@
             };
             assert!(is_ended(&event, 1, Outcome::Reset), "{event:?}");
             assert_eq!(bench.context.metrics.engine_malformed.get(), 1);
-            drop(writes);
+            drop(writer_task);
         }
     });
 }
@@ -248,12 +248,12 @@
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         bench.send(start_message(attempt(1))).await;
         let mut peer = bench.accept().await;
-        let mut all = vec![peer.read_u8().await.expect("a byte")];
+        let mut received = vec![peer.read_u8().await.expect("a byte")];
         bench
             .send(cancel_message(1, AfterCancellation::RetryMayFollow))
             .await;
         while peer
-            .read_buf(&mut all)
+            .read_buf(&mut received)
             .await
             .is_ok_and(|byte_count| byte_count > 0)
         {}
@@ -284,8 +284,8 @@
             )))
             .await;
         let mut peer = bench.accept().await;
-        let mut first = [0; 4];
-        peer.read_exact(&mut first).await.expect("bytes");
+        let mut first_bytes = [0; 4];
+        peer.read_exact(&mut first_bytes).await.expect("bytes");
         bench
             .send(cancel_message(1, AfterCancellation::NoRetry))
             .await;
@@ -293,11 +293,11 @@
             bench.has_no_event().await,
             "the cancellation is not written yet"
         );
-        let mut all = Vec::new();
-        while !all.ends_with(b"QUIT 0000000000000001\r\n") {
-            assert!(peer.read_buf(&mut all).await.expect("bytes") > 0);
+        let mut received = Vec::new();
+        while !received.ends_with(b"QUIT 0000000000000001\r\n") {
+            assert!(peer.read_buf(&mut received).await.expect("bytes") > 0);
         }
-        assert!(all.len() > LARGE_STATEMENT_BYTES);
+        assert!(received.len() > LARGE_STATEMENT_BYTES);
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -324,7 +324,7 @@
         bench
             .send(cancel_message(1, AfterCancellation::NoRetry))
             .await;
-        let mut other = bench.accept().await;
+        let mut second_peer = bench.accept().await;
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -332,7 +332,7 @@
         ));
         assert_eq!(bench.context.metrics.cancellations_unconfirmed.get(), 1);
         let mut text = [0; 20];
-        other.read_exact(&mut text).await.expect("bytes");
+        second_peer.read_exact(&mut text).await.expect("bytes");
         assert_eq!(&text, b"ASK 0000000000000002");
         let mut rest = Vec::new();
         while peer
@@ -379,9 +379,9 @@
 /// of a larger result are not requested, because the engine drops them when it reads the
 /// cancellation.
 #[test]
-fn answers_that_cross_a_cancellation_end_the_attempt() {
+fn answers_that_arrive_before_the_cancellation_is_written_end_the_attempt() {
     run_test(async {
-        for (answer, page) in [
+        for (answer, is_complete) in [
             ("served batches=1 2\r\na\n", true),
             ("served batches=3 2\r\na\n", false),
         ] {
@@ -413,9 +413,9 @@
                         body: Some(_),
                         ..
                     },
-                ) => assert!(page),
+                ) => assert!(is_complete),
                 event => assert!(
-                    !page && is_cancelled(&event, 1, AttemptEnd::Answered),
+                    !is_complete && is_cancelled(&event, 1, AttemptEnd::Answered),
                     "{event:?}"
                 ),
             }
