--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -360,8 +360,8 @@
         if is_due(timers.idle, now) {
             return Ok(Flow::Close(CloseReason::Idle));
         }
-        // Otherwise an engine that reads or answers nothing would keep the attempt in flight for
-        // ever.
+        // Otherwise an engine that reads or answers nothing would keep the attempt in flight
+        // forever.
         if is_due(timers.cancellation, now) {
             return Err(ConnectionError::CancellationTimeout);
         }
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -208,7 +208,7 @@
 
 /// If a retry may follow, a cancellation that is only written proves nothing, because an engine
 /// reads its connections in any order. The answer to the command after the cancellation is the
-/// proof. An answer with another tag is not.
+/// proof. An answer with another tag proves nothing.
 #[test]
 fn cancellation_before_a_retry_ends_once_the_engine_confirms_it() {
     run_test(async {
--- a/src/engines/line_protocol/unsent_attempts.rs
+++ b/src/engines/line_protocol/unsent_attempts.rs
@@ -8,7 +8,7 @@
 /// An event for the engine's actor. It is sent by a connection's actor or by the engine's actor
 /// itself.
 pub(super) enum ConnectionEvent {
-    /// The connection never sent this attempt, so that another connection may send it.
+    /// The connection never sent this attempt, so another connection may send it.
     Unsent(Box<AttemptRequest>),
     /// A connection has closed, or none was opened.
     Closed,
