--- a/src/engines/flight/attempt.rs
+++ b/src/engines/flight/attempt.rs
@@ -4,7 +4,9 @@
 use super::cancellation::confirm_reset;
 use super::engine_link::EngineLink;
 use super::http2_connection::Http2Connection;
-use super::metadata::{INFLIGHT, USED_MB, WORK_MS, call_request, figure, keep_measurements};
+use super::metadata::{
+    INFLIGHT, USED_MB, WORK_MS, call_request, copy_measurements, parse_measurement,
+};
 use super::result_collector::ResultCollector;
 use crate::core::{AttemptEvent, AttemptRequest, ResultBody, StatementKind};
 use crate::decision::{LoadReport, Outcome};
@@ -31,7 +33,7 @@
     used_connection: Arc<OnceLock<Http2Connection>>,
 ) {
     let attempt = AttemptId::from(&request);
-    let connected = link.connection().await;
+    let connected = link.connection_for_attempt().await;
     // The attempt may have been cancelled, or its time have passed, while the connection came up.
     if connected.is_ok()
         && let Some(event) = request.expired(link.context().core.now())
@@ -40,10 +42,10 @@
     }
     let mut measurements = MetadataMap::new();
     let result = match connected {
-        Ok(_) if link.is_closed() => Err(AttemptFailure::EngineClosed),
+        Ok(_) if link.is_admission_closed() => Err(AttemptFailure::AdmissionClosed),
         Ok(connected) => {
             let _ = used_connection.set(connected.connection.clone());
-            let mut statement = Statement::new(&link, &request, &mut measurements);
+            let mut statement = StatementExecution::new(&link, &request, &mut measurements);
             statement.execute(connected.connection).await
         }
         Err(failure) => Err(failure),
@@ -69,7 +71,7 @@
     };
     if matches!(outcome, Outcome::Reset | Outcome::NoConnection) {
         // The next attempt opens a new connection, and so knows for sure whether it was sent.
-        link.forget_connection().await;
+        link.discard_connection().await;
     }
     report_end(&link, attempt, outcome, &measurements, body).await;
 }
@@ -82,33 +84,33 @@
     body: Option<ResultBody>,
 ) {
     let load_report = LoadReport {
-        inflight: figure(measurements, INFLIGHT),
+        inflight: parse_measurement(measurements, INFLIGHT),
         ..LoadReport::default()
     };
     let event = AttemptEvent::Ended {
         outcome,
-        measured_work_ms: figure(measurements, WORK_MS),
-        measured_memory_mb: figure(measurements, USED_MB),
+        measured_work_ms: parse_measurement(measurements, WORK_MS),
+        measured_memory_mb: parse_measurement(measurements, USED_MB),
         body,
     };
     link.send_event(attempt, load_report, event).await;
 }
 
 /// The execution of one attempt's statement.
-struct Statement<'a> {
+struct StatementExecution<'a> {
     link: &'a EngineLink,
     request: &'a AttemptRequest,
     /// What the engine reports of itself and of the statement.
     measurements: &'a mut MetadataMap,
 }
 
-impl<'a> Statement<'a> {
+impl<'a> StatementExecution<'a> {
     fn new(
         link: &'a EngineLink,
         request: &'a AttemptRequest,
         measurements: &'a mut MetadataMap,
-    ) -> Statement<'a> {
-        Statement {
+    ) -> StatementExecution<'a> {
+        StatementExecution {
             link,
             request,
             measurements,
@@ -128,18 +130,18 @@
         context.metrics.attempts_written.increment();
         let text = String::from_utf8(self.request.statement.to_vec())?;
         match self.request.statement_kind {
-            StatementKind::Update => self.update(client, text).await.map(Some),
-            StatementKind::Query => self.query(client, text).await,
+            StatementKind::Update => self.execute_update(client, text).await.map(Some),
+            StatementKind::Query => self.execute_query(client, text).await,
         }
     }
 
     /// A request of this attempt, with its metadata.
-    fn call<T>(&self, message: T) -> Request<T> {
+    fn with_metadata<T>(&self, message: T) -> Request<T> {
         call_request(self.request, self.link.context().core.now(), message)
     }
 
     /// Executes an update; returns the number of rows that it changed.
-    async fn update(
+    async fn execute_update(
         &mut self,
         mut client: FlightServiceClient<Http2Connection>,
         query: String,
@@ -150,8 +152,10 @@
         };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         let data = FlightData::new().with_descriptor(descriptor);
-        let response = client.do_put(self.call(stream::iter([data]))).await?;
-        keep_measurements(self.measurements, response.metadata());
+        let response = client
+            .do_put(self.with_metadata(stream::iter([data])))
+            .await?;
+        copy_measurements(self.measurements, response.metadata());
         let mut results = response.into_inner();
         let result = results.message().await?;
         let result = result.ok_or(AttemptFailure::MissingUpdateResult)?;
@@ -161,7 +165,7 @@
     }
 
     /// Executes a query; returns the rows of all its endpoints.
-    async fn query(
+    async fn execute_query(
         &mut self,
         mut client: FlightServiceClient<Http2Connection>,
         query: String,
@@ -171,13 +175,15 @@
             transaction_id: None,
         };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
-        let response = client.get_flight_info(self.call(descriptor)).await?;
+        let response = client
+            .get_flight_info(self.with_metadata(descriptor))
+            .await?;
         let mut collector = ResultCollector::new(self.link, AttemptId::from(self.request));
         for (index, endpoint) in response.into_inner().endpoint.into_iter().enumerate() {
             let ticket = endpoint.ticket.ok_or(AttemptFailure::MissingTicket)?;
             // Each endpoint begins with the schema, which the client gets once.
-            let skipped_messages = usize::from(index > 0);
-            self.collect_endpoint(&mut client, ticket, skipped_messages, &mut collector)
+            let messages_to_skip = usize::from(index > 0);
+            self.collect_endpoint(&mut client, ticket, messages_to_skip, &mut collector)
                 .await?;
         }
         collector.finish().await
@@ -188,22 +194,22 @@
         &mut self,
         client: &mut FlightServiceClient<Http2Connection>,
         ticket: Ticket,
-        mut skipped_messages: usize,
+        mut messages_to_skip: usize,
         collector: &mut ResultCollector<'_>,
     ) -> Result<(), AttemptFailure> {
-        let response = client.do_get(self.call(ticket)).await?;
-        keep_measurements(self.measurements, response.metadata());
+        let response = client.do_get(self.with_metadata(ticket)).await?;
+        copy_measurements(self.measurements, response.metadata());
         let mut data = response.into_inner();
         while let Some(message) = data.message().await? {
-            if skipped_messages > 0 {
-                skipped_messages -= 1;
+            if messages_to_skip > 0 {
+                messages_to_skip -= 1;
                 continue;
             }
             let chunk = Bytes::from(message.encode_to_vec());
             collector.push(chunk).await?;
         }
         if let Some(trailers) = data.trailers().await? {
-            keep_measurements(self.measurements, &trailers);
+            copy_measurements(self.measurements, &trailers);
         }
         Ok(())
     }
--- a/src/engines/flight/attempt_failure.rs
+++ b/src/engines/flight/attempt_failure.rs
@@ -11,15 +11,15 @@
 #[derive(Debug, Error)]
 pub(super) enum AttemptFailure {
     #[error("the engine takes no new attempts")]
-    EngineClosed,
+    AdmissionClosed,
     #[error("there is no slot for a connection")]
     NoConnectionSlot,
     #[error("no connection: {0}")]
     Connect(#[from] ConnectError),
     #[error("the engine's address makes no URI: {0}")]
-    Origin(#[from] http::uri::InvalidUri),
+    InvalidOrigin(#[from] http::uri::InvalidUri),
     #[error("the statement is not UTF-8: {0}")]
-    Statement(#[from] std::string::FromUtf8Error),
+    InvalidStatement(#[from] std::string::FromUtf8Error),
     #[error("a call failed: {0}")]
     Call(#[from] Status),
     #[error("an endpoint of the result has no ticket")]
@@ -41,11 +41,11 @@
         match self {
             AttemptFailure::Call(_) => self.outcome() == Outcome::Error,
             AttemptFailure::InvalidUpdateResult(_) | AttemptFailure::ResultMemoryExhausted => true,
-            AttemptFailure::EngineClosed
+            AttemptFailure::AdmissionClosed
             | AttemptFailure::NoConnectionSlot
             | AttemptFailure::Connect(_)
-            | AttemptFailure::Origin(_)
-            | AttemptFailure::Statement(_)
+            | AttemptFailure::InvalidOrigin(_)
+            | AttemptFailure::InvalidStatement(_)
             | AttemptFailure::MissingTicket
             | AttemptFailure::MissingUpdateResult
             | AttemptFailure::ClientDisconnected => false,
@@ -55,11 +55,11 @@
     /// The outcome that is reported to the core.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
-            AttemptFailure::EngineClosed
+            AttemptFailure::AdmissionClosed
             | AttemptFailure::Connect(_)
-            | AttemptFailure::Origin(_) => Outcome::NoConnection,
+            | AttemptFailure::InvalidOrigin(_) => Outcome::NoConnection,
             AttemptFailure::NoConnectionSlot => Outcome::NoConnectionSlot,
-            AttemptFailure::Statement(_) => Outcome::NotSent,
+            AttemptFailure::InvalidStatement(_) => Outcome::NotSent,
             AttemptFailure::Call(status) => outcome_of_status(status),
             // An update that ends without its result may have run.
             AttemptFailure::MissingTicket
--- a/src/engines/flight/call.rs
+++ b/src/engines/flight/call.rs
@@ -37,7 +37,7 @@
     stream: RecvStream,
     call: CallGuard,
     /// All data has arrived; the trailers follow.
-    data_ended: bool,
+    data_has_ended: bool,
 }
 
 impl Body for ResponseBody {
@@ -48,13 +48,13 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, h2::Error>>> {
-        if !self.data_ended {
+        if !self.data_has_ended {
             if let Some(data) = ready!(self.stream.poll_data(context)) {
                 let data = data?;
                 let _ = self.stream.flow_control().release_capacity(data.len());
                 return Poll::Ready(Some(Ok(Frame::data(data))));
             }
-            self.data_ended = true;
+            self.data_has_ended = true;
         }
         let trailers = ready!(self.stream.poll_trailers(context))?;
         self.call.has_ended = true;
@@ -67,14 +67,14 @@
 /// # Errors
 /// [`ConnectionRefused`] where nothing of the call was sent; else the error of the connection or of the request's body.
 pub(super) async fn send_call(
-    requests: SendRequest<Bytes>,
+    request_sender: SendRequest<Bytes>,
     signals: Arc<ConnectionSignals>,
     request: http::Request<tonic::body::Body>,
 ) -> Result<http::Response<ResponseBody>, Box<dyn std::error::Error + Send + Sync>> {
     let (head, mut body) = request.into_parts();
     let head = http::Request::from_parts(head, ());
-    let mut requests = requests.ready().await.map_err(ConnectionRefused)?;
-    let (response, stream) = requests
+    let mut request_sender = request_sender.ready().await.map_err(ConnectionRefused)?;
+    let (response, stream) = request_sender
         .send_request(head, false)
         .map_err(ConnectionRefused)?;
     signals.begin_call();
@@ -93,7 +93,7 @@
     let body = ResponseBody {
         stream,
         call,
-        data_ended: false,
+        data_has_ended: false,
     };
     Ok(http::Response::from_parts(head, body))
 }
--- a/src/engines/flight/cancellation.rs
+++ b/src/engines/flight/cancellation.rs
@@ -48,11 +48,11 @@
 ) -> AttemptEnd {
     let limits = &link.context().limits;
     let mut state = AttemptState::default();
-    let reset_mark = connection.next_flush();
+    let reset_mark = connection.request_flush();
     // It is not known when the attempt was sent: possibly at once when it had a connection.
     state.begin_writing(0);
     state.cancel(after.retry_may_follow(), || reset_mark);
-    let flushed = connection.flushed(reset_mark);
+    let flushed = connection.wait_for_flush(reset_mark);
     let was_flushed = timeout(limits.cancellation_write_timeout, flushed).await;
     let mut end = match was_flushed {
         Ok(true) => state.wrote(reset_mark),
@@ -68,7 +68,7 @@
     if end.is_none() && !connection.is_closed() {
         link.context().metrics.cancellations_unconfirmed.increment();
         connection.close();
-        connection.closed().await;
+        connection.wait_until_closed().await;
     }
     end.unwrap_or_else(|| state.connection_closed(0))
 }
--- a/src/engines/flight/connection_driver.rs
+++ b/src/engines/flight/connection_driver.rs
@@ -22,7 +22,7 @@
 /// A ping that was sent and is not answered yet. Pings go out one at a time.
 struct PingInFlight {
     /// The last requested ping when it was sent: it stands for all up to that one.
-    stands_for: u64,
+    answers_pings_up_to: u64,
     sent_at: Instant,
 }
 
@@ -30,7 +30,7 @@
 /// the socket has been closed.
 pub(super) struct ConnectionDriver {
     /// The number of the last requested ping that is answered.
-    pub(super) answered_pings: watch::Sender<u64>,
+    pub(super) last_answered_ping: watch::Sender<u64>,
     pub(super) signals: Arc<ConnectionSignals>,
     pub(super) keep_alive: KeepAlive,
     pub(super) connection: Connection<FlushTrackingSocket, Bytes>,
@@ -65,7 +65,7 @@
                     let Some(ping) = in_flight.take().filter(|_| answer.is_ok()) else {
                         return;
                     };
-                    self.answered_pings.send_replace(ping.stands_for);
+                    self.last_answered_ping.send_replace(ping.answers_pings_up_to);
                     next_ping_at = Instant::now() + self.keep_alive.interval;
                 }
                 () = self.signals.driver_woken() => {}
@@ -78,15 +78,15 @@
     }
 
     fn is_ping_due(&self, next_ping_at: Instant) -> bool {
-        let is_requested = self.signals.last_requested_ping() > *self.answered_pings.borrow();
+        let is_requested = self.signals.last_requested_ping() > *self.last_answered_ping.borrow();
         is_requested || Instant::now() >= next_ping_at
     }
 
     fn send_ping(&self, pings: &mut PingPong) -> Result<PingInFlight, h2::Error> {
-        let stands_for = self.signals.last_requested_ping();
+        let answers_pings_up_to = self.signals.last_requested_ping();
         pings.send_ping(Ping::opaque())?;
         Ok(PingInFlight {
-            stands_for,
+            answers_pings_up_to,
             sent_at: Instant::now(),
         })
     }
--- a/src/engines/flight/connection_signals.rs
+++ b/src/engines/flight/connection_signals.rs
@@ -11,18 +11,18 @@
 #[derive(Default)]
 pub(super) struct ConnectionSignals {
     close_requested: AtomicBool,
-    socket_reader: AtomicWaker,
+    socket_reader_waker: AtomicWaker,
     requested_pings: AtomicU64,
     open_calls: AtomicU64,
     /// Wakes the driver, which polls the connection and so flushes it.
-    driver: Notify,
+    driver_wakeup: Notify,
 }
 
 impl ConnectionSignals {
     /// Requests that the connection is closed, with what its peer has not taken.
     pub(super) fn request_close(&self) {
         self.close_requested.store(true, Ordering::Relaxed);
-        self.socket_reader.wake();
+        self.socket_reader_waker.wake();
     }
 
     pub(super) fn is_close_requested(&self) -> bool {
@@ -31,13 +31,13 @@
 
     /// Has this task woken when the connection is to be closed.
     pub(super) fn register_socket_reader(&self, waker: &std::task::Waker) {
-        self.socket_reader.register(waker);
+        self.socket_reader_waker.register(waker);
     }
 
     /// Requests a ping; returns its number, from 1.
     pub(super) fn request_ping(&self) -> u64 {
         let number = self.requested_pings.fetch_add(1, Ordering::Relaxed) + 1;
-        self.driver.notify_one();
+        self.driver_wakeup.notify_one();
         number
     }
 
@@ -48,7 +48,7 @@
 
     pub(super) fn begin_call(&self) {
         self.open_calls.fetch_add(1, Ordering::Relaxed);
-        self.driver.notify_one();
+        self.driver_wakeup.notify_one();
     }
 
     pub(super) fn end_call(&self) {
@@ -61,11 +61,11 @@
 
     /// Has the driver poll the connection, which flushes it.
     pub(super) fn wake_driver(&self) {
-        self.driver.notify_one();
+        self.driver_wakeup.notify_one();
     }
 
     /// Resolves once the driver is to poll the connection.
     pub(super) async fn driver_woken(&self) {
-        self.driver.notified().await;
+        self.driver_wakeup.notified().await;
     }
 }
--- a/src/engines/flight/engine_link.rs
+++ b/src/engines/flight/engine_link.rs
@@ -41,7 +41,7 @@
 }
 
 impl CurrentConnection {
-    fn takes_calls(&self) -> bool {
+    fn accepts_calls(&self) -> bool {
         !self.connection.is_closed() && !self.load.is_evicted()
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Whether the engine takes no new attempts.
-    pub(super) fn is_closed(&self) -> bool {
+    pub(super) fn is_admission_closed(&self) -> bool {
         self.admission.is_closed()
     }
 
@@ -99,9 +99,9 @@
     ///
     /// # Errors
     /// Says why there is no connection. Nothing of the attempt was sent then.
-    pub(super) async fn connection(&self) -> Result<AttemptConnection, AttemptFailure> {
+    pub(super) async fn connection_for_attempt(&self) -> Result<AttemptConnection, AttemptFailure> {
         let mut current = self.current.lock().await;
-        if let Some(open) = current.as_ref().filter(|open| open.takes_calls()) {
+        if let Some(open) = current.as_ref().filter(|open| open.accepts_calls()) {
             return Ok(open.for_attempt(self.context.core.now()));
         }
         *current = None;
@@ -126,7 +126,7 @@
     }
 
     /// Has the next attempt open a new connection.
-    pub(super) async fn forget_connection(&self) {
+    pub(super) async fn discard_connection(&self) {
         *self.current.lock().await = None;
     }
 
--- a/src/engines/flight/flush_tracking_socket.rs
+++ b/src/engines/flight/flush_tracking_socket.rs
@@ -14,19 +14,19 @@
 pub(super) struct FlushTrackingSocket {
     stream: RetryingStream,
     /// Number of flushes so far.
-    flushes: watch::Sender<u64>,
+    flush_count: watch::Sender<u64>,
     signals: Arc<ConnectionSignals>,
 }
 
 impl FlushTrackingSocket {
     pub(super) fn new(
         stream: TcpStream,
-        flushes: watch::Sender<u64>,
+        flush_count: watch::Sender<u64>,
         signals: Arc<ConnectionSignals>,
     ) -> FlushTrackingSocket {
         FlushTrackingSocket {
             stream: RetryingStream::new(stream),
-            flushes,
+            flush_count,
             signals,
         }
     }
@@ -76,7 +76,8 @@
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.check_open()?;
         ready!(Pin::new(&mut self.stream).poll_flush(context))?;
-        self.flushes.send_modify(|flushes| *flushes += 1);
+        self.flush_count
+            .send_modify(|flush_count| *flush_count += 1);
         Poll::Ready(Ok(()))
     }
 
--- a/src/engines/flight/http2_connection.rs
+++ b/src/engines/flight/http2_connection.rs
@@ -43,11 +43,11 @@
 /// A handle of a connection that is up, shared by the calls on it.
 #[derive(Clone)]
 pub(super) struct Http2Connection {
-    requests: SendRequest<Bytes>,
+    request_sender: SendRequest<Bytes>,
     /// Number of flushes so far; closed with the socket.
-    flushes: watch::Receiver<u64>,
+    flush_count: watch::Receiver<u64>,
     /// The number of the last requested ping that is answered.
-    answered_pings: watch::Receiver<u64>,
+    last_answered_ping: watch::Receiver<u64>,
     signals: Arc<ConnectionSignals>,
 }
 
@@ -79,17 +79,17 @@
         let stream = TcpStream::connect(address).await?;
         let _ = stream.set_nodelay(true);
         let signals = Arc::<ConnectionSignals>::default();
-        let (flush_sender, flushes) = watch::channel(0);
+        let (flush_sender, flush_count) = watch::channel(0);
         let socket = FlushTrackingSocket::new(stream, flush_sender, signals.clone());
-        let (requests, connection) = h2::client::Builder::new()
+        let (request_sender, connection) = h2::client::Builder::new()
             .initial_window_size(CALL_WINDOW_BYTES)
             .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
             .enable_push(false)
             .handshake::<_, Bytes>(socket)
             .await?;
-        let (pong_sender, answered_pings) = watch::channel(0);
+        let (pong_sender, last_answered_ping) = watch::channel(0);
         let driver = ConnectionDriver {
-            answered_pings: pong_sender,
+            last_answered_ping: pong_sender,
             signals: signals.clone(),
             keep_alive,
             connection,
@@ -97,27 +97,30 @@
         };
         tokio::spawn(driver.run());
         Ok(Http2Connection {
-            requests,
-            flushes,
-            answered_pings,
+            request_sender,
+            flush_count,
+            last_answered_ping,
             signals,
         })
     }
 
     /// Whether the socket is closed.
     pub(super) fn is_closed(&self) -> bool {
-        self.flushes.has_changed().is_err()
+        self.flush_count.has_changed().is_err()
     }
 
     /// Has the connection flushed; returns the number of a flush by which all that is queued now has been sent.
-    pub(super) fn next_flush(&self) -> u64 {
+    pub(super) fn request_flush(&self) -> u64 {
         self.signals.wake_driver();
-        *self.flushes.borrow() + 1
+        *self.flush_count.borrow() + 1
     }
 
     /// Waits for the flush with this number; false where the connection closed first.
-    pub(super) async fn flushed(&mut self, number: u64) -> bool {
-        let flushed = self.flushes.wait_for(|flushes| *flushes >= number).await;
+    pub(super) async fn wait_for_flush(&mut self, number: u64) -> bool {
+        let flushed = self
+            .flush_count
+            .wait_for(|flush_count| *flush_count >= number)
+            .await;
         flushed.is_ok()
     }
 
@@ -125,7 +128,7 @@
     /// 9113, 6.7). False where the connection closed first.
     pub(super) async fn confirm_read(&mut self) -> bool {
         let ping = self.signals.request_ping();
-        let answered = self.answered_pings.wait_for(|last| *last >= ping).await;
+        let answered = self.last_answered_ping.wait_for(|last| *last >= ping).await;
         answered.is_ok()
     }
 
@@ -135,9 +138,9 @@
     }
 
     /// Waits until the socket is closed.
-    pub(super) async fn closed(&mut self) {
+    pub(super) async fn wait_until_closed(&mut self) {
         // No flush has this number, so only the end of the channel ends the wait.
-        self.flushed(u64::MAX).await;
+        self.wait_for_flush(u64::MAX).await;
     }
 }
 
@@ -152,8 +155,8 @@
     }
 
     fn call(&mut self, request: http::Request<tonic::body::Body>) -> Self::Future {
-        let requests = self.requests.clone();
+        let request_sender = self.request_sender.clone();
         let signals = self.signals.clone();
-        Box::pin(send_call(requests, signals, request))
+        Box::pin(send_call(request_sender, signals, request))
     }
 }
--- a/src/engines/flight/metadata.rs
+++ b/src/engines/flight/metadata.rs
@@ -31,10 +31,10 @@
     request.set_timeout(Duration::from_micros((remaining_ms * 1000.0) as u64));
     let metadata = request.metadata_mut();
     insert(metadata, CLASS, attempt.class.name.clone());
-    insert(metadata, REFERENCE, text_of(&attempt.client_reference));
+    insert(metadata, REFERENCE, utf8_lossy(&attempt.client_reference));
     insert(metadata, PRIORITY, attempt.priority.to_string());
     if let Some(key) = &attempt.idempotency_key {
-        insert(metadata, IDEMPOTENCY_KEY, text_of(key));
+        insert(metadata, IDEMPOTENCY_KEY, utf8_lossy(key));
     }
     if attempt.memory_mb > 0.0 {
         insert(
@@ -46,7 +46,7 @@
     request
 }
 
-fn text_of(bytes: &[u8]) -> String {
+fn utf8_lossy(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
@@ -58,16 +58,16 @@
 }
 
 /// Copies what an engine reports of itself and of the statement.
-pub(super) fn keep_measurements(kept: &mut MetadataMap, received: &MetadataMap) {
+pub(super) fn copy_measurements(measurements: &mut MetadataMap, received: &MetadataMap) {
     for key in [INFLIGHT, WORK_MS, USED_MB] {
         if let Some(value) = received.get(key) {
-            kept.insert(key, value.clone());
+            measurements.insert(key, value.clone());
         }
     }
 }
 
 /// A figure that an engine reported; none where it is absent or no figure.
-pub(super) fn figure(metadata: &MetadataMap, key: &str) -> Option<f64> {
+pub(super) fn parse_measurement(metadata: &MetadataMap, key: &str) -> Option<f64> {
     let value = metadata.get(key)?;
     parse_non_negative(value.as_bytes())
 }
--- a/src/engines/flight/result_collector.rs
+++ b/src/engines/flight/result_collector.rs
@@ -22,7 +22,7 @@
     attempt: AttemptId,
     destination: Destination,
     /// Bytes of all chunks so far.
-    bytes: usize,
+    total_bytes: usize,
     reservation: MemoryReservation,
 }
 
@@ -32,7 +32,7 @@
             link,
             attempt,
             destination: Destination::Buffer(Vec::new()),
-            bytes: 0,
+            total_bytes: 0,
             reservation: MemoryReservation::new(&link.context().partial_results),
         }
     }
@@ -42,7 +42,7 @@
     /// # Errors
     /// Fails where the client of a stream has disconnected, or incomplete results outgrow their memory.
     pub(super) async fn push(&mut self, chunk: Bytes) -> Result<(), AttemptFailure> {
-        self.bytes += chunk.len();
+        self.total_bytes += chunk.len();
         let buffer = match &mut self.destination {
             Destination::Stream(stream) => {
                 let sent = stream.send(ResultChunk::Data(chunk)).await;
@@ -51,11 +51,11 @@
             Destination::Buffer(buffer) => buffer,
         };
         buffer.push(chunk);
-        if !self.reserve(self.bytes) {
+        if !self.reserve(self.total_bytes) {
             return Err(AttemptFailure::ResultMemoryExhausted);
         }
-        if self.bytes > self.link.context().limits.flight_buffered_bytes {
-            self.begin_stream().await;
+        if self.total_bytes > self.link.context().limits.flight_buffered_bytes {
+            self.switch_to_streaming().await;
         }
         Ok(())
     }
@@ -68,7 +68,7 @@
     }
 
     /// Hands what is buffered to the client, which gets the rest as it arrives.
-    async fn begin_stream(&mut self) {
+    async fn switch_to_streaming(&mut self) {
         let limits = &self.link.context().limits;
         let (stream, remaining_chunks) = mpsc::channel(limits.flight_chunks);
         let streaming = Destination::Stream(stream);
--- a/src/engines/flight/tests.rs
+++ b/src/engines/flight/tests.rs
@@ -13,13 +13,13 @@
 use tokio::net::TcpStream;
 
 /// A peer whose windows take in any amount at once.
-async fn peer(bench: &EngineTestBench) -> h2::server::Connection<TcpStream, Bytes> {
+async fn accept_peer(bench: &EngineTestBench) -> h2::server::Connection<TcpStream, Bytes> {
     let stream = bench.accept().await;
-    let mut build = h2::server::Builder::new();
-    build
+    let mut builder = h2::server::Builder::new();
+    builder
         .initial_window_size(1 << 30)
         .initial_connection_window_size(1 << 30);
-    build.handshake(stream).await.expect("handshake")
+    builder.handshake(stream).await.expect("handshake")
 }
 
 #[test]
@@ -40,14 +40,16 @@
 
 /// The reset has been sent once the end is reported, and the other call on the connection goes on.
 #[test]
-fn cancellation_ends_once_its_reset_is_sent_and_spares_other_calls() {
+fn cancellation_ends_once_its_reset_is_sent_and_leaves_other_calls_open() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
         bench.send(start_message(attempt(1))).await;
         bench.send(start_message(attempt(2))).await;
-        let mut peer = peer(&bench).await;
-        let (_first, mut first) = peer.accept().await.expect("a call").expect("a call");
-        let (_second, mut second) = peer.accept().await.expect("a call").expect("a call");
+        let mut peer = accept_peer(&bench).await;
+        let (_first_request, mut first_response) =
+            peer.accept().await.expect("a call").expect("a call");
+        let (_second_request, mut second_response) =
+            peer.accept().await.expect("a call").expect("a call");
         bench
             .send(cancel_message(1, AfterCancellation::NoRetry))
             .await;
@@ -59,22 +61,25 @@
         ));
         tokio::select! {
             biased;
-            reset = poll_fn(|cx| first.poll_reset(cx)) => assert_eq!(reset.expect("reset"), h2::Reason::CANCEL),
+            reset = poll_fn(|context| first_response.poll_reset(context)) => assert_eq!(reset.expect("reset"), h2::Reason::CANCEL),
             _ = peer.accept() => panic!("a call"),
         }
-        let reset = poll_fn(|cx| std::task::Poll::Ready(second.poll_reset(cx).is_ready())).await;
-        assert!(!reset && bench.context.metrics.cancellations_unconfirmed.get() == 0);
+        let second_was_reset = poll_fn(|context| {
+            std::task::Poll::Ready(second_response.poll_reset(context).is_ready())
+        })
+        .await;
+        assert!(!second_was_reset && bench.context.metrics.cancellations_unconfirmed.get() == 0);
     });
 }
 
 /// Where another attempt may follow, the end is reported once the peer has answered a ping behind the reset.
 #[test]
-fn cancellation_before_a_retry_ends_once_a_ping_behind_its_reset_is_answered() {
+fn cancellation_before_a_retry_ends_once_a_ping_after_its_reset_is_answered() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
         bench.send(start_message(attempt(1))).await;
-        let mut peer = peer(&bench).await;
-        let (_call, mut answer) = peer.accept().await.expect("a call").expect("a call");
+        let mut peer = accept_peer(&bench).await;
+        let (_request, mut response) = peer.accept().await.expect("a call").expect("a call");
         bench
             .send(cancel_message(1, AfterCancellation::RetryMayFollow))
             .await;
@@ -87,25 +92,28 @@
             event = bench.next_event() => assert!(is_cancelled(&event, 1, AttemptEnd::Cancelled)),
             _ = peer.accept() => panic!("a call"),
         }
-        assert!(poll_fn(|cx| std::task::Poll::Ready(answer.poll_reset(cx).is_ready())).await);
+        assert!(
+            poll_fn(|context| std::task::Poll::Ready(response.poll_reset(context).is_ready()))
+                .await
+        );
     });
 }
 
 /// An answer that cannot be used ends its attempt only once the engine has read that its call is over: the engine would go
 /// on with it, and a retry elsewhere would run beside it.
 #[test]
-fn unusable_answer_ends_the_attempt_once_the_engine_has_read_the_reset() {
+fn undecodable_answer_ends_the_attempt_once_the_engine_has_read_the_reset() {
     /// The prefix of a gRPC message of one byte, and a byte that begins no message.
-    const UNUSABLE: &[u8] = &[0, 0, 0, 0, 1, 0xff];
+    const UNDECODABLE_ANSWER: &[u8] = &[0, 0, 0, 0, 1, 0xff];
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
         bench.send(start_message(attempt(1))).await;
-        let mut peer = peer(&bench).await;
-        let (_call, mut answer) = peer.accept().await.expect("a call").expect("a call");
+        let mut peer = accept_peer(&bench).await;
+        let (_request, mut response) = peer.accept().await.expect("a call").expect("a call");
         let head = http::Response::builder().header("content-type", "application/grpc");
         let head = head.body(()).expect("a head");
-        let mut body = answer.send_response(head, false).expect("a response");
-        body.send_data(Bytes::from_static(UNUSABLE), false)
+        let mut body = response.send_response(head, false).expect("a response");
+        body.send_data(Bytes::from_static(UNDECODABLE_ANSWER), false)
             .expect("data");
         // One turn of the peer writes the answer. It reads nothing after that until it has its next turn.
         poll_fn(|context| std::task::Poll::Ready(peer.poll_accept(context).is_ready())).await;
@@ -118,17 +126,19 @@
             event = bench.next_event() => assert!(is_ended(&event, 1, Outcome::Error), "{event:?}"),
             _ = peer.accept() => panic!("a call"),
         }
-        assert!(poll_fn(|cx| std::task::Poll::Ready(body.poll_reset(cx).is_ready())).await);
+        assert!(
+            poll_fn(|context| std::task::Poll::Ready(body.poll_reset(context).is_ready())).await
+        );
     });
 }
 
 /// The wait for a peer that reads no more is bounded: its connection is closed, and the other call on it ends as reset.
 #[test]
-fn peer_that_reads_nothing_is_closed_after_a_cancellation() {
+fn connection_is_closed_if_its_peer_reads_nothing_after_a_cancellation() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
         bench.send(start_message(attempt(2))).await;
-        let mut peer = peer(&bench).await;
+        let mut peer = accept_peer(&bench).await;
         let _second = peer.accept().await.expect("a call").expect("a call");
         bench
             .send(start_message(attempt_with_statement(
@@ -144,14 +154,16 @@
         bench
             .send(cancel_message(1, AfterCancellation::NoRetry))
             .await;
-        let (mut connection_lost, mut reset) = (false, false);
+        let (mut first_lost_connection, mut second_was_reset) = (false, false);
         for _ in 0..2 {
             let event = bench.next_event().await;
-            connection_lost |= is_cancelled(&event, 1, AttemptEnd::ConnectionLost);
-            reset |= is_ended(&event, 2, Outcome::Reset);
+            first_lost_connection |= is_cancelled(&event, 1, AttemptEnd::ConnectionLost);
+            second_was_reset |= is_ended(&event, 2, Outcome::Reset);
         }
         assert!(
-            connection_lost && reset && bench.context.metrics.cancellations_unconfirmed.get() == 1
+            first_lost_connection
+                && second_was_reset
+                && bench.context.metrics.cancellations_unconfirmed.get() == 1
         );
     });
 }
