--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -134,7 +134,7 @@
 
     /// Whether so much is unread that no more calls are to be read.
     pub(super) fn is_full(&self) -> bool {
-        self.outbox.waiting() > MAX_UNREAD_RESULTS * self.limits.result_bytes as u64
+        self.outbox.unwritten_bytes() > MAX_UNREAD_RESULTS * self.limits.result_bytes as u64
     }
 
     /// When a client that reads none of its answers is given up.
@@ -144,7 +144,7 @@
 
     /// Reserves the memory of what is queued, within the limit or not; returns its bytes.
     pub(super) fn update_reservation(&mut self) -> usize {
-        let queued_bytes = self.outbox.waiting() as usize;
+        let queued_bytes = self.outbox.unwritten_bytes() as usize;
         self.reserve(queued_bytes);
         queued_bytes
     }
@@ -207,7 +207,7 @@
             return Err(UndeliverableResult::TooLarge { bytes, limit });
         }
         // The unread answers of all clients together must not fill the memory.
-        if !self.reserve(self.outbox.waiting() as usize + bytes) {
+        if !self.reserve(self.outbox.unwritten_bytes() as usize + bytes) {
             self.metrics.client_over_limit.increment();
             return Err(UndeliverableResult::BuffersFull);
         }
--- a/src/net.rs
+++ b/src/net.rs
@@ -18,7 +18,7 @@
 const MAX_CHUNKS_PER_WRITE: usize = 64;
 
 /// Free bytes that a read buffer has at least before each read.
-const MIN_READ_BYTES: usize = 4096;
+const MIN_FREE_READ_BYTES: usize = 4096;
 
 /// Bytes that are read and discarded at once while a connection lingers.
 const DISCARD_BUFFER_BYTES: usize = 1024;
@@ -50,7 +50,7 @@
     }
 
     /// Bytes queued and not yet written.
-    pub(crate) fn waiting(&self) -> u64 {
+    pub(crate) fn unwritten_bytes(&self) -> u64 {
         self.queued_bytes - self.written_bytes
     }
 
@@ -93,18 +93,18 @@
     }
 }
 
-/// Reads what has arrived into `buffer`, and stops once it has `enough` bytes, so that these are parsed before more is
+/// Reads what has arrived into `buffer`, and stops once it has `target_bytes` bytes, so that these are parsed before more is
 /// read. `Ok(false)` at the end of the stream. Errors: the connection is lost.
 pub(crate) fn read_available(
     stream: &TcpStream,
     buffer: &mut BytesMut,
-    enough: usize,
+    target_bytes: usize,
 ) -> io::Result<bool> {
     loop {
-        buffer.reserve(MIN_READ_BYTES);
+        buffer.reserve(MIN_FREE_READ_BYTES);
         match stream.try_read_buf(buffer) {
             Ok(0) => return Ok(false),
-            Ok(_) if buffer.len() >= enough => return Ok(true),
+            Ok(_) if buffer.len() >= target_bytes => return Ok(true),
             Ok(_) => {}
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(true),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -113,12 +113,12 @@
     }
 }
 
-/// Waits up to `longest` for the peer's end of a connection that this side has shut down for writing, and discards what
+/// Waits up to `max_wait` for the peer's end of a connection that this side has shut down for writing, and discards what
 /// still arrives. A close with unread bytes, or one that bytes still reach, would reset the connection, and the answer
 /// could be lost with it.
-pub(crate) async fn linger(stream: &TcpStream, longest: Duration) {
+pub(crate) async fn linger(stream: &TcpStream, max_wait: Duration) {
     // The close follows in any case, so it does not matter which of the two ended the wait.
-    let _ = timeout(longest, discard_until_end(stream)).await;
+    let _ = timeout(max_wait, discard_until_end(stream)).await;
 }
 
 async fn discard_until_end(stream: &TcpStream) {
--- a/src/net/retrying_stream.rs
+++ b/src/net/retrying_stream.rs
@@ -34,7 +34,7 @@
             ready!(self.0.poll_write_ready(context))?;
             match write(&self.0) {
                 Err(error) if is_transient(&error) => {}
-                written => return Poll::Ready(written),
+                result => return Poll::Ready(result),
             }
         }
     }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -4,21 +4,22 @@
 
 /// A write may end anywhere: inside a piece, at its end, or over several.
 #[test]
-fn a_partial_write_leaves_the_rest_queued() {
-    let mut out = Outbox::default();
-    for piece in ["head ", "", "body", "\r\n"] {
-        out.push(piece.as_bytes());
+fn partial_write_leaves_the_rest_queued() {
+    let mut outbox = Outbox::default();
+    for chunk in ["head ", "", "body", "\r\n"] {
+        outbox.push(chunk.as_bytes());
     }
-    for (taken, left) in [(3, 8), (2, 6), (5, 1), (1, 0)] {
-        out.advance(taken);
-        assert_eq!(out.waiting(), left);
+    for (accepted_bytes, unwritten) in [(3, 8), (2, 6), (5, 1), (1, 0)] {
+        outbox.advance(accepted_bytes);
+        assert_eq!(outbox.unwritten_bytes(), unwritten);
         assert_eq!(
-            out.chunks
+            outbox
+                .chunks
                 .iter()
                 .map(|chunk| chunk.len() as u64)
                 .sum::<u64>(),
-            left
+            unwritten
         );
     }
-    assert!(out.is_empty() && out.written() == 11);
+    assert!(outbox.is_empty() && outbox.written() == 11);
 }
