--- a/src/rows.rs
+++ b/src/rows.rs
@@ -29,7 +29,7 @@
 }
 
 /// The columns of rows of text as Arrow data; further cells of a row stay in the last column.
-const TEXT_COLUMNS: [&str; 3] = ["column_1", "column_2", "column_3"];
+const TEXT_COLUMN_NAMES: [&str; 3] = ["column_1", "column_2", "column_3"];
 
 /// The count that Flight SQL has for an unknown number of changed rows.
 const UNKNOWN_ROW_COUNT: i64 = -1;
@@ -51,15 +51,15 @@
 
 fn text_to_arrow(text: &[u8]) -> Result<Vec<FlightData>, ConversionError> {
     let text = std::str::from_utf8(text)?;
-    let mut columns: [Vec<Option<&str>>; TEXT_COLUMNS.len()] = Default::default();
+    let mut columns: [Vec<Option<&str>>; TEXT_COLUMN_NAMES.len()] = Default::default();
     for row in text.split_terminator('\n') {
-        let mut cells = row.splitn(TEXT_COLUMNS.len(), '\t');
+        let mut cells = row.splitn(TEXT_COLUMN_NAMES.len(), '\t');
         for column in &mut columns {
             column.push(cells.next());
         }
     }
     let schema = Arc::new(Schema::new(
-        TEXT_COLUMNS
+        TEXT_COLUMN_NAMES
             .map(|name| Field::new(name, DataType::Utf8, true))
             .to_vec(),
     ));
--- a/src/rows/tests.rs
+++ b/src/rows/tests.rs
@@ -7,21 +7,21 @@
 #[test]
 fn rows_are_the_same_after_conversion_to_arrow_and_back() {
     let rows = "a\tb\tc\nd\te\tf\n";
-    let there = to_arrow(&ResultBody::complete(
+    let messages = to_arrow(&ResultBody::complete(
         ResultFormat::Text,
         vec!["a\tb\tc\nd\t".into(), "e\tf\n".into()],
     ))
     .expect("arrow");
-    let pieces = there
+    let chunks = messages
         .into_iter()
-        .map(|d| d.encode_to_vec().into())
+        .map(|message| message.encode_to_vec().into())
         .collect();
-    let back = to_text(&ResultBody::complete(ResultFormat::Arrow, pieces)).expect("text");
-    assert_eq!(back.concat(), rows.as_bytes());
+    let text = to_text(&ResultBody::complete(ResultFormat::Arrow, chunks)).expect("text");
+    assert_eq!(text.concat(), rows.as_bytes());
 }
 
 #[test]
-fn an_answer_without_a_count_of_rows_is_minus_one_and_malformed_arrow_an_error() {
+fn answer_without_a_row_count_is_minus_one_and_malformed_arrow_is_an_error() {
     assert_eq!(changed_row_count(&changed_rows_body(42)), 42);
     assert_eq!(
         changed_row_count(&ResultBody::complete(
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -14,23 +14,23 @@
 ];
 
 /// First keywords of statements that only read.
-const READING_KEYWORDS: [&[u8]; 4] = [b"select", b"values", b"show", b"explain"];
+const READ_ONLY_KEYWORDS: [&[u8]; 4] = [b"select", b"values", b"show", b"explain"];
 
 /// Keywords of statements that change rows.
-const CHANGING_KEYWORDS: [&[u8]; 4] = [b"insert", b"update", b"delete", b"merge"];
+const MODIFYING_KEYWORDS: [&[u8]; 4] = [b"insert", b"update", b"delete", b"merge"];
 
 /// A schema that belongs to no data set.
 const SHARED_SCHEMA: &[u8] = b"staging";
 
 /// Digits of a data set's number that fit 32 bits whatever they are.
-const MAX_NUMBER_DIGITS: usize = 9;
+const MAX_DATA_SET_DIGITS: usize = 9;
 
 /// The number of the data set that a statement reads or writes: it follows the last underscore in the name of a schema,
 /// as 17 in `sales_17.orders`. Names inside strings and comments do not count, nor does the schema `staging`. A
 /// schema in the place of a table precedes one in the place of a column, whose first part may be an alias.
 pub(crate) fn data_set(statement: &[u8]) -> Option<u32> {
     let mut scanner = Scanner::new(statement);
-    let mut first_elsewhere = None;
+    let mut first_outside_table_position = None;
     let mut previous = Token::Other;
     while let Some(token) = scanner.next() {
         if let Token::Name(name) = token
@@ -41,11 +41,11 @@
             if is_table_keyword(previous) {
                 return Some(number);
             }
-            first_elsewhere = first_elsewhere.or(Some(number));
+            first_outside_table_position = first_outside_table_position.or(Some(number));
         }
         previous = token;
     }
-    first_elsewhere
+    first_outside_table_position
 }
 
 /// Whether a statement only reads: by its first keyword, and after `WITH` by the absence of keywords that change rows.
@@ -53,9 +53,9 @@
     let mut scanner = Scanner::new(statement);
     match scanner.next() {
         Some(Token::Name(name)) if name.eq_ignore_ascii_case(b"with") => {
-            !scanner.any(|token| is_one_of(token, &CHANGING_KEYWORDS))
+            !scanner.any(|token| is_keyword_of(token, &MODIFYING_KEYWORDS))
         }
-        Some(first) => is_one_of(first, &READING_KEYWORDS),
+        Some(first) => is_keyword_of(first, &READ_ONLY_KEYWORDS),
         None => false,
     }
 }
@@ -67,10 +67,10 @@
 }
 
 fn is_table_keyword(token: Token<'_>) -> bool {
-    is_one_of(token, &TABLE_KEYWORDS)
+    is_keyword_of(token, &TABLE_KEYWORDS)
 }
 
-fn is_one_of(token: Token<'_>, keywords: &[&[u8]]) -> bool {
+fn is_keyword_of(token: Token<'_>, keywords: &[&[u8]]) -> bool {
     let Token::Name(name) = token else {
         return false;
     };
@@ -85,13 +85,13 @@
     }
     let underscore = schema.iter().rposition(|byte| *byte == b'_')?;
     let digits = &schema[underscore + 1..];
-    let is_number = !digits.is_empty()
-        && digits.len() <= MAX_NUMBER_DIGITS
+    let is_data_set_number = !digits.is_empty()
+        && digits.len() <= MAX_DATA_SET_DIGITS
         && digits.iter().all(u8::is_ascii_digit);
     let number = || {
         digits
             .iter()
             .fold(0, |number, digit| number * 10 + u32::from(digit - b'0'))
     };
-    (underscore > 0 && is_number).then(number)
+    (underscore > 0 && is_data_set_number).then(number)
 }
--- a/src/sql/scanner.rs
+++ b/src/sql/scanner.rs
@@ -31,9 +31,9 @@
     }
 
     /// Takes the bytes before the first that `ends`, or all that are left.
-    fn take_until(&mut self, ends: impl Fn(&u8) -> bool) -> &'a [u8] {
+    fn take_until(&mut self, is_end: impl Fn(&u8) -> bool) -> &'a [u8] {
         let rest = self.rest();
-        let length = rest.iter().position(ends).unwrap_or(rest.len());
+        let length = rest.iter().position(is_end).unwrap_or(rest.len());
         self.position += length;
         &rest[..length]
     }
@@ -72,9 +72,9 @@
         while let Some(byte) = self.statement.get(self.position) {
             if *byte == quote {
                 if self.statement.get(self.position + 1) != Some(&quote) {
-                    let body = &self.statement[start..self.position];
+                    let content = &self.statement[start..self.position];
                     self.position += 1;
-                    return body;
+                    return content;
                 }
                 self.position += 1;
             }
@@ -101,8 +101,10 @@
                     return Some(Token::Other);
                 }
                 b'"' | b'`' => return Some(Token::Name(self.take_quoted(first))),
-                _ if starts_name(first) => {
-                    return Some(Token::Name(self.take_until(|byte| !continues_name(*byte))));
+                _ if is_name_start(first) => {
+                    return Some(Token::Name(
+                        self.take_until(|byte| !is_name_continuation(*byte)),
+                    ));
                 }
                 _ if first.is_ascii_digit() => {
                     // A number and its fraction are one token: its dot qualifies nothing.
@@ -123,10 +125,10 @@
 }
 
 /// Bytes above ASCII count as letters: a name may be in any script.
-fn starts_name(byte: u8) -> bool {
+fn is_name_start(byte: u8) -> bool {
     byte == b'_' || byte.is_ascii_alphabetic() || !byte.is_ascii()
 }
 
-fn continues_name(byte: u8) -> bool {
-    starts_name(byte) || byte.is_ascii_digit() || byte == b'$'
+fn is_name_continuation(byte: u8) -> bool {
+    is_name_start(byte) || byte.is_ascii_digit() || byte == b'$'
 }
--- a/src/sql/tests.rs
+++ b/src/sql/tests.rs
@@ -5,19 +5,19 @@
 
 #[rstest]
 #[case::plain("SELECT a FROM sales_17.orders", Some(17))]
-#[case::strings("SELECT 'x_1.y' FROM a_2.b -- c_3.d", Some(2))]
-#[case::comment(
+#[case::string_and_line_comment("SELECT 'x_1.y' FROM a_2.b -- c_3.d", Some(2))]
+#[case::nested_comment(
     "/* c_9.d /* e_8.f */ */ INSERT INTO lic_4.log SELECT * FROM staging.rows",
     Some(4)
 )]
-#[case::doubled("SELECT 'it''s a_1.b' FROM \"lic_5\".\"log\"", Some(5))]
-#[case::alias("SELECT t_9.a FROM lic_6.log t_9", Some(6))]
-#[case::staging("SELECT * FROM staging.rows_7", None)]
-#[case::column("SELECT a.b_8 FROM c", None)]
-#[case::cut("SELECT 'a_1.b", None)]
-#[case::number("SELECT 1_2.a FROM b_3.c", Some(3))]
-#[case::empty("", None)]
-fn a_statement_names_its_data_set(#[case] sql: &str, #[case] number: Option<u32>) {
+#[case::doubled_quote("SELECT 'it''s a_1.b' FROM \"lic_5\".\"log\"", Some(5))]
+#[case::alias_before_table("SELECT t_9.a FROM lic_6.log t_9", Some(6))]
+#[case::shared_schema("SELECT * FROM staging.rows_7", None)]
+#[case::column_reference("SELECT a.b_8 FROM c", None)]
+#[case::unterminated_string("SELECT 'a_1.b", None)]
+#[case::name_after_number("SELECT 1_2.a FROM b_3.c", Some(3))]
+#[case::empty_statement("", None)]
+fn data_set_is_read_from_the_schema_name(#[case] sql: &str, #[case] number: Option<u32>) {
     assert_eq!(data_set(sql.as_bytes()), number);
 }
 
@@ -27,6 +27,6 @@
 #[case("with a as (select 1) select * from a", true)]
 #[case("WITH a AS (SELECT 'delete') INSERT INTO b SELECT * FROM a", false)]
 #[case("", false)]
-fn a_statement_that_changes_nothing_is_read_only(#[case] sql: &str, #[case] read_only: bool) {
+fn statement_that_changes_no_rows_is_read_only(#[case] sql: &str, #[case] read_only: bool) {
     assert_eq!(is_read_only(sql.as_bytes()), read_only);
 }
