--- a/src/engines/flight/attempt.rs
+++ b/src/engines/flight/attempt.rs
@@ -1,4 +1,5 @@
-//! The task of one attempt: sends the statement, collects its result, and reports the attempt's end.
+//! The task of one attempt. It sends the statement to the engine, collects the result and reports
+//! how the attempt ended.
 
 use super::attempt_failure::AttemptFailure;
 use super::cancellation::confirm_reset;
@@ -25,8 +26,8 @@
 use tonic::Request;
 use tonic::metadata::MetadataMap;
 
-/// Runs an attempt to its end and reports that. `used_connection` is set once the attempt has a connection: from then
-/// on some of it may have been sent.
+/// Runs an attempt to its end and reports the end to the core. Sets `used_connection` before the
+/// statement is sent on a connection: once it is set, part of the attempt may have been sent.
 pub(super) async fn run_attempt(
     link: Arc<EngineLink>,
     request: AttemptRequest,
@@ -34,7 +35,8 @@
 ) {
     let attempt = AttemptId::from(&request);
     let connected = link.connection_for_attempt().await;
-    // The attempt may have been cancelled, or its time have passed, while the connection came up.
+    // The attempt may have been cancelled, or its time may have run out, while the connection was
+    // being opened.
     if connected.is_ok()
         && let Some(event) = request.expired(link.context().core.now())
     {
@@ -57,9 +59,10 @@
                 request: id,
                 number: attempt,
             } = attempt;
-            tracing::debug!(id, attempt, engine = %format_engine_id(link.engine()), %failure, "attempt failed at its engine");
-            // The engine may go on with a call that failed here alone: its reset was queued as the call was dropped,
-            // and a retry elsewhere could begin before the engine has read it.
+            tracing::debug!(id, attempt, engine = %format_engine_id(link.engine()), %failure, "attempt failed; its outcome is reported to the core");
+            // A call that failed only on this side may still run on the engine. Its reset was
+            // queued when the call was dropped. Without this wait, a retry on another engine could
+            // start before the first engine has read the reset.
             if let Some(connection) = used_connection.get()
                 && failure.may_leave_call_open()
             {
@@ -70,12 +73,13 @@
         }
     };
     if matches!(outcome, Outcome::Reset | Outcome::NoConnection) {
-        // The next attempt opens a new connection, and so knows for sure whether it was sent.
+        // The next attempt opens a new connection, so that it is certain whether it was sent.
         link.discard_connection().await;
     }
     report_end(&link, attempt, outcome, &measurements, body).await;
 }
 
+/// Reports the end of an attempt to the core, with the measurements that the engine reported.
 async fn report_end(
     link: &EngineLink,
     attempt: AttemptId,
@@ -100,7 +104,7 @@
 struct StatementExecution<'a> {
     link: &'a EngineLink,
     request: &'a AttemptRequest,
-    /// What the engine reports of itself and of the statement.
+    /// Metadata in which the engine reports its load and the cost of the statement.
     measurements: &'a mut MetadataMap,
 }
 
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Executes it on this connection. Returns the complete result, or none where it streamed to the client.
+    /// Executes the statement on this connection. Returns the complete result, or `None` if the
+    /// result was streamed to the client.
     async fn execute(
         &mut self,
         connection: Http2Connection,
@@ -126,7 +131,8 @@
         let origin = format!("http://{}", self.link.address()).parse()?;
         let client = FlightServiceClient::with_origin(connection, origin)
             .max_decoding_message_size(context.limits.flight_message_bytes);
-        // Counted before the call, as nothing shows when the last byte of a stream was sent.
+        // Counted before the call, because it is not observable when the last byte of a stream was
+        // sent.
         context.metrics.attempts_written.increment();
         let text = String::from_utf8(self.request.statement.to_vec())?;
         match self.request.statement_kind {
@@ -135,12 +141,12 @@
         }
     }
 
-    /// A request of this attempt, with its metadata.
+    /// Wraps a message in a request with the metadata of this attempt.
     fn with_metadata<T>(&self, message: T) -> Request<T> {
         call_request(self.request, self.link.context().core.now(), message)
     }
 
-    /// Executes an update; returns the number of rows that it changed.
+    /// Executes an update. Returns a body with the number of rows that it changed.
     async fn execute_update(
         &mut self,
         mut client: FlightServiceClient<Http2Connection>,
@@ -164,7 +170,8 @@
         Ok(rows::changed_rows_body(count.record_count))
     }
 
-    /// Executes a query; returns the rows of all its endpoints.
+    /// Executes a query and collects the rows of all endpoints of its result. Returns `None` if the
+    /// rows were streamed to the client.
     async fn execute_query(
         &mut self,
         mut client: FlightServiceClient<Http2Connection>,
@@ -181,7 +188,8 @@
         let mut collector = ResultCollector::new(self.link, AttemptId::from(self.request));
         for (index, endpoint) in response.into_inner().endpoint.into_iter().enumerate() {
             let ticket = endpoint.ticket.ok_or(AttemptFailure::MissingTicket)?;
-            // Each endpoint begins with the schema, which the client gets once.
+            // The first message of each endpoint is the schema, which the client receives only
+            // once.
             let messages_to_skip = usize::from(index > 0);
             self.collect_endpoint(&mut client, ticket, messages_to_skip, &mut collector)
                 .await?;
@@ -189,7 +197,7 @@
         collector.finish().await
     }
 
-    /// Collects the rows of one endpoint, its first messages aside.
+    /// Collects the messages of one endpoint, except for the first `messages_to_skip`.
     async fn collect_endpoint(
         &mut self,
         client: &mut FlightServiceClient<Http2Connection>,
--- a/src/engines/flight/attempt_failure.rs
+++ b/src/engines/flight/attempt_failure.rs
@@ -1,4 +1,4 @@
-//! Why an attempt failed, and the outcome that this is to the core.
+//! Why an attempt failed, and the outcome that is reported to the core.
 
 use super::call::ConnectionRefused;
 use super::http2_connection::ConnectError;
@@ -10,13 +10,13 @@
 /// Why an attempt failed.
 #[derive(Debug, Error)]
 pub(super) enum AttemptFailure {
-    #[error("the engine takes no new attempts")]
+    #[error("the engine does not accept new attempts")]
     AdmissionClosed,
-    #[error("there is no slot for a connection")]
+    #[error("no connection slot is free")]
     NoConnectionSlot,
-    #[error("no connection: {0}")]
+    #[error("cannot connect to the engine: {0}")]
     Connect(#[from] ConnectError),
-    #[error("the engine's address makes no URI: {0}")]
+    #[error("the engine's address is not a valid URI: {0}")]
     InvalidOrigin(#[from] http::uri::InvalidUri),
     #[error("the statement is not UTF-8: {0}")]
     InvalidStatement(#[from] std::string::FromUtf8Error),
@@ -28,15 +28,16 @@
     MissingUpdateResult,
     #[error("the result of the update cannot be decoded: {0}")]
     InvalidUpdateResult(#[from] prost::DecodeError),
-    #[error("results that are not complete outgrew their memory")]
+    #[error("the memory for incomplete results is exhausted")]
     ResultMemoryExhausted,
-    #[error("the client of the stream has disconnected")]
+    #[error("the client that receives the streamed result has disconnected")]
     ClientDisconnected,
 }
 
 impl AttemptFailure {
-    /// Whether the engine may still be at work on the attempt, although it has failed on this side: what came cannot be
-    /// used, and the call that brought it was left before its end. A status does not say which side found the fault.
+    /// Whether the engine may still run the attempt although it has failed on this side. This is so
+    /// if an unusable response ended a call early. A gRPC status does not show which side found the
+    /// fault, so a status that maps to [`Outcome::Error`] counts as well.
     pub(super) fn may_leave_call_open(&self) -> bool {
         match self {
             AttemptFailure::Call(_) => self.outcome() == Outcome::Error,
@@ -61,7 +62,7 @@
             AttemptFailure::NoConnectionSlot => Outcome::NoConnectionSlot,
             AttemptFailure::InvalidStatement(_) => Outcome::NotSent,
             AttemptFailure::Call(status) => outcome_of_status(status),
-            // An update that ends without its result may have run.
+            // The engine may have run an update whose call ended without a result.
             AttemptFailure::MissingTicket
             | AttemptFailure::MissingUpdateResult
             | AttemptFailure::InvalidUpdateResult(_)
@@ -71,8 +72,8 @@
     }
 }
 
-/// The outcome of an attempt that ended with this status: by the error of the connection that caused it, if any, else
-/// by its code.
+/// The outcome of an attempt that ended with this status. A connection error among the causes of
+/// the status takes precedence over the status code.
 fn outcome_of_status(status: &Status) -> Outcome {
     let mut cause: Option<&(dyn StdError + 'static)> = Some(status);
     while let Some(error) = cause {
@@ -82,7 +83,7 @@
         cause = error.source();
     }
     match status.code() {
-        // The engine states that the attempt never ran.
+        // With this code the engine reports that the attempt did not run.
         Code::ResourceExhausted => Outcome::Rejected,
         Code::DeadlineExceeded => Outcome::TimedOut,
         Code::Unavailable | Code::Cancelled => Outcome::Reset,
@@ -90,12 +91,13 @@
     }
 }
 
+/// The outcome of an attempt that a connection error ended; `None` if the error is of another kind.
 fn outcome_of_connection_error(error: &(dyn StdError + 'static)) -> Option<Outcome> {
     if error.is::<ConnectionRefused>() {
         return Some(Outcome::NoConnection);
     }
     let error = error.downcast_ref::<h2::Error>()?;
-    // RFC 9113, 8.7: a refused stream was not processed in any way.
+    // RFC 9113, section 8.7: the server has not processed a refused stream in any way.
     if error.is_remote() && error.reason() == Some(h2::Reason::REFUSED_STREAM) {
         return Some(Outcome::NoConnection);
     }
--- a/src/engines/flight/call.rs
+++ b/src/engines/flight/call.rs
@@ -1,4 +1,4 @@
-//! One call on an HTTP/2 connection, and the body of its response.
+//! One gRPC call on an HTTP/2 connection, and the body of its response.
 
 use super::connection_signals::ConnectionSignals;
 use bytes::Bytes;
@@ -11,12 +11,13 @@
 use std::task::{Context, Poll, ready};
 use thiserror::Error;
 
-/// The connection did not take a call: nothing of the call was sent.
+/// The connection did not accept a call. No part of the call was sent.
 #[derive(Debug, Error)]
-#[error("the connection takes no call: {0}")]
+#[error("the connection did not accept the call: {0}")]
 pub(super) struct ConnectionRefused(h2::Error);
 
-/// The sending half of a call. Dropped before the call has ended, it resets the call at once, with what is queued of it.
+/// The sending half of a call. If it is dropped before the call has ended, it resets the stream at
+/// once and discards the data of the call that is still queued.
 struct CallGuard {
     stream: SendStream<Bytes>,
     has_ended: bool,
@@ -32,11 +33,11 @@
     }
 }
 
-/// The body of a response, as it arrives.
+/// The body of a response, read as its frames arrive.
 pub(super) struct ResponseBody {
     stream: RecvStream,
     call: CallGuard,
-    /// All data has arrived; the trailers follow.
+    /// All data frames have arrived. The trailers follow.
     data_has_ended: bool,
 }
 
@@ -62,10 +63,11 @@
     }
 }
 
-/// Sends a call and waits for the head of its response.
+/// Sends a call and waits for the headers of its response.
 ///
 /// # Errors
-/// [`ConnectionRefused`] where nothing of the call was sent; else the error of the connection or of the request's body.
+/// [`ConnectionRefused`] if no part of the call was sent. Otherwise the error of the connection or
+/// of the request's body.
 pub(super) async fn send_call(
     request_sender: SendRequest<Bytes>,
     signals: Arc<ConnectionSignals>,
--- a/src/engines/flight/cancellation.rs
+++ b/src/engines/flight/cancellation.rs
@@ -1,5 +1,7 @@
-//! The proof that an attempt whose task was aborted is over. Aborting a task resets its stream; the attempt has ended
-//! once that reset was sent and, where another attempt may follow, the engine has read it.
+//! Confirms the end of attempts whose calls were dropped.
+//!
+//! Dropping a call resets its HTTP/2 stream. The attempt has ended once the reset was sent. If
+//! another attempt may follow, the engine must also have read the reset.
 
 use super::engine_link::EngineLink;
 use super::http2_connection::Http2Connection;
@@ -10,8 +12,8 @@
 use std::sync::{Arc, OnceLock};
 use tokio::time::timeout;
 
-/// Reports the end of an attempt whose task was aborted, once that end is proven. `cancelled` is none where the core did
-/// not ask for it.
+/// Reports the end of an attempt whose task was aborted, once that end is confirmed. `cancelled` is
+/// `None` if the core did not cancel the attempt.
 pub(super) async fn report_aborted(
     link: Arc<EngineLink>,
     attempt: AttemptId,
@@ -31,7 +33,7 @@
     link.send_event_without_report(attempt, event).await;
 }
 
-/// The end of an attempt that had no connection yet.
+/// The end of an attempt that was aborted before it had a connection.
 fn end_without_connection(after: AfterCancellation) -> AttemptEnd {
     let nothing_to_send = || 0;
     AttemptState::default()
@@ -39,8 +41,9 @@
         .unwrap_or(AttemptEnd::NeverSent)
 }
 
-/// Waits for the proof that an attempt on this connection is over, whose calls have been dropped. The wait is bounded: a
-/// connection that takes no more is closed, and the other attempts on it end as on any connection that failed.
+/// Waits until the end of an attempt is confirmed whose calls on this connection have been dropped.
+/// The wait has a timeout, after which the connection is closed. The other attempts on it then end
+/// as on any connection that failed.
 pub(super) async fn confirm_reset(
     link: &EngineLink,
     mut connection: Http2Connection,
@@ -49,7 +52,8 @@
     let limits = &link.context().limits;
     let mut state = AttemptState::default();
     let reset_mark = connection.request_flush();
-    // It is not known when the attempt was sent: possibly at once when it had a connection.
+    // It is not known when the attempt was sent. It may have been sent as soon as it had a
+    // connection.
     state.begin_writing(0);
     state.cancel(after.retry_may_follow(), || reset_mark);
     let flushed = connection.wait_for_flush(reset_mark);
--- a/src/engines/flight/connection_driver.rs
+++ b/src/engines/flight/connection_driver.rs
@@ -1,4 +1,5 @@
-//! The task that drives one HTTP/2 connection: polls it, sends pings, and closes it where a ping is not answered.
+//! The task that drives one HTTP/2 connection. It polls the connection, sends pings, and closes the
+//! connection if a ping is not answered in time.
 
 use super::connection_signals::ConnectionSignals;
 use super::flush_tracking_socket::FlushTrackingSocket;
@@ -12,24 +13,26 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// When pings are sent to see whether the peer is alive, and how long their answers may take.
+/// The interval between pings that check whether the peer is alive, and the timeout of their
+/// answers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KeepAlive {
     pub(super) interval: Duration,
     pub(super) timeout: Duration,
 }
 
-/// A ping that was sent and is not answered yet. Pings go out one at a time.
+/// A ping that was sent and is not answered yet. At most one ping is in flight at a time.
 struct PingInFlight {
-    /// The last requested ping when it was sent: it stands for all up to that one.
+    /// Number of the last ping that had been requested when this one was sent. The answer to this
+    /// ping counts for all requested pings up to that number.
     answers_pings_up_to: u64,
     sent_at: Instant,
 }
 
-/// Drives one connection. Fields are dropped in this order: the slot, and with it the descriptor, is free only after
-/// the socket has been closed.
+/// Drives one connection. Fields are dropped in the order of their declaration: the slot, and with
+/// it the file descriptor, becomes free only after the socket has been closed.
 pub(super) struct ConnectionDriver {
-    /// The number of the last requested ping that is answered.
+    /// Number of the last requested ping that has been answered; 0 for none.
     pub(super) last_answered_ping: watch::Sender<u64>,
     pub(super) signals: Arc<ConnectionSignals>,
     pub(super) keep_alive: KeepAlive,
@@ -38,7 +41,7 @@
 }
 
 impl ConnectionDriver {
-    /// Runs until the connection ends, is evicted, or a ping is not answered in time.
+    /// Runs until the connection ends or is evicted, or a ping is not answered in time.
     pub(super) async fn run(mut self) {
         let Some(mut pings) = self.connection.ping_pong() else {
             return;
@@ -46,7 +49,8 @@
         let mut in_flight: Option<PingInFlight> = None;
         let mut next_ping_at = Instant::now() + self.keep_alive.interval;
         loop {
-            // Servers close a connection that is pinged while no call is open on it.
+            // No periodic pings while no call is open: servers close a connection that sends them
+            // then.
             if !self.signals.has_open_calls() {
                 next_ping_at = next_ping_at.max(Instant::now() + self.keep_alive.interval);
             }
--- a/src/engines/flight/engine.rs
+++ b/src/engines/flight/engine.rs
@@ -1,4 +1,5 @@
-//! The actor of one engine: starts and cancels the tasks of attempts, and ends once it is idle without a connection.
+//! The actor of one engine. It starts and cancels the tasks of attempts, and ends once it is idle
+//! and has no connection.
 
 use super::attempt::run_attempt;
 use super::cancellation::report_aborted;
@@ -15,7 +16,8 @@
 use tokio::task::{AbortHandle, Id, JoinError, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-/// Runs one engine until it is idle without a connection, or until it is removed from the list and its attempts have
+/// Runs the actor of one engine. It ends once the engine has been idle without a connection for the
+/// idle timeout, or once the engine has been removed from the endpoint list and its attempts have
 /// ended.
 pub(crate) async fn run(
     engine: EngineId,
@@ -39,20 +41,21 @@
             () = sleep_until(wake_at) => if engine.close_at.take().is_some() {
                 engine.close_connections().await;
             } else if engine.is_idle() && messages.is_empty() {
-                // There is no await point before the mailbox closes, so no message can be lost in between.
+                // No message can be lost: there is no await point between this check and the
+                // closing of the mailbox.
                 return;
             }
         }
     }
 }
 
-/// The task of an attempt.
+/// The running task of an attempt.
 struct AttemptTask {
     attempt: AttemptId,
     handle: AbortHandle,
-    /// The connection that carries it, once there is one.
+    /// The connection of the attempt, set once it has one.
     connection: Arc<OnceLock<Http2Connection>>,
-    /// Set once the core has cancelled it.
+    /// Set once the core has cancelled the attempt.
     cancelled: Option<AfterCancellation>,
 }
 
@@ -61,9 +64,9 @@
     link: Arc<EngineLink>,
     tasks: JoinSet<()>,
     attempts: HashMap<Id, AttemptTask>,
-    /// The engine was not removed from the list: messages may come.
+    /// The engine is still in the endpoint list, so its mailbox may receive messages.
     is_listed: bool,
-    /// When the connection of a removed engine is closed.
+    /// When the connections of a removed engine are closed.
     close_at: Option<Instant>,
 }
 
@@ -78,7 +81,7 @@
         }
     }
 
-    /// When the actor has to act although nothing happens.
+    /// When the actor wakes if no message arrives and no task finishes.
     fn wake_at(&self) -> Instant {
         let idle_timeout = self.link.context().limits.engine_idle_timeout;
         self.close_at
@@ -89,7 +92,8 @@
         match message {
             EngineMessage::StartAttempt(request) => self.start_attempt(*request),
             EngineMessage::CancelAttempt { attempt, after } => self.cancel_attempt(attempt, after),
-            // Flight SQL has no message for a new priority, and each attempt checks the admission itself.
+            // Flight SQL has no message that changes a priority. Each attempt checks the admission
+            // itself.
             EngineMessage::SetPriority { .. } | EngineMessage::ManualEjectionChanged => {}
             EngineMessage::StateChanged(EngineState::Removed) => self.close_after_grace(),
             EngineMessage::StateChanged(_) => self.close_at = None,
@@ -118,19 +122,21 @@
         }
     }
 
-    /// The mailbox is closed: no more messages come.
+    /// Called once the mailbox is closed and will receive no more messages.
     fn handle_removal(&mut self) {
         self.is_listed = false;
         self.close_after_grace();
     }
 
-    /// Gives the attempts of a removed engine a grace to end.
+    /// Schedules the closing of a removed engine's connections after a grace period, in which its
+    /// attempts may end.
     fn close_after_grace(&mut self) {
         let grace = self.link.context().limits.removed_engine_grace;
         self.close_at.get_or_insert_with(|| Instant::now() + grace);
     }
 
-    /// A task that ended by itself has reported its attempt's end; for one that was aborted another task does.
+    /// A task that ran to completion has reported the end of its attempt. For an aborted task,
+    /// starts another task that reports the end.
     fn handle_finished_task(&mut self, finished: Result<(Id, ()), JoinError>) {
         let (id, was_aborted) = match &finished {
             Ok((id, ())) => (*id, false),
@@ -153,8 +159,8 @@
         self.tasks.is_empty() && self.link.is_unconnected()
     }
 
-    /// Closes the connections of an engine that was removed and has not closed them itself: their attempts may have
-    /// run.
+    /// Closes the connections of a removed engine that has not closed them itself, and aborts the
+    /// tasks of the remaining attempts, which may have run.
     async fn close_connections(&mut self) {
         self.link.close_connection().await;
         for task in self.attempts.values() {
--- a/src/engines/flight/engine_link.rs
+++ b/src/engines/flight/engine_link.rs
@@ -1,4 +1,4 @@
-//! What the attempts of one engine share: its connection, and the way to report to the core.
+//! What the attempts of one engine share: the connection, and the channel for events to the core.
 
 use super::attempt_failure::AttemptFailure;
 use super::http2_connection::Http2Connection;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tokio::sync::Mutex;
 
-/// Counts one attempt on a connection for as long as it lives.
+/// Counts one attempt in the load of a connection until the guard is dropped.
 pub(super) struct LoadGuard(Arc<ConnectionLoad>);
 
 impl LoadGuard {
@@ -28,23 +28,25 @@
     }
 }
 
-/// A connection that is up, for one attempt.
+/// An open connection, held by one attempt that is counted in its load.
 pub(super) struct AttemptConnection {
     pub(super) connection: Http2Connection,
     _load: LoadGuard,
 }
 
-/// The engine's connection, with what it carries.
+/// The engine's connection, with its load.
 struct CurrentConnection {
     connection: Http2Connection,
     load: Arc<ConnectionLoad>,
 }
 
 impl CurrentConnection {
+    /// Whether new attempts may use the connection.
     fn accepts_calls(&self) -> bool {
         !self.connection.is_closed() && !self.load.is_evicted()
     }
 
+    /// Counts one more attempt on the connection and returns a handle for it.
     fn for_attempt(&self, now_ms: Millis) -> AttemptConnection {
         AttemptConnection {
             connection: self.connection.clone(),
@@ -53,7 +55,7 @@
     }
 }
 
-/// One engine, as its attempts see it.
+/// The address, the connection and the shared context of one engine, for its attempts.
 pub(super) struct EngineLink {
     engine: EngineId,
     address: SocketAddr,
@@ -90,15 +92,15 @@
         &self.context
     }
 
-    /// Whether the engine takes no new attempts.
+    /// Whether the engine must not be sent new attempts.
     pub(super) fn is_admission_closed(&self) -> bool {
         self.admission.is_closed()
     }
 
-    /// The connection for one more attempt; opens one where there is none.
+    /// Returns the connection for one more attempt, and opens one if there is none.
     ///
     /// # Errors
-    /// Says why there is no connection. Nothing of the attempt was sent then.
+    /// Fails if no connection could be opened. No part of the attempt was sent then.
     pub(super) async fn connection_for_attempt(&self) -> Result<AttemptConnection, AttemptFailure> {
         let mut current = self.current.lock().await;
         if let Some(open) = current.as_ref().filter(|open| open.accepts_calls()) {
@@ -106,7 +108,8 @@
         }
         *current = None;
         let load = Arc::<ConnectionLoad>::default();
-        // Counted from the start, so that the connection is not evicted while it comes up.
+        // Counted before the slot is acquired, so that the connection is not evicted while it is
+        // opened.
         let load_guard = LoadGuard::new(&load, self.context.core.now());
         let slot = self
             .context
@@ -125,7 +128,7 @@
         })
     }
 
-    /// Has the next attempt open a new connection.
+    /// Makes the next attempt open a new connection.
     pub(super) async fn discard_connection(&self) {
         *self.current.lock().await = None;
     }
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Whether there is no connection, nor any attempt that opens one.
+    /// Whether there is no open connection, and no attempt is opening one.
     pub(super) fn is_unconnected(&self) -> bool {
         let Ok(current) = self.current.try_lock() else {
             return false;
@@ -159,7 +162,7 @@
             .await;
     }
 
-    /// Sends the core an event of an attempt about which the engine reported nothing.
+    /// Sends the core an event of an attempt, without a load report.
     pub(super) async fn send_event_without_report(&self, attempt: AttemptId, event: AttemptEvent) {
         self.context
             .send_event_without_report(self.engine, attempt, event)
--- a/src/engines/flight/flush_tracking_socket.rs
+++ b/src/engines/flight/flush_tracking_socket.rs
@@ -1,4 +1,4 @@
-//! A socket that counts its flushes, so that it is known what has been sent.
+//! A socket that counts its flushes. The count shows which output has been sent.
 
 use super::connection_signals::ConnectionSignals;
 use crate::net::RetryingStream;
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The socket of one HTTP/2 connection. Dropping it closes the `flushes` channel.
+/// The socket of one HTTP/2 connection. Dropping it closes the `flush_count` channel.
 pub(super) struct FlushTrackingSocket {
     stream: RetryingStream,
     /// Number of flushes so far.
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Fails once the connection is to be closed.
+    /// Fails once the closing of the connection has been requested.
     fn check_open(&self) -> io::Result<()> {
         if self.signals.is_close_requested() {
             Err(io::ErrorKind::ConnectionReset.into())
@@ -43,7 +43,8 @@
 
 impl Drop for FlushTrackingSocket {
     fn drop(&mut self) {
-        // A reset discards what the kernel still holds: the peer must not receive it after the ends that are reported.
+        // A TCP reset discards the kernel's send buffer. The peer must not receive that data after
+        // the ends of the attempts have been reported.
         if self.signals.is_close_requested() {
             let _ = self.stream.socket().set_zero_linger();
         }
@@ -72,7 +73,7 @@
         Pin::new(&mut self.stream).poll_write(context, buffer)
     }
 
-    /// Called by HTTP/2 once all that is queued has been written.
+    /// Called by h2 once all queued output has been written.
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.check_open()?;
         ready!(Pin::new(&mut self.stream).poll_flush(context))?;
--- a/src/engines/flight/http2_connection.rs
+++ b/src/engines/flight/http2_connection.rs
@@ -1,7 +1,7 @@
-//! One HTTP/2 connection to a Flight SQL engine, of which it is known what has been sent.
+//! One HTTP/2 connection to a Flight SQL engine, which reports what has been sent.
 //!
-//! A call that is dropped queues its reset at once; the next flush of the connection after that has sent it (RFC 9113,
-//! 5.4.2 and 6.4).
+//! A call that is dropped queues the reset of its stream at once. After the next flush of the
+//! connection, the reset has been sent (RFC 9113, sections 5.4.2 and 6.4).
 
 use super::call::{ResponseBody, send_call};
 use super::connection_driver::{ConnectionDriver, KeepAlive};
@@ -23,39 +23,40 @@
 use tokio::time::timeout;
 use tower_service::Service;
 
-/// Bytes of a result on their way that one call may hold.
+/// Flow-control window of one call, in bytes: how much of its result may be in transit.
 const CALL_WINDOW_BYTES: u32 = 256 << 10;
 
-/// Bytes of results on their way that all calls of one connection may hold together.
+/// Flow-control window of a connection, in bytes: how much of the results of all its calls together
+/// may be in transit.
 const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
 
-/// Why no connection came up. Nothing was sent on it.
+/// Why a connection could not be opened. No part of an attempt was sent on it.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
     #[error("the socket failed: {0}")]
     Socket(#[from] std::io::Error),
     #[error("the HTTP/2 handshake failed: {0}")]
     Handshake(#[from] h2::Error),
-    #[error("the connection did not come up in time")]
+    #[error("the connection was not established within the timeout")]
     Timeout(#[from] Elapsed),
 }
 
-/// A handle of a connection that is up, shared by the calls on it.
+/// A handle of an open connection. Its clones share the connection.
 #[derive(Clone)]
 pub(super) struct Http2Connection {
     request_sender: SendRequest<Bytes>,
-    /// Number of flushes so far; closed with the socket.
+    /// Number of flushes so far. The channel closes with the socket.
     flush_count: watch::Receiver<u64>,
-    /// The number of the last requested ping that is answered.
+    /// Number of the last requested ping that has been answered; 0 for none.
     last_answered_ping: watch::Receiver<u64>,
     signals: Arc<ConnectionSignals>,
 }
 
 impl Http2Connection {
-    /// Connects, once the slot has its descriptor.
+    /// Opens a connection once the slot has a free file descriptor.
     ///
     /// # Errors
-    /// Fails where the connection does not come up, or not in time.
+    /// Fails if the connection cannot be established, or not within the timeout.
     pub(super) async fn connect(
         address: SocketAddr,
         limits: &Limits,
@@ -109,13 +110,14 @@
         self.flush_count.has_changed().is_err()
     }
 
-    /// Has the connection flushed; returns the number of a flush by which all that is queued now has been sent.
+    /// Requests a flush. Returns the number of the flush after which everything that is queued now
+    /// has been sent.
     pub(super) fn request_flush(&self) -> u64 {
         self.signals.wake_driver();
         *self.flush_count.borrow() + 1
     }
 
-    /// Waits for the flush with this number; false where the connection closed first.
+    /// Waits for the flush with this number. Returns false if the connection closed first.
     pub(super) async fn wait_for_flush(&mut self, number: u64) -> bool {
         let flushed = self
             .flush_count
@@ -124,22 +126,23 @@
         flushed.is_ok()
     }
 
-    /// Waits until the peer has read what was sent by now: it answers a ping that follows, and reads in order (RFC
-    /// 9113, 6.7). False where the connection closed first.
+    /// Waits until the peer has read everything that was sent before this call. The peer reads
+    /// frames in order, so its answer to a ping that is sent now confirms this (RFC 9113, section
+    /// 6.7). Returns false if the connection closed first.
     pub(super) async fn confirm_read(&mut self) -> bool {
         let ping = self.signals.request_ping();
         let answered = self.last_answered_ping.wait_for(|last| *last >= ping).await;
         answered.is_ok()
     }
 
-    /// Closes the connection, with what its peer has not taken.
+    /// Closes the connection. Output that the peer has not received is discarded.
     pub(super) fn close(&self) {
         self.signals.request_close();
     }
 
     /// Waits until the socket is closed.
     pub(super) async fn wait_until_closed(&mut self) {
-        // No flush has this number, so only the end of the channel ends the wait.
+        // No flush reaches this number, so the wait ends only when the channel closes.
         self.wait_for_flush(u64::MAX).await;
     }
 }
@@ -149,7 +152,7 @@
     type Error = Box<dyn std::error::Error + Send + Sync>;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
 
-    /// Always ready: each call waits for its stream itself.
+    /// Always ready: each call waits by itself until it may open a stream.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
         Poll::Ready(Ok(()))
     }
--- a/src/engines/flight/metadata.rs
+++ b/src/engines/flight/metadata.rs
@@ -1,4 +1,5 @@
-//! The metadata of calls to Flight SQL engines: the terms of an attempt, and what an engine reports with its answers.
+//! The metadata of calls to Flight SQL engines: the parameters of an attempt, and the measurements
+//! that an engine reports with its answers.
 
 use crate::clients::flight::metadata_keys::{CLASS, REFERENCE};
 use crate::clients::parse_non_negative;
@@ -8,7 +9,7 @@
 use tonic::Request;
 use tonic::metadata::MetadataMap;
 
-/// Attempts that the engine has in flight.
+/// Number of attempts in flight on the engine.
 pub(super) const INFLIGHT: &str = "magpiechute-inflight";
 /// Work of the statement in ms.
 pub(super) const WORK_MS: &str = "magpiechute-work-ms";
@@ -18,7 +19,7 @@
 const MEMORY_MB: &str = "magpiechute-memory-mb";
 /// Priority of the statement, 0 to 3.
 const PRIORITY: &str = "magpiechute-priority";
-/// Key by which engines recognise a repeat.
+/// Idempotency key, by which an engine recognizes a repeated statement.
 const IDEMPOTENCY_KEY: &str = "magpiechute-key";
 
 /// Shortest timeout sent with a call, in ms.
@@ -46,18 +47,19 @@
     request
 }
 
+/// Converts bytes to text; invalid UTF-8 is replaced.
 fn utf8_lossy(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Inserts a value; one that metadata cannot carry is left out.
+/// Inserts a value. A value that is not valid in gRPC metadata is left out.
 fn insert(metadata: &mut MetadataMap, key: &'static str, value: String) {
     if let Ok(value) = value.parse() {
         metadata.insert(key, value);
     }
 }
 
-/// Copies what an engine reports of itself and of the statement.
+/// Copies the measurements that an engine reports of itself and of the statement.
 pub(super) fn copy_measurements(measurements: &mut MetadataMap, received: &MetadataMap) {
     for key in [INFLIGHT, WORK_MS, USED_MB] {
         if let Some(value) = received.get(key) {
@@ -66,7 +68,7 @@
     }
 }
 
-/// A figure that an engine reported; none where it is absent or no figure.
+/// A number that the engine reported; `None` if it is absent or not a non-negative number.
 pub(super) fn parse_measurement(metadata: &MetadataMap, key: &str) -> Option<f64> {
     let value = metadata.get(key)?;
     parse_non_negative(value.as_bytes())
--- a/src/engines/flight/mod.rs
+++ b/src/engines/flight/mod.rs
@@ -1,8 +1,9 @@
 //! Engines that speak Arrow Flight SQL.
 //!
-//! One actor an engine ([`engine`]), one HTTP/2 connection to it ([`http2_connection`]), one task an attempt
-//! ([`attempt`]). Aborting a task resets its stream, which cancels the attempt; the attempt has ended once that reset
-//! is proven to have been sent ([`cancellation`]).
+//! Each engine has one actor ([`engine`]) and one HTTP/2 connection ([`http2_connection`]). Each
+//! attempt runs in a task of its own ([`attempt`]). Aborting the task resets the HTTP/2 stream,
+//! which cancels the attempt. The end of the attempt is reported once it is confirmed that the
+//! reset was sent ([`cancellation`]).
 
 mod attempt;
 mod attempt_failure;
--- a/src/engines/flight/result_collector.rs
+++ b/src/engines/flight/result_collector.rs
@@ -1,4 +1,5 @@
-//! The result of a query as it arrives: buffered until it is complete, or streamed once it outgrows the buffer.
+//! Collects the result of a query as it arrives. A small result is buffered until it is complete. A
+//! result that exceeds the buffer size is streamed to the client.
 
 use super::attempt_failure::AttemptFailure;
 use super::engine_link::EngineLink;
@@ -10,9 +11,9 @@
 
 /// Where the chunks of a result go.
 enum Destination {
-    /// Buffered, while the result is small.
+    /// To memory, while the result is small.
     Buffer(Vec<Bytes>),
-    /// To the client.
+    /// To the client, as they arrive.
     Stream(mpsc::Sender<ResultChunk>),
 }
 
@@ -21,7 +22,7 @@
     link: &'a EngineLink,
     attempt: AttemptId,
     destination: Destination,
-    /// Bytes of all chunks so far.
+    /// Size of all chunks received so far, in bytes.
     total_bytes: usize,
     reservation: MemoryReservation,
 }
@@ -37,10 +38,12 @@
         }
     }
 
-    /// Takes one chunk. The client of a stream sets the pace.
+    /// Adds one chunk. While the result is streamed, this waits until the client can receive the
+    /// chunk.
     ///
     /// # Errors
-    /// Fails where the client of a stream has disconnected, or incomplete results outgrow their memory.
+    /// Fails if the client of a streamed result has disconnected, or if the memory for incomplete
+    /// results is exhausted.
     pub(super) async fn push(&mut self, chunk: Bytes) -> Result<(), AttemptFailure> {
         self.total_bytes += chunk.len();
         let buffer = match &mut self.destination {
@@ -60,14 +63,16 @@
         Ok(())
     }
 
-    /// Reserves so much memory for the buffer; false where all incomplete results together would take too much.
+    /// Sets the memory reserved for the buffer to `bytes`. Returns false if all incomplete results
+    /// together would exceed their memory.
     fn reserve(&mut self, bytes: usize) -> bool {
         let limits = &self.link.context().limits;
         self.reservation
             .set(bytes, limits.share(limits.partial_result_bytes))
     }
 
-    /// Hands what is buffered to the client, which gets the rest as it arrives.
+    /// Passes the buffered chunks on to the client, which receives the remaining ones as they
+    /// arrive.
     async fn switch_to_streaming(&mut self) {
         let limits = &self.link.context().limits;
         let (stream, remaining_chunks) = mpsc::channel(limits.flight_chunks);
@@ -88,11 +93,12 @@
         self.reserve(0);
     }
 
-    /// Ends the result after its last chunk; returns it unless it streamed. A stream ends well by this alone: a task
-    /// that fails or is aborted leaves its client with a result that is cut off.
+    /// Ends the result after its last chunk. Returns the result, or `None` if it was streamed. Only
+    /// this method marks a streamed result as complete: if the task fails or is aborted before, the
+    /// client learns that the result is cut off.
     ///
     /// # Errors
-    /// Fails where the client of a stream has disconnected.
+    /// Fails if the client of a streamed result has disconnected.
     pub(super) async fn finish(self) -> Result<Option<ResultBody>, AttemptFailure> {
         match self.destination {
             Destination::Buffer(chunks) => {
--- a/src/engines/flight/tests.rs
+++ b/src/engines/flight/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a Flight engine's actor against a peer that speaks no more than HTTP/2.
+//! Tests of the actor of a Flight SQL engine against a peer that speaks HTTP/2 only.
 
 use crate::attempt::AttemptEnd;
 use crate::decision::Outcome;
@@ -12,7 +12,7 @@
 use std::future::poll_fn;
 use tokio::net::TcpStream;
 
-/// A peer whose windows take in any amount at once.
+/// Accepts a connection as a peer whose flow-control windows are too large to block the sender.
 async fn accept_peer(bench: &EngineTestBench) -> h2::server::Connection<TcpStream, Bytes> {
     let stream = bench.accept().await;
     let mut builder = h2::server::Builder::new();
@@ -38,7 +38,7 @@
     });
 }
 
-/// The reset has been sent once the end is reported, and the other call on the connection goes on.
+/// The reset was sent before the end is reported, and the other call on the connection stays open.
 #[test]
 fn cancellation_ends_once_its_reset_is_sent_and_leaves_other_calls_open() {
     run_test(async {
@@ -53,7 +53,8 @@
         bench
             .send(cancel_message(1, AfterCancellation::NoRetry))
             .await;
-        // The peer is not polled meanwhile: what it reads afterwards was sent by then.
+        // The peer is not polled until the end is reported, so what it reads afterwards was sent
+        // before.
         assert!(is_cancelled(
             &bench.next_event().await,
             1,
@@ -62,7 +63,7 @@
         tokio::select! {
             biased;
             reset = poll_fn(|context| first_response.poll_reset(context)) => assert_eq!(reset.expect("reset"), h2::Reason::CANCEL),
-            _ = peer.accept() => panic!("a call"),
+            _ = peer.accept() => panic!("unexpected call"),
         }
         let second_was_reset = poll_fn(|context| {
             std::task::Poll::Ready(second_response.poll_reset(context).is_ready())
@@ -72,7 +73,8 @@
     });
 }
 
-/// Where another attempt may follow, the end is reported once the peer has answered a ping behind the reset.
+/// If another attempt may follow, the end is reported only once the peer has answered a ping that
+/// was sent after the reset.
 #[test]
 fn cancellation_before_a_retry_ends_once_a_ping_after_its_reset_is_answered() {
     run_test(async {
@@ -85,12 +87,12 @@
             .await;
         assert!(
             bench.has_no_event().await,
-            "the peer has read nothing of it"
+            "the peer has not read the reset"
         );
         tokio::select! {
             biased;
             event = bench.next_event() => assert!(is_cancelled(&event, 1, AttemptEnd::Cancelled)),
-            _ = peer.accept() => panic!("a call"),
+            _ = peer.accept() => panic!("unexpected call"),
         }
         assert!(
             poll_fn(|context| std::task::Poll::Ready(response.poll_reset(context).is_ready()))
@@ -99,11 +101,12 @@
     });
 }
 
-/// An answer that cannot be used ends its attempt only once the engine has read that its call is over: the engine would go
-/// on with it, and a retry elsewhere would run beside it.
+/// After an answer that cannot be decoded, the attempt ends only once the engine has read the reset
+/// of its call. Otherwise the engine could still run the attempt while a retry runs on another
+/// engine.
 #[test]
 fn undecodable_answer_ends_the_attempt_once_the_engine_has_read_the_reset() {
-    /// The prefix of a gRPC message of one byte, and a byte that begins no message.
+    /// The prefix of a gRPC message of one byte, and a byte that is not a valid message.
     const UNDECODABLE_ANSWER: &[u8] = &[0, 0, 0, 0, 1, 0xff];
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Flight).await;
@@ -115,16 +118,16 @@
         let mut body = response.send_response(head, false).expect("a response");
         body.send_data(Bytes::from_static(UNDECODABLE_ANSWER), false)
             .expect("data");
-        // One turn of the peer writes the answer. It reads nothing after that until it has its next turn.
+        // Polling the peer once writes the answer. The peer reads nothing until it is polled again.
         poll_fn(|context| std::task::Poll::Ready(peer.poll_accept(context).is_ready())).await;
         assert!(
             bench.has_no_event().await,
-            "the peer has read nothing of the end"
+            "the peer has not read the reset"
         );
         tokio::select! {
             biased;
             event = bench.next_event() => assert!(is_ended(&event, 1, Outcome::Error), "{event:?}"),
-            _ = peer.accept() => panic!("a call"),
+            _ = peer.accept() => panic!("unexpected call"),
         }
         assert!(
             poll_fn(|context| std::task::Poll::Ready(body.poll_reset(context).is_ready())).await
@@ -132,7 +135,8 @@
     });
 }
 
-/// The wait for a peer that reads no more is bounded: its connection is closed, and the other call on it ends as reset.
+/// The wait for a peer that has stopped reading has a timeout. After it the connection is closed,
+/// and the other attempt on it ends with the outcome reset.
 #[test]
 fn connection_is_closed_if_its_peer_reads_nothing_after_a_cancellation() {
     run_test(async {
@@ -147,7 +151,7 @@
             )))
             .await;
         let _first = peer.accept().await.expect("a call").expect("a call");
-        // All that both sockets take is written in these turns.
+        // Other tasks run here until the sockets of both sides accept no more data.
         for _ in 0..1000 {
             tokio::task::yield_now().await;
         }
