--- a/src/net.rs
+++ b/src/net.rs
@@ -1,7 +1,8 @@
-//! Helpers for TCP connections: an output queue with gathered writes, a bounded read, a lingering close, and a stream
-//! for readers and writers that wait.
+//! Helpers for TCP connections: an output queue with gathered writes, a bounded read, a lingering
+//! close, and a stream for asynchronous readers and writers.
 //!
-//! Nothing here waits but [`linger`]; the connections' actors decide when a socket is read or written.
+//! The output queue and the bounded read never wait: the actors of the connections decide when a
+//! socket is read or written.
 
 mod retrying_stream;
 
@@ -14,17 +15,18 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Chunks of one gathered write: some kernels take 1,024, and a few dozen fill a socket's buffer.
+/// Maximum number of chunks in one gathered write. Some kernels accept at most 1,024, and a few
+/// dozen fill the buffer of a socket.
 const MAX_CHUNKS_PER_WRITE: usize = 64;
 
-/// Free bytes that a read buffer has at least before each read.
+/// Minimum free space of a read buffer before each read, in bytes.
 const MIN_FREE_READ_BYTES: usize = 4096;
 
-/// Bytes that are read and discarded at once while a connection lingers.
+/// Maximum number of bytes that one read discards during a lingering close.
 const DISCARD_BUFFER_BYTES: usize = 1024;
 
-/// The output queue of one connection: chunks are queued as they are and leave in gathered writes. What the socket
-/// does not accept stays queued.
+/// The output queue of one connection. Chunks are queued without a copy and written in gathered
+/// writes. Bytes that the socket does not accept stay queued.
 #[derive(Default)]
 pub(crate) struct Outbox {
     chunks: VecDeque<Bytes>,
@@ -33,8 +35,8 @@
 }
 
 impl Outbox {
-    /// Queues a chunk. Returns the count of bytes queued so far, which [`written`](Outbox::written) reaches once the
-    /// chunk is written.
+    /// Queues a chunk. Returns the total number of bytes queued so far. The chunk has been written
+    /// once [`written`](Outbox::written) reaches this number.
     pub(crate) fn push(&mut self, chunk: impl Into<Bytes>) -> u64 {
         let chunk = chunk.into();
         self.queued_bytes += chunk.len() as u64;
@@ -44,22 +46,23 @@
         self.queued_bytes
     }
 
-    /// Bytes written to the socket so far.
+    /// Total number of bytes written to the socket so far.
     pub(crate) fn written(&self) -> u64 {
         self.written_bytes
     }
 
-    /// Bytes queued and not yet written.
+    /// Number of bytes that are queued and not yet written.
     pub(crate) fn unwritten_bytes(&self) -> u64 {
         self.queued_bytes - self.written_bytes
     }
 
-    /// Whether all that was queued is written.
+    /// Whether everything that was queued has been written.
     pub(crate) fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Removes bytes that the socket accepted from the front; their end may lie inside a chunk.
+    /// Removes the bytes that the socket accepted from the front of the queue. They may end inside
+    /// a chunk.
     fn advance(&mut self, mut accepted: usize) {
         self.written_bytes += accepted as u64;
         while let Some(first) = self.chunks.front_mut() {
@@ -72,7 +75,10 @@
         }
     }
 
-    /// Writes as much as the socket accepts now. Errors: the connection is lost.
+    /// Writes as much as the socket accepts without waiting.
+    ///
+    /// # Errors
+    /// Fails if the connection is lost.
     pub(crate) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
         while !self.is_empty() {
             let slices: Vec<IoSlice<'_>> = self
@@ -93,8 +99,12 @@
     }
 }
 
-/// Reads what has arrived into `buffer`, and stops once it has `target_bytes` bytes, so that these are parsed before more is
-/// read. `Ok(false)` at the end of the stream. Errors: the connection is lost.
+/// Reads the bytes that have arrived into `buffer`. Stops once the buffer has at least
+/// `target_bytes` bytes, so that they are parsed before more are read. Returns false at the end of
+/// the stream.
+///
+/// # Errors
+/// Fails if the connection is lost.
 pub(crate) fn read_available(
     stream: &TcpStream,
     buffer: &mut BytesMut,
@@ -113,14 +123,16 @@
     }
 }
 
-/// Waits up to `max_wait` for the peer's end of a connection that this side has shut down for writing, and discards what
-/// still arrives. A close with unread bytes, or one that bytes still reach, would reset the connection, and the answer
-/// could be lost with it.
+/// Waits up to `max_wait` until the peer closes a connection that this side has shut down for
+/// writing. Bytes that still arrive are discarded. If the socket were closed while it has unread
+/// bytes, or if bytes arrived after the close, the connection would be reset, and the last answer
+/// could be lost.
 pub(crate) async fn linger(stream: &TcpStream, max_wait: Duration) {
-    // The close follows in any case, so it does not matter which of the two ended the wait.
+    // The connection is closed in either case: after the end of the stream, and after the timeout.
     let _ = timeout(max_wait, discard_until_end(stream)).await;
 }
 
+/// Reads and discards bytes until the end of the stream, or until the connection is lost.
 async fn discard_until_end(stream: &TcpStream) {
     let mut discarded = [0; DISCARD_BUFFER_BYTES];
     while stream.readable().await.is_ok() {
--- a/src/net/retrying_stream.rs
+++ b/src/net/retrying_stream.rs
@@ -1,9 +1,10 @@
-//! A stream for readers and writers that wait, as those of tokio and hyper do, which goes on after short and interrupted
-//! calls.
+//! A TCP stream for asynchronous readers and writers, such as those of tokio and hyper. It
+//! continues after short and interrupted reads and writes.
 //!
-//! After a call that moved fewer bytes than it could, tokio's own stream waits for the next report of the kernel, as the
-//! socket's buffer must be empty, or full. A call that was cut short for another reason has no report to follow, and the
-//! wait would not end. Here a socket counts as not ready only once it has said so.
+//! After a read or write that transfers fewer bytes than requested, tokio's own stream assumes that
+//! the buffer of the socket is empty or full, and waits for the next readiness event of the kernel.
+//! If the call was short for another reason, no such event follows, and the wait would not end.
+//! This stream treats a socket as not ready only after a call has failed with `WouldBlock`.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -11,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// See the module.
+/// A TCP stream that retries interrupted calls: see the module.
 pub(crate) struct RetryingStream(TcpStream);
 
 impl RetryingStream {
@@ -19,12 +20,13 @@
         RetryingStream(stream)
     }
 
-    /// The socket itself.
+    /// The underlying socket.
     pub(crate) fn socket(&self) -> &TcpStream {
         &self.0
     }
 
-    /// Writes once the socket takes bytes.
+    /// Waits until the socket is ready for writing, then calls `write`. Retries after transient
+    /// errors.
     fn poll_write_with(
         &self,
         context: &mut Context<'_>,
@@ -40,8 +42,9 @@
     }
 }
 
-/// Whether the call is to be made again: at once, or after the next report of the kernel, for which the readiness that is
-/// asked for before each call waits.
+/// Whether a call must be repeated after this error. An interrupted call is repeated at once. A
+/// call that would block is repeated after the next readiness event: the callers poll the readiness
+/// of the socket before each call.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
@@ -87,7 +90,7 @@
         true
     }
 
-    /// The socket holds nothing back.
+    /// There is nothing to flush: the stream has no buffer of its own.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of this module.
+//! Tests of the output queue.
 
 use super::Outbox;
 
-/// A write may end anywhere: inside a piece, at its end, or over several.
+/// A write may end inside a chunk, at its end, or after several chunks.
 #[test]
 fn partial_write_leaves_the_rest_queued() {
     let mut outbox = Outbox::default();
