--- a/src/rows.rs
+++ b/src/rows.rs
@@ -1,8 +1,8 @@
-//! Results in the two formats of engines, rows of text and Arrow data, and their conversion: a client gets the format
-//! of its protocol, whichever the engine sent.
+//! Conversion of results between the two formats of engines: rows of text, and Arrow data. A client
+//! receives the format of its protocol, whichever format the engine sent.
 //!
-//! A row of text is its cells with a tab between and a line feed at the end. An update's answer is a row whose first
-//! cell is the count of changed rows.
+//! The cells of a text row are separated by tabs, and a line feed ends the row. The answer to an
+//! update is one row, whose first cell is the number of changed rows.
 
 use crate::core::{ResultBody, ResultFormat};
 use arrow_array::{ArrayRef, RecordBatch, StringArray};
@@ -17,10 +17,10 @@
 /// Why a result cannot be converted to another format.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConversionError {
-    /// A chunk of an Arrow result is no Flight message.
-    #[error("a result chunk is no Flight message: {0}")]
+    /// A chunk of an Arrow result is not a Flight message.
+    #[error("a result chunk is not a Flight message: {0}")]
     FlightMessage(#[from] prost::DecodeError),
-    /// The Arrow data does not fit its schema, or has a type without a text form.
+    /// The Arrow data does not match its schema, or has a type that cannot be shown as text.
     #[error("Arrow data cannot be converted: {0}")]
     Arrow(#[from] ArrowError),
     /// Rows of text are not UTF-8.
@@ -28,13 +28,14 @@
     Text(#[from] std::str::Utf8Error),
 }
 
-/// The columns of rows of text as Arrow data; further cells of a row stay in the last column.
+/// Column names of text rows that are converted to Arrow data. Further cells of a row are kept in
+/// the last column.
 const TEXT_COLUMN_NAMES: [&str; 3] = ["column_1", "column_2", "column_3"];
 
-/// The count that Flight SQL has for an unknown number of changed rows.
+/// The value with which Flight SQL reports an unknown number of changed rows.
 const UNKNOWN_ROW_COUNT: i64 = -1;
 
-/// A complete result as Flight messages, the schema first.
+/// Converts a complete result to Flight messages. The first message is the schema.
 pub(crate) fn to_arrow(body: &ResultBody) -> Result<Vec<FlightData>, ConversionError> {
     match body.format {
         ResultFormat::Arrow => decode_flight_messages(body),
@@ -71,7 +72,7 @@
     Ok(batches_to_flight_data(&schema, [&batch])?)
 }
 
-/// A complete result as rows of text.
+/// Converts a complete result to rows of text.
 pub(crate) fn to_text(body: &ResultBody) -> Result<Vec<Bytes>, ConversionError> {
     if body.format == ResultFormat::Text {
         return Ok(body.chunks.clone());
@@ -99,7 +100,7 @@
             if index > 0 {
                 text.push('\t');
             }
-            // A tab or line feed inside a cell would read as its end.
+            // A tab or line feed inside a cell would be read as the end of the cell.
             let cell = column.value(row).try_to_string()?;
             text.push_str(&cell.replace(['\t', '\n'], " "));
         }
@@ -108,7 +109,8 @@
     Ok(())
 }
 
-/// The count of rows that an update changed; -1, as in Flight SQL, where the engine's answer has none.
+/// The number of rows that an update changed. If the engine's answer has no number, the result is
+/// -1 as in Flight SQL.
 pub(crate) fn changed_row_count(body: &ResultBody) -> i64 {
     let first_chunk = to_text(body)
         .ok()
@@ -124,7 +126,7 @@
         .unwrap_or(UNKNOWN_ROW_COUNT)
 }
 
-/// The answer to an update that changed so many rows.
+/// The answer to an update that changed `count` rows.
 pub(crate) fn changed_rows_body(count: i64) -> ResultBody {
     ResultBody::complete(ResultFormat::Text, vec![format!("{count}\t\t\n").into()])
 }
--- a/src/rows/tests.rs
+++ b/src/rows/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of the conversion of results.
 
 use super::{changed_row_count, changed_rows_body, to_arrow, to_text};
 use crate::core::{ResultBody, ResultFormat};
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -1,5 +1,6 @@
-//! What a statement's text says about it: its data set, and whether it only reads. The statement is scanned, not
-//! parsed: the engine alone knows its dialect.
+//! Finds the data set of a statement, and whether the statement is read-only. Statements are
+//! scanned for keywords and names. They are not parsed, because their dialect depends on the
+//! engine.
 
 mod scanner;
 
@@ -8,26 +9,27 @@
 
 use scanner::{Scanner, Token};
 
-/// Keywords that a table's name follows.
+/// Keywords that are followed by the name of a table.
 const TABLE_KEYWORDS: [&[u8]; 8] = [
     b"from", b"join", b"into", b"update", b"table", b"only", b"copy", b"using",
 ];
 
-/// First keywords of statements that only read.
+/// Keywords at the start of read-only statements.
 const READ_ONLY_KEYWORDS: [&[u8]; 4] = [b"select", b"values", b"show", b"explain"];
 
 /// Keywords of statements that change rows.
 const MODIFYING_KEYWORDS: [&[u8]; 4] = [b"insert", b"update", b"delete", b"merge"];
 
-/// A schema that belongs to no data set.
+/// A schema that is not part of any data set.
 const SHARED_SCHEMA: &[u8] = b"staging";
 
-/// Digits of a data set's number that fit 32 bits whatever they are.
+/// Maximum number of digits of a data set's number. Any number of this length fits into 32 bits.
 const MAX_DATA_SET_DIGITS: usize = 9;
 
-/// The number of the data set that a statement reads or writes: it follows the last underscore in the name of a schema,
-/// as 17 in `sales_17.orders`. Names inside strings and comments do not count, nor does the schema `staging`. A
-/// schema in the place of a table precedes one in the place of a column, whose first part may be an alias.
+/// The number of the data set that a statement reads or writes. It follows the last underscore in
+/// the name of a schema, as 17 in `sales_17.orders`. Names inside strings and comments are ignored,
+/// and so is the schema `staging`. A schema after a table keyword takes precedence over one
+/// elsewhere, because the qualifier of a column may be a table alias.
 pub(crate) fn data_set(statement: &[u8]) -> Option<u32> {
     let mut scanner = Scanner::new(statement);
     let mut first_outside_table_position = None;
@@ -48,7 +50,8 @@
     first_outside_table_position
 }
 
-/// Whether a statement only reads: by its first keyword, and after `WITH` by the absence of keywords that change rows.
+/// Whether a statement is read-only. The first keyword decides. A statement that starts with `WITH`
+/// is read-only if it contains no keyword that changes rows.
 pub(crate) fn is_read_only(statement: &[u8]) -> bool {
     let mut scanner = Scanner::new(statement);
     match scanner.next() {
@@ -60,7 +63,8 @@
     }
 }
 
-/// Whether the name before the scanner's position qualifies another: a dot and a name follow.
+/// Whether the name before the scanner's position qualifies another name: a dot and a name follow
+/// it.
 fn is_qualifier(scanner: &Scanner<'_>) -> bool {
     let mut ahead = scanner.clone();
     ahead.next() == Some(Token::Dot) && matches!(ahead.next(), Some(Token::Name(_)))
@@ -70,6 +74,7 @@
     is_keyword_of(token, &TABLE_KEYWORDS)
 }
 
+/// Whether a token is one of these keywords, in upper or lower case.
 fn is_keyword_of(token: Token<'_>, keywords: &[&[u8]]) -> bool {
     let Token::Name(name) = token else {
         return false;
@@ -79,6 +84,7 @@
         .any(|keyword| name.eq_ignore_ascii_case(keyword))
 }
 
+/// The number of the data set that a schema belongs to, taken from the schema's name.
 fn data_set_of_schema(schema: &[u8]) -> Option<u32> {
     if schema.eq_ignore_ascii_case(SHARED_SCHEMA) {
         return None;
--- a/src/sql/scanner.rs
+++ b/src/sql/scanner.rs
@@ -1,4 +1,5 @@
-//! Splits a statement into names, dots and all else. Comments, white space and the content of strings are left out.
+//! Splits a statement into names, dots and other tokens. Comments, white space and the content of
+//! strings are left out.
 
 /// One token of a statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -11,7 +12,7 @@
     Other,
 }
 
-/// The tokens of a statement, in their order.
+/// Iterates over the tokens of a statement.
 #[derive(Clone)]
 pub(super) struct Scanner<'a> {
     statement: &'a [u8],
@@ -26,11 +27,12 @@
         }
     }
 
+    /// The part of the statement that has not been scanned.
     fn rest(&self) -> &'a [u8] {
         &self.statement[self.position..]
     }
 
-    /// Takes the bytes before the first that `ends`, or all that are left.
+    /// Takes the bytes before the first byte for which `is_end` is true, or all remaining bytes.
     fn take_until(&mut self, is_end: impl Fn(&u8) -> bool) -> &'a [u8] {
         let rest = self.rest();
         let length = rest.iter().position(is_end).unwrap_or(rest.len());
@@ -44,7 +46,7 @@
         self.position = self.statement.len().min(self.position + 1);
     }
 
-    /// Skips a comment between `/*` and `*/`; these nest, as in the SQL standard.
+    /// Skips a comment between `/*` and `*/`. Such comments may be nested, as in the SQL standard.
     fn skip_block_comment(&mut self) {
         let mut depth = 0;
         while let Some(pair) = self.statement.get(self.position..self.position + 2) {
@@ -64,8 +66,8 @@
         self.position = self.statement.len();
     }
 
-    /// Takes the bytes between quotes. A doubled quote stands for one and ends nothing; without a last quote all that
-    /// is left is taken.
+    /// Takes the bytes between quotes. A doubled quote is part of the content and does not end it.
+    /// If the closing quote is missing, all remaining bytes are taken.
     fn take_quoted(&mut self, quote: u8) -> &'a [u8] {
         let start = self.position + 1;
         self.position = start;
@@ -107,7 +109,7 @@
                     ));
                 }
                 _ if first.is_ascii_digit() => {
-                    // A number and its fraction are one token: its dot qualifies nothing.
+                    // A number and its fraction are one token: the dot in it is not a qualifier.
                     self.take_until(|byte| !(byte.is_ascii_alphanumeric() || *byte == b'.'));
                     return Some(Token::Other);
                 }
@@ -124,11 +126,13 @@
     }
 }
 
-/// Bytes above ASCII count as letters: a name may be in any script.
+/// Whether a name may start with this byte. Bytes above ASCII count as letters, because a name may
+/// be in any script.
 fn is_name_start(byte: u8) -> bool {
     byte == b'_' || byte.is_ascii_alphabetic() || !byte.is_ascii()
 }
 
+/// Whether a name may contain this byte after its first.
 fn is_name_continuation(byte: u8) -> bool {
     is_name_start(byte) || byte.is_ascii_digit() || byte == b'$'
 }
--- a/src/sql/tests.rs
+++ b/src/sql/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of how statements are scanned for their data set and for changes.
 
 use super::{data_set, is_read_only};
 use rstest::rstest;
