--- a/src/engines/flight/attempt_failure.rs
+++ b/src/engines/flight/attempt_failure.rs
@@ -1,6 +1,6 @@
 //! Why an attempt failed, and the outcome that is reported to the core.
 
-use super::call::ConnectionRefused;
+use super::call::CallNotAccepted;
 use super::http2_connection::ConnectError;
 use crate::decision::Outcome;
 use std::error::Error as StdError;
@@ -93,7 +93,7 @@
 
 /// The outcome of an attempt that a connection error ended; `None` if the error is of another kind.
 fn outcome_of_connection_error(error: &(dyn StdError + 'static)) -> Option<Outcome> {
-    if error.is::<ConnectionRefused>() {
+    if error.is::<CallNotAccepted>() {
         return Some(Outcome::NoConnection);
     }
     let error = error.downcast_ref::<h2::Error>()?;
--- a/src/engines/flight/call.rs
+++ b/src/engines/flight/call.rs
@@ -14,7 +14,7 @@
 /// The connection did not accept a call. No part of the call was sent.
 #[derive(Debug, Error)]
 #[error("the connection did not accept the call: {0}")]
-pub(super) struct ConnectionRefused(h2::Error);
+pub(super) struct CallNotAccepted(h2::Error);
 
 /// The sending half of a call. If it is dropped before the call has ended, it resets the stream at
 /// once and discards the data of the call that is still queued.
@@ -66,7 +66,7 @@
 /// Sends a call and waits for the headers of its response.
 ///
 /// # Errors
-/// [`ConnectionRefused`] if no part of the call was sent. Otherwise the error of the connection or
+/// [`CallNotAccepted`] if no part of the call was sent. Otherwise the error of the connection or
 /// of the request's body.
 pub(super) async fn send_call(
     request_sender: SendRequest<Bytes>,
@@ -75,10 +75,10 @@
 ) -> Result<http::Response<ResponseBody>, Box<dyn std::error::Error + Send + Sync>> {
     let (head, mut body) = request.into_parts();
     let head = http::Request::from_parts(head, ());
-    let mut request_sender = request_sender.ready().await.map_err(ConnectionRefused)?;
+    let mut request_sender = request_sender.ready().await.map_err(CallNotAccepted)?;
     let (response, stream) = request_sender
         .send_request(head, false)
-        .map_err(ConnectionRefused)?;
+        .map_err(CallNotAccepted)?;
     signals.begin_call();
     let mut call = CallGuard {
         stream,
