--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -48,7 +48,7 @@
     fn new(listener: TcpListener, frontend: &Frontend) -> Acceptor {
         Acceptor {
             listener,
-            slots: frontend.start_slots(frontend.limits.flight_connections),
+            slots: frontend.create_connection_slots(frontend.limits.flight_connections),
             limits: frontend.limits.clone(),
             metrics: frontend.metrics.clone(),
         }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -62,7 +62,7 @@
 
 impl Frontend {
     /// Slots for `capacity` connections of one listener, which drain when the lifecycle says so.
-    pub(crate) fn start_slots(&self, capacity: usize) -> Arc<ConnectionSlots> {
+    pub(crate) fn create_connection_slots(&self, capacity: usize) -> Arc<ConnectionSlots> {
         let slots = ConnectionSlots::new(capacity, self.limits.clone(), self.metrics.clone());
         tokio::spawn(slots.clone().follow_lifecycle(self.lifecycle.clone()));
         slots
@@ -84,15 +84,15 @@
             .map(|class| self.metrics.class(&class.name))
     }
 
-    /// The deadline of a request that may take `allowed_ms` from `now_ms` on. The client timeout of its class bounds
+    /// The deadline of a request that may take `requested_timeout_ms` from `now_ms` on. The client timeout of its class bounds
     /// it, so that no request waits longer because of what its client claims.
     pub(crate) fn deadline_ms(
         &self,
         now_ms: Millis,
         class: &NamedClass,
-        allowed_ms: Millis,
+        requested_timeout_ms: Millis,
     ) -> Millis {
-        now_ms + allowed_ms.min(class.class.client_timeout_ms)
+        now_ms + requested_timeout_ms.min(class.class.client_timeout_ms)
     }
 
     /// Parses an estimate of work or memory. `None` above [`Limits::max_estimate`]: such a value would distort the
@@ -134,7 +134,7 @@
 
 /// Whether this can stand as one value among an engine's fields: 1 to `max_bytes` printable ASCII characters without
 /// the separators `,` and `=`.
-pub(crate) fn is_token(value: &[u8], max_bytes: usize) -> bool {
+pub(crate) fn is_engine_field_value(value: &[u8], max_bytes: usize) -> bool {
     let is_allowed = |byte: &u8| byte.is_ascii_graphic() && !matches!(byte, b',' | b'=');
     (1..=max_bytes).contains(&value.len()) && value.iter().all(is_allowed)
 }
--- a/src/clients/msgpack_rpc/call.rs
+++ b/src/clients/msgpack_rpc/call.rs
@@ -2,7 +2,7 @@
 
 use super::answers::ErrorName;
 use crate::clients::msgpack::{Call, Fields};
-use crate::clients::{Frontend, is_client_reference, is_token, parse_non_negative};
+use crate::clients::{Frontend, is_client_reference, is_engine_field_value, parse_non_negative};
 use crate::core::{AcceptedRequest, ClientPort, OrderKey, StatementKind};
 use crate::decision::{Idempotency, Millis};
 use crate::retry_policy;
@@ -16,7 +16,7 @@
     /// The request's reference: 16 hex digits.
     pub(super) const REFERENCE: &str = "ref";
     /// Milliseconds from the call's arrival to its deadline.
-    pub(super) const ALLOWED_MS: &str = "allow";
+    pub(super) const TIMEOUT_MS: &str = "allow";
     pub(super) const TENANT: &str = "project";
     pub(super) const IDEMPOTENCY_KEY: &str = "replay";
     /// Requests of a class that keeps order run one after the other if they have the same key.
@@ -30,7 +30,7 @@
 }
 
 /// The only value of [`field::RETRY`].
-const RETRY_MARK: &[u8] = b"1";
+const RETRY_VALUE: &[u8] = b"1";
 
 /// Why a call is no request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -73,9 +73,9 @@
     let (Some(fields), Some(statement)) = (call.fields, call.body) else {
         return Err(CallError::UnexpectedParameters);
     };
-    let reference = required(&fields, field::REFERENCE, |text| is_client_reference(text))?;
-    let allowed_ms = allowed_ms(&fields)?;
-    let tenant = required(&fields, field::TENANT, |name| {
+    let reference = validated_field(&fields, field::REFERENCE, |text| is_client_reference(text))?;
+    let requested_timeout_ms = requested_timeout_ms(&fields)?;
+    let tenant = validated_field(&fields, field::TENANT, |name| {
         frontend.is_known_tenant(name)
     })?;
     let idempotency_key = idempotency_key(frontend, &class, &fields)?;
@@ -84,7 +84,7 @@
     Ok(AcceptedRequest {
         id: frontend.core.next_id(),
         client_reference: reference.clone(),
-        deadline_ms: frontend.deadline_ms(now_ms, &class, allowed_ms),
+        deadline_ms: frontend.deadline_ms(now_ms, &class, requested_timeout_ms),
         class,
         estimated_work_ms: estimate(frontend, &fields, field::WORK_MS)?,
         estimated_memory_mb: estimate(frontend, &fields, field::MEMORY_MB)?,
@@ -99,31 +99,31 @@
     })
 }
 
-fn present<'a>(fields: &'a Fields, name: &'static str) -> Result<&'a Bytes, CallError> {
+fn required_field<'a>(fields: &'a Fields, name: &'static str) -> Result<&'a Bytes, CallError> {
     fields.get(name).ok_or(CallError::MissingField(name))
 }
 
-fn required<'a>(
+fn validated_field<'a>(
     fields: &'a Fields,
     name: &'static str,
     is_valid: impl FnOnce(&Bytes) -> bool,
 ) -> Result<&'a Bytes, CallError> {
-    let value = present(fields, name)?;
+    let value = required_field(fields, name)?;
     if is_valid(value) {
         Ok(value)
     } else {
-        Err(invalid(name, value))
+        Err(invalid_field(name, value))
     }
 }
 
-fn invalid(name: &'static str, value: &Bytes) -> CallError {
+fn invalid_field(name: &'static str, value: &Bytes) -> CallError {
     let value = value.clone();
     CallError::InvalidField { name, value }
 }
 
-fn allowed_ms(fields: &Fields) -> Result<Millis, CallError> {
-    let text = present(fields, field::ALLOWED_MS)?;
-    parse_non_negative(text).ok_or_else(|| invalid(field::ALLOWED_MS, text))
+fn requested_timeout_ms(fields: &Fields) -> Result<Millis, CallError> {
+    let text = required_field(fields, field::TIMEOUT_MS)?;
+    parse_non_negative(text).ok_or_else(|| invalid_field(field::TIMEOUT_MS, text))
 }
 
 /// The idempotency key. Classes that use none may have any text in its field.
@@ -134,8 +134,8 @@
 ) -> Result<Option<Bytes>, CallError> {
     let uses_key = matches!(class.class.idempotency, Idempotency::WithKey(_));
     match fields.get(field::IDEMPOTENCY_KEY) {
-        Some(key) if uses_key && !is_token(key, frontend.limits.key_bytes) => {
-            Err(invalid(field::IDEMPOTENCY_KEY, key))
+        Some(key) if uses_key && !is_engine_field_value(key, frontend.limits.key_bytes) => {
+            Err(invalid_field(field::IDEMPOTENCY_KEY, key))
         }
         Some(key) if uses_key => Ok(Some(key.clone())),
         _ => Ok(None),
@@ -152,8 +152,8 @@
     if !class.class.ordered_by_key {
         return Ok(None);
     }
-    let is_valid = |text: &Bytes| is_token(text, frontend.limits.key_bytes);
-    let text = required(fields, field::ORDER_KEY, is_valid)?;
+    let is_valid = |text: &Bytes| is_engine_field_value(text, frontend.limits.key_bytes);
+    let text = validated_field(fields, field::ORDER_KEY, is_valid)?;
     Ok(Some(OrderKey::new(text)))
 }
 
@@ -161,11 +161,11 @@
 fn count_retry(frontend: &Frontend, fields: &Fields) -> Result<(), CallError> {
     match fields.get(field::RETRY) {
         None => Ok(()),
-        Some(mark) if mark.as_ref() == RETRY_MARK => {
+        Some(mark) if mark.as_ref() == RETRY_VALUE => {
             frontend.metrics.client_retries.increment();
             Ok(())
         }
-        Some(mark) => Err(invalid(field::RETRY, mark)),
+        Some(mark) => Err(invalid_field(field::RETRY, mark)),
     }
 }
 
@@ -179,7 +179,7 @@
         .map(|text| {
             frontend
                 .parse_estimate(text)
-                .ok_or_else(|| invalid(name, text))
+                .ok_or_else(|| invalid_field(name, text))
         })
         .transpose()
 }
--- a/src/clients/msgpack_rpc/listener.rs
+++ b/src/clients/msgpack_rpc/listener.rs
@@ -8,7 +8,7 @@
 
 /// Accepts clients until the process ends or another process takes the listening socket over.
 pub(crate) async fn listen(listener: TcpListener, frontend: Frontend) {
-    let slots = frontend.start_slots(frontend.limits.client_connections);
+    let slots = frontend.create_connection_slots(frontend.limits.client_connections);
     let mut lifecycle = frontend.lifecycle.subscribe();
     loop {
         let accepted = tokio::select! {
--- a/src/clients/tests.rs
+++ b/src/clients/tests.rs
@@ -13,7 +13,10 @@
 #[case(Errno::ECONNABORTED, false)]
 #[case(Errno::EINTR, false)]
 #[case(Errno::EPROTO, false)]
-fn only_a_lack_of_resources_asks_for_an_eviction(#[case] errno: Errno, #[case] lacking: bool) {
+fn only_missing_descriptors_or_memory_count_as_out_of_resources(
+    #[case] errno: Errno,
+    #[case] expected: bool,
+) {
     let error = std::io::Error::from_raw_os_error(errno as i32);
-    assert_eq!(is_out_of_resources(&error), lacking);
+    assert_eq!(is_out_of_resources(&error), expected);
 }
