--- a/src/clients/connection_slots.rs
+++ b/src/clients/connection_slots.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep};
 
 /// One slot in this many is reserved for connections that were asked to leave and are still open.
-const LEAVING_PART: usize = 8;
+const LEAVING_SLOTS_DIVISOR: usize = 8;
 
 /// The connection slots of one front end.
 pub(crate) struct ConnectionSlots {
@@ -39,24 +39,24 @@
 
 struct ConnectionState {
     /// A request was served on it, or a health check was answered.
-    proven: bool,
+    was_served: bool,
     /// It has brought a call.
     has_called: bool,
     open_requests: u32,
     last_change: Instant,
     asked_to_leave: bool,
-    leave: Arc<Notify>,
+    leave_request: Arc<Notify>,
 }
 
 impl ConnectionState {
-    fn new(leave: Arc<Notify>) -> ConnectionState {
+    fn new(leave_request: Arc<Notify>) -> ConnectionState {
         ConnectionState {
-            proven: false,
+            was_served: false,
             has_called: false,
             open_requests: 0,
             last_change: Instant::now(),
             asked_to_leave: false,
-            leave,
+            leave_request,
         }
     }
 
@@ -67,7 +67,7 @@
 
     fn ask_to_leave(&mut self) {
         self.asked_to_leave = true;
-        self.leave.notify_one();
+        self.leave_request.notify_one();
     }
 
     /// A connection that has brought no call yet is left alone, as its first call may be on the way.
@@ -86,14 +86,14 @@
             .filter(|connection| !connection.asked_to_leave)
     }
 
-    /// Asks one idle connection to leave: the one idle for longest, unproven ones first. Returns whether there was one.
-    fn evict_idle(&mut self, unproven_only: bool) -> bool {
+    /// Asks one idle connection to leave: the one idle for longest, unserved ones first. Returns whether there was one.
+    fn evict_idle(&mut self, unserved_only: bool) -> bool {
         let victim = self
             .connections
             .values_mut()
             .filter(|connection| connection.is_evictable())
-            .filter(|connection| !(unproven_only && connection.proven))
-            .min_by_key(|connection| (connection.proven, connection.last_change));
+            .filter(|connection| !(unserved_only && connection.was_served))
+            .min_by_key(|connection| (connection.was_served, connection.last_change));
         let found = victim.is_some();
         if let Some(victim) = victim {
             victim.ask_to_leave();
@@ -128,7 +128,7 @@
         loop {
             // `notify_one` keeps a permit, so a slot freed between the check and the wait is not missed.
             let slot_freed = self.slot_freed.notified();
-            if self.make_room() {
+            if self.try_free_slot() {
                 return;
             }
             slot_freed.await;
@@ -138,21 +138,21 @@
     /// Evicts an idle connection if the slots for those that stay are full; returns whether a slot is free now.
     ///
     /// Unproven connections may fill half of the slots. Above that they evict one another, so that a flood of them
-    /// does not cost proven clients their connections. A connection asked to leave counts until it is closed, as it
-    /// keeps its descriptor; [`LEAVING_PART`] reserves slots for these, so that a new connection seldom waits.
-    fn make_room(&self) -> bool {
+    /// does not cost was_served clients their connections. A connection asked to leave counts until it is closed, as it
+    /// keeps its descriptor; [`LEAVING_SLOTS_DIVISOR`] reserves slots for these, so that a new connection seldom waits.
+    fn try_free_slot(&self) -> bool {
         let mut registry = self.registry();
         let capacity = self.limits.share(self.capacity);
-        let max_staying = capacity - capacity.div_ceil(LEAVING_PART);
-        let max_unproven = max_staying.div_ceil(2);
+        let max_staying = capacity - capacity.div_ceil(LEAVING_SLOTS_DIVISOR);
+        let max_unserved = max_staying.div_ceil(2);
         let staying = registry.staying().count();
-        let unproven = registry
+        let unserved = registry
             .staying()
-            .filter(|connection| !connection.proven)
+            .filter(|connection| !connection.was_served)
             .count();
-        let unproven_only = unproven >= max_unproven;
-        if unproven_only || staying >= max_staying {
-            self.evict(&mut registry, unproven_only);
+        let unserved_only = unserved >= max_unserved;
+        if unserved_only || staying >= max_staying {
+            self.evict(&mut registry, unserved_only);
         }
         registry.connections.len() < capacity
     }
@@ -162,8 +162,8 @@
         self.evict(&mut self.registry(), false);
     }
 
-    fn evict(&self, registry: &mut Registry, unproven_only: bool) {
-        if registry.evict_idle(unproven_only) {
+    fn evict(&self, registry: &mut Registry, unserved_only: bool) {
+        if registry.evict_idle(unserved_only) {
             self.metrics.client_connections_evicted.increment();
         }
     }
@@ -194,18 +194,18 @@
 
     /// Takes a slot for a connection that was accepted.
     #[must_use]
-    pub(crate) fn take(self: &Arc<ConnectionSlots>) -> ConnectionSlot {
+    pub(crate) fn take_slot(self: &Arc<ConnectionSlots>) -> ConnectionSlot {
         let mut registry = self.registry();
         let id = registry.next_id;
-        let leave = Arc::new(Notify::new());
+        let leave_request = Arc::new(Notify::new());
         registry.next_id += 1;
         registry
             .connections
-            .insert(id, ConnectionState::new(leave.clone()));
+            .insert(id, ConnectionState::new(leave_request.clone()));
         ConnectionSlot {
             slots: self.clone(),
             id,
-            leave,
+            leave_request,
         }
     }
 }
@@ -214,12 +214,12 @@
 pub(crate) struct ConnectionSlot {
     slots: Arc<ConnectionSlots>,
     id: u64,
-    leave: Arc<Notify>,
+    leave_request: Arc<Notify>,
 }
 
 impl ConnectionSlot {
     /// Names the connection in the log: no other connection of its front end has this number.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn connection_id(&self) -> u64 {
         self.id
     }
 
@@ -274,14 +274,14 @@
             .unwrap_or(false)
     }
 
-    /// Records that it was served, so that unproven connections are evicted before it.
-    pub(crate) fn mark_proven(&self) {
-        self.update(|connection| connection.proven = true);
+    /// Records that it was served, so that unserved connections are evicted before it.
+    pub(crate) fn mark_served(&self) {
+        self.update(|connection| connection.was_served = true);
     }
 
     /// Resolves once the connection is asked to leave.
     pub(crate) async fn asked_to_leave(&self) {
-        self.leave.notified().await;
+        self.leave_request.notified().await;
     }
 
     /// Resolves once the connection was asked to leave and nothing changed on it for `quiet`.
@@ -295,7 +295,7 @@
                 let before = self.activity();
                 sleep(quiet).await;
                 match before {
-                    Some((1.., _)) => break self.stay(),
+                    Some((1.., _)) => break self.withdraw_leave_request(),
                     _ if before == self.activity() => return,
                     _ => {}
                 }
@@ -309,7 +309,7 @@
     }
 
     /// Withdraws the request to leave, as a request came in. The connection may be asked again later.
-    pub(crate) fn stay(&self) {
+    pub(crate) fn withdraw_leave_request(&self) {
         self.update(|connection| connection.asked_to_leave = false);
         // A new connection that waits for this slot has another one evicted instead.
         self.slots.slot_freed.notify_one();
--- a/src/clients/connection_slots/tests.rs
+++ b/src/clients/connection_slots/tests.rs
@@ -10,19 +10,19 @@
         crate::engines::EngineContext::for_tests(crate::core::Handle::new(1, Default::default()).0)
             .limits;
     let slots = ConnectionSlots::new(8, limits, Arc::default());
-    let [idle, busy, uncalled] = [(); 3].map(|()| slots.take());
+    let [idle, busy, without_call] = [(); 3].map(|()| slots.take_slot());
     idle.record_call();
     busy.request_opened();
     let asked = |slot: &ConnectionSlot| slot.asked_to_leave().now_or_never().is_some();
     slots.set_draining(true);
-    assert!(asked(&idle) && !asked(&busy) && !asked(&uncalled));
+    assert!(asked(&idle) && !asked(&busy) && !asked(&without_call));
     busy.request_closed();
     assert!(
         asked(&busy) && !asked(&busy),
         "once, after its last request has ended"
     );
     busy.request_opened();
-    busy.stay();
+    busy.withdraw_leave_request();
     slots.set_draining(false);
     busy.request_closed();
     assert!(!asked(&busy), "not after draining has stopped");
--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -64,8 +64,11 @@
             Ok((stream, _)) => {
                 self.slots.wait_for_slot().await;
                 let _ = stream.set_nodelay(true);
-                let slot = Arc::new(self.slots.take());
-                tracing::debug!(connection = slot.number(), "client connection accepted");
+                let slot = Arc::new(self.slots.take_slot());
+                tracing::debug!(
+                    connection = slot.connection_id(),
+                    "client connection accepted"
+                );
                 let signal = close_signal(slot.clone(), self.limits.clone(), self.metrics.clone());
                 Ok(TrackedConnection::new(stream, slot, Box::pin(signal)))
             }
@@ -93,7 +96,7 @@
         return quiet_after_leave_request.await;
     }
     tracing::debug!(
-        connection = slot.number(),
+        connection = slot.connection_id(),
         "client connection brought no call in time"
     );
     metrics.client_read_timeouts.increment();
--- a/src/clients/flight/listener/tests.rs
+++ b/src/clients/flight/listener/tests.rs
@@ -14,7 +14,7 @@
     let context = EngineContext::for_tests(Handle::new(1, Clock::new()).0);
     let (limits, metrics) = (context.limits, context.metrics);
     let slots = ConnectionSlots::new(4, limits.clone(), metrics.clone());
-    let slot = Arc::new(slots.take());
+    let slot = Arc::new(slots.take_slot());
     slot.record_call();
     let started_at = Instant::now();
     let signal = close_signal(slot, limits.clone(), metrics);
--- a/src/clients/flight/pending_response.rs
+++ b/src/clients/flight/pending_response.rs
@@ -127,7 +127,7 @@
         Answer::Served(body) => {
             response.set_completed(body.remaining_chunks.is_none());
             if let Some(slot) = &response.slot {
-                slot.mark_proven();
+                slot.mark_served();
             }
             Ok((body, response))
         }
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -76,7 +76,7 @@
 
     /// Serves the connection until it is closed, then withdraws the requests still open on it.
     pub(super) async fn run(mut self) {
-        let connection = self.slot.number();
+        let connection = self.slot.connection_id();
         match self.serve().await {
             Ok(reason) => {
                 tracing::debug!(connection, ?reason, "client connection is being closed");
@@ -171,7 +171,7 @@
             return Ok(true);
         }
         if !self.evicted {
-            self.slot.stay();
+            self.slot.withdraw_leave_request();
         }
         Ok(false)
     }
@@ -245,7 +245,7 @@
         let handled = self.handle_messages().await;
         let within_memory = self.input.update_reservation();
         if handled.is_err() || !within_memory {
-            let (connection, error) = (self.slot.number(), handled.err());
+            let (connection, error) = (self.slot.connection_id(), handled.err());
             tracing::debug!(
                 connection,
                 ?error,
@@ -279,7 +279,7 @@
     fn queue_answer(&mut self, message_id: u64, answer: &Answer) -> bool {
         match answer {
             Answer::Served(body) => {
-                self.slot.mark_proven();
+                self.slot.mark_served();
                 return self.answer_queue.push_result(message_id, body).is_ok();
             }
             Answer::Rejected { retry_after_ms } => self
--- a/src/clients/msgpack_rpc/connection/calls.rs
+++ b/src/clients/msgpack_rpc/connection/calls.rs
@@ -36,7 +36,7 @@
         let message_id = call.id;
         self.record_call(message_id)?;
         if call.method.as_ref() == HEALTH_METHOD {
-            self.slot.mark_proven();
+            self.slot.mark_served();
             let accepts_requests = !self.is_draining();
             self.answer_queue.push_health(message_id, accepts_requests);
             return Ok(());
@@ -72,7 +72,7 @@
     }
 
     fn log_refused_call(&self, message_id: u64, reason: &dyn std::fmt::Display) {
-        let connection = self.slot.number();
+        let connection = self.slot.connection_id();
         tracing::debug!(connection, message_id, %reason, "call refused");
     }
 
@@ -89,7 +89,7 @@
         self.idle_since = Instant::now();
         self.input.call_completed();
         if std::mem::take(&mut self.evicted) {
-            self.slot.stay();
+            self.slot.withdraw_leave_request();
         }
         Ok(())
     }
@@ -111,7 +111,7 @@
         tracing::debug!(
             id = request.id,
             r#ref = %lossy_text(&request.client_reference),
-            connection = self.slot.number(),
+            connection = self.slot.connection_id(),
             message_id,
             "request read"
         );
--- a/src/clients/msgpack_rpc/listener.rs
+++ b/src/clients/msgpack_rpc/listener.rs
@@ -38,13 +38,16 @@
 }
 
 fn spawn_connection(stream: TcpStream, slots: &Arc<ConnectionSlots>, frontend: &Frontend) {
-    let slot = slots.take();
+    let slot = slots.take_slot();
     let frontend = frontend.clone();
     tokio::spawn(async move {
         let metrics = frontend.metrics.clone();
         metrics.client_connections.increment();
         metrics.client_connections_open.increment();
-        tracing::debug!(connection = slot.number(), "client connection accepted");
+        tracing::debug!(
+            connection = slot.connection_id(),
+            "client connection accepted"
+        );
         Connection::new(stream, slot, frontend).run().await;
         metrics.client_connections_open.decrement();
     });
