--- a/src/clients/msgpack/mod.rs
+++ b/src/clients/msgpack/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) enum MessageError {
     /// It is not MessagePack, or is neither a call nor a notification.
     #[error("neither a call nor a notification in MessagePack")]
-    UnexpectedForm,
+    Malformed,
     /// The message, or a length that it announces, is over the limit.
     #[error("{bytes} bytes, {limit} allowed")]
     TooLong {
--- a/src/clients/msgpack/reader.rs
+++ b/src/clients/msgpack/reader.rs
@@ -9,11 +9,11 @@
 use std::ops::Range;
 
 /// `type` of a call.
-const CALL: u64 = 0;
+const CALL_TYPE: u64 = 0;
 /// Elements of a call: type, id, method, parameters.
 const CALL_ELEMENTS: u32 = 4;
 /// `type` of a notification.
-const NOTIFICATION: u64 = 2;
+const NOTIFICATION_TYPE: u64 = 2;
 /// Elements of a notification: type, method, parameters.
 const NOTIFICATION_ELEMENTS: u32 = 3;
 /// Method of the notification that withdraws a call.
@@ -78,7 +78,7 @@
             ValueReadError::InvalidMarkerRead(_) | ValueReadError::InvalidDataRead(_) => {
                 ParseError::Incomplete
             }
-            ValueReadError::TypeMismatch(_) => MessageError::UnexpectedForm.into(),
+            ValueReadError::TypeMismatch(_) => MessageError::Malformed.into(),
         }
     }
 }
@@ -89,7 +89,7 @@
             NumValueReadError::InvalidMarkerRead(_) | NumValueReadError::InvalidDataRead(_) => {
                 ParseError::Incomplete
             }
-            _ => MessageError::UnexpectedForm.into(),
+            _ => MessageError::Malformed.into(),
         }
     }
 }
@@ -202,9 +202,9 @@
         let elements = self.array_length()?;
         let message_type: u64 = decode::read_int(&mut self.input)?;
         match (message_type, elements) {
-            (CALL, CALL_ELEMENTS) => self.call(),
-            (NOTIFICATION, NOTIFICATION_ELEMENTS) => self.notification(),
-            _ => Err(MessageError::UnexpectedForm.into()),
+            (CALL_TYPE, CALL_ELEMENTS) => self.call(),
+            (NOTIFICATION_TYPE, NOTIFICATION_ELEMENTS) => self.notification(),
+            _ => Err(MessageError::Malformed.into()),
         }
     }
 
@@ -298,14 +298,14 @@
 
     /// Skips one value with collections nested at most `depth` deep. The bound keeps a few bytes from asking for any
     /// depth of the stack.
-    fn skip_nested(&mut self, depth: usize) -> ParseResult<()> {
+    fn skip_nested(&mut self, max_depth: usize) -> ParseResult<()> {
         let marker = self.peek_marker()?;
         if is_array(marker) {
             let count = self.array_length()? as usize;
-            self.skip_elements(count, depth)
+            self.skip_elements(count, max_depth)
         } else if is_map(marker) {
             let count = decode::read_map_len(&mut self.input)? as usize;
-            self.skip_elements(count.saturating_mul(2), depth)
+            self.skip_elements(count.saturating_mul(2), max_depth)
         } else if is_string(marker) {
             self.string().map(|_| ())
         } else if is_binary(marker) {
@@ -317,10 +317,10 @@
         }
     }
 
-    fn skip_elements(&mut self, count: usize, depth: usize) -> ParseResult<()> {
+    fn skip_elements(&mut self, count: usize, max_depth: usize) -> ParseResult<()> {
         // An element takes a byte at least, so a message within its limit never has more of them.
         self.check_length(count)?;
-        let remaining_depth = depth.checked_sub(1).ok_or(MessageError::TooDeep)?;
+        let remaining_depth = max_depth.checked_sub(1).ok_or(MessageError::TooDeep)?;
         (0..count).try_for_each(|_| self.skip_nested(remaining_depth))
     }
 
@@ -342,7 +342,7 @@
             Marker::Ext8 => 2 + u32::from(u8::from_be_bytes(self.peek_after_marker()?)),
             Marker::Ext16 => 3 + u32::from(u16::from_be_bytes(self.peek_after_marker()?)),
             Marker::Ext32 => u32::from_be_bytes(self.peek_after_marker()?).saturating_add(5),
-            _ => return Err(MessageError::UnexpectedForm.into()),
+            _ => return Err(MessageError::Malformed.into()),
         })
     }
 
--- a/src/clients/msgpack/writer.rs
+++ b/src/clients/msgpack/writer.rs
@@ -13,7 +13,7 @@
 /// Elements of a result: body, fields. An error likewise: name, fields.
 const RESULT_ELEMENTS: u32 = 2;
 /// Room for an answer without its result, so that encoding one allocates once.
-const HEAD_BYTES: usize = 32;
+const INITIAL_CAPACITY_BYTES: usize = 32;
 
 /// The beginning of an answer with a result of `body_bytes`. The body follows, then [`END_OF_ANSWER`].
 pub(crate) fn result_head(id: u64, body_bytes: usize) -> Bytes {
@@ -54,7 +54,7 @@
 impl Encoder {
     /// Begins an answer: `[1, id, ...`.
     fn answer(id: u64) -> Encoder {
-        let mut encoder = Encoder(ByteBuf::with_capacity(HEAD_BYTES));
+        let mut encoder = Encoder(ByteBuf::with_capacity(INITIAL_CAPACITY_BYTES));
         encoder.array(ANSWER_ELEMENTS);
         encoder.integer(ANSWER_TYPE);
         encoder.integer(id);
--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -86,7 +86,7 @@
 pub(super) enum UndeliverableResult {
     /// It cannot be written as text, or it is still streaming.
     #[error("the protocol cannot carry this form of result")]
-    UnsupportedForm,
+    UnsupportedFormat,
     #[error("{bytes} bytes, {limit} allowed")]
     TooLarge { bytes: usize, limit: usize },
     #[error("unread answers of all clients use the memory reserved for them")]
@@ -165,9 +165,9 @@
     }
 
     pub(super) fn push_rejection(&mut self, message_id: u64, retry_after_ms: Millis) {
-        let advice = format!("{retry_after_ms:.0}");
-        let field =
-            (retry_after_ms >= MIN_RETRY_AFTER_MS).then_some((RETRY_AFTER_FIELD, advice.as_str()));
+        let retry_after = format!("{retry_after_ms:.0}");
+        let field = (retry_after_ms >= MIN_RETRY_AFTER_MS)
+            .then_some((RETRY_AFTER_FIELD, retry_after.as_str()));
         let name = ErrorName::Overloaded.as_str();
         self.outbox
             .push(msgpack::error_answer(message_id, name, field));
@@ -198,9 +198,9 @@
     /// The chunks of a result, with memory reserved for them.
     fn deliverable_chunks(&mut self, body: &ResultBody) -> Result<Vec<Bytes>, UndeliverableResult> {
         if body.remaining_chunks.is_some() {
-            return Err(UndeliverableResult::UnsupportedForm);
+            return Err(UndeliverableResult::UnsupportedFormat);
         }
-        let chunks = rows::to_text(body).map_err(|_| UndeliverableResult::UnsupportedForm)?;
+        let chunks = rows::to_text(body).map_err(|_| UndeliverableResult::UnsupportedFormat)?;
         let bytes = total_bytes(&chunks);
         let limit = self.limits.result_bytes;
         if bytes > limit {
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Answers that the channel from the core holds for each request that may be open.
-const ANSWERS_PER_REQUEST: usize = 2;
+const CHANNEL_CAPACITY_PER_REQUEST: usize = 2;
 
 /// A client's connection and all of its state.
 pub(super) struct Connection {
@@ -54,8 +54,9 @@
 
 impl Connection {
     pub(super) fn new(stream: TcpStream, slot: ConnectionSlot, frontend: Frontend) -> Connection {
-        let max_answers = frontend.limits.open_requests_per_client * ANSWERS_PER_REQUEST;
-        let (answer_channel, answers) = AnswerChannel::new(max_answers);
+        let channel_capacity =
+            frontend.limits.open_requests_per_client * CHANNEL_CAPACITY_PER_REQUEST;
+        let (answer_channel, answers) = AnswerChannel::new(channel_capacity);
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
@@ -122,7 +123,7 @@
             if idle && self.evicted && self.input.is_empty() {
                 return Ok(CloseReason::Evicted);
             }
-            let close_at = self.idle_deadline();
+            let idle_deadline = self.idle_deadline();
             let write_deadline = self.answer_queue.write_deadline();
             tokio::select! {
                 biased;
@@ -132,7 +133,7 @@
                     ready?;
                     self.receive().await?;
                 }
-                () = sleep_until(close_at), if idle => {
+                () = sleep_until(idle_deadline), if idle => {
                     if self.is_still_silent().await? {
                         return Ok(CloseReason::Silent);
                     }
@@ -143,7 +144,7 @@
                 }
                 // While draining, a message that has begun is waited for, within its own time limit.
                 () = self.slot.asked_to_leave(), if idle && (self.input.is_empty() || !draining) => {
-                    if self.may_leave(draining).await? {
+                    if self.handle_leave_request(draining).await? {
                         return Ok(if draining { CloseReason::Draining } else { CloseReason::Evicted });
                     }
                 }
@@ -163,7 +164,7 @@
 
     /// Handles the request to leave; returns whether the connection can be closed at once. An evicted connection with
     /// part of a message stays open until the rest arrives or its time is over.
-    async fn may_leave(&mut self, draining: bool) -> Result<bool, ConnectionError> {
+    async fn handle_leave_request(&mut self, draining: bool) -> Result<bool, ConnectionError> {
         self.receive_before_close().await?;
         let idle = self.is_idle();
         self.evicted = !draining && idle;
@@ -190,7 +191,7 @@
     fn idle_deadline(&self) -> Instant {
         let idle = self.idle_since + self.frontend.limits.client_idle_timeout;
         match self.input.incomplete_since() {
-            Some(since) => idle.min(since + self.silence_limits().read),
+            Some(since) => idle.min(since + self.silence_limits().read_timeout),
             None => idle,
         }
     }
@@ -199,7 +200,7 @@
         if self.evicted {
             SilenceLimits::evicted(&self.frontend.limits, self.is_draining())
         } else {
-            SilenceLimits::usual(&self.frontend.limits)
+            SilenceLimits::not_evicted(&self.frontend.limits)
         }
     }
 
--- a/src/clients/msgpack_rpc/connection/calls.rs
+++ b/src/clients/msgpack_rpc/connection/calls.rs
@@ -28,7 +28,8 @@
                 }
             }
         }
-        self.input.messages_exhausted(self.last_message_id > 0);
+        self.input
+            .record_all_messages_read(self.last_message_id > 0);
         Ok(())
     }
 
@@ -79,15 +80,15 @@
     fn record_call(&mut self, message_id: u64) -> Result<(), ProtocolError> {
         // A repeated id would get two answers, and the client could not tell which call each one is for.
         if message_id <= self.last_message_id {
-            return Err(ProtocolError::MessageIdNotRising {
+            return Err(ProtocolError::MessageIdNotIncreasing {
                 id: message_id,
-                last: self.last_message_id,
+                previous: self.last_message_id,
             });
         }
         self.last_message_id = message_id;
         self.slot.record_call();
         self.idle_since = Instant::now();
-        self.input.call_completed();
+        self.input.record_complete_call();
         if std::mem::take(&mut self.evicted) {
             self.slot.withdraw_leave_request();
         }
--- a/src/clients/msgpack_rpc/errors.rs
+++ b/src/clients/msgpack_rpc/errors.rs
@@ -25,7 +25,7 @@
     #[error("the client reads no answers")]
     WriteTimeout,
     #[error("too much was sent after a message that cannot be understood")]
-    DiscardLimit,
+    DiscardLimitExceeded,
 }
 
 /// Why nothing more on a connection can be understood. Earlier calls are still answered.
@@ -33,8 +33,8 @@
 pub(super) enum ProtocolError {
     #[error("message: {0}")]
     Message(#[from] MessageError),
-    #[error("message id {id} after {last}")]
-    MessageIdNotRising { id: u64, last: u64 },
+    #[error("message id {id} after {previous}")]
+    MessageIdNotIncreasing { id: u64, previous: u64 },
     #[error("more than {limit} bad calls")]
     TooManyBadCalls { limit: usize },
 }
--- a/src/clients/msgpack_rpc/input.rs
+++ b/src/clients/msgpack_rpc/input.rs
@@ -84,13 +84,13 @@
     }
 
     /// Records that a complete call was read.
-    pub(super) fn call_completed(&mut self) {
+    pub(super) fn record_complete_call(&mut self) {
         self.set_incomplete_since(None);
     }
 
     /// Records that no complete message is left in the buffer. Until the first call everything counts as incomplete,
     /// notifications too.
-    pub(super) fn messages_exhausted(&mut self, has_called: bool) {
+    pub(super) fn record_all_messages_read(&mut self, has_called: bool) {
         if !self.buffer.is_empty() {
             let since = self.incomplete_since().unwrap_or_else(Instant::now);
             self.set_incomplete_since(Some(since));
@@ -130,7 +130,7 @@
         if let InputState::Discarding { bytes } = &mut self.state {
             *bytes += received;
             if *bytes > self.limits.message_bytes {
-                return Err(ConnectionError::DiscardLimit);
+                return Err(ConnectionError::DiscardLimitExceeded);
             }
         }
         Ok(())
--- a/src/clients/msgpack_rpc/tests.rs
+++ b/src/clients/msgpack_rpc/tests.rs
@@ -24,7 +24,7 @@
     let (_settings_sender, settings) =
         watch::channel(Arc::new(EngineContext::settings_for_tests()));
     let limits = Arc::new(limits);
-    let front = Frontend {
+    let frontend = Frontend {
         core,
         settings,
         limits,
@@ -34,14 +34,14 @@
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
-    tokio::spawn(listen(listener, front));
+    tokio::spawn(listen(listener, frontend));
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_recv_buffer_size(2048).expect("option");
     let mut client = socket.connect(address).await.expect("connect");
     let send_until_closed = async {
-        for n in 1u32.. {
+        for batch in 1u32.. {
             let mut calls = Vec::new();
-            for id in n * 4096..(n + 1) * 4096 {
+            for id in batch * 4096..(batch + 1) * 4096 {
                 calls.extend([0x94, 0, 0xce]);
                 calls.extend(id.to_be_bytes());
                 calls.extend(b"\xa6health\x91\x80");
