--- a/src/clients/connection_slots.rs
+++ b/src/clients/connection_slots.rs
@@ -1,9 +1,11 @@
-//! Slots for client connections: a front end accepts a connection only once it has one.
+//! Slots that bound the number of client connections of a front end.
 //!
-//! While any connection is idle, a new one gets a slot: the idle connection whose loss matters least is evicted. So
-//! neither clients that keep connections for good nor clients that connect and send nothing keep others out.
-//! [`ConnectionSlots`] owns the state of every connection of one front end; each connection reports its changes
-//! through its [`ConnectionSlot`]. Both the MessagePack-RPC and the Flight SQL front end use it.
+//! A front end serves a connection only in a free slot. If all slots are taken, an idle connection is
+//! evicted for the new one. Connections that were never served are evicted first, then the one that
+//! has been idle for longest. So clients that keep connections open forever, and clients that connect
+//! and send nothing, cannot keep other clients out. [`ConnectionSlots`] holds the state of every
+//! connection of one front end, and each connection updates its own state through its
+//! [`ConnectionSlot`]. Both the MessagePack-RPC and the Flight SQL front end use this module.
 
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
@@ -14,16 +16,17 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// One slot in this many is reserved for connections that were asked to leave and are still open.
+/// The number of slots is divided by this to get the number that is reserved for connections that were
+/// asked to leave and are still open.
 const LEAVING_SLOTS_DIVISOR: usize = 8;
 
 /// The connection slots of one front end.
 pub(crate) struct ConnectionSlots {
-    /// Slots of the whole workload manager; two processes of it share them.
+    /// Slots of the whole workload manager. While a peer process runs, the two processes share them.
     capacity: usize,
     limits: Arc<Limits>,
     registry: Mutex<Registry>,
-    /// Notified whenever a slot may have become free or its connection evictable.
+    /// Notified whenever a slot may have become free or a connection may have become evictable.
     slot_freed: Notify,
     metrics: Arc<Metrics>,
 }
@@ -31,20 +34,24 @@
 /// The open connections.
 #[derive(Default)]
 struct Registry {
-    /// Connections are being drained: each is asked to leave once it has no open request.
+    /// Whether connections are being drained: each one that has sent a call is asked to leave as soon as
+    /// it has no open request.
     draining: bool,
     next_id: u64,
     connections: HashMap<u64, ConnectionState>,
 }
 
+/// What the slots record about one open connection.
 struct ConnectionState {
-    /// A request was served on it, or a health check was answered.
+    /// Whether a request was served on this connection, or a health check was answered.
     was_served: bool,
-    /// It has brought a call.
+    /// Whether the client has sent a call.
     has_called: bool,
     open_requests: u32,
+    /// When this state was last updated.
     last_change: Instant,
     asked_to_leave: bool,
+    /// Notified when the connection is asked to leave.
     leave_request: Arc<Notify>,
 }
 
@@ -60,7 +67,7 @@
         }
     }
 
-    /// Whether it may be evicted: it has no open request and was not asked to leave before.
+    /// Whether the connection may be evicted: it has no open request and has not been asked to leave yet.
     fn is_evictable(&self) -> bool {
         self.open_requests == 0 && !self.asked_to_leave
     }
@@ -70,7 +77,8 @@
         self.leave_request.notify_one();
     }
 
-    /// A connection that has brought no call yet is left alone, as its first call may be on the way.
+    /// Asks the connection to leave if it has no open request. A connection without a call is not asked,
+    /// because its first call may be on the way.
     fn ask_to_leave_for_drain(&mut self) {
         if self.has_called && self.is_evictable() {
             self.ask_to_leave();
@@ -79,14 +87,15 @@
 }
 
 impl Registry {
-    /// Connections that were not asked to leave.
+    /// The connections that have not been asked to leave.
     fn staying(&self) -> impl Iterator<Item = &ConnectionState> {
         self.connections
             .values()
             .filter(|connection| !connection.asked_to_leave)
     }
 
-    /// Asks one idle connection to leave: the one idle for longest, unserved ones first. Returns whether there was one.
+    /// Asks one idle connection to leave. Connections that were never served are chosen first, and among
+    /// equals the one that has been idle for longest. Returns whether an idle connection was found.
     fn evict_idle(&mut self, unserved_only: bool) -> bool {
         let victim = self
             .connections
@@ -103,7 +112,7 @@
 }
 
 impl ConnectionSlots {
-    /// Slots for `capacity` connections, shared with a peer process while there is one.
+    /// Creates slots for `capacity` connections, which a peer process shares while it runs.
     pub(crate) fn new(
         capacity: usize,
         limits: Arc<Limits>,
@@ -122,11 +131,12 @@
         self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until there is a slot for a new connection. It returns at once unless every connection has an open
-    /// request or is already leaving.
+    /// Waits until there is a slot for a new connection, and evicts an idle connection if necessary.
+    /// Returns at once unless every connection has an open request or is already leaving.
     pub(crate) async fn wait_for_slot(&self) {
         loop {
-            // `notify_one` keeps a permit, so a slot freed between the check and the wait is not missed.
+            // `notify_one` stores a permit, so a slot that is freed between the check and the wait is not
+            // missed.
             let slot_freed = self.slot_freed.notified();
             if self.try_free_slot() {
                 return;
@@ -135,11 +145,14 @@
         }
     }
 
-    /// Evicts an idle connection if the slots for those that stay are full; returns whether a slot is free now.
+    /// Evicts an idle connection if all slots outside the reserve are taken. Returns whether a slot is
+    /// free now.
     ///
-    /// Unproven connections may fill half of the slots. Above that they evict one another, so that a flood of them
-    /// does not cost was_served clients their connections. A connection asked to leave counts until it is closed, as it
-    /// keeps its descriptor; [`LEAVING_SLOTS_DIVISOR`] reserves slots for these, so that a new connection seldom waits.
+    /// Connections that were never served may take half of the slots outside the reserve. Above that, only
+    /// connections of this kind are evicted, so that a flood of them does not evict clients that were
+    /// served. A connection that was asked to leave counts until it is closed, because it keeps its file
+    /// descriptor until then. [`LEAVING_SLOTS_DIVISOR`] sets the reserve for such connections, so that a
+    /// new connection seldom has to wait.
     fn try_free_slot(&self) -> bool {
         let mut registry = self.registry();
         let capacity = self.limits.share(self.capacity);
@@ -157,7 +170,8 @@
         registry.connections.len() < capacity
     }
 
-    /// Evicts one idle connection although slots are free: the process ran out of descriptors first.
+    /// Evicts one idle connection even if slots are free. It is called when the process has run out of file
+    /// descriptors or memory.
     pub(crate) fn evict_idle(&self) {
         self.evict(&mut self.registry(), false);
     }
@@ -168,8 +182,8 @@
         }
     }
 
-    /// Starts or stops draining: while it is on, a connection that has brought a call is asked to leave as soon as it
-    /// has no open request.
+    /// Starts or stops draining. During draining, a connection that has sent a call is asked to leave as
+    /// soon as it has no open request.
     pub(crate) fn set_draining(&self, draining: bool) {
         let mut registry = self.registry();
         registry.draining = draining;
@@ -181,7 +195,7 @@
         }
     }
 
-    /// Drains whenever the lifecycle says that clients are to leave. Runs until the lifecycle is dropped.
+    /// Drains connections while the lifecycle state is draining. Runs until the lifecycle is dropped.
     pub(crate) async fn follow_lifecycle(self: Arc<ConnectionSlots>, lifecycle: Arc<Lifecycle>) {
         let mut state = lifecycle.subscribe();
         loop {
@@ -192,7 +206,7 @@
         }
     }
 
-    /// Takes a slot for a connection that was accepted.
+    /// Takes a slot for an accepted connection.
     #[must_use]
     pub(crate) fn take_slot(self: &Arc<ConnectionSlots>) -> ConnectionSlot {
         let mut registry = self.registry();
@@ -218,11 +232,12 @@
 }
 
 impl ConnectionSlot {
-    /// Names the connection in the log: no other connection of its front end has this number.
+    /// Returns the connection's id for the log. It is unique within the front end.
     pub(crate) fn connection_id(&self) -> u64 {
         self.id
     }
 
+    /// Changes the connection's state, and asks it to leave if draining now requires that.
     fn update(&self, change: impl FnOnce(&mut ConnectionState)) {
         let mut registry = self.slots.registry();
         let draining = registry.draining;
@@ -239,7 +254,7 @@
         self.slots.registry().connections.get(&self.id).map(value)
     }
 
-    /// Sets the number of open requests.
+    /// Records the number of open requests.
     pub(crate) fn set_open_requests(&self, open_requests: usize) {
         self.update(|connection| connection.open_requests = open_requests as u32);
         if open_requests == 0 {
@@ -247,7 +262,7 @@
         }
     }
 
-    /// Counts one more open request, which is also a call.
+    /// Records a call that opens a request.
     pub(crate) fn request_opened(&self) {
         self.update(|connection| {
             connection.open_requests += 1;
@@ -255,7 +270,7 @@
         });
     }
 
-    /// Counts one open request less.
+    /// Records the end of an open request.
     pub(crate) fn request_closed(&self) {
         self.update(|connection| {
             connection.open_requests = connection.open_requests.saturating_sub(1);
@@ -268,13 +283,14 @@
         self.update(|connection| connection.has_called = true);
     }
 
-    /// Whether it has brought a call.
+    /// Whether the client has sent a call on this connection.
     pub(crate) fn has_called(&self) -> bool {
         self.read(|connection| connection.has_called)
             .unwrap_or(false)
     }
 
-    /// Records that it was served, so that unserved connections are evicted before it.
+    /// Records that a request was served on this connection, or a health check was answered. Connections
+    /// that were never served are evicted before it.
     pub(crate) fn mark_served(&self) {
         self.update(|connection| connection.was_served = true);
     }
@@ -284,10 +300,11 @@
         self.leave_request.notified().await;
     }
 
-    /// Resolves once the connection was asked to leave and nothing changed on it for `quiet`.
+    /// Resolves once the connection has been asked to leave and its state has then stayed unchanged for
+    /// `quiet`. If a request is open, the request to leave is withdrawn and the wait starts again.
     ///
-    /// For connections whose answers another task writes: the end of a request there is not yet the end of its
-    /// answer, and a planned statement is not yet fetched.
+    /// Used for connections whose answers are written by another task. When a request ends there, its
+    /// answer may not be written completely yet, and a statement that was planned may not be fetched yet.
     pub(crate) async fn quiet_after_leave_request(&self, quiet: Duration) {
         loop {
             self.asked_to_leave().await;
@@ -303,15 +320,16 @@
         }
     }
 
-    /// The open requests and the time of the last change.
+    /// The number of open requests and the time of the last change; `None` for an unknown connection.
     fn activity(&self) -> Option<(u32, Instant)> {
         self.read(|connection| (connection.open_requests, connection.last_change))
     }
 
-    /// Withdraws the request to leave, as a request came in. The connection may be asked again later.
+    /// Withdraws the request to leave because the client has become active again. The connection may be
+    /// asked again later.
     pub(crate) fn withdraw_leave_request(&self) {
         self.update(|connection| connection.asked_to_leave = false);
-        // A new connection that waits for this slot has another one evicted instead.
+        // Wakes a new connection that waits for this slot, so that another connection is evicted for it.
         self.slots.slot_freed.notify_one();
     }
 }
--- a/src/clients/connection_slots/tests.rs
+++ b/src/clients/connection_slots/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use futures::FutureExt;
 
-/// Draining asks a connection to leave that was served and has no open request, and no other.
+/// Draining asks a connection to leave if it has sent a call and has no open request, and asks no other.
 #[test]
 fn draining_asks_only_idle_connections_that_have_called_to_leave() {
     let limits =
@@ -19,11 +19,14 @@
     busy.request_closed();
     assert!(
         asked(&busy) && !asked(&busy),
-        "once, after its last request has ended"
+        "the connection is asked to leave once, after its last request has ended"
     );
     busy.request_opened();
     busy.withdraw_leave_request();
     slots.set_draining(false);
     busy.request_closed();
-    assert!(!asked(&busy), "not after draining has stopped");
+    assert!(
+        !asked(&busy),
+        "the connection is not asked to leave after draining has stopped"
+    );
 }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,8 +1,10 @@
-//! Front ends: how clients reach the workload manager, one module for each protocol.
+//! Front ends: one module for each protocol that clients speak.
 //!
-//! A front end accepts connections, turns calls into [`AcceptedRequest`](crate::core::AcceptedRequest)s for the core
-//! and writes the core's one final answer to each request back to its client. It makes no decision about a request.
-//! The node starts the listeners and hands each of them a [`Frontend`].
+//! A front end accepts connections, turns each call into an
+//! [`AcceptedRequest`](crate::core::AcceptedRequest) and passes it to the core. The core sends one
+//! final answer for each request, and the front end writes it to the client. A front end makes no
+//! decision about a request itself. The node starts the listeners and gives each of them a
+//! [`Frontend`].
 
 pub(crate) mod connection_slots;
 pub(crate) mod flight;
@@ -22,14 +24,15 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Digits of a request's reference: the engines take no other length.
+/// Digits of a client reference. Engines accept no other length.
 const REFERENCE_DIGITS: usize = 16;
 
-/// Pause after a failed `accept`, so that a lack of descriptors does not become a busy loop.
+/// Pause after a failed `accept`. Without it, the listener would loop at full speed while the process
+/// has no free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Whether `accept` failed for want of descriptors or memory, so that closing a connection helps. All its other errors
-/// concern the one connection, or pass by themselves.
+/// Whether `accept` failed because file descriptors or memory ran out. Closing another connection helps
+/// in this case only: all other errors concern the new connection alone, or are temporary.
 pub(crate) fn is_out_of_resources(error: &std::io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw);
     matches!(
@@ -38,37 +41,38 @@
     )
 }
 
-/// What the front ends share.
+/// Handles and settings that all front ends share.
 #[derive(Clone)]
 pub(crate) struct Frontend {
     pub(crate) core: Handle,
-    /// The settings in force.
+    /// The current settings; they can change while the process runs.
     pub(crate) settings: watch::Receiver<Arc<PlatformSettings>>,
     pub(crate) limits: Arc<Limits>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Whether this process accepts clients, and whether connected ones are to leave.
+    /// Whether this process accepts clients, and whether connected clients are asked to leave.
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) buffer_pools: Arc<BufferPools>,
 }
 
-/// Bytes that the buffers of all connections hold together.
+/// Memory pools that the buffers of all connections share.
 #[derive(Default)]
 pub(crate) struct BufferPools {
-    /// Incomplete messages.
+    /// Bytes of incomplete messages.
     pub(crate) input: Arc<MemoryPool>,
-    /// Answers that their clients have not read yet.
+    /// Bytes of answers that the clients have not read yet.
     pub(crate) output: Arc<MemoryPool>,
 }
 
 impl Frontend {
-    /// Slots for `capacity` connections of one listener, which drain when the lifecycle says so.
+    /// Creates the connection slots of one listener and starts a task that drains its connections while
+    /// the lifecycle state is draining.
     pub(crate) fn create_connection_slots(&self, capacity: usize) -> Arc<ConnectionSlots> {
         let slots = ConnectionSlots::new(capacity, self.limits.clone(), self.metrics.clone());
         tokio::spawn(slots.clone().follow_lifecycle(self.lifecycle.clone()));
         slots
     }
 
-    /// Looks a class up by its name in the settings.
+    /// Finds a class in the current settings by its name.
     pub(crate) fn class(&self, name: &[u8]) -> Option<Arc<NamedClass>> {
         self.settings
             .borrow()
@@ -78,14 +82,14 @@
             .cloned()
     }
 
-    /// The counters of a class's answers; `None` if there is no such class.
+    /// Returns the answer counters of a class, or `None` if there is no class of this name.
     pub(crate) fn class_outcomes(&self, class_name: &[u8]) -> Option<Arc<ClassOutcomes>> {
         self.class(class_name)
             .map(|class| self.metrics.class(&class.name))
     }
 
-    /// The deadline of a request that may take `requested_timeout_ms` from `now_ms` on. The client timeout of its class bounds
-    /// it, so that no request waits longer because of what its client claims.
+    /// Returns the deadline of a request that arrived at `now_ms`. The timeout that the client requests
+    /// is limited to the client timeout of the class, so that no client can make a request wait longer.
     pub(crate) fn deadline_ms(
         &self,
         now_ms: Millis,
@@ -95,13 +99,14 @@
         now_ms + requested_timeout_ms.min(class.class.client_timeout_ms)
     }
 
-    /// Parses an estimate of work or memory. `None` above [`Limits::max_estimate`]: such a value would distort the
-    /// dispatcher's averages and be passed on to engines.
+    /// Parses a client's estimate of work or memory. Returns `None` for an invalid number and for a value
+    /// above [`Limits::max_estimate`], which would distort the dispatcher's averages and would be passed
+    /// on to engines.
     pub(crate) fn parse_estimate(&self, text: &[u8]) -> Option<f64> {
         parse_non_negative(text).filter(|value| *value <= self.limits.max_estimate)
     }
 
-    /// Whether the settings name this tenant. Without tenants in the settings every name is accepted.
+    /// Whether the settings list this tenant. If they list no tenants at all, every name is accepted.
     pub(crate) fn is_known_tenant(&self, name: &[u8]) -> bool {
         let settings = self.settings.borrow();
         settings.tenants.is_empty()
@@ -112,7 +117,7 @@
     }
 }
 
-/// The counter of a class for this answer.
+/// Returns the counter in a class's outcomes that counts this kind of answer.
 pub(crate) fn outcome_counter<'a>(outcomes: &'a ClassOutcomes, answer: &Answer) -> &'a Counter {
     match answer {
         Answer::Served(_) => &outcomes.served,
@@ -121,19 +126,19 @@
     }
 }
 
-/// Parses a decimal number; `None` unless it is finite and not negative.
+/// Parses a decimal number. Returns `None` unless it is finite and not negative.
 pub(crate) fn parse_non_negative(text: &[u8]) -> Option<f64> {
     let value: f64 = std::str::from_utf8(text).ok()?.trim().parse().ok()?;
     (value.is_finite() && value >= 0.0).then_some(value)
 }
 
-/// Whether engines accept this as a request's reference: 16 hex digits.
+/// Whether engines accept this text as a client reference, which is 16 hex digits.
 pub(crate) fn is_client_reference(text: &[u8]) -> bool {
     text.len() == REFERENCE_DIGITS && text.iter().all(u8::is_ascii_hexdigit)
 }
 
-/// Whether this can stand as one value among an engine's fields: 1 to `max_bytes` printable ASCII characters without
-/// the separators `,` and `=`.
+/// Whether a value can be sent to an engine as the value of one field: 1 to `max_bytes` printable ASCII
+/// characters without spaces and without the separators `,` and `=`.
 pub(crate) fn is_engine_field_value(value: &[u8], max_bytes: usize) -> bool {
     let is_allowed = |byte: &u8| byte.is_ascii_graphic() && !matches!(byte, b',' | b'=');
     (1..=max_bytes).contains(&value.len()) && value.iter().all(is_allowed)
--- a/src/clients/pending.rs
+++ b/src/clients/pending.rs
@@ -1,10 +1,13 @@
-//! The gauge of work that shutdown waits for.
+//! Counts the client connections and calls that a graceful shutdown waits for.
 
 use crate::metrics::Metrics;
 use std::sync::Arc;
 
-/// Counts as pending, until it is dropped, in the gauge that a graceful shutdown waits for: a connection that still
-/// needs an answer or an orderly close, or a call without its answer.
+/// Adds one to the gauge `client_connections_pending` until it is dropped. A graceful shutdown waits
+/// until the gauge is zero.
+///
+/// One guard stands for a connection that still needs an answer or an orderly close, or for a call that
+/// has not been answered.
 pub(crate) struct PendingGuard(Arc<Metrics>);
 
 impl PendingGuard {
--- a/src/clients/tests.rs
+++ b/src/clients/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of what the front ends share.
+//! Tests of the code that the front ends share.
 
 use super::is_out_of_resources;
 use nix::errno::Errno;
 use rstest::rstest;
 
-/// An idle client loses its connection only where that helps.
+/// An idle connection is evicted only after an error of `accept` that a closed connection can resolve.
 #[rstest]
 #[case(Errno::EMFILE, true)]
 #[case(Errno::ENFILE, true)]
