--- a/src/clients/msgpack/mod.rs
+++ b/src/clients/msgpack/mod.rs
@@ -1,7 +1,8 @@
-//! The wire format of MessagePack-RPC: messages that clients send, and the answers to them.
+//! The wire format of MessagePack-RPC: parses the messages of clients and encodes the answers.
 //!
-//! Reading works in place: the strings and the body of a message stay in the buffer that the socket filled. Both parts
-//! are free of I/O; the connection actors of [`msgpack_rpc`](super::msgpack_rpc) call them.
+//! Parsing copies nothing: the strings and the body of a message are slices of the buffer that the
+//! socket was read into. The reader and the writer do no I/O. The connection actors of
+//! [`msgpack_rpc`](super::msgpack_rpc) call them.
 
 mod reader;
 mod writer;
@@ -11,24 +12,26 @@
 
 use bytes::Bytes;
 
-/// Why a message cannot be read. What follows it in the stream cannot be read either, as its length is unknown.
+/// Why a message cannot be parsed. The messages after it cannot be parsed either, because the length of
+/// this one is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum MessageError {
-    /// It is not MessagePack, or is neither a call nor a notification.
-    #[error("neither a call nor a notification in MessagePack")]
+    /// The bytes are not MessagePack, or are neither a call nor a notification.
+    #[error("not a MessagePack-RPC call or notification")]
     Malformed,
-    /// The message, or a length that it announces, is over the limit.
-    #[error("{bytes} bytes, {limit} allowed")]
+    /// The message, or a length that it declares, exceeds the limit.
+    #[error("the message has {bytes} bytes or more; {limit} are allowed")]
     TooLong {
-        /// Bytes received or announced; at least one for each element of a collection.
+        /// Bytes received or declared. A collection counts with one byte for each element, which is the
+        /// smallest size of an element.
         bytes: usize,
         /// [`Limits::message_bytes`](crate::limits::Limits::message_bytes).
         limit: usize,
     },
     /// The parameters have too many fields.
-    #[error("{count} fields, {limit} allowed")]
+    #[error("the call has {count} fields; {limit} are allowed")]
     TooManyFields {
-        /// Fields announced.
+        /// Number of fields that the message declares.
         count: usize,
         /// [`Limits::message_fields`](crate::limits::Limits::message_fields).
         limit: usize,
@@ -38,7 +41,7 @@
     TooDeep,
 }
 
-/// A complete message of a client.
+/// A complete message from a client.
 #[derive(Debug)]
 pub(crate) enum Message {
     /// `[0, id, method, params]`.
@@ -48,29 +51,29 @@
         /// The call's message id.
         id: u64,
     },
-    /// Any other notification; it has no effect.
+    /// Any other notification. It has no effect on requests.
     UnknownNotification,
 }
 
-/// A call: a request of a class, or a health check.
+/// A call: a request or a health check.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// Message id, chosen by the client; the answer repeats it.
+    /// Message id, chosen by the client. The answer carries the same id.
     pub(crate) id: u64,
-    /// The class's name, or the name of the health check.
+    /// The name of a class, or the method name of the health check.
     pub(crate) method: Bytes,
-    /// The parameters' fields; `None` if they do not begin with a map of strings to strings.
+    /// The fields of the call; `None` if the first parameter is not a map of strings to strings.
     pub(crate) fields: Option<Fields>,
-    /// The statement; `None` if the parameters do not end with binary data.
+    /// The statement; `None` if the second parameter is missing or is not binary data.
     pub(crate) body: Option<Bytes>,
 }
 
-/// The fields of a call's parameters.
+/// The fields of a call, with their names and values.
 #[derive(Debug, Default)]
 pub(crate) struct Fields(Vec<(Bytes, Bytes)>);
 
 impl Fields {
-    /// The value of the first field with this name.
+    /// Returns the value of the first field with this name.
     pub(crate) fn get(&self, name: &str) -> Option<&Bytes> {
         self.0
             .iter()
--- a/src/clients/msgpack/reader.rs
+++ b/src/clients/msgpack/reader.rs
@@ -1,4 +1,4 @@
-//! Reads clients' messages out of the bytes received so far.
+//! Parses clients' messages from the bytes received so far.
 
 use super::{Call, Fields, Message, MessageError};
 use crate::limits::Limits;
@@ -8,25 +8,26 @@
 use std::io::Cursor;
 use std::ops::Range;
 
-/// `type` of a call.
+/// Message type of a call.
 const CALL_TYPE: u64 = 0;
 /// Elements of a call: type, id, method, parameters.
 const CALL_ELEMENTS: u32 = 4;
-/// `type` of a notification.
+/// Message type of a notification.
 const NOTIFICATION_TYPE: u64 = 2;
 /// Elements of a notification: type, method, parameters.
 const NOTIFICATION_ELEMENTS: u32 = 3;
-/// Method of the notification that withdraws a call.
+/// Method of the notification that cancels a call.
 const CANCEL_METHOD: &[u8] = b"cancel";
-/// Parameters of a call at most: fields, body.
+/// Largest number of parameters of a call: fields and body.
 const MAX_PARAMETERS: u32 = 2;
 
-/// Takes one message off the front of the buffer; `None` if the buffer does not hold a complete one.
+/// Removes the first message from the buffer and returns it. Returns `None` if the buffer does not hold a
+/// complete message.
 ///
 /// # Errors
 ///
-/// If no continuation of the bytes could become a valid message, or if a message exceeds the limits. Nothing is taken
-/// then.
+/// If the bytes cannot become a valid message whatever follows them, or if the message exceeds a limit. The
+/// buffer is unchanged then.
 pub(crate) fn take_message(
     buffer: &mut BytesMut,
     limits: &Limits,
@@ -66,7 +67,7 @@
 }
 
 impl From<std::io::Error> for ParseError {
-    /// Reading from memory fails at the end of the bytes only.
+    /// A read from memory fails only at the end of the bytes.
     fn from(_: std::io::Error) -> ParseError {
         ParseError::Incomplete
     }
@@ -96,10 +97,10 @@
 
 type ParseResult<T> = Result<T, ParseError>;
 
-/// Where the names and values of a call's fields are.
+/// The positions of the names and values of a call's fields.
 type FieldRanges = Vec<(Range<usize>, Range<usize>)>;
 
-/// Where the parts of a message are in its bytes.
+/// The positions of a message's parts within its bytes.
 enum MessageParts {
     Call {
         id: u64,
@@ -112,7 +113,7 @@
     UnknownNotification,
 }
 
-/// Where a call's parameters are; `None` for what is missing or has another type.
+/// The positions of a call's parameters; `None` for a parameter that is missing or has another type.
 #[derive(Default)]
 struct ParameterRanges {
     fields: Option<FieldRanges>,
@@ -120,7 +121,7 @@
 }
 
 impl MessageParts {
-    /// The message, as slices of its bytes.
+    /// Builds the message from slices of its bytes.
     fn slice(self, bytes: &Bytes) -> Message {
         match self {
             MessageParts::Call {
@@ -146,6 +147,7 @@
     Fields(slices.collect())
 }
 
+/// Parses one message at the start of the received bytes.
 struct Reader<'a> {
     input: Cursor<&'a [u8]>,
     limits: &'a Limits,
@@ -164,7 +166,8 @@
             .ok_or(ParseError::Incomplete)
     }
 
-    /// The next `length` bytes. A length over the limit fails at once, without waiting for the bytes.
+    /// Returns the position of the next `length` bytes. A length above the limit fails at once, before the
+    /// bytes have arrived.
     fn bytes(&mut self, length: u32) -> ParseResult<Range<usize>> {
         let start = self.position();
         let length = length as usize;
@@ -231,8 +234,8 @@
         Ok(MessageParts::UnknownNotification)
     }
 
-    /// The parameters: a map of strings to strings, then binary data. Values of other types are skipped, so that the
-    /// call can be answered with an error.
+    /// Reads the parameters: a map of strings to strings, then optional binary data. Values of other types
+    /// are skipped, so that the call can still be answered with an error.
     fn parameters(&mut self) -> ParseResult<ParameterRanges> {
         let start = self.position();
         if !is_array(self.peek_marker()?) {
@@ -283,7 +286,7 @@
         Ok(all_strings.then_some(fields))
     }
 
-    /// A string; `None` if the next value is something else, which is skipped.
+    /// Reads a string. A value of another type is skipped, and `None` is returned.
     fn string_or_skip(&mut self) -> ParseResult<Option<Range<usize>>> {
         if is_string(self.peek_marker()?) {
             return self.string().map(Some);
@@ -296,8 +299,8 @@
         self.skip_nested(self.limits.message_depth)
     }
 
-    /// Skips one value with collections nested at most `depth` deep. The bound keeps a few bytes from asking for any
-    /// depth of the stack.
+    /// Skips one value whose collections are nested at most `max_depth` deep. Without this bound, a short
+    /// message with deep nesting could overflow the stack.
     fn skip_nested(&mut self, max_depth: usize) -> ParseResult<()> {
         let marker = self.peek_marker()?;
         if is_array(marker) {
@@ -318,13 +321,14 @@
     }
 
     fn skip_elements(&mut self, count: usize, max_depth: usize) -> ParseResult<()> {
-        // An element takes a byte at least, so a message within its limit never has more of them.
+        // An element takes at least one byte, so a message within the limit cannot have more elements
+        // than its limit in bytes.
         self.check_length(count)?;
         let remaining_depth = max_depth.checked_sub(1).ok_or(MessageError::TooDeep)?;
         (0..count).try_for_each(|_| self.skip_nested(remaining_depth))
     }
 
-    /// Bytes after the marker of a value that is neither a collection nor a string nor binary data.
+    /// The number of bytes after the marker of a value that is not a collection, a string or binary data.
     fn scalar_length(&self, marker: Marker) -> ParseResult<u32> {
         Ok(match marker {
             Marker::Null | Marker::True | Marker::False | Marker::FixPos(_) | Marker::FixNeg(_) => {
@@ -334,7 +338,8 @@
             Marker::U16 | Marker::I16 | Marker::FixExt1 => 2,
             Marker::U32 | Marker::I32 | Marker::F32 => 4,
             Marker::U64 | Marker::I64 | Marker::F64 => 8,
-            // An extension has its type in one byte, and its length before that if the marker does not tell it.
+            // An extension stores its type in one byte. If the marker does not define the length, the
+            // length precedes the type.
             Marker::FixExt2 => 3,
             Marker::FixExt4 => 5,
             Marker::FixExt8 => 9,
--- a/src/clients/msgpack/writer.rs
+++ b/src/clients/msgpack/writer.rs
@@ -3,19 +3,20 @@
 use bytes::Bytes;
 use rmp::encode::{self, ByteBuf};
 
-/// The empty map of fields that ends every answer with a result.
+/// The end of every answer with a result: an empty map of fields.
 pub(crate) const END_OF_ANSWER: &[u8] = &[0x80];
 
-/// The type of an answer among the messages of MessagePack-RPC.
+/// Message type of an answer.
 const ANSWER_TYPE: u64 = 1;
 /// Elements of an answer: type, id, error, result.
 const ANSWER_ELEMENTS: u32 = 4;
-/// Elements of a result: body, fields. An error likewise: name, fields.
+/// Elements of a result: body, fields. An error has as many: name, fields.
 const RESULT_ELEMENTS: u32 = 2;
-/// Room for an answer without its result, so that encoding one allocates once.
+/// Initial capacity of the encoder. It holds an answer without the body, so that encoding allocates once.
 const INITIAL_CAPACITY_BYTES: usize = 32;
 
-/// The beginning of an answer with a result of `body_bytes`. The body follows, then [`END_OF_ANSWER`].
+/// Encodes the start of an answer whose result has `body_bytes` bytes. The body must follow, then
+/// [`END_OF_ANSWER`].
 pub(crate) fn result_head(id: u64, body_bytes: usize) -> Bytes {
     let mut answer = Encoder::answer(id);
     answer.nil();
@@ -24,7 +25,7 @@
     answer.finish()
 }
 
-/// An answer with an error: its name, and one field with more about it, if any.
+/// Encodes an answer with an error: the error's name and at most one field with details.
 pub(crate) fn error_answer(id: u64, name: &str, field: Option<(&str, &str)>) -> Bytes {
     let mut answer = Encoder::answer(id);
     answer.array(RESULT_ELEMENTS);
@@ -38,7 +39,7 @@
     answer.finish()
 }
 
-/// The answer to a health check.
+/// Encodes the answer to a health check.
 pub(crate) fn health_answer(id: u64, accepts_requests: bool) -> Bytes {
     let mut answer = Encoder::answer(id);
     answer.nil();
@@ -48,11 +49,11 @@
     answer.finish()
 }
 
-/// Writes MessagePack to memory, which cannot fail.
+/// Encodes MessagePack into memory. Writing to memory cannot fail.
 struct Encoder(ByteBuf);
 
 impl Encoder {
-    /// Begins an answer: `[1, id, ...`.
+    /// Starts an answer with its first two elements: `[1, id, ...`.
     fn answer(id: u64) -> Encoder {
         let mut encoder = Encoder(ByteBuf::with_capacity(INITIAL_CAPACITY_BYTES));
         encoder.array(ANSWER_ELEMENTS);
@@ -85,7 +86,7 @@
         let Ok(_) = encode::write_map_len(&mut self.0, fields);
     }
 
-    /// The marker and length of binary data; the data follow.
+    /// Writes the marker and the length of binary data. The data must follow.
     fn binary_head(&mut self, bytes: usize) {
         let Ok(_) = encode::write_bin_len(&mut self.0, bytes as u32);
     }
