--- a/src/clients/connection_slots.rs
+++ b/src/clients/connection_slots.rs
@@ -1,10 +1,10 @@
 //! Slots that bound the number of client connections of a front end.
 //!
-//! A front end serves a connection only in a free slot. If all slots are taken, an idle connection is
-//! evicted for the new one. Connections that were never served are evicted first, then the one that
-//! has been idle for longest. So clients that keep connections open forever, and clients that connect
-//! and send nothing, cannot keep other clients out. [`ConnectionSlots`] holds the state of every
-//! connection of one front end, and each connection updates its own state through its
+//! A front end serves a connection only in a free slot. If all slots are taken, an idle connection
+//! is evicted for the new one. Connections that were never served are evicted first, then the one
+//! that has been idle for longest. So clients that keep connections open forever, and clients that
+//! connect and send nothing, cannot keep other clients out. [`ConnectionSlots`] holds the state of
+//! every connection of one front end, and each connection updates its own state through its
 //! [`ConnectionSlot`]. Both the MessagePack-RPC and the Flight SQL front end use this module.
 
 use crate::lifecycle::Lifecycle;
@@ -16,13 +16,14 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// The number of slots is divided by this to get the number that is reserved for connections that were
-/// asked to leave and are still open.
+/// The number of slots is divided by this to get the number that is reserved for connections that
+/// were asked to leave and are still open.
 const LEAVING_SLOTS_DIVISOR: usize = 8;
 
 /// The connection slots of one front end.
 pub(crate) struct ConnectionSlots {
-    /// Slots of the whole workload manager. While a peer process runs, the two processes share them.
+    /// Slots of the whole workload manager. While a peer process runs, the two processes share
+    /// them.
     capacity: usize,
     limits: Arc<Limits>,
     registry: Mutex<Registry>,
@@ -34,8 +35,8 @@
 /// The open connections.
 #[derive(Default)]
 struct Registry {
-    /// Whether connections are being drained: each one that has sent a call is asked to leave as soon as
-    /// it has no open request.
+    /// Whether connections are being drained: each one that has sent a call is asked to leave as
+    /// soon as it has no open request.
     draining: bool,
     next_id: u64,
     connections: HashMap<u64, ConnectionState>,
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Whether the connection may be evicted: it has no open request and has not been asked to leave yet.
+    /// Whether the connection may be evicted: it has no open request and has not been asked to
+    /// leave yet.
     fn is_evictable(&self) -> bool {
         self.open_requests == 0 && !self.asked_to_leave
     }
@@ -77,8 +79,8 @@
         self.leave_request.notify_one();
     }
 
-    /// Asks the connection to leave if it has no open request. A connection without a call is not asked,
-    /// because its first call may be on the way.
+    /// Asks the connection to leave if it has no open request. A connection without a call is not
+    /// asked, because its first call may be on the way.
     fn ask_to_leave_for_drain(&mut self) {
         if self.has_called && self.is_evictable() {
             self.ask_to_leave();
@@ -94,8 +96,9 @@
             .filter(|connection| !connection.asked_to_leave)
     }
 
-    /// Asks one idle connection to leave. Connections that were never served are chosen first, and among
-    /// equals the one that has been idle for longest. Returns whether an idle connection was found.
+    /// Asks one idle connection to leave. Connections that were never served are chosen first, and
+    /// among equals the one that has been idle for longest. Returns whether an idle connection was
+    /// found.
     fn evict_idle(&mut self, unserved_only: bool) -> bool {
         let victim = self
             .connections
@@ -131,12 +134,13 @@
         self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until there is a slot for a new connection, and evicts an idle connection if necessary.
-    /// Returns at once unless every connection has an open request or is already leaving.
+    /// Waits until there is a slot for a new connection, and evicts an idle connection if
+    /// necessary. Returns at once unless every connection has an open request or is already
+    /// leaving.
     pub(crate) async fn wait_for_slot(&self) {
         loop {
-            // `notify_one` stores a permit, so a slot that is freed between the check and the wait is not
-            // missed.
+            // `notify_one` stores a permit, so a slot that is freed between the check and the wait
+            // is not missed.
             let slot_freed = self.slot_freed.notified();
             if self.try_free_slot() {
                 return;
@@ -145,14 +149,14 @@
         }
     }
 
-    /// Evicts an idle connection if all slots outside the reserve are taken. Returns whether a slot is
-    /// free now.
+    /// Evicts an idle connection if all slots outside the reserve are taken. Returns whether a slot
+    /// is free now.
     ///
-    /// Connections that were never served may take half of the slots outside the reserve. Above that, only
-    /// connections of this kind are evicted, so that a flood of them does not evict clients that were
-    /// served. A connection that was asked to leave counts until it is closed, because it keeps its file
-    /// descriptor until then. [`LEAVING_SLOTS_DIVISOR`] sets the reserve for such connections, so that a
-    /// new connection seldom has to wait.
+    /// Connections that were never served may take half of the slots outside the reserve. Above
+    /// that, only connections of this kind are evicted, so that a flood of them does not evict
+    /// clients that were served. A connection that was asked to leave counts until it is closed,
+    /// because it keeps its file descriptor until then. [`LEAVING_SLOTS_DIVISOR`] sets the reserve
+    /// for such connections, so that a new connection seldom has to wait.
     fn try_free_slot(&self) -> bool {
         let mut registry = self.registry();
         let capacity = self.limits.share(self.capacity);
@@ -170,8 +174,8 @@
         registry.connections.len() < capacity
     }
 
-    /// Evicts one idle connection even if slots are free. It is called when the process has run out of file
-    /// descriptors or memory.
+    /// Evicts one idle connection even if slots are free. It is called when the process has run out
+    /// of file descriptors or memory.
     pub(crate) fn evict_idle(&self) {
         self.evict(&mut self.registry(), false);
     }
@@ -182,8 +186,8 @@
         }
     }
 
-    /// Starts or stops draining. During draining, a connection that has sent a call is asked to leave as
-    /// soon as it has no open request.
+    /// Starts or stops draining. During draining, a connection that has sent a call is asked to
+    /// leave as soon as it has no open request.
     pub(crate) fn set_draining(&self, draining: bool) {
         let mut registry = self.registry();
         registry.draining = draining;
@@ -195,7 +199,8 @@
         }
     }
 
-    /// Drains connections while the lifecycle state is draining. Runs until the lifecycle is dropped.
+    /// Drains connections while the lifecycle state is draining. Runs until the lifecycle is
+    /// dropped.
     pub(crate) async fn follow_lifecycle(self: Arc<ConnectionSlots>, lifecycle: Arc<Lifecycle>) {
         let mut state = lifecycle.subscribe();
         loop {
@@ -289,8 +294,8 @@
             .unwrap_or(false)
     }
 
-    /// Records that a request was served on this connection, or a health check was answered. Connections
-    /// that were never served are evicted before it.
+    /// Records that a request was served on this connection, or a health check was answered.
+    /// Connections that were never served are evicted before it.
     pub(crate) fn mark_served(&self) {
         self.update(|connection| connection.was_served = true);
     }
@@ -300,11 +305,13 @@
         self.leave_request.notified().await;
     }
 
-    /// Resolves once the connection has been asked to leave and its state has then stayed unchanged for
-    /// `quiet`. If a request is open, the request to leave is withdrawn and the wait starts again.
+    /// Resolves once the connection has been asked to leave and its state has then stayed unchanged
+    /// for `quiet`. If a request is open, the request to leave is withdrawn and the wait starts
+    /// again.
     ///
-    /// Used for connections whose answers are written by another task. When a request ends there, its
-    /// answer may not be written completely yet, and a statement that was planned may not be fetched yet.
+    /// Used for connections whose answers are written by another task. When a request ends there,
+    /// its answer may not be written completely yet, and a statement that was planned may not be
+    /// fetched yet.
     pub(crate) async fn quiet_after_leave_request(&self, quiet: Duration) {
         loop {
             self.asked_to_leave().await;
@@ -320,16 +327,18 @@
         }
     }
 
-    /// The number of open requests and the time of the last change; `None` for an unknown connection.
+    /// The number of open requests and the time of the last change; `None` for an unknown
+    /// connection.
     fn activity(&self) -> Option<(u32, Instant)> {
         self.read(|connection| (connection.open_requests, connection.last_change))
     }
 
-    /// Withdraws the request to leave because the client has become active again. The connection may be
-    /// asked again later.
+    /// Withdraws the request to leave because the client has become active again. The connection
+    /// may be asked again later.
     pub(crate) fn withdraw_leave_request(&self) {
         self.update(|connection| connection.asked_to_leave = false);
-        // Wakes a new connection that waits for this slot, so that another connection is evicted for it.
+        // Wakes a new connection that waits for this slot, so that another connection is evicted
+        // for it.
         self.slots.slot_freed.notify_one();
     }
 }
--- a/src/clients/connection_slots/tests.rs
+++ b/src/clients/connection_slots/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use futures::FutureExt;
 
-/// Draining asks a connection to leave if it has sent a call and has no open request, and asks no other.
+/// Draining asks a connection to leave if it has sent a call and has no open request, and asks no
+/// other.
 #[test]
 fn draining_asks_only_idle_connections_that_have_called_to_leave() {
     let limits =
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -27,12 +27,12 @@
 /// Digits of a client reference. Engines accept no other length.
 const REFERENCE_DIGITS: usize = 16;
 
-/// Pause after a failed `accept`. Without it, the listener would loop at full speed while the process
-/// has no free file descriptor.
+/// Pause after a failed `accept`. Without it, the listener would loop at full speed while the
+/// process has no free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Whether `accept` failed because file descriptors or memory ran out. Closing another connection helps
-/// in this case only: all other errors concern the new connection alone, or are temporary.
+/// Whether `accept` failed because file descriptors or memory ran out. Closing another connection
+/// helps in this case only: all other errors concern the new connection alone, or are temporary.
 pub(crate) fn is_out_of_resources(error: &std::io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw);
     matches!(
@@ -64,8 +64,8 @@
 }
 
 impl Frontend {
-    /// Creates the connection slots of one listener and starts a task that drains its connections while
-    /// the lifecycle state is draining.
+    /// Creates the connection slots of one listener and starts a task that drains its connections
+    /// while the lifecycle state is draining.
     pub(crate) fn create_connection_slots(&self, capacity: usize) -> Arc<ConnectionSlots> {
         let slots = ConnectionSlots::new(capacity, self.limits.clone(), self.metrics.clone());
         tokio::spawn(slots.clone().follow_lifecycle(self.lifecycle.clone()));
@@ -88,8 +88,9 @@
             .map(|class| self.metrics.class(&class.name))
     }
 
-    /// Returns the deadline of a request that arrived at `now_ms`. The timeout that the client requests
-    /// is limited to the client timeout of the class, so that no client can make a request wait longer.
+    /// Returns the deadline of a request that arrived at `now_ms`. The timeout that the client
+    /// requests is limited to the client timeout of the class, so that no client can make a request
+    /// wait longer.
     pub(crate) fn deadline_ms(
         &self,
         now_ms: Millis,
@@ -99,14 +100,15 @@
         now_ms + requested_timeout_ms.min(class.class.client_timeout_ms)
     }
 
-    /// Parses a client's estimate of work or memory. Returns `None` for an invalid number and for a value
-    /// above [`Limits::max_estimate`], which would distort the dispatcher's averages and would be passed
-    /// on to engines.
+    /// Parses a client's estimate of work or memory. Returns `None` for an invalid number and for a
+    /// value above [`Limits::max_estimate`], which would distort the dispatcher's averages and
+    /// would be passed on to engines.
     pub(crate) fn parse_estimate(&self, text: &[u8]) -> Option<f64> {
         parse_non_negative(text).filter(|value| *value <= self.limits.max_estimate)
     }
 
-    /// Whether the settings list this tenant. If they list no tenants at all, every name is accepted.
+    /// Whether the settings list this tenant. If they list no tenants at all, every name is
+    /// accepted.
     pub(crate) fn is_known_tenant(&self, name: &[u8]) -> bool {
         let settings = self.settings.borrow();
         settings.tenants.is_empty()
@@ -137,8 +139,8 @@
     text.len() == REFERENCE_DIGITS && text.iter().all(u8::is_ascii_hexdigit)
 }
 
-/// Whether a value can be sent to an engine as the value of one field: 1 to `max_bytes` printable ASCII
-/// characters without spaces and without the separators `,` and `=`.
+/// Whether a value can be sent to an engine as the value of one field: 1 to `max_bytes` printable
+/// ASCII characters without spaces and without the separators `,` and `=`.
 pub(crate) fn is_engine_field_value(value: &[u8], max_bytes: usize) -> bool {
     let is_allowed = |byte: &u8| byte.is_ascii_graphic() && !matches!(byte, b',' | b'=');
     (1..=max_bytes).contains(&value.len()) && value.iter().all(is_allowed)
--- a/src/clients/msgpack/mod.rs
+++ b/src/clients/msgpack/mod.rs
@@ -12,8 +12,8 @@
 
 use bytes::Bytes;
 
-/// Why a message cannot be parsed. The messages after it cannot be parsed either, because the length of
-/// this one is unknown.
+/// Why a message cannot be parsed. The messages after it cannot be parsed either, because the
+/// length of this one is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum MessageError {
     /// The bytes are not MessagePack, or are neither a call nor a notification.
@@ -22,8 +22,8 @@
     /// The message, or a length that it declares, exceeds the limit.
     #[error("the message has {bytes} bytes or more; {limit} are allowed")]
     TooLong {
-        /// Bytes received or declared. A collection counts with one byte for each element, which is the
-        /// smallest size of an element.
+        /// Bytes received or declared. A collection counts with one byte for each element, which is
+        /// the smallest size of an element.
         bytes: usize,
         /// [`Limits::message_bytes`](crate::limits::Limits::message_bytes).
         limit: usize,
@@ -36,7 +36,8 @@
         /// [`Limits::message_fields`](crate::limits::Limits::message_fields).
         limit: usize,
     },
-    /// Collections are nested deeper than [`Limits::message_depth`](crate::limits::Limits::message_depth).
+    /// Collections are nested deeper than
+    /// [`Limits::message_depth`](crate::limits::Limits::message_depth).
     #[error("collections are nested too deeply")]
     TooDeep,
 }
--- a/src/clients/msgpack/reader.rs
+++ b/src/clients/msgpack/reader.rs
@@ -21,13 +21,13 @@
 /// Largest number of parameters of a call: fields and body.
 const MAX_PARAMETERS: u32 = 2;
 
-/// Removes the first message from the buffer and returns it. Returns `None` if the buffer does not hold a
-/// complete message.
+/// Removes the first message from the buffer and returns it. Returns `None` if the buffer does not
+/// hold a complete message.
 ///
 /// # Errors
 ///
-/// If the bytes cannot become a valid message whatever follows them, or if the message exceeds a limit. The
-/// buffer is unchanged then.
+/// If the bytes cannot become a valid message whatever follows them, or if the message exceeds a
+/// limit. The buffer is unchanged then.
 pub(crate) fn take_message(
     buffer: &mut BytesMut,
     limits: &Limits,
@@ -113,7 +113,8 @@
     UnknownNotification,
 }
 
-/// The positions of a call's parameters; `None` for a parameter that is missing or has another type.
+/// The positions of a call's parameters; `None` for a parameter that is missing or has another
+/// type.
 #[derive(Default)]
 struct ParameterRanges {
     fields: Option<FieldRanges>,
@@ -166,8 +167,8 @@
             .ok_or(ParseError::Incomplete)
     }
 
-    /// Returns the position of the next `length` bytes. A length above the limit fails at once, before the
-    /// bytes have arrived.
+    /// Returns the position of the next `length` bytes. A length above the limit fails at once,
+    /// before the bytes have arrived.
     fn bytes(&mut self, length: u32) -> ParseResult<Range<usize>> {
         let start = self.position();
         let length = length as usize;
@@ -234,8 +235,8 @@
         Ok(MessageParts::UnknownNotification)
     }
 
-    /// Reads the parameters: a map of strings to strings, then optional binary data. Values of other types
-    /// are skipped, so that the call can still be answered with an error.
+    /// Reads the parameters: a map of strings to strings, then optional binary data. Values of
+    /// other types are skipped, so that the call can still be answered with an error.
     fn parameters(&mut self) -> ParseResult<ParameterRanges> {
         let start = self.position();
         if !is_array(self.peek_marker()?) {
@@ -299,8 +300,8 @@
         self.skip_nested(self.limits.message_depth)
     }
 
-    /// Skips one value whose collections are nested at most `max_depth` deep. Without this bound, a short
-    /// message with deep nesting could overflow the stack.
+    /// Skips one value whose collections are nested at most `max_depth` deep. Without this bound, a
+    /// short message with deep nesting could overflow the stack.
     fn skip_nested(&mut self, max_depth: usize) -> ParseResult<()> {
         let marker = self.peek_marker()?;
         if is_array(marker) {
@@ -321,14 +322,15 @@
     }
 
     fn skip_elements(&mut self, count: usize, max_depth: usize) -> ParseResult<()> {
-        // An element takes at least one byte, so a message within the limit cannot have more elements
-        // than its limit in bytes.
+        // An element takes at least one byte, so a message within the limit cannot have more
+        // elements than its limit in bytes.
         self.check_length(count)?;
         let remaining_depth = max_depth.checked_sub(1).ok_or(MessageError::TooDeep)?;
         (0..count).try_for_each(|_| self.skip_nested(remaining_depth))
     }
 
-    /// The number of bytes after the marker of a value that is not a collection, a string or binary data.
+    /// The number of bytes after the marker of a value that is not a collection, a string or binary
+    /// data.
     fn scalar_length(&self, marker: Marker) -> ParseResult<u32> {
         Ok(match marker {
             Marker::Null | Marker::True | Marker::False | Marker::FixPos(_) | Marker::FixNeg(_) => {
@@ -338,8 +340,8 @@
             Marker::U16 | Marker::I16 | Marker::FixExt1 => 2,
             Marker::U32 | Marker::I32 | Marker::F32 => 4,
             Marker::U64 | Marker::I64 | Marker::F64 => 8,
-            // An extension stores its type in one byte. If the marker does not define the length, the
-            // length precedes the type.
+            // An extension stores its type in one byte. If the marker does not define the length,
+            // the length precedes the type.
             Marker::FixExt2 => 3,
             Marker::FixExt4 => 5,
             Marker::FixExt8 => 9,
--- a/src/clients/msgpack/writer.rs
+++ b/src/clients/msgpack/writer.rs
@@ -12,7 +12,8 @@
 const ANSWER_ELEMENTS: u32 = 4;
 /// Elements of a result: body, fields. An error has as many: name, fields.
 const RESULT_ELEMENTS: u32 = 2;
-/// Initial capacity of the encoder. It holds an answer without the body, so that encoding allocates once.
+/// Initial capacity of the encoder. It holds an answer without its result, so that encoding one
+/// allocates memory once.
 const INITIAL_CAPACITY_BYTES: usize = 32;
 
 /// Encodes the start of an answer whose result has `body_bytes` bytes. The body must follow, then
--- a/src/clients/pending.rs
+++ b/src/clients/pending.rs
@@ -3,11 +3,11 @@
 use crate::metrics::Metrics;
 use std::sync::Arc;
 
-/// Adds one to the gauge `client_connections_pending` until it is dropped. A graceful shutdown waits
-/// until the gauge is zero.
+/// Adds one to the gauge `client_connections_pending` until it is dropped. A graceful shutdown
+/// waits until the gauge is zero.
 ///
-/// One guard stands for a connection that still needs an answer or an orderly close, or for a call that
-/// has not been answered.
+/// One guard stands for a connection that still needs an answer or an orderly close, or for a call
+/// that has not been answered.
 pub(crate) struct PendingGuard(Arc<Metrics>);
 
 impl PendingGuard {
--- a/src/clients/tests.rs
+++ b/src/clients/tests.rs
@@ -4,7 +4,8 @@
 use nix::errno::Errno;
 use rstest::rstest;
 
-/// An idle connection is evicted only after an error of `accept` that a closed connection can resolve.
+/// An idle connection is evicted only after an error of `accept` that a closed connection can
+/// resolve.
 #[rstest]
 #[case(Errno::EMFILE, true)]
 #[case(Errno::ENFILE, true)]
