--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -15,20 +15,22 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Results of the largest size that may wait for a client to read them; above that nothing more is read from it.
+/// Unread answers may take the bytes of this many results of the largest size. Above that, no more
+/// calls are read from the client.
 const MAX_UNREAD_RESULTS: u64 = 2;
 
-/// Field of a rejection: milliseconds until the client may send the request again.
+/// Field of a rejection: the milliseconds that the client should wait before it sends the request
+/// again.
 const RETRY_AFTER_FIELD: &str = "cooldown";
 
-/// Shorter advice is left out, in ms: it would be printed as 0.
+/// Shortest Retry-After that is sent, in ms. A shorter one could be printed as 0.
 const MIN_RETRY_AFTER_MS: Millis = 1.0;
 
-/// Takes answers from the core to a connection's actor.
+/// Carries answers from the core to a connection's actor.
 pub(super) struct AnswerChannel(mpsc::Sender<(RequestId, Answer)>);
 
 impl AnswerChannel {
-    /// A channel that holds `capacity` answers.
+    /// Creates a channel with room for `capacity` answers.
     pub(super) fn new(
         capacity: usize,
     ) -> (Arc<AnswerChannel>, mpsc::Receiver<(RequestId, Answer)>) {
@@ -39,8 +41,8 @@
 
 impl ClientPort for AnswerChannel {
     fn answer(&self, id: RequestId, answer: Answer) {
-        // The channel holds an answer for each request that may be open, so it is never full. It is closed if the
-        // client has gone; then nobody needs the answer.
+        // The channel has room for an answer to each request that may be open, so it is never full.
+        // It is closed if the client has disconnected; then the answer is not needed.
         let _ = self.0.try_send((id, answer));
     }
 }
@@ -48,19 +50,19 @@
 /// The errors of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ErrorName {
-    /// Rejected; the request did not run.
+    /// The request was rejected; it did not run.
     Overloaded,
     DeadlineExceeded,
-    /// Failed; the request may have run.
+    /// The request failed; it may have run.
     Internal,
     /// The method is neither a class nor the health check.
     NoMethod,
-    /// The parameters cannot be used.
+    /// The parameters are invalid.
     Argument,
 }
 
 impl ErrorName {
-    /// The error's name on the wire.
+    /// Returns the error's name on the wire.
     fn as_str(self) -> &'static str {
         match self {
             ErrorName::Overloaded => "Overloaded",
@@ -81,19 +83,19 @@
     }
 }
 
-/// Why a result was answered with an error instead.
+/// Why the client gets an error instead of a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum UndeliverableResult {
-    /// It cannot be written as text, or it is still streaming.
-    #[error("the protocol cannot carry this form of result")]
+    /// The result cannot be converted to text, or its chunks are still arriving.
+    #[error("the protocol cannot carry a result of this format")]
     UnsupportedFormat,
-    #[error("{bytes} bytes, {limit} allowed")]
+    #[error("the result has {bytes} bytes; {limit} are allowed")]
     TooLarge { bytes: usize, limit: usize },
-    #[error("unread answers of all clients use the memory reserved for them")]
+    #[error("the unread answers of all clients have used up the memory limit for them")]
     BuffersFull,
 }
 
-/// The answers of one connection that its client has not read yet.
+/// The answers that the client of one connection has not read yet.
 pub(super) struct AnswerQueue {
     outbox: Outbox,
     reservation: MemoryReservation,
@@ -114,11 +116,11 @@
         }
     }
 
-    /// Writes as much as the socket accepts now.
+    /// Writes as many bytes as the socket accepts now.
     ///
     /// # Errors
     ///
-    /// Those of the socket.
+    /// Errors of the socket.
     pub(super) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
         let written_before = self.outbox.written();
         self.outbox.flush(stream)?;
@@ -132,23 +134,26 @@
         self.outbox.is_empty()
     }
 
-    /// Whether so much is unread that no more calls are to be read.
+    /// Whether too many bytes are unread to read more calls.
     pub(super) fn is_full(&self) -> bool {
         self.outbox.unwritten_bytes() > MAX_UNREAD_RESULTS * self.limits.result_bytes as u64
     }
 
-    /// When a client that reads none of its answers is given up.
+    /// When the connection is dropped if the client reads none of its answers until then.
     pub(super) fn write_deadline(&self) -> Instant {
         self.last_progress + self.limits.client_idle_timeout
     }
 
-    /// Reserves the memory of what is queued, within the limit or not; returns its bytes.
+    /// Reserves memory for the queued answers, even above the limit. Returns the number of queued
+    /// bytes.
     pub(super) fn update_reservation(&mut self) -> usize {
         let queued_bytes = self.outbox.unwritten_bytes() as usize;
         self.reserve(queued_bytes);
         queued_bytes
     }
 
+    /// Sets the reserved memory to `bytes`. Returns whether all connections together stay within
+    /// the limit.
     fn reserve(&mut self, bytes: usize) -> bool {
         let limit = self.limits.share(self.limits.output_bytes);
         self.reservation.set(bytes, limit)
@@ -173,11 +178,11 @@
             .push(msgpack::error_answer(message_id, name, field));
     }
 
-    /// Queues a result in the chunks in which it came. One that cannot be delivered is answered with an error.
+    /// Queues a result in its chunks. If it cannot be delivered, an error is queued instead.
     ///
     /// # Errors
     ///
-    /// If the error was queued instead of the result.
+    /// If an error was queued instead of the result.
     pub(super) fn push_result(
         &mut self,
         message_id: u64,
@@ -195,7 +200,7 @@
         Ok(())
     }
 
-    /// The chunks of a result, with memory reserved for them.
+    /// Returns the chunks of a result as text, and reserves memory for them.
     fn deliverable_chunks(&mut self, body: &ResultBody) -> Result<Vec<Bytes>, UndeliverableResult> {
         if body.remaining_chunks.is_some() {
             return Err(UndeliverableResult::UnsupportedFormat);
@@ -206,7 +211,7 @@
         if bytes > limit {
             return Err(UndeliverableResult::TooLarge { bytes, limit });
         }
-        // The unread answers of all clients together must not fill the memory.
+        // The unread answers of all clients together must not exhaust the memory.
         if !self.reserve(self.outbox.unwritten_bytes() as usize + bytes) {
             self.metrics.client_over_limit.increment();
             return Err(UndeliverableResult::BuffersFull);
--- a/src/clients/msgpack_rpc/call.rs
+++ b/src/clients/msgpack_rpc/call.rs
@@ -1,4 +1,4 @@
-//! Turns a call into a request for the core.
+//! Converts a call into a request for the core.
 
 use super::answers::ErrorName;
 use crate::clients::msgpack::{Call, Fields};
@@ -11,17 +11,18 @@
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// Fields of a call, by their names on the wire.
+/// Names of a call's fields on the wire.
 mod field {
-    /// The request's reference: 16 hex digits.
+    /// The client reference of the request: 16 hex digits.
     pub(super) const REFERENCE: &str = "ref";
-    /// Milliseconds from the call's arrival to its deadline.
+    /// Requested timeout: milliseconds from the call's arrival to its deadline.
     pub(super) const TIMEOUT_MS: &str = "allow";
     pub(super) const TENANT: &str = "project";
     pub(super) const IDEMPOTENCY_KEY: &str = "replay";
-    /// Requests of a class that keeps order run one after the other if they have the same key.
+    /// Requests with the same order key run one after the other, in classes that are ordered by
+    /// key.
     pub(super) const ORDER_KEY: &str = "lookup";
-    /// Present on a request that the client sends again.
+    /// Marks a request that the client sends again.
     pub(super) const RETRY: &str = "dup";
     /// Estimate of the work, in milliseconds on one core.
     pub(super) const WORK_MS: &str = "effort";
@@ -29,19 +30,19 @@
     pub(super) const MEMORY_MB: &str = "need_mb";
 }
 
-/// The only value of [`field::RETRY`].
+/// The only valid value of [`field::RETRY`].
 const RETRY_VALUE: &[u8] = b"1";
 
-/// Why a call is no request.
+/// Why a call cannot be converted into a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CallError {
-    #[error("no class is named as the method")]
+    #[error("the method is not the name of a class")]
     UnknownMethod,
     #[error("the parameters are not a map of strings and binary data")]
     UnexpectedParameters,
     #[error("field `{0}` is missing")]
     MissingField(&'static str),
-    #[error("field `{name}` cannot be {value:?}")]
+    #[error("field `{name}` has the invalid value {value:?}")]
     InvalidField { name: &'static str, value: Bytes },
 }
 
@@ -56,11 +57,11 @@
     }
 }
 
-/// Parses a call that arrived at `now_ms`. The core sends the request's answer to `client`.
+/// Converts a call that arrived at `now_ms` into a request. The core sends the answer to `client`.
 ///
 /// # Errors
 ///
-/// If the method is no class, or its parameters lack a field or have one that cannot be used.
+/// If the method is not the name of a class, or a field of the parameters is missing or invalid.
 pub(super) fn parse_request(
     frontend: &Frontend,
     now_ms: Millis,
@@ -99,10 +100,12 @@
     })
 }
 
+/// Returns the value of a field that every call must have.
 fn required_field<'a>(fields: &'a Fields, name: &'static str) -> Result<&'a Bytes, CallError> {
     fields.get(name).ok_or(CallError::MissingField(name))
 }
 
+/// Returns the value of a required field if it passes `is_valid`.
 fn validated_field<'a>(
     fields: &'a Fields,
     name: &'static str,
@@ -126,7 +129,8 @@
     parse_non_negative(text).ok_or_else(|| invalid_field(field::TIMEOUT_MS, text))
 }
 
-/// The idempotency key. Classes that use none may have any text in its field.
+/// Returns the idempotency key. If the class does not use one, the field is ignored and may hold
+/// any text.
 fn idempotency_key(
     frontend: &Frontend,
     class: &NamedClass,
@@ -142,8 +146,8 @@
     }
 }
 
-/// The order key, which every request of a class that keeps order must have: without one it could run beside any other
-/// of them.
+/// Returns the order key. Every request of a class that is ordered by key must have one: a request
+/// without a key could run at the same time as any other request of the class.
 fn order_key(
     frontend: &Frontend,
     class: &NamedClass,
@@ -157,7 +161,7 @@
     Ok(Some(OrderKey::new(text)))
 }
 
-/// Counts a request that its client marks as a retry.
+/// Counts a request that the client marks as a retry.
 fn count_retry(frontend: &Frontend, fields: &Fields) -> Result<(), CallError> {
     match fields.get(field::RETRY) {
         None => Ok(()),
@@ -169,6 +173,7 @@
     }
 }
 
+/// Returns the estimate in a field, or `None` if the call does not have this field.
 fn estimate(
     frontend: &Frontend,
     fields: &Fields,
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a client: its actor reads calls, passes requests to the core and writes the answers.
+//! The actor of one client connection: it reads calls, passes requests to the core and writes the
+//! answers.
 
 mod calls;
 
@@ -20,10 +21,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Answers that the channel from the core holds for each request that may be open.
+/// Capacity of the channel from the core, in answers for each request that may be open.
 const CHANNEL_CAPACITY_PER_REQUEST: usize = 2;
 
-/// A client's connection and all of its state.
+/// A client connection with all of its state.
 pub(super) struct Connection {
     stream: TcpStream,
     frontend: Frontend,
@@ -34,15 +35,16 @@
     open_requests: HashMap<RequestId, OpenRequest>,
     /// Message id of the latest call; 0 before the first.
     last_message_id: u64,
-    /// When the latest call came or the latest request ended.
+    /// When the latest call arrived or the latest request was answered.
     idle_since: Instant,
     slot: ConnectionSlot,
-    /// Calls that were answered with an error on arrival, and unknown notifications.
+    /// Number of calls that were refused with an error at once, and of unknown notifications.
     bad_calls: usize,
-    /// Present while shutdown has to wait for this connection.
+    /// Present while a graceful shutdown has to wait for this connection.
     pending: Option<PendingGuard>,
-    /// It makes room for another connection: closed at once, or once a message that has begun is complete and answered
-    /// or does not continue.
+    /// Whether the connection was evicted for another one. It is closed at once, or, if a message
+    /// is incomplete, when the rest does not arrive in time. A complete call withdraws the
+    /// eviction.
     evicted: bool,
 }
 
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Serves the connection until it is closed, then withdraws the requests still open on it.
+    /// Serves the connection until it ends, then cancels the requests that are still open on it.
     pub(super) async fn run(mut self) {
         let connection = self.slot.connection_id();
         match self.serve().await {
@@ -85,7 +87,12 @@
             }
             Err(error) => {
                 let open_requests = self.open_requests.len();
-                tracing::debug!(connection, %error, open_requests, "client connection lost");
+                tracing::debug!(
+                    connection,
+                    %error,
+                    open_requests,
+                    "client connection lost; its open requests are cancelled"
+                );
             }
         }
         self.answers.close();
@@ -96,21 +103,23 @@
         }
     }
 
-    /// Closes the connection in order, so that answers on their way reach the client.
+    /// Closes the connection in an orderly way, so that answers on their way still reach the
+    /// client.
     async fn close(&mut self) {
-        // Shutdown of the process waits for the close as well.
+        // A graceful shutdown of the process also waits for this close.
         self.set_pending(true);
         let _ = self.stream.shutdown().await;
-        // A client sends a call that crosses the close again. Without lingering, such a call would reset the
-        // connection and with it an answer on its way.
+        // A client sends a call again if the connection is closed while the call is on its way.
+        // Without lingering, such a call would reset the connection, and answers on their way would
+        // be lost.
         net::linger(&self.stream, self.silence_limits().linger).await;
     }
 
-    /// Serves until the connection is to be closed with nothing pending.
+    /// Serves the connection until it can be closed with no request open and no answer unread.
     ///
     /// # Errors
     ///
-    /// If the client has gone or is given up.
+    /// If the connection is lost, or is dropped because of the client's behaviour.
     async fn serve(&mut self) -> Result<CloseReason, ConnectionError> {
         loop {
             self.answer_queue.flush(&self.stream)?;
@@ -142,7 +151,8 @@
                     self.frontend.metrics.client_read_timeouts.increment();
                     return Err(ConnectionError::WriteTimeout);
                 }
-                // While draining, a message that has begun is waited for, within its own time limit.
+                // While draining, the rest of an incomplete message is awaited up to the idle
+                // deadline.
                 () = self.slot.asked_to_leave(), if idle && (self.input.is_empty() || !draining) => {
                     if self.handle_leave_request(draining).await? {
                         return Ok(if draining { CloseReason::Draining } else { CloseReason::Evicted });
@@ -152,7 +162,7 @@
         }
     }
 
-    /// Checks, at the idle deadline, whether the client has still sent nothing.
+    /// Checks at the idle deadline whether the client has sent nothing until now.
     async fn is_still_silent(&mut self) -> Result<bool, ConnectionError> {
         self.receive_before_close().await?;
         let silent = self.is_idle() && self.idle_deadline() <= Instant::now();
@@ -162,8 +172,9 @@
         Ok(silent)
     }
 
-    /// Handles the request to leave; returns whether the connection can be closed at once. An evicted connection with
-    /// part of a message stays open until the rest arrives or its time is over.
+    /// Handles the request to leave. Returns whether the connection can be closed at once. An
+    /// evicted connection with an incomplete message stays open until the rest arrives or the time
+    /// limit for it is over.
     async fn handle_leave_request(&mut self, draining: bool) -> Result<bool, ConnectionError> {
         self.receive_before_close().await?;
         let idle = self.is_idle();
@@ -177,7 +188,7 @@
         Ok(false)
     }
 
-    /// Whether no request is open and no answer is unread.
+    /// Whether no request is open and all answers have been written.
     fn is_idle(&self) -> bool {
         self.open_requests.is_empty() && self.answer_queue.is_empty()
     }
@@ -186,8 +197,9 @@
         self.frontend.lifecycle.current().is_draining()
     }
 
-    /// When the connection is closed if it stays idle. A client that sends nothing, or only part of a message, holds a
-    /// slot and bytes, so its time is shorter than that of one that was answered.
+    /// When the connection is closed if it stays idle. A client that has sent no call yet, or only
+    /// part of a message, uses a slot and memory, so its time is shorter than that of a client that
+    /// was answered.
     fn idle_deadline(&self) -> Instant {
         let idle = self.idle_since + self.frontend.limits.client_idle_timeout;
         match self.input.incomplete_since() {
@@ -204,12 +216,13 @@
         }
     }
 
-    /// Brings slot, memory and the gauge of pending connections up to date.
+    /// Updates the connection's slot, its memory reservation and the gauge of pending connections.
     fn update_accounting(&mut self) {
         let queued_bytes = self.answer_queue.update_reservation();
         let open_requests = self.open_requests.len() + usize::from(queued_bytes > 0);
         self.slot.set_open_requests(open_requests);
-        // Part of a message may be completed, and a draining client gets an orderly close: shutdown waits for both.
+        // A graceful shutdown waits for the rest of an incomplete message, and for the orderly
+        // close of a connection that is drained.
         let leaving = self.last_message_id > 0 && self.is_draining();
         self.set_pending(!self.is_idle() || !self.input.is_empty() || leaving);
     }
@@ -223,19 +236,20 @@
         }
     }
 
-    /// Reads what has arrived before a close. The runtime gets a turn first: what it has not polled from the socket yet
-    /// would count as not arrived.
+    /// Reads the bytes that arrived before a close. It yields to the runtime first, because bytes
+    /// that the runtime has not polled from the socket yet would count as not arrived.
     async fn receive_before_close(&mut self) -> Result<(), ConnectionError> {
         tokio::task::yield_now().await;
         self.receive().await
     }
 
-    /// Reads what has arrived and handles the complete messages in it.
+    /// Reads the bytes that have arrived and handles the complete messages in them.
     ///
     /// # Errors
     ///
-    /// If the client has closed its side, whatever it sent before: a full close cannot be distinguished from a half
-    /// close, and an answer might have no reader.
+    /// If the client has closed its side of the connection, even if it sent calls before. A full
+    /// close cannot be distinguished from a half close, and after a full close nobody would read an
+    /// answer.
     async fn receive(&mut self) -> Result<(), ConnectionError> {
         if !self.input.receive(&self.stream)? {
             return Err(ConnectionError::ClosedByClient);
@@ -251,17 +265,17 @@
                 connection,
                 ?error,
                 within_memory,
-                "client connection is read no further"
+                "reading from the client connection stopped; open requests are still answered"
             );
-            // Earlier calls are answered before the close. Closing at once, with bytes unread, would reset the
-            // connection and lose answers on their way.
+            // Earlier calls are answered before the close. An immediate close with unread bytes
+            // would reset the connection, and answers on their way would be lost.
             self.frontend.metrics.client_malformed.increment();
             self.input.start_discarding();
         }
         Ok(())
     }
 
-    /// Queues the core's answer to a request, unless the client has cancelled it.
+    /// Queues the core's answer to a request, unless the client has cancelled the request.
     fn handle_answer(&mut self, id: RequestId, answer: &Answer) {
         let Some(request) = self.open_requests.remove(&id) else {
             return;
@@ -276,7 +290,7 @@
         counter.increment();
     }
 
-    /// Returns false if the client gets an error in place of its result.
+    /// Queues an answer. Returns false if the client gets an error in place of a result.
     fn queue_answer(&mut self, message_id: u64, answer: &Answer) -> bool {
         match answer {
             Answer::Served(body) => {
--- a/src/clients/msgpack_rpc/connection/calls.rs
+++ b/src/clients/msgpack_rpc/connection/calls.rs
@@ -1,4 +1,4 @@
-//! What a connection does with the calls of its client: requests go to the core, the others are answered at once.
+//! Handles the calls of a client: requests go to the core, all other calls are answered at once.
 
 use super::{Connection, OpenRequest};
 use crate::clients::msgpack::{Call, Message};
@@ -12,10 +12,15 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Method of the health check; every other method is a class.
+/// Method of the health check. Every other method is the name of a class.
 const HEALTH_METHOD: &[u8] = b"health";
 
 impl Connection {
+    /// Handles all complete messages in the input.
+    ///
+    /// # Errors
+    ///
+    /// If no more messages may be read from the connection.
     pub(super) async fn handle_messages(&mut self) -> Result<(), ProtocolError> {
         let now_ms = self.frontend.core.now();
         while let Some(message) = self.input.next_message()? {
@@ -33,6 +38,7 @@
         Ok(())
     }
 
+    /// Passes a request to the core, or answers the call at once.
     async fn handle_call(&mut self, now_ms: Millis, call: Call) -> Result<(), ProtocolError> {
         let message_id = call.id;
         self.record_call(message_id)?;
@@ -51,7 +57,7 @@
                 Ok(())
             }
             Ok(_) => {
-                self.log_refused_call(message_id, &"too many open requests");
+                self.log_refused_call(message_id, &"the connection has too many open requests");
                 self.frontend.metrics.client_over_limit.increment();
                 if let Some(class) = outcomes {
                     class.rejected.increment();
@@ -74,11 +80,16 @@
 
     fn log_refused_call(&self, message_id: u64, reason: &dyn std::fmt::Display) {
         let connection = self.slot.connection_id();
-        tracing::debug!(connection, message_id, %reason, "call refused");
+        tracing::debug!(connection, message_id, %reason, "call refused; the client gets an error");
     }
 
+    /// Records that a complete call has arrived.
+    ///
+    /// # Errors
+    ///
+    /// If its message id is not greater than that of the call before.
     fn record_call(&mut self, message_id: u64) -> Result<(), ProtocolError> {
-        // A repeated id would get two answers, and the client could not tell which call each one is for.
+        // With a repeated id, the client could not match the two answers to its two calls.
         if message_id <= self.last_message_id {
             return Err(ProtocolError::MessageIdNotIncreasing {
                 id: message_id,
@@ -95,10 +106,12 @@
         Ok(())
     }
 
+    /// Whether the client may open another request.
     fn has_request_capacity(&self) -> bool {
         self.open_requests.len() < self.frontend.limits.open_requests_per_client
     }
 
+    /// Passes a request to the core and records it as open.
     async fn submit(
         &mut self,
         request: AcceptedRequest,
@@ -114,7 +127,7 @@
             r#ref = %lossy_text(&request.client_reference),
             connection = self.slot.connection_id(),
             message_id,
-            "request read"
+            "request received from a client"
         );
         self.open_requests.insert(request.id, open_request);
         self.update_accounting();
@@ -122,7 +135,7 @@
         self.frontend.core.send(message).await;
     }
 
-    /// Withdraws the request of a call, if it is still open.
+    /// Cancels the request of a call if it is still open. The client gets no answer then.
     async fn cancel(&mut self, message_id: u64) {
         let id = self
             .open_requests
@@ -136,7 +149,8 @@
         }
     }
 
-    /// Limits bad calls: a client that sends them as fast as they are answered would keep the process busy.
+    /// Counts a call that was refused, or an unknown notification. Their number is limited, because
+    /// a client that sends them as fast as they are answered would keep the process busy.
     fn count_bad_call(&mut self) -> Result<(), ProtocolError> {
         self.bad_calls += 1;
         let limit = self.frontend.limits.client_bad_calls;
--- a/src/clients/msgpack_rpc/errors.rs
+++ b/src/clients/msgpack_rpc/errors.rs
@@ -1,40 +1,40 @@
-//! Why a connection ends or is read no further.
+//! The reasons why a connection ends or no more messages are read from it.
 
 use crate::clients::msgpack::MessageError;
 
-/// Why a connection is closed in order.
+/// Why a connection is closed in an orderly way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Its last message could not be understood, and the calls before it are answered.
+    /// Its last message was invalid, or a limit was exceeded. All earlier calls have been answered.
     UnreadableInput,
-    /// Another connection needs its slot.
+    /// The connection was evicted because another one needs its slot.
     Evicted,
-    /// The client sent nothing, or nothing complete, for too long.
+    /// The client sent no complete message for too long.
     Silent,
-    /// Clients are asked to leave.
+    /// The front end is draining its connections.
     Draining,
 }
 
 /// Why a connection is dropped without an orderly close.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
-    #[error("socket: {0}")]
+    #[error("socket error: {0}")]
     Io(#[from] std::io::Error),
     #[error("the client closed the connection")]
     ClosedByClient,
-    #[error("the client reads no answers")]
+    #[error("the client did not read its answers in time")]
     WriteTimeout,
-    #[error("too much was sent after a message that cannot be understood")]
+    #[error("the client sent too many bytes after an invalid message")]
     DiscardLimitExceeded,
 }
 
-/// Why nothing more on a connection can be understood. Earlier calls are still answered.
+/// Why no more messages are read from a connection. Earlier calls are still answered.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ProtocolError {
-    #[error("message: {0}")]
+    #[error("invalid message: {0}")]
     Message(#[from] MessageError),
-    #[error("message id {id} after {previous}")]
+    #[error("message id {id} is not greater than the previous message id {previous}")]
     MessageIdNotIncreasing { id: u64, previous: u64 },
-    #[error("more than {limit} bad calls")]
+    #[error("more than {limit} refused calls and unknown notifications")]
     TooManyBadCalls { limit: usize },
 }
--- a/src/clients/msgpack_rpc/input.rs
+++ b/src/clients/msgpack_rpc/input.rs
@@ -1,4 +1,4 @@
-//! Buffers what a client sent and reads messages out of it.
+//! Buffers the bytes that a client sent and parses messages from them.
 
 use super::errors::ConnectionError;
 use crate::clients::Frontend;
@@ -11,10 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Bytes allocated for a new connection's buffer.
+/// Initial capacity of a connection's input buffer.
 const INITIAL_BUFFER_BYTES: usize = 4096;
 
-/// What a client sent and what is not handled yet.
+/// The bytes that a client sent and that have not been handled yet.
 pub(super) struct Input {
     buffer: BytesMut,
     reservation: MemoryReservation,
@@ -23,13 +23,13 @@
 }
 
 enum InputState {
-    /// Messages are read.
+    /// Messages are parsed.
     Reading {
-        /// Since when the buffer holds part of a message. A new connection is expected to begin with a call, so it
-        /// counts from the start.
+        /// Since when the buffer has held part of a message. A new connection is expected to start
+        /// with a call, so before the first call this is the time when the connection was accepted.
         incomplete_since: Option<Instant>,
     },
-    /// The stream cannot be understood any further. It is only read to notice its end.
+    /// No more messages are parsed. The stream is read only to detect its end.
     Discarding {
         /// Bytes discarded so far.
         bytes: usize,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether no part of a message is buffered.
+    /// Whether the buffer is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -57,7 +57,7 @@
         matches!(self.state, InputState::Discarding { .. })
     }
 
-    /// Since when the client owes the rest of a message, or its first call.
+    /// Since when the rest of a message, or the first call, has been awaited.
     pub(super) fn incomplete_since(&self) -> Option<Instant> {
         match self.state {
             InputState::Reading { incomplete_since } => incomplete_since,
@@ -65,20 +65,21 @@
         }
     }
 
-    /// Reads what the socket has, up to about one message of the largest size. Returns whether the stream goes on.
+    /// Reads the bytes that have arrived, up to about one message of the largest size. Returns
+    /// false at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Those of the socket.
+    /// Errors of the socket.
     pub(super) fn receive(&mut self, stream: &TcpStream) -> io::Result<bool> {
         net::read_available(stream, &mut self.buffer, self.limits.message_bytes)
     }
 
-    /// Takes the next complete message out of the buffer.
+    /// Removes the next complete message from the buffer and returns it.
     ///
     /// # Errors
     ///
-    /// If the stream cannot be understood any further.
+    /// If the message is invalid, so that nothing after it can be parsed.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         msgpack::take_message(&mut self.buffer, &self.limits)
     }
@@ -88,8 +89,8 @@
         self.set_incomplete_since(None);
     }
 
-    /// Records that no complete message is left in the buffer. Until the first call everything counts as incomplete,
-    /// notifications too.
+    /// Records that no complete message is left in the buffer. Until the first call, the input
+    /// counts as incomplete even after a complete notification.
     pub(super) fn record_all_messages_read(&mut self, has_called: bool) {
         if !self.buffer.is_empty() {
             let since = self.incomplete_since().unwrap_or_else(Instant::now);
@@ -105,25 +106,26 @@
         }
     }
 
-    /// Reserves the memory of the buffered bytes; false if all connections together hold too many. Without this limit
-    /// incomplete messages of many clients could fill the memory.
+    /// Reserves memory for the buffered bytes. Returns false if the buffers of all connections
+    /// together exceed their limit. Without this limit, incomplete messages of many clients could
+    /// exhaust the memory.
     pub(super) fn update_reservation(&mut self) -> bool {
         let limit = self.limits.share(self.limits.input_bytes);
         self.reservation.set(self.buffer.len(), limit)
     }
 
-    /// Stops reading messages, for good.
+    /// Stops parsing messages for the rest of the connection.
     pub(super) fn start_discarding(&mut self) {
         self.buffer.clear();
         self.reservation.set(0, usize::MAX);
         self.state = InputState::Discarding { bytes: 0 };
     }
 
-    /// Drops the buffered bytes.
+    /// Discards the buffered bytes.
     ///
     /// # Errors
     ///
-    /// If more was discarded by now than one message may have.
+    /// If more bytes have been discarded in total than one message may have.
     pub(super) fn discard(&mut self) -> Result<(), ConnectionError> {
         let received = self.buffer.len();
         self.buffer.clear();
--- a/src/clients/msgpack_rpc/listener.rs
+++ b/src/clients/msgpack_rpc/listener.rs
@@ -6,28 +6,31 @@
 use std::sync::Arc;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts clients until the process ends or another process takes the listening socket over.
+/// Accepts clients until the process ends or another process takes over the listening socket.
 pub(crate) async fn listen(listener: TcpListener, frontend: Frontend) {
     let slots = frontend.create_connection_slots(frontend.limits.client_connections);
     let mut lifecycle = frontend.lifecycle.subscribe();
     loop {
         let accepted = tokio::select! {
             biased;
-            // The other process accepts on this socket; a connection taken here would be closed without an answer.
+            // After the handover, the other process accepts clients on this socket. A connection
+            // that this process accepted would be closed without an answer.
             _ = lifecycle.wait_for(|state| state.listener_handed_over) => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok((stream, _)) => {
-                // Clients may keep idle connections for good. A request counts as accepted once it is written to a
-                // connection that the kernel accepted, so an idle connection makes room for this one.
+                // Clients may keep idle connections open forever. A request counts as accepted once
+                // it is written to a connection that the kernel has accepted, so an idle connection
+                // is evicted for this one.
                 slots.wait_for_slot().await;
                 spawn_connection(stream, &slots, &frontend);
-                // Lets the actor read what the client sent at once, before the next connection could evict it.
+                // Lets the actor read the bytes that the client has already sent, before the next
+                // connection could evict this one.
                 tokio::task::yield_now().await;
             }
             Err(error) => {
-                tracing::debug!(%error, "client not accepted");
+                tracing::debug!(%error, "client connection not accepted; retrying after a pause");
                 if is_out_of_resources(&error) {
                     slots.evict_idle();
                 }
--- a/src/clients/msgpack_rpc/mod.rs
+++ b/src/clients/msgpack_rpc/mod.rs
@@ -1,10 +1,12 @@
 //! The platform's front end: MessagePack-RPC over TCP.
 //!
 //! - [`listener`] accepts connections while slots are available.
-//! - [`connection`] is one connection's actor. It alone owns the connection's state.
-//! - [`input`] buffers what a client sent and reads messages out of it.
-//! - [`call`] turns a call into a request for the core.
+//! - [`connection`] is the actor of one connection, which alone owns the connection's state.
+//! - [`input`] buffers received bytes and parses messages from them.
+//! - [`call`] converts a call into a request for the core.
 //! - [`answers`] encodes answers and queues them until the client reads them.
+//! - [`errors`] lists why a connection is closed or no more messages are read from it.
+//! - [`silence_limits`] sets how long the connection waits for a silent client.
 
 mod answers;
 mod call;
--- a/src/clients/msgpack_rpc/silence_limits.rs
+++ b/src/clients/msgpack_rpc/silence_limits.rs
@@ -1,18 +1,18 @@
-//! How long a silent client is waited for.
+//! How long a connection waits for a silent client.
 
 use crate::limits::Limits;
 use std::time::Duration;
 
-/// Waits of one connection, chosen by whether it was evicted.
+/// The time limits of one connection. They depend on whether it was evicted.
 pub(super) struct SilenceLimits {
-    /// For the first call, or the rest of a message.
+    /// Time limit for the first call, or for the rest of a message.
     pub(super) read_timeout: Duration,
-    /// For the client's end of the connection after its own close.
+    /// How long to wait, after this side has closed the connection, until the client closes it too.
     pub(super) linger: Duration,
 }
 
 impl SilenceLimits {
-    /// For a connection that may keep its slot.
+    /// The limits of a connection that was not evicted.
     pub(super) fn not_evicted(limits: &Limits) -> SilenceLimits {
         SilenceLimits {
             read_timeout: limits.client_read_timeout,
@@ -20,8 +20,9 @@
         }
     }
 
-    /// For an evicted connection: shorter, as another connection waits for its slot. While draining, clients get the
-    /// usual time to complete a message.
+    /// The limits of an evicted connection. They are shorter, because another connection waits for
+    /// its slot. While draining, the time limit to complete a message is the same as without an
+    /// eviction.
     pub(super) fn evicted(limits: &Limits, draining: bool) -> SilenceLimits {
         SilenceLimits {
             read_timeout: if draining {
--- a/src/clients/msgpack_rpc/tests.rs
+++ b/src/clients/msgpack_rpc/tests.rs
@@ -14,7 +14,8 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A client that sends calls and never reads keeps its slot for a bounded time only.
+/// A client that sends calls and never reads the answers must not keep its slot forever: the
+/// connection is closed when no answer could be written for the idle timeout.
 #[tokio::test]
 async fn connection_is_closed_when_client_reads_no_answers() {
     let (core, _inputs) = Handle::new(64, Clock::new());
@@ -36,7 +37,9 @@
     let address = listener.local_addr().expect("address");
     tokio::spawn(listen(listener, frontend));
     let socket = TcpSocket::new_v4().expect("socket");
-    socket.set_recv_buffer_size(2048).expect("option");
+    socket
+        .set_recv_buffer_size(2048)
+        .expect("set the size of the receive buffer");
     let mut client = socket.connect(address).await.expect("connect");
     let send_until_closed = async {
         for batch in 1u32.. {
@@ -53,6 +56,6 @@
     };
     timeout(Duration::from_secs(20), send_until_closed)
         .await
-        .expect("closed");
+        .expect("the connection is closed in time");
     assert_eq!(metrics.client_read_timeouts.get(), 1);
 }
