--- a/src/clients/msgpack/mod.rs
+++ b/src/clients/msgpack/mod.rs
@@ -47,7 +47,7 @@
 pub(crate) enum Message {
     /// `[0, id, method, params]`.
     Call(Call),
-    /// `[2, "cancel", [id]]`: the client withdraws the call with this id.
+    /// `[2, "cancel", [id]]`: the client cancels the call with this id.
     Cancel {
         /// The call's message id.
         id: u64,
--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -134,7 +134,7 @@
         self.outbox.is_empty()
     }
 
-    /// Whether too many bytes are unread to read more calls.
+    /// Whether so many bytes are unread that no more calls are read from the client.
     pub(super) fn is_full(&self) -> bool {
         self.outbox.unwritten_bytes() > MAX_UNREAD_RESULTS * self.limits.result_bytes as u64
     }
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -119,7 +119,8 @@
     ///
     /// # Errors
     ///
-    /// If the connection is lost, or is dropped because of the client's behaviour.
+    /// If the connection is lost, or is dropped because the client does not read its answers or sends
+    /// too many bytes after an invalid message.
     async fn serve(&mut self) -> Result<CloseReason, ConnectionError> {
         loop {
             self.answer_queue.flush(&self.stream)?;
