--- a/src/clients/flight/grpc_timeout.rs
+++ b/src/clients/flight/grpc_timeout.rs
@@ -9,7 +9,7 @@
 const GRPC_TIMEOUT: &str = "grpc-timeout";
 
 /// Digits of a timeout at most, by the gRPC specification.
-const MAX_DIGITS: usize = 8;
+const MAX_TIMEOUT_DIGITS: usize = 8;
 
 /// The time that a call may take; `None` if it names none.
 ///
@@ -23,16 +23,16 @@
     let timeout = value
         .to_str()
         .ok()
-        .and_then(parse)
+        .and_then(parse_timeout)
         .ok_or(CallError::InvalidTimeout)?;
     Ok(Some(timeout.as_secs_f64() * 1000.0))
 }
 
 /// Parses digits and a unit.
-fn parse(text: &str) -> Option<Duration> {
+fn parse_timeout(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let only_digits = digits.bytes().all(|byte| byte.is_ascii_digit());
-    if digits.is_empty() || digits.len() > MAX_DIGITS || !only_digits {
+    if digits.is_empty() || digits.len() > MAX_TIMEOUT_DIGITS || !only_digits {
         return None;
     }
     let amount: u64 = digits.parse().ok()?;
--- a/src/clients/flight/listener/tests.rs
+++ b/src/clients/flight/listener/tests.rs
@@ -10,7 +10,7 @@
 
 /// A connection that is asked to leave just before the time for its first call is over is closed once it is quiet.
 #[tokio::test(start_paused = true)]
-async fn request_to_leave_is_kept_past_the_time_for_the_first_call() {
+async fn leave_request_outlasts_the_first_call_timeout() {
     let context = EngineContext::for_tests(Handle::new(1, Clock::new()).0);
     let (limits, metrics) = (context.limits, context.metrics);
     let slots = ConnectionSlots::new(4, limits.clone(), metrics.clone());
@@ -19,12 +19,12 @@
     let started_at = Instant::now();
     let signal = close_signal(slot, limits.clone(), metrics);
     let asked_after = limits.client_read_timeout - limits.linger / 2;
-    let ask = async {
+    let ask_to_leave = async {
         sleep(asked_after).await;
         slots.set_draining(true);
     };
-    let both = async { tokio::join!(signal, ask) };
-    let closed = tokio::time::timeout(Duration::from_secs(60), both).await;
+    let close_and_ask = async { tokio::join!(signal, ask_to_leave) };
+    let closed = tokio::time::timeout(Duration::from_secs(60), close_and_ask).await;
     assert!(closed.is_ok(), "the request to leave was lost");
     assert!(started_at.elapsed() >= asked_after + limits.linger);
 }
--- a/src/clients/flight/result_stream.rs
+++ b/src/clients/flight/result_stream.rs
@@ -42,16 +42,18 @@
             if response.is_completed() {
                 return None;
             }
-            let item = next_item(&mut chunks).await;
-            response.set_completed(item.as_ref().is_none_or(Result::is_err));
-            Some((item?, (chunks, response)))
+            let message = next_message(&mut chunks).await;
+            response.set_completed(message.as_ref().is_none_or(Result::is_err));
+            Some((message?, (chunks, response)))
         },
     )
 }
 
 /// The next message; `None` at the end that the engine announced. A stream that is cut off ends in an error, never as
 /// if it were complete.
-async fn next_item(chunks: &mut mpsc::Receiver<ResultChunk>) -> Option<Result<FlightData, Status>> {
+async fn next_message(
+    chunks: &mut mpsc::Receiver<ResultChunk>,
+) -> Option<Result<FlightData, Status>> {
     match chunks.recv().await {
         Some(ResultChunk::Data(chunk)) => {
             let message = FlightData::decode(chunk);
--- a/src/clients/flight/service.rs
+++ b/src/clients/flight/service.rs
@@ -5,7 +5,7 @@
 use super::result_stream::{FlightDataStream, result_stream};
 use super::statement_call::{StatementCall, new_reference};
 use super::status::{self, CallError};
-use super::tickets::Tickets;
+use super::tickets::TicketStore;
 use crate::clients::Frontend;
 use crate::clients::connection_slots::ConnectionSlot;
 use crate::core::StatementKind;
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 pub(super) struct FlightFrontend {
     frontend: Frontend,
-    tickets: Arc<Mutex<Tickets>>,
+    tickets: Arc<Mutex<TicketStore>>,
 }
 
 impl FlightFrontend {
@@ -43,18 +43,18 @@
     fn count_call<T>(&self, result: Result<T, Status>) -> Result<T, Status> {
         self.frontend.metrics.flight_calls.increment();
         result.inspect_err(|error| {
-            if status::is_bad_call(error) {
+            if status::is_client_error(error) {
                 self.frontend.metrics.flight_bad_calls.increment();
             }
         })
     }
 
-    fn unsupported<T>(&self, method: &str) -> Result<T, Status> {
+    fn reject_unsupported<T>(&self, method: &str) -> Result<T, Status> {
         let error = CallError::Unsupported(method.to_owned());
         self.count_call(Err(error.into()))
     }
 
-    fn tickets(&self) -> MutexGuard<'_, Tickets> {
+    fn tickets(&self) -> MutexGuard<'_, TicketStore> {
         self.tickets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Checks a query and hands out a ticket for it. Nothing is sent to an engine.
-    fn plan(&self, request: Request<FlightDescriptor>) -> Result<FlightInfo, CallError> {
+    fn plan_query(&self, request: Request<FlightDescriptor>) -> Result<FlightInfo, CallError> {
         if let Some(slot) = connection_slot(&request) {
             slot.record_call();
         }
@@ -99,7 +99,7 @@
     }
 
     /// Runs a planned query.
-    async fn fetch(&self, request: Request<Ticket>) -> Result<FlightDataStream, Status> {
+    async fn run_query(&self, request: Request<Ticket>) -> Result<FlightDataStream, Status> {
         let slot = connection_slot(&request);
         let (metadata, _, ticket) = request.into_parts();
         let (handle, call) = self.redeem(&ticket)?;
@@ -115,15 +115,18 @@
     }
 
     /// Runs an update.
-    async fn update(&self, request: Request<Streaming<FlightData>>) -> Result<PutResult, Status> {
+    async fn run_update(
+        &self,
+        request: Request<Streaming<FlightData>>,
+    ) -> Result<PutResult, Status> {
         let slot = connection_slot(&request);
         let (metadata, _, mut input) = request.into_parts();
         // Without a limit, a call that brings no command would stay open for good.
-        let first = timeout(self.frontend.limits.client_read_timeout, input.message())
+        let first_message = timeout(self.frontend.limits.client_read_timeout, input.message())
             .await
             .map_err(|_| CallError::CommandTimeout)??
             .ok_or(CallError::MissingCommand)?;
-        let descriptor = first
+        let descriptor = first_message
             .flight_descriptor
             .ok_or(CallError::MissingDescriptor)?;
         let statement = command::update_statement(&descriptor.cmd)?;
@@ -158,7 +161,7 @@
         &self,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        self.count_call(self.plan(request).map_err(Status::from))
+        self.count_call(self.plan_query(request).map_err(Status::from))
             .map(Response::new)
     }
 
@@ -166,7 +169,7 @@
         &self,
         request: Request<Ticket>,
     ) -> Result<Response<Self::DoGetStream>, Status> {
-        let result = self.fetch(request).await;
+        let result = self.run_query(request).await;
         self.count_call(result).map(Response::new)
     }
 
@@ -174,7 +177,7 @@
         &self,
         request: Request<Streaming<FlightData>>,
     ) -> Result<Response<Self::DoPutStream>, Status> {
-        let result = self.update(request).await;
+        let result = self.run_update(request).await;
         self.count_call(result)
             .map(|result| Response::new(stream::iter([Ok(result)]).boxed()))
     }
@@ -183,48 +186,48 @@
         &self,
         _: Request<Streaming<HandshakeRequest>>,
     ) -> Result<Response<Self::HandshakeStream>, Status> {
-        self.unsupported("Handshake")
+        self.reject_unsupported("Handshake")
     }
 
     async fn list_flights(
         &self,
         _: Request<Criteria>,
     ) -> Result<Response<Self::ListFlightsStream>, Status> {
-        self.unsupported("ListFlights")
+        self.reject_unsupported("ListFlights")
     }
 
     async fn poll_flight_info(
         &self,
         _: Request<FlightDescriptor>,
     ) -> Result<Response<PollInfo>, Status> {
-        self.unsupported("PollFlightInfo")
+        self.reject_unsupported("PollFlightInfo")
     }
 
     async fn get_schema(
         &self,
         _: Request<FlightDescriptor>,
     ) -> Result<Response<SchemaResult>, Status> {
-        self.unsupported("GetSchema")
+        self.reject_unsupported("GetSchema")
     }
 
     async fn do_action(
         &self,
         _: Request<Action>,
     ) -> Result<Response<Self::DoActionStream>, Status> {
-        self.unsupported("DoAction")
+        self.reject_unsupported("DoAction")
     }
 
     async fn list_actions(
         &self,
         _: Request<Empty>,
     ) -> Result<Response<Self::ListActionsStream>, Status> {
-        self.unsupported("ListActions")
+        self.reject_unsupported("ListActions")
     }
 
     async fn do_exchange(
         &self,
         _: Request<Streaming<FlightData>>,
     ) -> Result<Response<Self::DoExchangeStream>, Status> {
-        self.unsupported("DoExchange")
+        self.reject_unsupported("DoExchange")
     }
 }
--- a/src/clients/flight/statement_call.rs
+++ b/src/clients/flight/statement_call.rs
@@ -36,17 +36,17 @@
         statement: String,
     ) -> Result<StatementCall, CallError> {
         let class = parse_class(frontend, metadata)?;
-        let tenant = text(metadata, TENANT).unwrap_or_default();
+        let tenant = metadata_value(metadata, TENANT).unwrap_or_default();
         if !frontend.is_known_tenant(tenant) {
-            return Err(CallError::UnknownName(TENANT));
+            return Err(CallError::UnknownMetadataValue(TENANT));
         }
         check_statement(frontend, &statement)?;
         Ok(StatementCall {
             reference: new_reference(&frontend.core),
             class,
             tenant: Bytes::copy_from_slice(tenant),
-            estimated_work_ms: estimate(frontend, metadata, EFFORT)?,
-            estimated_memory_mb: estimate(frontend, metadata, NEED_MB)?,
+            estimated_work_ms: read_estimate(frontend, metadata, EFFORT)?,
+            estimated_memory_mb: read_estimate(frontend, metadata, NEED_MB)?,
             statement: statement.into(),
         })
     }
@@ -81,18 +81,20 @@
 /// A new reference for a request: 8 hex digits of the time in ms and 8 or more of a number that is unique in this process.
 /// It equals a reference that a client of the platform chose only by chance.
 pub(super) fn new_reference(core: &Handle) -> Bytes {
-    let unique = core.next_id();
-    let time = core.now() as u64 as u32;
-    format!("{time:08x}{unique:08x}").into()
+    let unique_id = core.next_id();
+    let time_ms = core.now() as u64 as u32;
+    format!("{time_ms:08x}{unique_id:08x}").into()
 }
 
-fn text<'a>(metadata: &'a MetadataMap, key: &str) -> Option<&'a [u8]> {
+fn metadata_value<'a>(metadata: &'a MetadataMap, key: &str) -> Option<&'a [u8]> {
     metadata.get(key).map(|value| value.as_bytes())
 }
 
 fn parse_class(frontend: &Frontend, metadata: &MetadataMap) -> Result<Arc<NamedClass>, CallError> {
-    let name = text(metadata, CLASS).ok_or(CallError::MissingMetadata(CLASS))?;
-    let class = frontend.class(name).ok_or(CallError::UnknownName(CLASS))?;
+    let name = metadata_value(metadata, CLASS).ok_or(CallError::MissingMetadata(CLASS))?;
+    let class = frontend
+        .class(name)
+        .ok_or(CallError::UnknownMetadataValue(CLASS))?;
     if class.class.ordered_by_key {
         return Err(CallError::OrderKeyRequired);
     }
@@ -109,12 +111,12 @@
     Ok(())
 }
 
-fn estimate(
+fn read_estimate(
     frontend: &Frontend,
     metadata: &MetadataMap,
     key: &'static str,
 ) -> Result<Option<f64>, CallError> {
-    text(metadata, key)
+    metadata_value(metadata, key)
         .map(|value| {
             frontend
                 .parse_estimate(value)
--- a/src/clients/flight/status.rs
+++ b/src/clients/flight/status.rs
@@ -13,9 +13,9 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
     #[error("a command that cannot be read: {0}")]
-    UnreadableMessage(#[from] DecodeError),
+    UndecodableMessage(#[from] DecodeError),
     #[error("a command that cannot be read: {0}")]
-    UnreadableCommand(#[from] ArrowError),
+    UndecodableCommand(#[from] ArrowError),
     /// Bytes that decode by chance name no type.
     #[error("a command without its type")]
     UntypedCommand,
@@ -27,7 +27,7 @@
     #[error("no {0}")]
     MissingMetadata(&'static str),
     #[error("unknown {0}")]
-    UnknownName(&'static str),
+    UnknownMetadataValue(&'static str),
     #[error("{0} is no figure")]
     InvalidEstimate(&'static str),
     #[error("grpc-timeout")]
@@ -59,7 +59,7 @@
 }
 
 /// Whether this status says that the call itself was at fault.
-pub(super) fn is_bad_call(status: &Status) -> bool {
+pub(super) fn is_client_error(status: &Status) -> bool {
     matches!(status.code(), Code::InvalidArgument | Code::Unimplemented)
 }
 
--- a/src/clients/flight/tickets.rs
+++ b/src/clients/flight/tickets.rs
@@ -8,25 +8,26 @@
 
 /// The tickets handed out by one front end; a bounded number of them.
 #[derive(Default)]
-pub(super) struct Tickets {
+pub(super) struct TicketStore {
     calls: HashMap<Bytes, StatementCall>,
-    oldest_first: VecDeque<Bytes>,
+    handles_oldest_first: VecDeque<Bytes>,
 }
 
-impl Tickets {
+impl TicketStore {
     /// Stores a ticket. The oldest ones are dropped while there are too many, or their statements too long together.
     pub(super) fn insert(&mut self, handle: Bytes, call: StatementCall, limits: &Limits) {
         if self.calls.insert(handle.clone(), call).is_none() {
-            self.oldest_first.push_back(handle);
+            self.handles_oldest_first.push_back(handle);
         }
-        let mut bytes: usize = self.calls.values().map(|call| call.statement.len()).sum();
-        while self.oldest_first.len() > limits.flight_tickets || bytes > limits.flight_ticket_bytes
+        let mut statement_bytes: usize = self.calls.values().map(|call| call.statement.len()).sum();
+        while self.handles_oldest_first.len() > limits.flight_tickets
+            || statement_bytes > limits.flight_ticket_bytes
         {
-            let Some(oldest) = self.oldest_first.pop_front() else {
+            let Some(oldest) = self.handles_oldest_first.pop_front() else {
                 return;
             };
             if let Some(dropped) = self.calls.remove(&oldest) {
-                bytes -= dropped.statement.len();
+                statement_bytes -= dropped.statement.len();
             }
         }
     }
@@ -37,7 +38,7 @@
         let call = self.calls.get(handle)?.clone();
         if call.class.class.idempotency == Idempotency::NonIdempotent {
             self.calls.remove(handle);
-            self.oldest_first.retain(|other| other != handle);
+            self.handles_oldest_first.retain(|other| other != handle);
         }
         Some(call)
     }
