--- a/src/admin.rs
+++ b/src/admin.rs
@@ -51,7 +51,7 @@
             tokio::time::sleep(server.limits.admin_accept_retry_delay).await;
             continue;
         };
-        server.evict_for_new_call(&mut calls);
+        server.abort_oldest_calls(&mut calls);
         calls.push_back(tokio::spawn(server.clone().serve_call(stream)));
     }
 }
@@ -75,13 +75,13 @@
 }
 
 impl AdminServer {
-    /// Ends the longest calls while there is no slot for another. A complete call is answered within a moment, so
+    /// Ends the oldest calls while there is no slot for another. A complete call is answered within a moment, so
     /// these are connections that never complete one.
-    fn evict_for_new_call(&self, calls: &mut VecDeque<JoinHandle<()>>) {
+    fn abort_oldest_calls(&self, calls: &mut VecDeque<JoinHandle<()>>) {
         calls.retain(|call| !call.is_finished());
         while calls.len() >= self.limits.admin_connections {
-            if let Some(longest) = calls.pop_front() {
-                longest.abort();
+            if let Some(oldest) = calls.pop_front() {
+                oldest.abort();
             }
             self.metrics.admin_bad_calls.increment();
         }
@@ -89,17 +89,17 @@
 
     /// Serves one connection within the time of a call: a peer may stop inside its line, or never read its answer.
     async fn serve_call(self, stream: TcpStream) {
-        let call = timeout(self.limits.admin_call_timeout, self.exchange(stream)).await;
+        let call = timeout(self.limits.admin_call_timeout, self.read_and_answer(stream)).await;
         if !matches!(call, Ok(Ok(()))) {
             self.metrics.admin_bad_calls.increment();
         }
     }
 
     /// One line, one answer.
-    async fn exchange(&self, stream: TcpStream) -> io::Result<()> {
+    async fn read_and_answer(&self, stream: TcpStream) -> io::Result<()> {
         let mut stream = RetryingStream::new(stream);
         let line = read_line(&mut stream, self.limits.admin_line_bytes).await?;
-        let text = match self.answer_line(line).await {
+        let response = match self.answer_to_line(line).await {
             Ok(answer) => {
                 self.metrics.admin_calls.increment();
                 answer.to_string()
@@ -109,13 +109,13 @@
                 error.to_line()
             }
         };
-        stream.write_all(text.as_bytes()).await?;
+        stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await?;
         linger(stream.socket(), self.limits.linger).await;
         Ok(())
     }
 
-    async fn answer_line(&self, line: Option<Vec<u8>>) -> Result<AdminAnswer, AdminError> {
+    async fn answer_to_line(&self, line: Option<Vec<u8>>) -> Result<AdminAnswer, AdminError> {
         let line = line
             .and_then(|bytes| String::from_utf8(bytes).ok())
             .ok_or(AdminError::UnreadableLine)?;
--- a/src/admin/answer.rs
+++ b/src/admin/answer.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Ends an answer of several lines.
-const END_OF_LINES: &str = "EOF";
+const END_MARKER: &str = "EOF";
 
 /// The answer to a command that was carried out. Its `Display` is the text on the wire.
 #[derive(Clone, Debug)]
@@ -35,13 +35,13 @@
             AdminAnswer::EngineEnabled => writeln!(f, "200 may serve again"),
             AdminAnswer::Draining => writeln!(f, "200 clients are sent away"),
             AdminAnswer::DrainEnded => writeln!(f, "200 clients may come"),
-            AdminAnswer::Figures(figures) => writeln!(f, "{figures}{END_OF_LINES}"),
+            AdminAnswer::Figures(figures) => writeln!(f, "{figures}{END_MARKER}"),
             AdminAnswer::Policy(values) => {
                 writeln!(f, "200 keys of attempts, their values and tables")?;
                 for EffectiveValue { key, value, from } in values {
                     writeln!(f, "{key} {value} {from}")?;
                 }
-                writeln!(f, "{END_OF_LINES}")
+                writeln!(f, "{END_MARKER}")
             }
         }
     }
--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -47,8 +47,8 @@
         match words[..] {
             ["READY"] => Ok(AdminCommand::Ready),
             ["STATS"] => Ok(AdminCommand::Stats),
-            ["POLICY", class] => Ok(policy(class, None)),
-            ["POLICY", class, member] => Ok(policy(class, Some(member))),
+            ["POLICY", class] => Ok(policy_command(class, None)),
+            ["POLICY", class, member] => Ok(policy_command(class, Some(member))),
             ["DISABLE", id] => parse_engine(id).map(AdminCommand::Disable),
             ["ENABLE", id] => parse_engine(id).map(AdminCommand::Enable),
             ["DRAIN"] => Ok(AdminCommand::Drain),
@@ -59,7 +59,7 @@
     }
 }
 
-fn policy(class: &str, member: Option<&str>) -> AdminCommand {
+fn policy_command(class: &str, member: Option<&str>) -> AdminCommand {
     AdminCommand::Policy {
         class: class.to_owned(),
         member: member.map(str::to_owned),
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -16,12 +16,12 @@
 )]
 #[case::drain("DRAIN", AdminCommand::Drain)]
 #[case::undrain("UNDRAIN", AdminCommand::Undrain)]
-fn a_complete_line_is_its_command(#[case] line: &str, #[case] command: AdminCommand) {
+fn complete_lines_are_parsed(#[case] line: &str, #[case] command: AdminCommand) {
     assert_eq!(line.parse(), Ok(command));
 }
 
 #[test]
-fn an_engine_is_named_as_in_the_endpoint_list() {
+fn engine_ids_are_parsed_as_in_the_endpoint_list() {
     let engine = parse_engine_id("s-00c41f7a").expect("an id");
     let parsed = ["DISABLE s-00c41f7a", "ENABLE s-00c41f7a"].map(str::parse);
     let expected = [AdminCommand::Disable(engine), AdminCommand::Enable(engine)];
@@ -36,12 +36,12 @@
 #[case::no_class("POLICY", ParseCommandError::UnknownCommand)]
 #[case::no_id("DISABLE", ParseCommandError::UnknownCommand)]
 #[case::short_id("DISABLE s-1", ParseCommandError::InvalidEngineId)]
-fn a_line_that_is_no_command_names_its_fault(#[case] line: &str, #[case] error: ParseCommandError) {
+fn invalid_lines_are_rejected_with_the_cause(#[case] line: &str, #[case] error: ParseCommandError) {
     assert_eq!(line.parse::<AdminCommand>(), Err(error));
 }
 
 #[test]
-fn answers_are_written_in_their_published_form() {
+fn answers_have_the_documented_text() {
     let figures = AdminAnswer::Figures("node.loads=0\n".to_owned());
     assert_eq!(figures.to_string(), "node.loads=0\nEOF\n");
     let value = EffectiveValue {
