--- a/src/main.rs
+++ b/src/main.rs
@@ -180,7 +180,7 @@
         match signals.next().await {
             Ok(Signal::Terminate | Signal::Interrupt) => return,
             Ok(Signal::Reload) => node.reload(load_node_config(path)).await,
-            Ok(Signal::Print) => print_metrics(node),
+            Ok(Signal::PrintMetrics) => print_metrics(node),
             Err(error) => {
                 // Without signals, the program could only be stopped with SIGKILL.
                 tracing::error!(%error, "signals can no longer be received, shutting down");
@@ -200,7 +200,7 @@
             () = &mut shutdown => return,
             signal = signals.next() => match signal {
                 Ok(Signal::Reload) => node.reload(load_node_config(path)).await,
-                Ok(Signal::Print) => print_metrics(node),
+                Ok(Signal::PrintMetrics) => print_metrics(node),
                 Ok(Signal::Terminate | Signal::Interrupt) => {}
                 Err(_) => return shutdown.await,
             }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -23,27 +23,27 @@
     /// SIGINT: shut down gracefully, as from a terminal.
     Interrupt,
     /// SIGUSR1: print the counters.
-    Print,
+    PrintMetrics,
 }
 
 /// Number of signals that are handled.
-const SIGNALS: usize = 4;
+const SIGNAL_COUNT: usize = 4;
 
 /// The signals with their numbers, in the order in which they are returned when several came at once.
-const BY_PRIORITY: [(Signal, i32); SIGNALS] = [
+const SIGNALS_BY_PRIORITY: [(Signal, i32); SIGNAL_COUNT] = [
     (Signal::Terminate, SIGTERM),
     (Signal::Interrupt, SIGINT),
     (Signal::Reload, SIGHUP),
-    (Signal::Print, SIGUSR1),
+    (Signal::PrintMetrics, SIGUSR1),
 ];
 
 /// Receiver of the signals: a flag each, behind one pipe. It holds five descriptors for the life of the process.
 pub struct Signals {
     pipe: pipe::Receiver,
     /// Set by the handlers, by priority.
-    flags: [Arc<AtomicBool>; SIGNALS],
+    flags: [Arc<AtomicBool>; SIGNAL_COUNT],
     /// Taken from the flags and not returned yet, by priority.
-    pending: [bool; SIGNALS],
+    pending: [bool; SIGNAL_COUNT],
 }
 
 impl Signals {
@@ -54,8 +54,8 @@
     /// The pipe cannot be created, or a handler cannot be installed.
     pub fn install() -> io::Result<Signals> {
         let (reader, writer) = io::pipe()?;
-        let flags = [(); SIGNALS].map(|()| Arc::new(AtomicBool::new(false)));
-        for ((_, signal), flag) in BY_PRIORITY.iter().zip(&flags) {
+        let flags = [(); SIGNAL_COUNT].map(|()| Arc::new(AtomicBool::new(false)));
+        for ((_, signal), flag) in SIGNALS_BY_PRIORITY.iter().zip(&flags) {
             // Handlers run in the order of registration: a reader that the byte wakes finds the flag set.
             signal_hook::flag::register(*signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(*signal, OwnedFd::from(writer.try_clone()?))?;
@@ -64,7 +64,7 @@
         Ok(Signals {
             pipe,
             flags,
-            pending: [false; SIGNALS],
+            pending: [false; SIGNAL_COUNT],
         })
     }
 
@@ -87,7 +87,7 @@
     fn take_pending(&mut self) -> Option<Signal> {
         let position = self.pending.iter().position(|pending| *pending)?;
         self.pending[position] = false;
-        Some(BY_PRIORITY[position].0)
+        Some(SIGNALS_BY_PRIORITY[position].0)
     }
 
     async fn wait_for_byte(&mut self) -> io::Result<()> {
--- a/src/signals/tests.rs
+++ b/src/signals/tests.rs
@@ -5,26 +5,26 @@
 use signal_hook::low_level::raise;
 use std::time::Duration;
 
-async fn next(signals: &mut Signals) -> Signal {
-    let bound = Duration::from_secs(10);
-    let received = tokio::time::timeout(bound, signals.next())
+async fn next_signal(signals: &mut Signals) -> Signal {
+    let max_wait = Duration::from_secs(10);
+    let received = tokio::time::timeout(max_wait, signals.next())
         .await
         .expect("a signal within the bound");
     received.expect("the pipe of signals")
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn each_signal_is_received_once_and_in_order_when_several_arrive_together() {
+async fn each_signal_is_received_once_and_simultaneous_signals_by_priority() {
     let mut signals = Signals::install().expect("handlers");
     raise(SIGUSR1).expect("raise");
-    assert_eq!(next(&mut signals).await, Signal::Print);
+    assert_eq!(next_signal(&mut signals).await, Signal::PrintMetrics);
     // Both before the reader wakes: taken in the fixed order, each once.
     raise(SIGHUP).expect("raise");
     raise(SIGTERM).expect("raise");
-    assert_eq!(next(&mut signals).await, Signal::Terminate);
-    assert_eq!(next(&mut signals).await, Signal::Reload);
+    assert_eq!(next_signal(&mut signals).await, Signal::Terminate);
+    assert_eq!(next_signal(&mut signals).await, Signal::Reload);
     raise(SIGUSR1).expect("raise");
-    assert_eq!(next(&mut signals).await, Signal::Print);
-    let quiet = tokio::time::timeout(Duration::from_millis(50), signals.next()).await;
-    assert!(quiet.is_err(), "nothing more was raised");
+    assert_eq!(next_signal(&mut signals).await, Signal::PrintMetrics);
+    let further = tokio::time::timeout(Duration::from_millis(50), signals.next()).await;
+    assert!(further.is_err(), "nothing more was raised");
 }
