--- a/src/clients/flight/command.rs
+++ b/src/clients/flight/command.rs
@@ -1,4 +1,4 @@
-//! Decodes the Flight SQL commands that descriptors and tickets carry.
+//! Decodes the Flight SQL commands in descriptors and tickets.
 
 use super::status::CallError;
 use arrow_flight::sql::{
@@ -7,33 +7,33 @@
 use bytes::Bytes;
 use prost::Message;
 
-/// The statement of a query.
+/// Decodes the command of a query and returns its statement.
 ///
 /// # Errors
 ///
-/// If the bytes are no such command, or if it belongs to a transaction.
+/// If the bytes are not such a command, or if the command belongs to a transaction.
 pub(super) fn query_statement(bytes: &Bytes) -> Result<String, CallError> {
     let command: CommandStatementQuery = decode(bytes)?;
     reject_transaction(command.transaction_id.as_ref())?;
     Ok(command.query)
 }
 
-/// The statement of an update.
+/// Decodes the command of an update and returns its statement.
 ///
 /// # Errors
 ///
-/// If the bytes are no such command, or if it belongs to a transaction.
+/// If the bytes are not such a command, or if the command belongs to a transaction.
 pub(super) fn update_statement(bytes: &Bytes) -> Result<String, CallError> {
     let command: CommandStatementUpdate = decode(bytes)?;
     reject_transaction(command.transaction_id.as_ref())?;
     Ok(command.query)
 }
 
-/// The handle in a query's ticket.
+/// Decodes the ticket of a query and returns its handle.
 ///
 /// # Errors
 ///
-/// If the bytes are no such ticket.
+/// If the bytes are not such a ticket.
 pub(super) fn statement_handle(bytes: &Bytes) -> Result<Bytes, CallError> {
     let ticket: TicketStatementQuery = decode(bytes)?;
     Ok(ticket.statement_handle)
--- a/src/clients/flight/grpc_timeout.rs
+++ b/src/clients/flight/grpc_timeout.rs
@@ -1,21 +1,21 @@
-//! The deadline of a gRPC call.
+//! Parses the timeout of a gRPC call.
 
 use super::status::CallError;
 use crate::decision::Millis;
 use std::time::Duration;
 use tonic::metadata::MetadataMap;
 
-/// Metadata key of a call's deadline, counted from its arrival.
+/// Metadata key of a call's timeout, which starts when the call arrives.
 const GRPC_TIMEOUT: &str = "grpc-timeout";
 
-/// Digits of a timeout at most, by the gRPC specification.
+/// Maximum number of digits of a timeout, as the gRPC specification sets it.
 const MAX_TIMEOUT_DIGITS: usize = 8;
 
-/// The time that a call may take; `None` if it names none.
+/// Returns a call's timeout, or `None` if its metadata has none.
 ///
 /// # Errors
 ///
-/// If it cannot be parsed.
+/// If the timeout cannot be parsed.
 pub(super) fn timeout_ms(metadata: &MetadataMap) -> Result<Option<Millis>, CallError> {
     let Some(value) = metadata.get(GRPC_TIMEOUT) else {
         return Ok(None);
@@ -28,7 +28,7 @@
     Ok(Some(timeout.as_secs_f64() * 1000.0))
 }
 
-/// Parses digits and a unit.
+/// Parses a timeout: digits, followed by a unit of one letter.
 fn parse_timeout(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let only_digits = digits.bytes().all(|byte| byte.is_ascii_digit());
--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and runs the gRPC server on them.
+//! Accepts client connections and runs the gRPC server on them.
 
 use super::service::FlightFrontend;
 use super::tracked_connection::TrackedConnection;
@@ -32,11 +32,11 @@
         .http2_keepalive_timeout(Some(ping_timeout))
         .add_service(service);
     if let Err(error) = server.serve_with_incoming(incoming).await {
-        tracing::error!(%error, "the Flight SQL front end ended");
+        tracing::error!(%error, "Flight SQL server failed; no more Flight SQL clients are served");
     }
 }
 
-/// Accepts connections while slots are available.
+/// Accepts client connections while slots are available.
 struct Acceptor {
     listener: TcpListener,
     slots: Arc<ConnectionSlots>,
@@ -54,11 +54,12 @@
         }
     }
 
-    /// Accepts one connection, and waits until it has a slot.
+    /// Accepts one connection and takes a slot for it, waiting until one is free.
     ///
     /// # Errors
     ///
-    /// Those of `accept`, after a pause; the server goes on after them.
+    /// Returns the error of `accept` after [`ACCEPT_RETRY_DELAY`]. The server then continues to
+    /// accept connections.
     async fn accept(&self) -> io::Result<TrackedConnection> {
         match self.listener.accept().await {
             Ok((stream, _)) => {
@@ -73,7 +74,7 @@
                 Ok(TrackedConnection::new(stream, slot, Box::pin(signal)))
             }
             Err(error) => {
-                tracing::debug!(%error, "client not accepted");
+                tracing::debug!(%error, "failed to accept a client connection; will retry");
                 if is_out_of_resources(&error) {
                     self.slots.evict_idle();
                 }
@@ -84,9 +85,12 @@
     }
 }
 
-/// Resolves once a connection is to be closed: it was asked to leave and is quiet, or it brought no call in time.
+/// Resolves once the server is to close a connection: either the connection was asked to leave and
+/// nothing has changed on it for `limits.linger`, or its first call did not arrive within
+/// `limits.client_read_timeout`.
 async fn close_signal(slot: Arc<ConnectionSlot>, limits: Arc<Limits>, metrics: Arc<Metrics>) {
-    // One wait for both times: a second one would miss a request to leave that the first one has taken.
+    // The same future is polled before and after the timeout. A new future would miss a request to
+    // leave that the first one has already consumed.
     let mut quiet_after_leave_request = pin!(slot.quiet_after_leave_request(limits.linger));
     tokio::select! {
         () = &mut quiet_after_leave_request => return,
@@ -97,7 +101,7 @@
     }
     tracing::debug!(
         connection = slot.connection_id(),
-        "client connection brought no call in time"
+        "closing a client connection: no call arrived within the read timeout"
     );
     metrics.client_read_timeouts.increment();
 }
--- a/src/clients/flight/listener/tests.rs
+++ b/src/clients/flight/listener/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of the close signal of client connections.
 
 use super::close_signal;
 use crate::clients::connection_slots::ConnectionSlots;
@@ -8,7 +8,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A connection that is asked to leave just before the time for its first call is over is closed once it is quiet.
+/// A connection is asked to leave shortly before the timeout for its first call expires. The signal
+/// must not lose this request when the timeout expires: the connection is closed after it has been
+/// quiet for the linger time.
 #[tokio::test(start_paused = true)]
 async fn leave_request_outlasts_the_first_call_timeout() {
     let context = EngineContext::for_tests(Handle::new(1, Clock::new()).0);
@@ -25,6 +27,9 @@
     };
     let close_and_ask = async { tokio::join!(signal, ask_to_leave) };
     let closed = tokio::time::timeout(Duration::from_secs(60), close_and_ask).await;
-    assert!(closed.is_ok(), "the request to leave was lost");
+    assert!(
+        closed.is_ok(),
+        "the request to leave was lost when the timeout expired"
+    );
     assert!(started_at.elapsed() >= asked_after + limits.linger);
 }
--- a/src/clients/flight/metadata_keys.rs
+++ b/src/clients/flight/metadata_keys.rs
@@ -1,12 +1,12 @@
-//! Keys of the gRPC metadata that describe a call. They are the same towards clients and engines.
+//! Keys of the gRPC metadata that describe a call. Clients and engines use the same keys.
 
-/// The request's class, by its name in the settings.
+/// Name of the request's class, as in the settings.
 pub(crate) const CLASS: &str = "magpiechute-class";
-/// The tenant, by its name in the settings.
+/// Name of the tenant, as in the settings.
 pub(crate) const TENANT: &str = "magpiechute-tenant";
-/// Estimate of the work, in milliseconds on one core.
+/// Estimated work, in milliseconds on one CPU core.
 pub(crate) const EFFORT: &str = "magpiechute-effort";
-/// Estimate of the memory, in MB.
+/// Estimated memory, in MB.
 pub(crate) const NEED_MB: &str = "magpiechute-need-mb";
-/// The reference by which engines know the request: 16 hex digits.
+/// The reference that identifies the request to engines: 16 hex digits.
 pub(crate) const REFERENCE: &str = "magpiechute-ref";
--- a/src/clients/flight/mod.rs
+++ b/src/clients/flight/mod.rs
@@ -1,13 +1,17 @@
 //! The Arrow Flight SQL front end.
 //!
-//! GetFlightInfo for a query only plans: it checks the call and hands out a ticket. A request is accepted when DoGet
-//! brings the ticket, or when DoPut brings an update.
+//! GetFlightInfo only plans a query: it checks the call and returns a ticket. The request itself is
+//! opened when DoGet sends the ticket back, or when DoPut sends an update.
 //!
-//! - [`listener`] accepts connections while slots are available; [`tracked_connection`] is one of them.
-//! - [`service`] is the gRPC service: planning, fetching and updating.
-//! - [`statement_call`] checks a call's metadata, [`command`] decodes its command, [`grpc_timeout`] its deadline.
-//! - [`tickets`] holds planned queries until they are fetched.
-//! - [`pending_response`] passes a request to the core and waits for its answer; [`result_stream`] sends a result.
+//! - [`listener`] accepts connections while slots are available; [`tracked_connection`] wraps one
+//!   accepted connection.
+//! - [`service`] implements the gRPC service: it plans queries, runs planned queries and runs
+//!   updates.
+//! - [`statement_call`] checks a call's metadata, [`command`] decodes its command, and
+//!   [`grpc_timeout`] parses its timeout.
+//! - [`tickets`] stores planned queries until their results are fetched.
+//! - [`pending_response`] passes a request to the core and waits for its answer; [`result_stream`]
+//!   sends the result to the client.
 //! - [`status`] maps errors and answers to gRPC statuses.
 
 mod command;
--- a/src/clients/flight/pending_response.rs
+++ b/src/clients/flight/pending_response.rs
@@ -12,7 +12,7 @@
 use tonic::Status;
 use tonic::metadata::MetadataMap;
 
-/// Takes the one answer from the core to the call that waits for it.
+/// Sends the core's one answer to the call that waits for it.
 struct AnswerChannel(Mutex<Option<oneshot::Sender<Answer>>>);
 
 impl AnswerChannel {
@@ -26,16 +26,16 @@
     fn answer(&self, _: RequestId, answer: Answer) {
         let sender = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(sender) = sender {
-            // The receiver is gone if the client has cancelled its call; then nobody needs the answer.
+            // Sending fails if the client has cancelled its call. The answer is then not needed.
             let _ = sender.send(answer);
         }
     }
 }
 
-/// A request whose client has not got its complete answer yet.
+/// A request whose client has not received the complete answer yet.
 ///
-/// Dropped before that, it tells the core that the client has disconnected: a cancelled call and a closed connection
-/// show in no other way.
+/// If it is dropped before it is completed, it notifies the core that the client has disconnected.
+/// The drop is the only sign of a cancelled call or a closed connection.
 pub(super) struct PendingResponse {
     frontend: Frontend,
     id: RequestId,
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Records whether the core has nothing more to do for the request: the client has its answer, or there is none.
+    /// Sets whether the core has finished its work on the request: the whole answer has been
+    /// produced, or there will be none.
     pub(super) fn set_completed(&mut self, completed: bool) {
         self.completed = completed;
     }
@@ -85,7 +86,8 @@
         {
             return;
         }
-        // The core's mailbox is full. Without a runtime the program ends, and the core has ended.
+        // The core's mailbox is full, so a task waits for space in it. If there is no runtime, the
+        // program is ending and the core has already ended.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             let core = self.frontend.core.clone();
             runtime.spawn(async move { core.send(CoreMessage::ClientDisconnected(id)).await });
@@ -93,8 +95,8 @@
     }
 }
 
-/// Has the core serve a request, and waits for its one final answer. Of a result that is still streaming the rest is
-/// pending.
+/// Passes a request to the core and waits for its one final answer. If the result is streamed, the
+/// returned response stays pending until the remaining chunks have arrived.
 ///
 /// # Errors
 ///
--- a/src/clients/flight/result_stream.rs
+++ b/src/clients/flight/result_stream.rs
@@ -1,4 +1,4 @@
-//! Sends a result as a stream of Flight messages.
+//! Sends a result to a client as a stream of Flight messages.
 
 use super::pending_response::PendingResponse;
 use crate::core::{ResultBody, ResultChunk};
@@ -9,14 +9,14 @@
 use tokio::sync::mpsc;
 use tonic::Status;
 
-/// The messages of a result.
+/// The stream of a result's messages.
 pub(super) type FlightDataStream = BoxStream<'static, Result<FlightData, Status>>;
 
-/// Streams the chunks of a result that have arrived, and then the remaining ones as they arrive.
+/// Streams the buffered chunks of a result, and then the remaining chunks as they arrive.
 ///
 /// # Errors
 ///
-/// If the chunks that have arrived are no Arrow data.
+/// If the buffered chunks cannot be converted to Flight messages.
 pub(super) fn result_stream(
     mut body: ResultBody,
     response: PendingResponse,
@@ -38,7 +38,7 @@
     stream::unfold(
         (chunks, response),
         |(mut chunks, mut response)| async move {
-            // It has ended with an error.
+            // The previous message was an error, which ends the stream.
             if response.is_completed() {
                 return None;
             }
@@ -49,8 +49,9 @@
     )
 }
 
-/// The next message; `None` at the end that the engine announced. A stream that is cut off ends in an error, never as
-/// if it were complete.
+/// Returns the next message, or `None` once the engine has marked the end of the result. If the
+/// chunks stop without this mark, the message is an error, so that the client does not take a
+/// truncated result for a complete one.
 async fn next_message(
     chunks: &mut mpsc::Receiver<ResultChunk>,
 ) -> Option<Result<FlightData, Status>> {
--- a/src/clients/flight/service.rs
+++ b/src/clients/flight/service.rs
@@ -1,4 +1,4 @@
-//! The gRPC service: plans queries, fetches their results and runs updates.
+//! The gRPC service: plans queries, runs planned queries and runs updates.
 
 use super::command;
 use super::pending_response::serve;
@@ -24,7 +24,7 @@
 use tokio::time::timeout;
 use tonic::{Request, Response, Status, Streaming};
 
-/// The service of all connections.
+/// The Flight SQL service. All connections share one ticket store.
 #[derive(Clone)]
 pub(super) struct FlightFrontend {
     frontend: Frontend,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Counts a call, and whether it was at fault.
+    /// Counts a call, and also counts it as a bad call if the client caused its error.
     fn count_call<T>(&self, result: Result<T, Status>) -> Result<T, Status> {
         self.frontend.metrics.flight_calls.increment();
         result.inspect_err(|error| {
@@ -63,7 +63,7 @@
         self.tickets().insert(handle, call, limits);
     }
 
-    /// Checks a query and hands out a ticket for it. Nothing is sent to an engine.
+    /// Checks a query and returns a ticket for it. Nothing is sent to an engine.
     fn plan_query(&self, request: Request<FlightDescriptor>) -> Result<FlightInfo, CallError> {
         if let Some(slot) = connection_slot(&request) {
             slot.record_call();
@@ -84,7 +84,7 @@
             .with_endpoint(FlightEndpoint::new().with_ticket(ticket)))
     }
 
-    /// The call behind a ticket, with its handle.
+    /// Returns a ticket's handle and its planned call.
     fn redeem(&self, ticket: &Ticket) -> Result<(Bytes, StatementCall), CallError> {
         let handle = command::statement_handle(&ticket.ticket)?;
         let mut call = self
@@ -92,13 +92,14 @@
             .redeem(&handle)
             .ok_or(CallError::UnknownTicket)?;
         if call.class.class.idempotency != Idempotency::NonIdempotent {
-            // The ticket may be fetched again. Each time is a request of its own to the engines.
+            // The client may use this ticket several times. Each use is a separate request to the
+            // engines, so it gets its own reference.
             call.reference = new_reference(&self.frontend.core);
         }
         Ok((handle, call))
     }
 
-    /// Runs a planned query.
+    /// Runs a planned query and streams its result.
     async fn run_query(&self, request: Request<Ticket>) -> Result<FlightDataStream, Status> {
         let slot = connection_slot(&request);
         let (metadata, _, ticket) = request.into_parts();
@@ -106,7 +107,7 @@
         let kind = StatementKind::Query;
         let served = serve(&self.frontend, call.clone(), kind, &metadata, slot).await;
         let (body, response) = served.inspect_err(|error| {
-            // A rejected query did not run, so its ticket is good once more.
+            // A rejected query did not run, so its ticket becomes valid again.
             if status::is_rejection(error) {
                 self.store_ticket(handle, call);
             }
@@ -114,14 +115,14 @@
         result_stream(body, response)
     }
 
-    /// Runs an update.
+    /// Runs an update and returns the number of changed rows.
     async fn run_update(
         &self,
         request: Request<Streaming<FlightData>>,
     ) -> Result<PutResult, Status> {
         let slot = connection_slot(&request);
         let (metadata, _, mut input) = request.into_parts();
-        // Without a limit, a call that brings no command would stay open for good.
+        // Without this timeout, a call that sends no command would stay open forever.
         let first_message = timeout(self.frontend.limits.client_read_timeout, input.message())
             .await
             .map_err(|_| CallError::CommandTimeout)??
@@ -142,7 +143,7 @@
     }
 }
 
-/// The slot of the connection that a call came over.
+/// Returns the slot of the connection on which a call arrived.
 fn connection_slot<T>(request: &Request<T>) -> Option<Arc<ConnectionSlot>> {
     request.extensions().get::<Arc<ConnectionSlot>>().cloned()
 }
--- a/src/clients/flight/statement_call.rs
+++ b/src/clients/flight/statement_call.rs
@@ -1,4 +1,4 @@
-//! A statement with what its call's metadata say about it.
+//! Checks a call: its statement, and the class, tenant and estimates in its metadata.
 
 use super::metadata_keys::{CLASS, EFFORT, NEED_MB, TENANT};
 use super::status::CallError;
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use tonic::metadata::MetadataMap;
 
-/// A checked call, not yet a request.
+/// A checked call for which no request has been opened yet.
 #[derive(Clone)]
 pub(super) struct StatementCall {
-    /// The reference by which engines know the request.
+    /// The reference that identifies the request to engines.
     pub(super) reference: Bytes,
     pub(super) class: Arc<NamedClass>,
     tenant: Bytes,
@@ -25,11 +25,11 @@
 }
 
 impl StatementCall {
-    /// Checks class, tenant and estimates in the metadata, and the statement's length.
+    /// Checks the class, the tenant and the estimates in the metadata, and the statement's length.
     ///
     /// # Errors
     ///
-    /// If one of them cannot be used.
+    /// If the class is missing or one of these is invalid. The estimates are optional.
     pub(super) fn parse(
         frontend: &Frontend,
         metadata: &MetadataMap,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The request that the core is to serve.
+    /// Converts the call to a request for the core.
     pub(super) fn into_request(
         self,
         id: RequestId,
@@ -78,8 +78,9 @@
     }
 }
 
-/// A new reference for a request: 8 hex digits of the time in ms and 8 or more of a number that is unique in this process.
-/// It equals a reference that a client of the platform chose only by chance.
+/// Creates a reference for a request: 8 hex digits of the time in ms, followed by 8 or more digits
+/// of a number that is unique in this process. Only by chance can it equal a reference that a
+/// client of the platform front end chose.
 pub(super) fn new_reference(core: &Handle) -> Bytes {
     let unique_id = core.next_id();
     let time_ms = core.now() as u64 as u32;
--- a/src/clients/flight/status.rs
+++ b/src/clients/flight/status.rs
@@ -9,25 +9,31 @@
 use tonic::{Code, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// Why a call is answered without a request to the core. The texts are the statuses' messages.
+/// Why a call is rejected before a request is sent to the core. The error texts are the messages of
+/// the gRPC statuses that clients receive.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
+    /// The bytes are not a protobuf `Any` message.
     #[error("a command that cannot be read: {0}")]
     UndecodableMessage(#[from] DecodeError),
+    /// The content of the `Any` message does not decode as the command that its type states.
     #[error("a command that cannot be read: {0}")]
     UndecodableCommand(#[from] ArrowError),
-    /// Bytes that decode by chance name no type.
+    /// The `Any` message has no type, as when other bytes happen to decode as one.
     #[error("a command without its type")]
     UntypedCommand,
-    /// A method or a type of command.
+    /// A method or a command type that is not supported; it is given by its name.
     #[error("{0} is not offered")]
     Unsupported(String),
     #[error("transactions are not offered")]
     TransactionsUnsupported,
+    /// A metadata key is missing.
     #[error("no {0}")]
     MissingMetadata(&'static str),
+    /// The settings do not contain the class or tenant under this metadata key.
     #[error("unknown {0}")]
     UnknownMetadataValue(&'static str),
+    /// The estimate under this metadata key is not a number within the limits.
     #[error("{0} is no figure")]
     InvalidEstimate(&'static str),
     #[error("grpc-timeout")]
@@ -58,12 +64,12 @@
     }
 }
 
-/// Whether this status says that the call itself was at fault.
+/// Returns whether the status reports an error in the call itself.
 pub(super) fn is_client_error(status: &Status) -> bool {
     matches!(status.code(), Code::InvalidArgument | Code::Unimplemented)
 }
 
-/// A rejection: the request may be sent again, after the wait if there is one.
+/// Creates the status of a rejected request. The client may retry it after `retry_after_ms`.
 pub(super) fn rejected(retry_after_ms: Millis) -> Status {
     let wait = Duration::from_secs_f64(retry_after_ms.max(0.0) / 1000.0);
     let details = ErrorDetails::with_retry_info(Some(wait));
@@ -74,12 +80,13 @@
     )
 }
 
-/// Whether this status is a rejection.
+/// Returns whether the status is that of a rejected request.
 pub(super) fn is_rejection(status: &Status) -> bool {
     status.code() == Code::ResourceExhausted
 }
 
-/// A failed request. It is never UNAVAILABLE, which clients take as leave to send again what may have run.
+/// Creates the status of a failed request. The code is never UNAVAILABLE: clients retry on that
+/// code, but the request may already have run.
 pub(super) fn failed(reason: FailureReason) -> Status {
     match reason {
         FailureReason::DeadlineExceeded => {
@@ -89,7 +96,7 @@
     }
 }
 
-/// The core ended before it answered.
+/// Creates the status of a request that the core did not answer before it ended.
 pub(super) fn core_ended() -> Status {
     Status::internal("the workload manager ends")
 }
--- a/src/clients/flight/tickets.rs
+++ b/src/clients/flight/tickets.rs
@@ -1,4 +1,4 @@
-//! Planned queries that wait to be fetched.
+//! Stores planned queries until clients fetch their results.
 
 use super::statement_call::StatementCall;
 use crate::decision::Idempotency;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
 
-/// The tickets handed out by one front end; a bounded number of them.
+/// The tickets that one front end has issued. Their number and total size are limited.
 #[derive(Default)]
 pub(super) struct TicketStore {
     calls: HashMap<Bytes, StatementCall>,
@@ -14,7 +14,8 @@
 }
 
 impl TicketStore {
-    /// Stores a ticket. The oldest ones are dropped while there are too many, or their statements too long together.
+    /// Stores a ticket. Drops the oldest tickets while there are more than `limits.flight_tickets`
+    /// or their statements have more than `limits.flight_ticket_bytes` in total.
     pub(super) fn insert(&mut self, handle: Bytes, call: StatementCall, limits: &Limits) {
         if self.calls.insert(handle.clone(), call).is_none() {
             self.handles_oldest_first.push_back(handle);
@@ -32,8 +33,9 @@
         }
     }
 
-    /// The call behind a ticket; `None` if there is no such ticket. The ticket of a non-idempotent class is used up by
-    /// this, before anything is sent.
+    /// Returns the planned call of a ticket, or `None` if there is no such ticket. If the class is
+    /// non-idempotent, the ticket is removed, so that it can be used only once. This happens before
+    /// anything is sent to an engine.
     pub(super) fn redeem(&mut self, handle: &Bytes) -> Option<StatementCall> {
         let call = self.calls.get(handle)?.clone();
         if call.class.class.idempotency == Idempotency::NonIdempotent {
--- a/src/clients/flight/tracked_connection.rs
+++ b/src/clients/flight/tracked_connection.rs
@@ -1,4 +1,5 @@
-//! A client's connection, as the gRPC server reads and writes it.
+//! A client connection as the gRPC server reads and writes it. It holds a connection slot, and the
+//! server can be made to close it.
 
 use crate::clients::connection_slots::ConnectionSlot;
 use crate::net::RetryingStream;
@@ -10,16 +11,16 @@
 use tokio::net::TcpStream;
 use tonic::transport::server::Connected;
 
-/// Resolves once the connection is to be closed.
+/// Resolves once the server is to close the connection.
 pub(super) type CloseSignal = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// A connection with its slot. After the close signal it reads as if the client had closed its side; no call is open
-/// then, so the server closes it.
+/// A connection with its slot. After the close signal, reads return end of file, as if the client
+/// had closed its side. No call is open at that time, so the gRPC server closes the connection.
 pub(super) struct TrackedConnection {
     stream: RetryingStream,
     slot: Arc<ConnectionSlot>,
     close_signal: CloseSignal,
-    /// The close signal has resolved and must not be polled again.
+    /// Whether the close signal has resolved. It must not be polled after that.
     closing: bool,
 }
 
