--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,9 +1,11 @@
-//! The admin address, at which on-call staff read figures, eject engines and drain the workload manager. A connection
-//! carries one line with a command and gets one answer; `docs/on-call.md` has the commands.
+//! The admin address, at which on-call staff read figures, eject engines and drain the workload
+//! manager. A client sends one line with a command per connection and receives one answer;
+//! `docs/on-call.md` lists the commands.
 //!
-//! One task accepts connections and gives each a task of its own, within a bound on connections, on the length of the
-//! line and on the time of the call. No call waits for the core's ordinary mailbox: figures are read from the shared
-//! metrics, and a manual ejection takes the core's priority queue.
+//! One task accepts connections and starts a task for each. The number of connections, the length
+//! of a line and the duration of a call are limited. No call waits for the core's regular mailbox:
+//! figures are read from the shared metrics, and manual ejections are sent through the core's
+//! priority mailbox.
 
 mod answer;
 mod command;
@@ -30,7 +32,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// What the answers are made from. Each connection has a clone.
+/// The data from which commands are answered. Each connection's task has a clone.
 #[derive(Clone)]
 pub(crate) struct AdminServer {
     pub(crate) core: Handle,
@@ -38,12 +40,12 @@
     pub(crate) limits: Arc<Limits>,
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) state_writer: StateWriter,
-    /// The operators' retry policy in force, and the settings that it was checked against.
+    /// The operators' retry policy in force. It was checked against `settings`.
     pub(crate) policy: Arc<Mutex<Arc<Policy>>>,
     pub(crate) settings: tokio::sync::watch::Receiver<Arc<PlatformSettings>>,
 }
 
-/// Accepts connections until the program ends.
+/// Accepts connections and serves each in its own task, until the program ends.
 pub(crate) async fn serve(listener: TcpListener, server: AdminServer) {
     let mut calls: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
@@ -56,8 +58,9 @@
     }
 }
 
-/// Reads the line of a call, which may come in pieces of any size and end with the connection's end. `None`: the line
-/// is empty at the connection's end, or longer than `max_bytes`.
+/// Reads the line of a call. It may arrive in any number of parts, and ends at a line feed or at
+/// the end of the stream. Returns `None` if the stream ends before the first byte, or if the line
+/// is longer than `max_bytes`.
 async fn read_line(stream: &mut RetryingStream, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
     let mut line = Vec::new();
     loop {
@@ -75,8 +78,8 @@
 }
 
 impl AdminServer {
-    /// Ends the oldest calls while there is no slot for another. A complete call is answered within a moment, so
-    /// these are connections that never complete one.
+    /// Aborts the oldest calls until there is a slot for a new one. A complete call ends quickly,
+    /// so the oldest ones are connections that never complete their call.
     fn abort_oldest_calls(&self, calls: &mut VecDeque<JoinHandle<()>>) {
         calls.retain(|call| !call.is_finished());
         while calls.len() >= self.limits.admin_connections {
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Serves one connection within the time of a call: a peer may stop inside its line, or never read its answer.
+    /// Serves one connection within the time limit of a call. The limit is needed because a peer
+    /// may stop in the middle of its line, or never read its answer.
     async fn serve_call(self, stream: TcpStream) {
         let call = timeout(self.limits.admin_call_timeout, self.read_and_answer(stream)).await;
         if !matches!(call, Ok(Ok(()))) {
@@ -95,7 +99,7 @@
         }
     }
 
-    /// One line, one answer.
+    /// Reads one line, writes its answer and closes the connection.
     async fn read_and_answer(&self, stream: TcpStream) -> io::Result<()> {
         let mut stream = RetryingStream::new(stream);
         let line = read_line(&mut stream, self.limits.admin_line_bytes).await?;
@@ -149,7 +153,8 @@
         }
     }
 
-    /// Ejects an engine manually, or ends that. Returns once the dispatcher has applied it.
+    /// Ejects an engine manually, or ends its manual ejection. Completes once the dispatcher has
+    /// applied the change.
     async fn set_ejected(&self, engine: EngineId, ejected: bool) -> Result<(), AdminError> {
         let ejection = ManualEjection {
             ejected,
@@ -162,12 +167,13 @@
         if !known {
             return Err(AdminError::UnknownEngine);
         }
-        // The peer process of a hot restart applies it as well.
+        // During a hot restart, the peer process reads the recorded change and applies it too.
         self.state_writer.record(engine, ejection).await;
         Ok(())
     }
 
-    /// The retry policy's values for requests of a class on the platform's front end, each with its source.
+    /// Returns the values of the retry policy for requests of a class on the platform front end,
+    /// each with its source.
     fn effective_policy(
         &self,
         class: &str,
--- a/src/admin/answer.rs
+++ b/src/admin/answer.rs
@@ -1,29 +1,29 @@
-//! Answers of the admin address as they are written: `200 TEXT` or the figures for a command that was carried out,
-//! `400 TEXT` for one that was not.
+//! Answers of the admin address and their text form: `200 TEXT` or the figures for a command that
+//! was carried out, `400 TEXT` for one that was not.
 
 use super::command::ParseCommandError;
 use crate::retry_policy::EffectiveValue;
 use std::fmt;
 
-/// Ends an answer of several lines.
+/// Last line of an answer that has several lines.
 const END_MARKER: &str = "EOF";
 
-/// The answer to a command that was carried out. Its `Display` is the text on the wire.
+/// The answer to a command that was carried out. [`fmt::Display`] writes the text that is sent.
 #[derive(Clone, Debug)]
 pub(super) enum AdminAnswer {
-    /// Clients are to come.
+    /// The workload manager is ready for new clients.
     Ready,
     /// The engine is ejected.
     EngineDisabled,
     /// The engine is no longer ejected manually.
     EngineEnabled,
-    /// Clients are sent away from now on.
+    /// The workload manager drains: it asks clients to leave.
     Draining,
-    /// Clients may come again.
+    /// On-call staff have ended the draining, so clients may connect again.
     DrainEnded,
-    /// The figures, as [`admin_figures`](crate::metrics::Metrics::admin_figures) writes them.
+    /// The figures, in the format of [`admin_figures`](crate::metrics::Metrics::admin_figures).
     Figures(String),
-    /// The values of a retry policy with their sources.
+    /// The values of a retry policy, each with its source.
     Policy(Vec<EffectiveValue>),
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl AdminError {
-    /// The text on the wire.
+    /// Returns the text that is sent to the client.
     pub(super) fn to_line(self) -> String {
         format!("400 {self}\n")
     }
--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -1,32 +1,33 @@
-//! The commands of the admin address, parsed from the line of a call.
+//! Parses the commands of the admin address from the line of a call.
 
 use crate::decision::EngineId;
 use crate::node_config::parse_engine_id;
 use std::str::FromStr;
 
-/// One command.
+/// A command of the admin address.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum AdminCommand {
-    /// `READY`: whether clients are to come.
+    /// `READY`: return whether the workload manager is ready for new clients.
     Ready,
-    /// `STATS`: the figures.
+    /// `STATS`: return the figures.
     Stats,
-    /// `POLICY CLASS [MEMBER]`: the retry policy for requests of a class, and of a member where one is named.
+    /// `POLICY CLASS [MEMBER]`: return the retry policy for requests of a class, or for those of
+    /// one member in this class.
     Policy {
         class: String,
         member: Option<String>,
     },
-    /// `DISABLE ID`: eject an engine.
+    /// `DISABLE ID`: eject an engine manually.
     Disable(EngineId),
-    /// `ENABLE ID`: end the ejection of an engine.
+    /// `ENABLE ID`: end the manual ejection of an engine.
     Enable(EngineId),
-    /// `DRAIN`: send clients away.
+    /// `DRAIN`: ask clients to leave.
     Drain,
-    /// `UNDRAIN`: accept clients again.
+    /// `UNDRAIN`: end the draining, so that clients may connect again.
     Undrain,
 }
 
-/// Why a line is no command. The texts are part of the answer at the admin address.
+/// Why a line is not a valid command. The error texts are part of the answer that is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ParseCommandError {
     #[error("an empty line")]
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of this module. The calls on real connections are in `tests/scenarios/operations.rs`.
+//! Tests of parsing commands and formatting answers. Calls on real connections are tested in
+//! `tests/scenarios/operations.rs`.
 
 use super::answer::{AdminAnswer, AdminError};
 use super::command::{AdminCommand, ParseCommandError};
@@ -22,7 +23,7 @@
 
 #[test]
 fn engine_ids_are_parsed_as_in_the_endpoint_list() {
-    let engine = parse_engine_id("s-00c41f7a").expect("an id");
+    let engine = parse_engine_id("s-00c41f7a").expect("a valid engine id");
     let parsed = ["DISABLE s-00c41f7a", "ENABLE s-00c41f7a"].map(str::parse);
     let expected = [AdminCommand::Disable(engine), AdminCommand::Enable(engine)];
     assert_eq!(parsed, expected.map(Ok));
