--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,16 @@
-//! A workload manager for shared SQL engines: it decides when and on which engine each query runs, and serves clients
-//! and engines on real sockets.
+//! A workload manager for shared SQL engines: it decides when and on which engine each query runs,
+//! and communicates with clients and engines over sockets.
 //!
-//! - The `decision` module decides. It is sans-I/O: [`Dispatcher::new`] takes [`Settings`] and a seed, and
-//!   [`Dispatcher::handle`] takes the time and one [`Event`] and appends [`Action`]s. It reads no clock and starts no
-//!   thread, and two dispatchers share nothing.
-//! - [`core`] owns the requests and one dispatcher. It knows no wire format and opens no socket.
-//! - Around it stands one module for each kind of peer: `clients`, `engines`, [`discovery`], `admin`, `snmp` and
-//!   `hot_restart`.
-//! - [`node`] puts them together from a [`node_config`] and an [`operator_config`].
+//! - The `decision` module makes these decisions. It is sans-I/O: [`Dispatcher::new`] takes
+//!   [`Settings`] and a seed, and [`Dispatcher::handle`] takes the time and one [`Event`] and
+//!   appends [`Action`]s. It reads no clock and starts no thread, and two dispatchers share no
+//!   state.
+//! - [`core`] owns the requests and one dispatcher. It opens no socket and is independent of wire
+//!   formats.
+//! - One module communicates with each kind of peer: `clients`, `engines`, [`discovery`], `admin`,
+//!   `snmp` and `hot_restart`.
+//! - [`node`] creates and connects all these parts from a [`node_config`] and an
+//!   [`operator_config`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -38,7 +41,7 @@
 
 pub use decision::*;
 
-/// The README's example, kept compiling.
+/// Compiles the README's example as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,37 +1,40 @@
-//! Whether this node accepts clients: one state, set by the node and by on-call staff, followed by the front ends.
+//! The state that determines whether this node accepts clients. The node and on-call staff change
+//! it; the front ends subscribe to it.
 
 use tokio::sync::watch;
 
-/// What has been decided so far.
+/// The state of a node, as flags that the node and on-call staff set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LifecycleState {
-    /// The start is complete: listeners, core and endpoint list are up.
+    /// Startup is complete: the listeners and the core are running, and the core has an endpoint
+    /// list.
     pub(crate) serving: bool,
-    /// On-call staff sent the clients away.
+    /// On-call staff have drained the node, so that clients are asked to leave.
     pub(crate) drained: bool,
     /// A graceful shutdown has begun.
     pub(crate) shutting_down: bool,
-    /// Another process accepts clients on the same socket, so this one accepts no more.
+    /// Another process accepts clients on the same socket, so this process does not accept any
+    /// more.
     pub(crate) listener_handed_over: bool,
 }
 
 impl LifecycleState {
-    /// Whether new clients are welcome, as the readiness check reports it.
+    /// Returns whether the node is ready for new clients. The readiness check reports this value.
     pub(crate) fn is_ready(self) -> bool {
         self.serving && !self.is_draining()
     }
 
-    /// Whether clients are asked to leave. What still arrives is served.
+    /// Returns whether clients are asked to leave. Requests that still arrive are served.
     pub(crate) fn is_draining(self) -> bool {
         self.drained || self.shutting_down
     }
 }
 
-/// The owner of the state.
+/// Owns the state and notifies its subscribers of changes.
 pub(crate) struct Lifecycle(watch::Sender<LifecycleState>);
 
 impl Lifecycle {
-    /// A node that has not finished its start.
+    /// Creates the state of a node whose startup is not complete.
     pub(crate) fn new() -> Lifecycle {
         Lifecycle(watch::channel(LifecycleState::default()).0)
     }
@@ -40,12 +43,12 @@
         *self.0.borrow()
     }
 
-    /// Whether new clients are welcome now.
+    /// Returns whether the node is ready for new clients now.
     pub(crate) fn is_ready(&self) -> bool {
         self.current().is_ready()
     }
 
-    /// Changes the state and notifies its followers.
+    /// Changes the state and notifies its subscribers.
     pub(crate) fn update(&self, change: impl FnOnce(&mut LifecycleState)) {
         self.0.send_modify(change);
         let state = self.current();
@@ -54,7 +57,7 @@
             drained = state.drained,
             shutting_down = state.shutting_down,
             listener_handed_over = state.listener_handed_over,
-            "state of the workload manager"
+            "lifecycle state updated"
         );
     }
 
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,9 +1,11 @@
-//! The signals that the program handles, received without a Unix socket.
+//! Receives the signals that the program handles, without a Unix socket.
 //!
-//! The runtime's own signal driver opens a pair of Unix sockets when it starts, whether or not a signal is ever
-//! awaited; the fleet's deployment allows TCP and UDP over IPv4 only (docs/fleet.md). Here each signal sets a flag and
-//! then writes a byte to one pipe: the self-pipe pattern of signal-hook's `low_level::pipe`. The reader empties the pipe
-//! first and then takes the flags, so that no signal is lost between the two.
+//! Tokio's signal driver opens a pair of Unix sockets when it starts, even if the program never
+//! waits for a signal. The fleet's deployment allows only TCP and UDP over IPv4 (docs/fleet.md).
+//! Here, the handler of each signal sets a flag and then writes one byte to a pipe that all signals
+//! share: the self-pipe pattern of `low_level::pipe` in signal-hook. The reader first empties the
+//! pipe and then reads and clears the flags, so a signal that arrives between the two steps is not
+//! lost.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io;
@@ -13,23 +15,24 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::unix::pipe;
 
-/// What a signal asks of the program.
+/// What the program does on a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
     /// SIGTERM: shut down gracefully.
     Terminate,
-    /// SIGINT: shut down gracefully, as from a terminal.
+    /// SIGINT: shut down gracefully. A terminal sends it.
     Interrupt,
-    /// SIGUSR1: print the counters.
+    /// SIGUSR1: print the metrics.
     PrintMetrics,
 }
 
-/// Number of signals that are handled.
+/// Number of signals that the program handles.
 const SIGNAL_COUNT: usize = 4;
 
-/// The signals with their numbers, in the order in which they are returned when several came at once.
+/// The signals with their numbers. Signals that arrive at the same time are returned in this
+/// order.
 const SIGNALS_BY_PRIORITY: [(Signal, i32); SIGNAL_COUNT] = [
     (Signal::Terminate, SIGTERM),
     (Signal::Interrupt, SIGINT),
@@ -37,26 +40,29 @@
     (Signal::PrintMetrics, SIGUSR1),
 ];
 
-/// Receiver of the signals: a flag each, behind one pipe. It holds five descriptors for the life of the process.
+/// Receives the signals: one flag for each, and one pipe for all. It holds five file descriptors
+/// for the life of the process: the read end, and a write end for each of the four signals.
 pub struct Signals {
     pipe: pipe::Receiver,
-    /// Set by the handlers, by priority.
+    /// The flags that the handlers set, in the order of [`SIGNALS_BY_PRIORITY`].
     flags: [Arc<AtomicBool>; SIGNAL_COUNT],
-    /// Taken from the flags and not returned yet, by priority.
+    /// The signals that were taken from the flags and not returned yet, in the order of
+    /// [`SIGNALS_BY_PRIORITY`].
     pending: [bool; SIGNAL_COUNT],
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// The pipe cannot be created, or a handler cannot be installed.
+    /// If the pipe cannot be created, or a handler cannot be installed.
     pub fn install() -> io::Result<Signals> {
         let (reader, writer) = io::pipe()?;
         let flags = [(); SIGNAL_COUNT].map(|()| Arc::new(AtomicBool::new(false)));
         for ((_, signal), flag) in SIGNALS_BY_PRIORITY.iter().zip(&flags) {
-            // Handlers run in the order of registration: a reader that the byte wakes finds the flag set.
+            // The handlers of a signal run in the order of registration, so the flag is set before
+            // the byte wakes the reader.
             signal_hook::flag::register(*signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(*signal, OwnedFd::from(writer.try_clone()?))?;
         }
@@ -68,11 +74,12 @@
         })
     }
 
-    /// The next signal. Cancel safe: a dropped call loses no signal.
+    /// Waits for the next signal. It is cancel safe: if the returned future is dropped, no signal
+    /// is lost.
     ///
     /// # Errors
     ///
-    /// The pipe is closed or can no longer be read; no signal is received from then on.
+    /// If the pipe is closed or cannot be read. No signal is received after that.
     pub async fn next(&mut self) -> io::Result<Signal> {
         loop {
             if let Some(signal) = self.take_pending() {
@@ -102,7 +109,8 @@
         }
     }
 
-    /// Empties the pipe before the flags are taken, so that a signal that arrives in between wakes the reader again.
+    /// Empties the pipe. This happens before the flags are read, so a signal that arrives between
+    /// the two steps wakes the reader again.
     fn drain_pipe(&mut self) {
         let mut bytes = [0; PIPE_READ_BYTES];
         loop {
@@ -117,13 +125,14 @@
 
     fn take_flags(&mut self) {
         for (pending, flag) in self.pending.iter_mut().zip(&self.flags) {
-            // The handlers of signal-hook store with the same ordering; nothing else is published through the flag.
+            // The handlers of signal-hook store with the same memory ordering. No other data is
+            // published through the flag.
             *pending |= flag.swap(false, Ordering::SeqCst);
         }
     }
 }
 
-/// Bytes read from the pipe at once; each signal writes one.
+/// Maximum number of bytes read from the pipe at once. Each signal writes one byte.
 const PIPE_READ_BYTES: usize = 64;
 
 #[cfg(test)]
