--- a/src/hot_restart/order_lock_file.rs
+++ b/src/hot_restart/order_lock_file.rs
@@ -24,14 +24,14 @@
 
 /// Number of process slots. Two processes run during a hot restart; a process begins its search at the slot of its
 /// process id, so that a slot is rarely taken again before the peers noticed its end.
-const SLOTS: i64 = PeerProcesses::BITS as i64;
+const PROCESS_SLOTS: i64 = PeerProcesses::BITS as i64;
 
 /// Content of a slot that no process has used.
-const UNUSED: u8 = 0;
+const SLOT_UNUSED: u8 = 0;
 /// Content of a slot whose process may hold keys.
-const IN_USE: u8 = b'1';
+const SLOT_IN_USE: u8 = b'1';
 /// Content of a slot whose process ended without holding a key.
-const ENDED_CLEANLY: u8 = b'0';
+const SLOT_EXITED_CLEANLY: u8 = b'0';
 
 /// Why the lock file cannot be used.
 #[derive(Debug, Error)]
@@ -40,7 +40,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// Every process slot is locked by a running process.
-    #[error("all {SLOTS} process slots are taken")]
+    #[error("all {PROCESS_SLOTS} process slots are taken")]
     NoFreeSlot,
 }
 
@@ -52,7 +52,7 @@
     locked_keys: usize,
     /// Slots whose processes had ended with keys before this one started. They are marked as ended cleanly when this
     /// process ends, as every other running process has noticed them by then.
-    ended_with_keys: PeerProcesses,
+    earlier_exits_with_keys: PeerProcesses,
     metrics: Arc<Metrics>,
 }
 
@@ -79,48 +79,48 @@
             .read(true)
             .write(true)
             .open(path)?;
-        let own_slot = lock_free_slot(&file)?;
+        let own_slot = claim_process_slot(&file)?;
         let mut locks = OrderLockFile {
             file,
             own_slot,
             locked_keys: 0,
-            ended_with_keys: 0,
+            earlier_exits_with_keys: 0,
             metrics,
         };
         // This process's own slot counts as free: what its former owner left has to be noticed as well.
         let free_slots = !locks.live_peers();
-        locks.ended_with_keys = locks.slots_ended_with_keys(free_slots);
-        locks.file.write_all_at(&[IN_USE], own_slot as u64)?;
+        locks.earlier_exits_with_keys = locks.slots_exited_with_keys(free_slots);
+        locks.file.write_all_at(&[SLOT_IN_USE], own_slot as u64)?;
         Ok(locks)
     }
 
     /// Those of these slots whose last process may have held a key at its end.
-    fn slots_ended_with_keys(&self, slots: PeerProcesses) -> PeerProcesses {
-        let mut contents = [UNUSED; SLOTS as usize];
-        let read = self.file.read_at(&mut contents, 0).unwrap_or_default();
-        contents[..read]
+    fn slots_exited_with_keys(&self, slots: PeerProcesses) -> PeerProcesses {
+        let mut contents = [SLOT_UNUSED; PROCESS_SLOTS as usize];
+        let bytes_read = self.file.read_at(&mut contents, 0).unwrap_or_default();
+        contents[..bytes_read]
             .iter()
             .enumerate()
             .filter(|(slot, _)| contains_slot(slots, *slot as i64))
-            .filter(|(_, content)| !matches!(**content, UNUSED | ENDED_CLEANLY))
+            .filter(|(_, content)| !matches!(**content, SLOT_UNUSED | SLOT_EXITED_CLEANLY))
             .map(|(slot, _)| 1 << slot)
             .sum()
     }
 
-    /// Adds to `found` the slots from `first` up to `end` that other processes have locked. The system reports one lock
+    /// Adds to `locked_slots` the slots from `first` up to `end` that other processes have locked. The system reports one lock
     /// within a range at a time, so the parts on either side of it are searched again.
-    fn add_slots_of_others(&self, first: i64, end: i64, found: &mut PeerProcesses) {
+    fn add_slots_locked_by_others(&self, first: i64, end: i64, locked_slots: &mut PeerProcesses) {
         if first >= end {
             return;
         }
-        let mut range = byte_range(libc::F_WRLCK, first, end - first);
+        let mut range = byte_range_lock(libc::F_WRLCK, first, end - first);
         match fcntl(&self.file, FcntlArg::F_OFD_GETLK(&mut range)) {
             Ok(_) if range.l_type == libc::F_UNLCK as libc::c_short => {}
             Ok(_) => {
                 let slot = range.l_start.clamp(first, end - 1);
-                *found |= 1 << slot;
-                self.add_slots_of_others(first, slot, found);
-                self.add_slots_of_others(slot + 1, end, found);
+                *locked_slots |= 1 << slot;
+                self.add_slots_locked_by_others(first, slot, locked_slots);
+                self.add_slots_locked_by_others(slot + 1, end, locked_slots);
             }
             Err(_) => self.metrics.state_errors.increment(),
         }
@@ -128,15 +128,15 @@
 
     /// Marks a slot as ended cleanly. Where that fails, the slot keeps its content, and others wait longer than needed
     /// before they use its keys.
-    fn mark_ended_cleanly(&self, slot: i64) {
-        let _ = self.file.write_all_at(&[ENDED_CLEANLY], slot as u64);
+    fn mark_exited_cleanly(&self, slot: i64) {
+        let _ = self.file.write_all_at(&[SLOT_EXITED_CLEANLY], slot as u64);
     }
 }
 
 impl OrderLocks for OrderLockFile {
     fn try_lock(&mut self, key: OrderKey) -> bool {
         // Where the system cannot keep a further lock, requests continue as without a shared folder.
-        let locked = set_lock(&self.file, libc::F_WRLCK, byte_of(key)).unwrap_or_else(|_| {
+        let locked = set_byte_lock(&self.file, libc::F_WRLCK, key_byte(key)).unwrap_or_else(|_| {
             self.metrics.state_errors.increment();
             true
         });
@@ -146,49 +146,49 @@
 
     fn unlock(&mut self, key: OrderKey) {
         self.locked_keys = self.locked_keys.saturating_sub(1);
-        if set_lock(&self.file, libc::F_UNLCK, byte_of(key)).is_err() {
+        if set_byte_lock(&self.file, libc::F_UNLCK, key_byte(key)).is_err() {
             self.metrics.state_errors.increment();
         }
     }
 
     fn live_peers(&mut self) -> PeerProcesses {
-        let mut found = 0;
-        self.add_slots_of_others(0, SLOTS, &mut found);
-        found
+        let mut locked_slots = 0;
+        self.add_slots_locked_by_others(0, PROCESS_SLOTS, &mut locked_slots);
+        locked_slots
     }
 
     fn may_have_held_keys_at_exit(&mut self, ended: PeerProcesses) -> bool {
-        self.slots_ended_with_keys(ended) != 0
+        self.slots_exited_with_keys(ended) != 0
     }
 
     fn earlier_process_may_have_held_keys(&self) -> bool {
-        self.ended_with_keys != 0
+        self.earlier_exits_with_keys != 0
     }
 }
 
 impl Drop for OrderLockFile {
     fn drop(&mut self) {
-        let noticed = (0..SLOTS)
-            .filter(|slot| contains_slot(self.ended_with_keys, *slot))
+        let slots_to_mark = (0..PROCESS_SLOTS)
+            .filter(|slot| contains_slot(self.earlier_exits_with_keys, *slot))
             .filter(|slot| *slot != self.own_slot);
-        for slot in noticed {
+        for slot in slots_to_mark {
             // A slot that is locked belongs to a running process by now.
-            if matches!(set_lock(&self.file, libc::F_WRLCK, slot), Ok(true)) {
-                self.mark_ended_cleanly(slot);
+            if matches!(set_byte_lock(&self.file, libc::F_WRLCK, slot), Ok(true)) {
+                self.mark_exited_cleanly(slot);
             }
         }
         if self.locked_keys == 0 {
-            self.mark_ended_cleanly(self.own_slot);
+            self.mark_exited_cleanly(self.own_slot);
         }
     }
 }
 
 /// Locks the first free slot, counted from the one of the process id.
-fn lock_free_slot(file: &File) -> Result<i64, OrderLockError> {
-    let first = i64::from(std::process::id()) % SLOTS;
-    for offset in 0..SLOTS {
-        let slot = (first + offset) % SLOTS;
-        if set_lock(file, libc::F_WRLCK, slot)? {
+fn claim_process_slot(file: &File) -> Result<i64, OrderLockError> {
+    let first = i64::from(std::process::id()) % PROCESS_SLOTS;
+    for offset in 0..PROCESS_SLOTS {
+        let slot = (first + offset) % PROCESS_SLOTS;
+        if set_byte_lock(file, libc::F_WRLCK, slot)? {
             return Ok(slot);
         }
     }
@@ -200,23 +200,26 @@
 }
 
 /// The byte that stands for a key. Keys that share a byte are run one after the other as well.
-fn byte_of(key: OrderKey) -> i64 {
-    SLOTS + (key.get() >> 2) as i64
+fn key_byte(key: OrderKey) -> i64 {
+    PROCESS_SLOTS + (key.get() >> 2) as i64
 }
 
 /// Sets or ends a lock on one byte; false where another process holds it.
-fn set_lock(file: &File, kind: libc::c_int, byte: i64) -> io::Result<bool> {
-    match fcntl(file, FcntlArg::F_OFD_SETLK(&byte_range(kind, byte, 1))) {
+fn set_byte_lock(file: &File, lock_type: libc::c_int, byte: i64) -> io::Result<bool> {
+    match fcntl(
+        file,
+        FcntlArg::F_OFD_SETLK(&byte_range_lock(lock_type, byte, 1)),
+    ) {
         Ok(_) => Ok(true),
         Err(Errno::EAGAIN | Errno::EACCES) => Ok(false),
         Err(error) => Err(error.into()),
     }
 }
 
-/// A lock of this kind on `length` bytes from `first` on.
-fn byte_range(kind: libc::c_int, first: i64, length: i64) -> libc::flock {
+/// A lock of this type on `length` bytes from `first` on.
+fn byte_range_lock(lock_type: libc::c_int, first: i64, length: i64) -> libc::flock {
     libc::flock {
-        l_type: kind as libc::c_short,
+        l_type: lock_type as libc::c_short,
         l_whence: libc::SEEK_SET as libc::c_short,
         l_start: first,
         l_len: length,
--- a/src/hot_restart/order_lock_file/tests.rs
+++ b/src/hot_restart/order_lock_file/tests.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-fn file(name: &str) -> PathBuf {
+fn lock_file_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!(
         "magpiechute-test-{}-{name}.order",
         std::process::id()
@@ -13,7 +13,7 @@
     path
 }
 
-fn open(path: &Path) -> OrderLockFile {
+fn open_locks(path: &Path) -> OrderLockFile {
     OrderLockFile::open(path, Arc::default()).expect("locks")
 }
 
@@ -23,8 +23,8 @@
 
 #[test]
 fn a_locked_key_is_refused_to_other_processes() {
-    let path = file("one");
-    let (mut old, mut new) = (open(&path), open(&path));
+    let path = lock_file_path("one");
+    let (mut old, mut new) = (open_locks(&path), open_locks(&path));
     assert!(old.try_lock(key(1)) && !new.try_lock(key(1)) && new.try_lock(key(2)));
     assert!(!old.try_lock(key(2)));
     old.unlock(key(1));
@@ -35,24 +35,24 @@
 /// Many keys take one descriptor and no space in the file.
 #[test]
 fn a_thousand_locked_keys_take_no_space_in_the_file() {
-    let path = file("small");
-    let mut locks = open(&path);
+    let path = lock_file_path("small");
+    let mut locks = open_locks(&path);
     let keys: Vec<OrderKey> = (0..1024u32)
         .map(|n| OrderKey::new(&n.to_be_bytes()))
         .collect();
     assert!(keys.iter().all(|key| locks.try_lock(*key)));
-    assert!(fs::metadata(&path).expect("file").len() <= SLOTS as u64);
-    let mut other = open(&path);
+    assert!(fs::metadata(&path).expect("file").len() <= PROCESS_SLOTS as u64);
+    let mut other = open_locks(&path);
     assert!(!keys.iter().any(|key| other.try_lock(*key)));
     let _ = fs::remove_file(&path);
 }
 
 #[test]
-fn an_end_with_a_locked_key_is_seen_by_the_other_processes() {
-    let path = file("ends");
-    let mut old = open(&path);
+fn peers_detect_a_process_that_exits_with_a_locked_key() {
+    let path = lock_file_path("ends");
+    let mut old = open_locks(&path);
     assert_eq!(old.live_peers(), 0);
-    let (mut new, mut third) = (open(&path), open(&path));
+    let (mut new, mut third) = (open_locks(&path), open_locks(&path));
     let slots = [1 << old.own_slot, 1 << new.own_slot, 1 << third.own_slot];
     assert_eq!(old.live_peers(), slots[1] | slots[2]);
     assert_eq!(third.live_peers(), slots[0] | slots[1]);
@@ -74,30 +74,30 @@
 
 /// A process that starts after a kill notices it, unless another process has ended gracefully since.
 #[test]
-fn a_kill_before_the_start_is_noticed_until_a_graceful_end() {
-    let path = file("kill");
-    let mut first = open(&path);
+fn an_earlier_exit_with_a_locked_key_is_detected_until_a_clean_exit() {
+    let path = lock_file_path("kill");
+    let mut first = open_locks(&path);
     assert!(!first.earlier_process_may_have_held_keys() && first.try_lock(key(1)));
-    let peer = open(&path);
+    let peer = open_locks(&path);
     assert!(
         !peer.earlier_process_may_have_held_keys(),
         "the first one is running"
     );
     drop(first);
-    let second = open(&path);
+    let second = open_locks(&path);
     assert!(second.earlier_process_may_have_held_keys());
     drop((peer, second));
-    assert!(!open(&path).earlier_process_may_have_held_keys());
+    assert!(!open_locks(&path).earlier_process_may_have_held_keys());
     let _ = fs::remove_file(&path);
 }
 
 /// A slot with unknown content counts as an end with keys; a file that is too long does no harm.
 #[test]
-fn unknown_slot_content_counts_as_an_end_with_keys() {
-    let path = file("spoilt");
+fn unknown_slot_content_counts_as_an_exit_with_keys() {
+    let path = lock_file_path("spoilt");
     fs::write(&path, "?".repeat(1000)).expect("file");
-    let mut locks = open(&path);
-    let unused = (0..SLOTS)
+    let mut locks = open_locks(&path);
+    let unused = (0..PROCESS_SLOTS)
         .find(|slot| *slot != locks.own_slot)
         .expect("a slot");
     assert!(
@@ -110,9 +110,9 @@
 }
 
 #[test]
-fn opening_fails_when_every_slot_is_taken() {
-    let path = file("places");
-    let mut all: Vec<OrderLockFile> = (0..SLOTS).map(|_| open(&path)).collect();
+fn opening_fails_when_every_slot_is_locked() {
+    let path = lock_file_path("places");
+    let mut all: Vec<OrderLockFile> = (0..PROCESS_SLOTS).map(|_| open_locks(&path)).collect();
     assert!(OrderLockFile::open(&path, Arc::default()).is_err());
     assert_eq!(all[0].live_peers().count_ones(), PeerProcesses::BITS - 1);
     let _ = fs::remove_file(&path);
--- a/src/hot_restart/peer_process.rs
+++ b/src/hot_restart/peer_process.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 /// Extensions of the slot files: at most two processes take part in a hot restart.
-const SLOT_FILES: [&str; 2] = ["place-0", "place-1"];
+const SLOT_FILE_EXTENSIONS: [&str; 2] = ["place-0", "place-1"];
 
 /// This process's slot, and the one in which its peer is looked for.
 pub(super) struct PeerDetector {
@@ -28,11 +28,11 @@
     ///
     /// A slot file cannot be opened or created.
     pub(super) async fn open(folder: &Path, name: &str, limits: &Limits) -> io::Result<Self> {
-        let mut slots = Vec::with_capacity(SLOT_FILES.len());
-        for extension in SLOT_FILES {
+        let mut slots = Vec::with_capacity(SLOT_FILE_EXTENSIONS.len());
+        for extension in SLOT_FILE_EXTENSIONS {
             slots.push(open_for_locking(&shared_file(folder, name, extension))?);
         }
-        let own_slot = lock_free_slot(&mut slots, limits).await;
+        let own_slot = claim_process_slot(&mut slots, limits).await;
         let peer_slot = own_slot.as_ref().and_then(|_| slots.pop());
         Ok(PeerDetector {
             _own_slot: own_slot,
@@ -58,10 +58,10 @@
 
 /// Locks one of the slots and takes it out of the list. Retries, as a running peer locks the free slot for a moment
 /// whenever it looks for this process.
-async fn lock_free_slot(slots: &mut Vec<File>, limits: &Limits) -> Option<File> {
+async fn claim_process_slot(slots: &mut Vec<File>, limits: &Limits) -> Option<File> {
     for _ in 0..limits.state_lock_attempts {
-        let free = slots.iter().position(|slot| slot.try_lock().is_ok());
-        if let Some(index) = free {
+        let free_index = slots.iter().position(|slot| slot.try_lock().is_ok());
+        if let Some(index) = free_index {
             return Some(slots.remove(index));
         }
         sleep(limits.state_lock_retry_delay).await;
--- a/src/hot_restart/peer_sync.rs
+++ b/src/hot_restart/peer_sync.rs
@@ -49,12 +49,12 @@
 
     /// Records what arrives and looks for changes of the peer, until the program ends.
     pub(crate) async fn run(mut self, mut requests: mpsc::Receiver<RecordRequest>) {
-        let mut poll = interval(self.limits.state_poll_interval);
-        poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut poll_timer = interval(self.limits.state_poll_interval);
+        poll_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 Some(request) = requests.recv() => self.record(request).await,
-                _ = poll.tick() => self.synchronize().await,
+                _ = poll_timer.tick() => self.synchronize().await,
             }
         }
     }
@@ -73,18 +73,18 @@
     /// Passes to the core what has changed at the peer since the last call.
     pub(crate) async fn synchronize(&mut self) {
         self.report_peer_presence().await;
-        self.store.write_again(self.core.now()).await;
+        self.store.retry_failed_write(self.core.now()).await;
         for (engine, ejection) in self.store.take_peer_changes(self.core.now()) {
-            let at_ms = ejection.decided_at_ms;
+            let decision_time_ms = ejection.decided_at_ms;
             // An engine that was returned to service begins with slow start. The core starts that where an ejected
             // engine returns, so it is ejected first.
             if !ejection.ejected {
                 self.core
-                    .set_manual_ejection(engine, true, at_ms, true)
+                    .set_manual_ejection(engine, true, decision_time_ms, true)
                     .await;
             }
             self.core
-                .set_manual_ejection(engine, ejection.ejected, at_ms, true)
+                .set_manual_ejection(engine, ejection.ejected, decision_time_ms, true)
                 .await;
         }
     }
--- a/src/hot_restart/state_store.rs
+++ b/src/hot_restart/state_store.rs
@@ -135,13 +135,13 @@
     /// refused.
     fn merge(&mut self, stored: StoredState, now: Millis) {
         for (id, ejection) in stored.ejections {
-            let plausible = (0.0..=now + MAX_CLOCK_STEP_MS).contains(&ejection.decided_at_ms);
-            let Some(engine) = parse_engine_id(&id).filter(|_| plausible) else {
+            let is_plausible = (0.0..=now + MAX_CLOCK_STEP_MS).contains(&ejection.decided_at_ms);
+            let Some(engine) = parse_engine_id(&id).filter(|_| is_plausible) else {
                 self.metrics.state_errors.increment();
                 continue;
             };
-            let known = self.ejections.get(&engine);
-            if known.is_none_or(|known| known.decided_at_ms < ejection.decided_at_ms) {
+            let previous = self.ejections.get(&engine);
+            if previous.is_none_or(|previous| previous.decided_at_ms < ejection.decided_at_ms) {
                 self.ejections.insert(engine, ejection);
                 self.peer_changes.push((engine, ejection));
             }
@@ -151,38 +151,41 @@
     /// Records one more decision, together with what the peer process has recorded.
     pub(super) async fn record(&mut self, engine: EngineId, ejection: ManualEjection) {
         // Without the lock the decision is written all the same: a lost update of the peer is the lesser harm.
-        let ejection = self.in_order(engine, ejection);
-        let locked = self.lock_for_writing().await;
+        let ejection = self.with_ordered_time(engine, ejection);
+        let lock_held = self.lock_for_writing().await;
         self.refresh(ejection.decided_at_ms);
         self.ejections.insert(engine, ejection);
-        self.forget_old_returns(ejection.decided_at_ms);
-        self.write_or_note_failure();
-        if locked {
+        self.remove_expired_returns(ejection.decided_at_ms);
+        self.write_and_log_failure();
+        if lock_held {
             let _ = self.write_lock.unlock();
         }
     }
 
     /// Writes what could not be written before, if there is anything.
-    pub(super) async fn write_again(&mut self, now: Millis) {
+    pub(super) async fn retry_failed_write(&mut self, now: Millis) {
         if !self.write_failed {
             return;
         }
-        let locked = self.lock_for_writing().await;
+        let lock_held = self.lock_for_writing().await;
         self.refresh(now);
-        self.write_or_note_failure();
-        if locked {
+        self.write_and_log_failure();
+        if lock_held {
             let _ = self.write_lock.unlock();
         }
     }
 
     /// The decision with a time after the one that it follows. A time far before that was read off a clock that was
     /// stepped back since the other process started.
-    fn in_order(&self, engine: EngineId, ejection: ManualEjection) -> ManualEjection {
-        let known_ms = self.ejections.get(&engine).map(|known| known.decided_at_ms);
-        let stepped_back =
-            known_ms.filter(|known_ms| known_ms - ejection.decided_at_ms > MAX_CLOCK_SKEW_MS);
-        let decided_at_ms = stepped_back.map_or(ejection.decided_at_ms, |known_ms| {
-            known_ms + DECISION_STEP_MS
+    fn with_ordered_time(&self, engine: EngineId, ejection: ManualEjection) -> ManualEjection {
+        let previous_ms = self
+            .ejections
+            .get(&engine)
+            .map(|previous| previous.decided_at_ms);
+        let previous_ms_before_step = previous_ms
+            .filter(|previous_ms| previous_ms - ejection.decided_at_ms > MAX_CLOCK_SKEW_MS);
+        let decided_at_ms = previous_ms_before_step.map_or(ejection.decided_at_ms, |previous_ms| {
+            previous_ms + DECISION_STEP_MS
         });
         ManualEjection {
             decided_at_ms,
@@ -191,7 +194,7 @@
     }
 
     /// Writes the state. The first of several failures in a row is logged.
-    fn write_or_note_failure(&mut self) {
+    fn write_and_log_failure(&mut self) {
         let written = self.write();
         let failed_before = std::mem::replace(&mut self.write_failed, written.is_err());
         let Err(error) = written else {
@@ -217,7 +220,7 @@
 
     /// Drops engines that were returned to service longer ago than a successor needs to know. This also bounds the
     /// file's size.
-    fn forget_old_returns(&mut self, now: Millis) {
+    fn remove_expired_returns(&mut self, now: Millis) {
         let retention_ms = self.limits.state_retention.as_secs_f64() * 1000.0;
         self.ejections
             .retain(|_, ejection| ejection.ejected || now - ejection.decided_at_ms < retention_ms);
--- a/src/hot_restart/stored_state.rs
+++ b/src/hot_restart/stored_state.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Version of the file's form; a file of another version is not used.
-const VERSION: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 
 /// The content of the file.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
@@ -47,7 +47,7 @@
     #[error("the stored state is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The file was written in another form.
-    #[error("the stored state has version {found}, expected {VERSION}")]
+    #[error("the stored state has version {found}, expected {FORMAT_VERSION}")]
     UnknownVersion {
         /// The version in the file.
         found: u32,
@@ -58,7 +58,7 @@
     /// A state of the current version.
     pub(super) fn new(ejections: BTreeMap<String, ManualEjection>) -> Self {
         StoredState {
-            version: VERSION,
+            version: FORMAT_VERSION,
             ejections,
         }
     }
@@ -78,7 +78,7 @@
             return Err(StoredStateError::TooLarge { max_bytes });
         }
         let state: StoredState = serde_json::from_slice(&text)?;
-        if state.version != VERSION {
+        if state.version != FORMAT_VERSION {
             return Err(StoredStateError::UnknownVersion {
                 found: state.version,
             });
@@ -93,8 +93,8 @@
     /// The temporary file cannot be written or renamed.
     pub(super) fn replace(&self, path: &Path) -> io::Result<()> {
         let text = serde_json::to_vec(self)?;
-        let temporary = path.with_extension("next");
-        fs::write(&temporary, text)?;
-        fs::rename(&temporary, path)
+        let temporary_path = path.with_extension("next");
+        fs::write(&temporary_path, text)?;
+        fs::rename(&temporary_path, path)
     }
 }
--- a/src/hot_restart/tests.rs
+++ b/src/hot_restart/tests.rs
@@ -25,7 +25,7 @@
     folder
 }
 
-fn run<T>(test: impl Future<Output = T>) -> T {
+fn run_async<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -48,7 +48,7 @@
 fn two_processes_exchange_ejections_and_the_latest_decision_wins() {
     let folder = empty_folder("two");
     let metrics = Arc::default();
-    run(async {
+    run_async(async {
         let mut old = open_store(&folder, &metrics).await;
         assert!(!old.peer_is_running());
         old.record(engine_id(1), ejection(true, 100.0)).await;
@@ -78,11 +78,11 @@
 /// A successor that started after the clock was stepped back knows the ejections of the old process, and its own decisions
 /// win although their times are earlier.
 #[test]
-fn decisions_keep_their_order_where_the_clock_was_stepped_back() {
+fn decisions_keep_their_order_after_a_backward_clock_step() {
     const HOUR_MS: f64 = 3_600_000.0;
     let folder = empty_folder("stepped");
     let metrics: Arc<Metrics> = Arc::default();
-    run(async {
+    run_async(async {
         let mut old = open_store(&folder, &metrics).await;
         old.record(engine_id(1), ejection(true, 2.0 * HOUR_MS))
             .await;
@@ -102,19 +102,19 @@
 
 /// A decision that cannot be written for a while is written once that is possible again.
 #[test]
-fn a_decision_that_could_not_be_written_is_written_later() {
+fn a_failed_write_of_a_decision_is_retried() {
     let folder = empty_folder("unwritable");
     let metrics: Arc<Metrics> = Arc::default();
-    run(async {
+    run_async(async {
         let mut store = open_store(&folder, &metrics).await;
         // A folder stands where the file is to be written first.
         let obstacle = folder.join("magpiechute-n1.next");
         fs::create_dir(&obstacle).expect("folder");
         store.record(engine_id(1), ejection(true, 100.0)).await;
-        store.write_again(150.0).await;
+        store.retry_failed_write(150.0).await;
         assert_eq!(metrics.state_errors.get(), 1, "one failure in a row");
         fs::remove_dir(&obstacle).expect("no folder");
-        store.write_again(200.0).await;
+        store.retry_failed_write(200.0).await;
         let mut successor = open_store(&folder, &metrics).await;
         assert_eq!(successor.take_peer_changes(300.0), [change(1, true, 100.0)]);
     });
@@ -123,35 +123,35 @@
 
 /// A damaged file does not stop a start, and its sound records are used.
 #[rstest]
-#[case::noise("noise", "\u{1}\u{2}", 0)]
-#[case::cut_short("cut", r#"{"version":1,"engines":{"s-00000001":{"out":tr"#, 0)]
+#[case::not_json("noise", "\u{1}\u{2}", 0)]
+#[case::truncated("cut", r#"{"version":1,"engines":{"s-00000001":{"out":tr"#, 0)]
 #[case::another_version(
     "version",
     r#"{"version":9,"engines":{"s-00000001":{"out":true,"at":1.0}}}"#,
     0
 )]
-#[case::not_engines(
+#[case::invalid_engine_id(
     "names",
     r#"{"version":1,"engines":{"x":{"out":true,"at":1.0},"s-00000001":{"out":true,"at":1.0}}}"#,
     1
 )]
-#[case::not_yet(
+#[case::implausible_time(
     "times",
     r#"{"version":1,"engines":{"s-00000001":{"out":true,"at":9e15}}}"#,
     0
 )]
-#[case::too_long("long", &" ".repeat(100_000), 0)]
-fn damaged_state_is_counted_and_its_sound_records_are_used(
+#[case::too_large("long", &" ".repeat(100_000), 0)]
+fn damaged_state_is_counted_and_its_valid_records_are_used(
     #[case] name: &str,
     #[case] text: &str,
-    #[case] sound_records: usize,
+    #[case] valid_records: usize,
 ) {
     let folder = empty_folder(name);
     fs::write(folder.join("magpiechute-n1.state"), text).expect("file");
     let metrics: Arc<Metrics> = Arc::default();
-    run(async {
+    run_async(async {
         let mut store = open_store(&folder, &metrics).await;
-        assert_eq!(store.take_peer_changes(100.0).len(), sound_records);
+        assert_eq!(store.take_peer_changes(100.0).len(), valid_records);
         assert_eq!(metrics.state_errors.get(), 1);
         store.record(engine_id(2), ejection(true, 200.0)).await;
         assert!(store.take_peer_changes(200.0).is_empty() && metrics.state_errors.get() == 1);
@@ -163,11 +163,11 @@
 const STORED_TEXT: &str = r#"{"version":1,"engines":{"s-00000001":{"out":true,"at":1796200000123.0},"s-0000000a":{"out":false,"at":1796200000456.5}}}"#;
 
 #[test]
-fn a_stored_state_of_the_version_before_is_read() {
+fn a_stored_state_of_the_previous_version_is_read() {
     let folder = empty_folder("stored-read");
     fs::write(folder.join("magpiechute-n1.state"), STORED_TEXT).expect("file");
     let metrics: Arc<Metrics> = Arc::default();
-    run(async {
+    run_async(async {
         let mut store = open_store(&folder, &metrics).await;
         assert_eq!(
             store.take_peer_changes(1_796_200_001_000.0),
@@ -182,10 +182,10 @@
 }
 
 #[test]
-fn the_stored_state_is_written_as_by_the_version_before() {
+fn the_stored_state_is_written_as_by_the_previous_version() {
     let folder = empty_folder("stored-written");
     let metrics = Arc::default();
-    run(async {
+    run_async(async {
         let mut store = open_store(&folder, &metrics).await;
         let (returned, ejected) = (
             change(10, false, 1_796_200_000_456.5),
