--- a/src/node.rs
+++ b/src/node.rs
@@ -40,15 +40,15 @@
     /// The counters.
     pub metrics: Arc<Metrics>,
     limits: Arc<Limits>,
-    start_only: StartOnlySettings,
+    start_only_settings: StartOnlySettings,
     /// The configuration in force, as the JSON values of its file.
     config_values: Mutex<Value>,
-    settings: watch::Sender<Arc<PlatformSettings>>,
+    current_settings: watch::Sender<Arc<PlatformSettings>>,
     /// The operators' file, read again with each reload.
     operator_file: Option<PathBuf>,
     /// The retry policy in force, shared with the admin server.
     policy: Arc<Mutex<Arc<Policy>>>,
-    feed: watch::Sender<SocketAddr>,
+    feed_sender: watch::Sender<SocketAddr>,
     lifecycle: Arc<Lifecycle>,
     core: Handle,
     /// The platform owns the listening socket: clients that connect during a shutdown wait there for a successor, which
@@ -64,8 +64,8 @@
     /// See [`StartError`].
     pub async fn start(
         config: NodeConfig,
-        operators: impl Into<OperatorConfig>,
+        operator_config: impl Into<OperatorConfig>,
     ) -> Result<Node, StartError> {
-        startup::start(config, operators.into()).await
+        startup::start_node(config, operator_config.into()).await
     }
 }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -34,7 +34,7 @@
 }
 
 impl StartOnlySettings {
-    pub(super) fn of(config: &NodeConfig) -> Self {
+    pub(super) fn from_config(config: &NodeConfig) -> Self {
         StartOnlySettings {
             listen: config.listen,
             max_descriptors: config.max_descriptors,
@@ -43,11 +43,11 @@
     }
 
     /// The names of the settings that differ from those of the new configuration.
-    fn changed_by(&self, config: &NodeConfig) -> impl Iterator<Item = &'static str> {
-        let new = StartOnlySettings::of(config);
-        let limits = |settings: &Self| (settings.max_descriptors, settings.memory_mb);
+    fn changed_names(&self, config: &NodeConfig) -> impl Iterator<Item = &'static str> {
+        let new = StartOnlySettings::from_config(config);
+        let limit_settings = |settings: &Self| (settings.max_descriptors, settings.memory_mb);
         let listen_changed = new.listen != self.listen;
-        let limits_changed = limits(&new) != limits(self);
+        let limits_changed = limit_settings(&new) != limit_settings(self);
         [("listen", listen_changed), ("limits", limits_changed)]
             .into_iter()
             .filter_map(|(name, changed)| changed.then_some(name))
@@ -56,7 +56,7 @@
 
 /// Whether two settings differ in what connections and limits were set up with at the start.
 fn connection_settings_differ(old: &PlatformSettings, new: &PlatformSettings) -> bool {
-    let of_connections = |settings: &PlatformSettings| {
+    let connection_settings = |settings: &PlatformSettings| {
         (
             settings.connect_timeout_ms,
             settings.engine_idle_timeout_ms,
@@ -65,7 +65,7 @@
             settings.settings.progress_interval_ms,
         )
     };
-    of_connections(old) != of_connections(new)
+    connection_settings(old) != connection_settings(new)
 }
 
 impl Node {
@@ -84,7 +84,7 @@
                 return;
             }
         };
-        let old_settings = self.settings.borrow().clone();
+        let old_settings = self.current_settings.borrow().clone();
         self.warn_of_start_only_changes(&old_settings, &config);
         self.apply_settings(&old_settings, &config.settings, policy)
             .await;
@@ -92,7 +92,7 @@
             .config_values
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = config.values;
-        self.feed
+        self.feed_sender
             .send_if_modified(|feed| std::mem::replace(feed, config.feed) != config.feed);
         self.metrics.reloads.increment();
         tracing::info!(feed = %config.feed, "reload complete");
@@ -101,7 +101,11 @@
     fn warn_of_start_only_changes(&self, old_settings: &PlatformSettings, config: &NodeConfig) {
         let connections = connection_settings_differ(old_settings, &config.settings)
             .then_some("settings of connections");
-        for setting in self.start_only.changed_by(config).chain(connections) {
+        for setting in self
+            .start_only_settings
+            .changed_names(config)
+            .chain(connections)
+        {
             tracing::warn!(setting, "a changed setting takes effect at the next start");
         }
     }
@@ -150,7 +154,7 @@
             for class in &new.classes {
                 self.metrics.class(&class.name);
             }
-            self.settings.send_replace(Arc::new(new.clone()));
+            self.current_settings.send_replace(Arc::new(new.clone()));
             tracing::info!("new settings in force");
         }
         *self.policy.lock().unwrap_or_else(PoisonError::into_inner) = policy.clone();
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -8,7 +8,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// When a shutdown is complete.
-struct Completion {
+struct CompletionCheck {
     /// Requests may arrive until then.
     accept_until: Instant,
     /// The time from which on no request has been open.
@@ -31,8 +31,8 @@
     pub async fn shut_down(&self) {
         self.begin_shutdown();
         let handed_over = self.lifecycle.current().listener_handed_over;
-        self.announce_deadline().await;
-        let mut completion = Completion {
+        self.send_deadline_to_core().await;
+        let mut completion_check = CompletionCheck {
             accept_until: Instant::now() + self.accept_window(handed_over),
             idle_since: None,
             read_timeout: self.limits.client_read_timeout,
@@ -44,7 +44,7 @@
             let connections_closed =
                 !handed_over || self.metrics.client_connections_open.get() == 0;
             let all_answered = unanswered == 0 && connections_closed;
-            if completion.is_reached(Instant::now(), open_requests == 0, all_answered) {
+            if completion_check.is_complete(Instant::now(), open_requests == 0, all_answered) {
                 return;
             }
         }
@@ -52,10 +52,10 @@
 
     /// Sends the core the time at which the process ends. The platform kills the process after the longest client
     /// timeout, which counts as no longer than the bound of the limits; a request that is open then has no answer.
-    async fn announce_deadline(&self) {
+    async fn send_deadline_to_core(&self) {
         let (max_timeout, margin) = self.limits.planned_shutdown;
         let longest_timeout_ms = self
-            .settings
+            .current_settings
             .borrow()
             .settings
             .classes
@@ -77,12 +77,12 @@
     }
 }
 
-impl Completion {
+impl CompletionCheck {
     /// Whether the shutdown is complete. A client that reads none of its answers is waited for no longer than the read
     /// timeout, as the process would be killed otherwise.
-    fn is_reached(&mut self, now: Instant, idle: bool, all_answered: bool) -> bool {
+    fn is_complete(&mut self, now: Instant, is_idle: bool, all_answered: bool) -> bool {
         self.idle_since = match self.idle_since {
-            _ if !idle => None,
+            _ if !is_idle => None,
             None => Some(now),
             since => since,
         };
--- a/src/node/sockets.rs
+++ b/src/node/sockets.rs
@@ -32,24 +32,24 @@
 }
 
 /// A socket with the address that it is bound to.
-pub(super) struct Bound<S> {
+pub(super) struct BoundSocket<S> {
     pub(super) socket: S,
     pub(super) address: SocketAddr,
 }
 
 /// The SNMP agent's socket.
-pub(super) struct AgentSocket {
-    pub(super) bound: Bound<UdpSocket>,
+pub(super) struct SnmpSocket {
+    pub(super) bound: BoundSocket<UdpSocket>,
     /// The community that may read.
     pub(super) community: String,
 }
 
 /// All sockets of a node.
 pub(super) struct Sockets {
-    pub(super) platform: Bound<TcpListener>,
-    pub(super) flight: Option<Bound<TcpListener>>,
-    pub(super) admin: Option<Bound<TcpListener>>,
-    pub(super) agent: Option<AgentSocket>,
+    pub(super) platform: BoundSocket<TcpListener>,
+    pub(super) flight: Option<BoundSocket<TcpListener>>,
+    pub(super) admin: Option<BoundSocket<TcpListener>>,
+    pub(super) snmp_agent: Option<SnmpSocket>,
 }
 
 impl Sockets {
@@ -59,7 +59,7 @@
         front_ends: OptionalFronts,
     ) -> Result<Sockets, BindError> {
         let platform = match config.listen_fd {
-            Some(descriptor) => inherit(descriptor).await?,
+            Some(descriptor) => inherit_listener(descriptor).await?,
             None => bind_tcp(config.listen).await?,
         };
         let flight = match &front_ends.flight {
@@ -70,10 +70,10 @@
             Some(address) => Some(bind_tcp(address).await?),
             None => None,
         };
-        let agent = match front_ends.snmp {
-            Some(agent) => Some(AgentSocket {
-                bound: bind_udp(loopback(&agent.listen, "snmp")?).await?,
-                community: agent.community,
+        let snmp_agent = match front_ends.snmp {
+            Some(snmp_agent) => Some(SnmpSocket {
+                bound: bind_udp(loopback(&snmp_agent.listen, "snmp")?).await?,
+                community: snmp_agent.community,
             }),
             None => None,
         };
@@ -81,14 +81,14 @@
             platform,
             flight,
             admin,
-            agent,
+            snmp_agent,
         })
     }
 }
 
 /// The listening socket that the platform owns and hands over under this descriptor.
-async fn inherit(descriptor: i32) -> Result<Bound<TcpListener>, BindError> {
-    let failed = |source: io::Error| BindError::Descriptor { descriptor, source };
+async fn inherit_listener(descriptor: i32) -> Result<BoundSocket<TcpListener>, BindError> {
+    let bind_error = |source: io::Error| BindError::Descriptor { descriptor, source };
     let mut options = UserOptions::default();
     options.sd_accept_ignore_environment = true;
     let listener = Listener::bind(
@@ -97,24 +97,24 @@
         &options,
     )
     .await
-    .map_err(failed)?;
+    .map_err(bind_error)?;
     let socket = listener
         .try_into_tcp_listener()
-        .map_err(|_| failed(io::Error::other("it is no TCP socket")))?;
-    let address = socket.local_addr().map_err(failed)?;
-    Ok(Bound { socket, address })
+        .map_err(|_| bind_error(io::Error::other("it is no TCP socket")))?;
+    let address = socket.local_addr().map_err(bind_error)?;
+    Ok(BoundSocket { socket, address })
 }
 
-async fn bind_tcp(address: SocketAddr) -> Result<Bound<TcpListener>, BindError> {
-    let failed = |source| BindError::Address { address, source };
-    let socket = TcpListener::bind(address).await.map_err(failed)?;
-    let address = socket.local_addr().map_err(failed)?;
-    Ok(Bound { socket, address })
+async fn bind_tcp(address: SocketAddr) -> Result<BoundSocket<TcpListener>, BindError> {
+    let bind_error = |source| BindError::Address { address, source };
+    let socket = TcpListener::bind(address).await.map_err(bind_error)?;
+    let address = socket.local_addr().map_err(bind_error)?;
+    Ok(BoundSocket { socket, address })
 }
 
-async fn bind_udp(address: SocketAddr) -> Result<Bound<UdpSocket>, BindError> {
-    let failed = |source| BindError::Address { address, source };
-    let socket = UdpSocket::bind(address).await.map_err(failed)?;
-    let address = socket.local_addr().map_err(failed)?;
-    Ok(Bound { socket, address })
+async fn bind_udp(address: SocketAddr) -> Result<BoundSocket<UdpSocket>, BindError> {
+    let bind_error = |source| BindError::Address { address, source };
+    let socket = UdpSocket::bind(address).await.map_err(bind_error)?;
+    let address = socket.local_addr().map_err(bind_error)?;
+    Ok(BoundSocket { socket, address })
 }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -3,7 +3,7 @@
 
 use super::Node;
 use super::reload::StartOnlySettings;
-use super::sockets::{AgentSocket, BindError, Bound, Sockets};
+use super::sockets::{BindError, BoundSocket, SnmpSocket, Sockets};
 use crate::admin::{self, AdminServer};
 use crate::clients::{Frontend, flight, msgpack_rpc};
 use crate::core::{self, Clock, Core, CoreMessage, Handle, OrderLocks};
@@ -40,7 +40,7 @@
 
 /// What nearly every actor of the node holds.
 #[derive(Clone)]
-struct Services {
+struct ActorContext {
     limits: Arc<Limits>,
     metrics: Arc<Metrics>,
     lifecycle: Arc<Lifecycle>,
@@ -56,40 +56,40 @@
 }
 
 /// Starts the node. The settings are in force and the node accepts clients when this returns.
-pub(super) async fn start(
+pub(super) async fn start_node(
     config: NodeConfig,
-    operators: OperatorConfig,
+    operator_config: OperatorConfig,
 ) -> Result<Node, StartError> {
-    let engine_protocol = operators.engine_protocol();
-    let services = Services::new(&config, engine_protocol);
-    let shared_state = SharedState::open(&config, &services).await;
+    let engine_protocol = operator_config.engine_protocol();
+    let context = ActorContext::new(&config, engine_protocol);
+    let shared_state = SharedState::open(&config, &context).await;
     let is_successor = shared_state.is_successor;
-    let sockets = Sockets::bind(&config, operators.front_ends).await?;
-    let start_only = StartOnlySettings::of(&config);
-    let dispatcher = DispatcherSetup {
+    let sockets = Sockets::bind(&config, operator_config.front_ends).await?;
+    let start_only_settings = StartOnlySettings::from_config(&config);
+    let core_setup = CoreSetup {
         settings: config.settings.settings.clone(),
         seed: config.seed,
         is_successor,
-        policy: operators.policy.clone(),
+        policy: operator_config.policy.clone(),
         order_locks: shared_state.order_locks,
     };
-    let core = start_core(dispatcher, engine_protocol, &services)?;
-    count_operator_file(operators.path.as_deref(), &services.metrics);
+    let core = start_core(core_setup, engine_protocol, &context)?;
+    count_operator_config_load(operator_config.path.as_deref(), &context.metrics);
     let last_event = send_known_events(&core, config.events, config.last_known_event).await;
-    let (feed, feed_address) = watch::channel(config.feed);
+    let (feed_sender, feed_address) = watch::channel(config.feed);
     let (settings_sender, settings) = watch::channel(Arc::new(config.settings));
-    let first_frame = start_discovery(feed_address, last_event, &core, settings.clone(), &services);
-    let state_writer = start_peer_sync(shared_state.store, &core, &services).await;
-    let policy = Arc::new(Mutex::new(operators.policy));
-    let admin_server = services.admin_server(&core, state_writer, &policy, &settings);
+    let first_frame = start_discovery(feed_address, last_event, &core, settings.clone(), &context);
+    let state_writer = start_peer_sync(shared_state.store, &core, &context).await;
+    let policy = Arc::new(Mutex::new(operator_config.policy));
+    let admin_server = context.admin_server(&core, state_writer, &policy, &settings);
     let admin = sockets
         .admin
         .map(|bound| spawn_listener(bound, |listener| admin::serve(listener, admin_server)));
-    register_classes(&settings.borrow(), &services.metrics);
+    register_classes(&settings.borrow(), &context.metrics);
     if is_successor {
-        wait_for_first_frame(first_frame, &services.limits).await;
+        wait_for_first_frame(first_frame, &context.limits).await;
     }
-    let frontend = services.frontend(&core, settings);
+    let frontend = context.frontend(&core, settings);
     let flight_frontend = frontend.clone();
     let flight = sockets
         .flight
@@ -98,29 +98,29 @@
         msgpack_rpc::listen(listener, frontend)
     });
     let snmp = sockets
-        .agent
-        .map(|socket| start_agent(socket, config.name, &services));
-    services.lifecycle.update(|state| state.serving = true);
+        .snmp_agent
+        .map(|socket| start_snmp_agent(socket, config.name, &context));
+    context.lifecycle.update(|state| state.serving = true);
     Ok(Node {
         listen,
         flight,
         snmp,
         admin,
-        metrics: services.metrics,
-        limits: services.limits,
-        start_only,
+        metrics: context.metrics,
+        limits: context.limits,
+        start_only_settings,
         config_values: Mutex::new(config.values),
-        settings: settings_sender,
-        operator_file: operators.path,
+        current_settings: settings_sender,
+        operator_file: operator_config.path,
         policy,
-        feed,
-        lifecycle: services.lifecycle,
+        feed_sender,
+        lifecycle: context.lifecycle,
         core,
         listener_is_inherited: config.listen_fd.is_some(),
     })
 }
 
-impl Services {
+impl ActorContext {
     fn new(config: &NodeConfig, engine_protocol: EngineProtocol) -> Self {
         let limits = Limits::new(
             config.max_descriptors,
@@ -128,7 +128,7 @@
             engine_protocol == EngineProtocol::Lines,
             &config.settings,
         );
-        Services {
+        ActorContext {
             limits: Arc::new(limits),
             metrics: Arc::default(),
             lifecycle: Arc::new(Lifecycle::new()),
@@ -171,7 +171,7 @@
 }
 
 impl SharedState {
-    async fn open(config: &NodeConfig, services: &Services) -> Self {
+    async fn open(config: &NodeConfig, context: &ActorContext) -> Self {
         let Some(folder) = &config.shared_folder else {
             return SharedState {
                 store: None,
@@ -179,8 +179,8 @@
                 is_successor: false,
             };
         };
-        let store = open_store(folder, &config.name, services).await;
-        let order_locks = open_order_locks(folder, &config.name, &services.metrics);
+        let store = open_store(folder, &config.name, context).await;
+        let order_locks = open_order_locks(folder, &config.name, &context.metrics);
         let is_successor = store.as_ref().is_some_and(StateStore::peer_is_running);
         SharedState {
             store,
@@ -190,8 +190,8 @@
     }
 }
 
-async fn open_store(folder: &Path, name: &str, services: &Services) -> Option<StateStore> {
-    let (limits, metrics) = (services.limits.clone(), services.metrics.clone());
+async fn open_store(folder: &Path, name: &str, context: &ActorContext) -> Option<StateStore> {
+    let (limits, metrics) = (context.limits.clone(), context.metrics.clone());
     StateStore::open(folder, name, limits, metrics)
         .await
         .inspect_err(|error| {
@@ -215,7 +215,7 @@
 }
 
 /// What the core's dispatcher is made of.
-struct DispatcherSetup {
+struct CoreSetup {
     settings: Settings,
     seed: u64,
     is_successor: bool,
@@ -225,11 +225,11 @@
 
 /// Starts the core with its engine connections.
 fn start_core(
-    setup: DispatcherSetup,
+    setup: CoreSetup,
     engine_protocol: EngineProtocol,
-    services: &Services,
+    context: &ActorContext,
 ) -> Result<Handle, SettingsError> {
-    let (limits, metrics) = (&services.limits, &services.metrics);
+    let (limits, metrics) = (&context.limits, &context.metrics);
     let clock = Clock::new();
     let (handle, inputs) = Handle::new(limits.mailbox_messages, clock);
     let engines = EngineContext::new(
@@ -273,17 +273,17 @@
     last_event: u64,
     core: &Handle,
     settings: watch::Receiver<Arc<PlatformSettings>>,
-    services: &Services,
+    context: &ActorContext,
 ) -> watch::Receiver<bool> {
     let (first_frame_received, first_frame) = watch::channel(false);
-    let context = FollowerContext {
+    let follower_context = FollowerContext {
         core: core.clone(),
-        limits: services.limits.clone(),
-        metrics: services.metrics.clone(),
+        limits: context.limits.clone(),
+        metrics: context.metrics.clone(),
         first_frame_received,
         settings,
     };
-    tokio::spawn(discovery::follow(feed, last_event, context));
+    tokio::spawn(discovery::follow(feed, last_event, follower_context));
     first_frame
 }
 
@@ -292,19 +292,19 @@
 async fn start_peer_sync(
     store: Option<StateStore>,
     core: &Handle,
-    services: &Services,
+    context: &ActorContext,
 ) -> StateWriter {
-    let (writer, mailbox) = StateWriter::new(&services.limits);
+    let (writer, mailbox) = StateWriter::new(&context.limits);
     if let Some(store) = store {
-        let mut sync = PeerSync::new(store, core.clone(), services.limits.clone());
-        sync.synchronize().await;
-        tokio::spawn(sync.run(mailbox));
+        let mut peer_sync = PeerSync::new(store, core.clone(), context.limits.clone());
+        peer_sync.synchronize().await;
+        tokio::spawn(peer_sync.run(mailbox));
     }
     writer
 }
 
 /// Counts the operators' file as loaded, where there is one.
-fn count_operator_file(path: Option<&Path>, metrics: &Metrics) {
+fn count_operator_config_load(path: Option<&Path>, metrics: &Metrics) {
     if path.is_some_and(Path::exists) {
         metrics.operator_config_loads.increment();
     }
@@ -325,7 +325,10 @@
 }
 
 /// Starts what accepts connections on this socket, and returns the socket's address.
-fn spawn_listener<F>(bound: Bound<TcpListener>, listen: impl FnOnce(TcpListener) -> F) -> SocketAddr
+fn spawn_listener<F>(
+    bound: BoundSocket<TcpListener>,
+    listen: impl FnOnce(TcpListener) -> F,
+) -> SocketAddr
 where
     F: Future<Output = ()> + 'static + Send,
 {
@@ -334,9 +337,9 @@
 }
 
 /// Starts the SNMP agent, and returns its address.
-fn start_agent(socket: AgentSocket, name: String, services: &Services) -> SocketAddr {
-    let (metrics, limits) = (services.metrics.clone(), services.limits.clone());
-    let agent = snmp::Agent::new(socket.community, name, metrics, limits);
-    tokio::spawn(agent.serve(socket.bound.socket));
+fn start_snmp_agent(socket: SnmpSocket, name: String, context: &ActorContext) -> SocketAddr {
+    let (metrics, limits) = (context.metrics.clone(), context.limits.clone());
+    let snmp_agent = snmp::Agent::new(socket.community, name, metrics, limits);
+    tokio::spawn(snmp_agent.serve(socket.bound.socket));
     socket.bound.address
 }
