--- a/src/hot_restart.rs
+++ b/src/hot_restart.rs
@@ -1,14 +1,18 @@
-//! Hot restart: a successor process starts while the process that it replaces still serves, and for that time the two
-//! are one workload manager.
+//! Hot restart: a successor process starts while the process that it replaces still serves. While
+//! both run, they act as one workload manager.
 //!
-//! Both meet in a folder that the platform shares between them. This module owns that folder's files:
+//! The two processes share state through the files of one folder, the shared folder, which the
+//! platform makes available to both. This module owns these files:
 //!
-//! - the lock files of the process slots, by which each process sees whether its peer is running ([`peer_process`]);
-//! - the stored state, which records the manual ejections of engines ([`stored_state`], [`state_store`]);
-//! - the locks on order keys, which keep the order of a key across both processes ([`order_lock_file`]).
+//! - the lock files of the process slots, which show each process whether its peer is running
+//!   ([`peer_process`]);
+//! - the stored state, which records the manual ejections of engines ([`stored_state`],
+//!   [`state_store`]);
+//! - the lock file of the order keys, which keeps the requests of a key in order across both
+//!   processes ([`order_lock_file`]).
 //!
-//! [`peer_sync`] holds the actor that keeps the two processes in agreement. `node` opens everything at the start;
-//! `admin` records manual ejections through [`StateWriter`].
+//! [`peer_sync`] contains the actor that exchanges state with the peer process. `node` opens the
+//! files at the start; `admin` records manual ejections through [`StateWriter`].
 
 mod order_lock_file;
 mod peer_process;
@@ -23,8 +27,8 @@
 
 use std::path::{Path, PathBuf};
 
-/// The path of a file of the workload manager `name` in the shared folder. Only ASCII letters and digits of the name
-/// are used, so that it cannot lead out of the folder.
+/// Returns the path of a file of the workload manager `name` in the shared folder. Only the ASCII
+/// letters and digits of the name are used, so that the path cannot leave the folder.
 fn shared_file(folder: &Path, name: &str, extension: &str) -> PathBuf {
     let name: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
     folder.join(format!("magpiechute-{name}.{extension}"))
--- a/src/hot_restart/order_lock_file.rs
+++ b/src/hot_restart/order_lock_file.rs
@@ -1,13 +1,15 @@
 //! Locks on order keys, shared by the processes of one workload manager through one file.
 //!
-//! Each key stands for one byte, found by the key's hash far past the file's end, and a lock on a key is a lock on that
-//! byte's range held by the open file description. So any number of keys takes one descriptor and no space on disk, the
-//! system ends a lock with its process however that ends, and no call blocks.
+//! The hash of a key selects a byte far past the end of the file. To lock the key, a process takes
+//! an open-file-description lock on that byte. Any number of keys therefore needs one descriptor
+//! and no disk space, the operating system releases the locks of a process however it exits, and
+//! no call blocks.
 //!
-//! The first bytes are process slots, each locked for as long as its process lives. Slots are locked through the same
-//! file description as the keys, because the system drops all locks of a dead process in one step: where a key is free
-//! and the slot of its holder is still locked, the key was unlocked by a process that is running. After a process has
-//! ended, the content of its slot says whether it held keys at its end.
+//! The first bytes of the file are process slots. Each process keeps one slot locked until it
+//! exits. It locks the slot through the same file description as its keys, because the operating
+//! system releases all locks of an exited process in one step: if a key is free while the slot of
+//! its former holder is still locked, a running process has unlocked the key. After a process has
+//! exited, the content of its slot shows whether it may still have held keys.
 
 use super::shared_file;
 use crate::core::{OrderKey, OrderLocks, PeerProcesses};
@@ -22,36 +24,38 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Number of process slots. Two processes run during a hot restart; a process begins its search at the slot of its
-/// process id, so that a slot is rarely taken again before the peers noticed its end.
+/// Number of process slots. A hot restart needs only two. With more slots, and a search that starts
+/// at a slot derived from the process id, a slot is rarely reused before the peers have detected
+/// that its former process exited.
 const PROCESS_SLOTS: i64 = PeerProcesses::BITS as i64;
 
-/// Content of a slot that no process has used.
+/// Content of a slot that has never been used.
 const SLOT_UNUSED: u8 = 0;
-/// Content of a slot whose process may hold keys.
+/// Content of a slot whose process may hold keys, or may have held keys when it exited.
 const SLOT_IN_USE: u8 = b'1';
-/// Content of a slot whose process ended without holding a key.
+/// Content of a slot whose process held no key when it exited.
 const SLOT_EXITED_CLEANLY: u8 = b'0';
 
-/// Why the lock file cannot be used.
+/// An error while opening the lock file and locking a process slot.
 #[derive(Debug, Error)]
 pub(crate) enum OrderLockError {
     /// The file cannot be opened, read, written or locked.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// Every process slot is locked by a running process.
-    #[error("all {PROCESS_SLOTS} process slots are taken")]
+    #[error("all {PROCESS_SLOTS} process slots are locked by running processes")]
     NoFreeSlot,
 }
 
-/// The lock file, with this process's slot locked.
+/// The open lock file. The slot of this process is locked.
 struct OrderLockFile {
     file: File,
     own_slot: i64,
-    /// Keys that this process has locked.
+    /// Number of keys that this process has locked.
     locked_keys: usize,
-    /// Slots whose processes had ended with keys before this one started. They are marked as ended cleanly when this
-    /// process ends, as every other running process has noticed them by then.
+    /// Slots whose processes exited before this one started and may have held keys at their exit.
+    /// This process marks the slots as exited cleanly at its own exit, because every other running
+    /// process has detected those exits by then.
     earlier_exits_with_keys: PeerProcesses,
     metrics: Arc<Metrics>,
 }
@@ -87,14 +91,14 @@
             earlier_exits_with_keys: 0,
             metrics,
         };
-        // This process's own slot counts as free: what its former owner left has to be noticed as well.
+        // The own slot counts as free: its former process may have exited with keys as well.
         let free_slots = !locks.live_peers();
         locks.earlier_exits_with_keys = locks.slots_exited_with_keys(free_slots);
         locks.file.write_all_at(&[SLOT_IN_USE], own_slot as u64)?;
         Ok(locks)
     }
 
-    /// Those of these slots whose last process may have held a key at its end.
+    /// Returns those of the given slots whose last process may have held a key when it exited.
     fn slots_exited_with_keys(&self, slots: PeerProcesses) -> PeerProcesses {
         let mut contents = [SLOT_UNUSED; PROCESS_SLOTS as usize];
         let bytes_read = self.file.read_at(&mut contents, 0).unwrap_or_default();
@@ -107,8 +111,9 @@
             .sum()
     }
 
-    /// Adds to `locked_slots` the slots from `first` up to `end` that other processes have locked. The system reports one lock
-    /// within a range at a time, so the parts on either side of it are searched again.
+    /// Adds the slots that other processes have locked to `locked_slots`, from `first` up to, but
+    /// not including, `end`. The operating system reports one lock of a range at a time, so the
+    /// ranges before and after a reported lock are searched recursively.
     fn add_slots_locked_by_others(&self, first: i64, end: i64, locked_slots: &mut PeerProcesses) {
         if first >= end {
             return;
@@ -126,8 +131,8 @@
         }
     }
 
-    /// Marks a slot as ended cleanly. Where that fails, the slot keeps its content, and others wait longer than needed
-    /// before they use its keys.
+    /// Marks a slot as exited cleanly. If the write fails, the slot keeps its content, and other
+    /// processes wait longer than necessary before they use the keys of the exited process.
     fn mark_exited_cleanly(&self, slot: i64) {
         let _ = self.file.write_all_at(&[SLOT_EXITED_CLEANLY], slot as u64);
     }
@@ -135,7 +140,8 @@
 
 impl OrderLocks for OrderLockFile {
     fn try_lock(&mut self, key: OrderKey) -> bool {
-        // Where the system cannot keep a further lock, requests continue as without a shared folder.
+        // If the operating system cannot store another lock, the request continues without one, as
+        // it does without a shared folder.
         let locked = set_byte_lock(&self.file, libc::F_WRLCK, key_byte(key)).unwrap_or_else(|_| {
             self.metrics.state_errors.increment();
             true
@@ -172,7 +178,7 @@
             .filter(|slot| contains_slot(self.earlier_exits_with_keys, *slot))
             .filter(|slot| *slot != self.own_slot);
         for slot in slots_to_mark {
-            // A slot that is locked belongs to a running process by now.
+            // If the lock is not granted, a running process has taken the slot in the meantime.
             if matches!(set_byte_lock(&self.file, libc::F_WRLCK, slot), Ok(true)) {
                 self.mark_exited_cleanly(slot);
             }
@@ -183,7 +189,8 @@
     }
 }
 
-/// Locks the first free slot, counted from the one of the process id.
+/// Locks the first free slot and returns its number. The search starts at the slot that the process
+/// id selects.
 fn claim_process_slot(file: &File) -> Result<i64, OrderLockError> {
     let first = i64::from(std::process::id()) % PROCESS_SLOTS;
     for offset in 0..PROCESS_SLOTS {
@@ -195,16 +202,19 @@
     Err(OrderLockError::NoFreeSlot)
 }
 
+/// Returns true if the bit of this slot is set.
 fn contains_slot(slots: PeerProcesses, slot: i64) -> bool {
     slots >> slot & 1 == 1
 }
 
-/// The byte that stands for a key. Keys that share a byte are run one after the other as well.
+/// Returns the offset of the byte that is locked for a key. Two keys with the same byte share one
+/// lock, so their requests do not run at the same time.
 fn key_byte(key: OrderKey) -> i64 {
     PROCESS_SLOTS + (key.get() >> 2) as i64
 }
 
-/// Sets or ends a lock on one byte; false where another process holds it.
+/// Sets (`F_WRLCK`) or releases (`F_UNLCK`) the lock on one byte. Returns false if another process
+/// holds the lock.
 fn set_byte_lock(file: &File, lock_type: libc::c_int, byte: i64) -> io::Result<bool> {
     match fcntl(
         file,
@@ -216,7 +226,7 @@
     }
 }
 
-/// A lock of this type on `length` bytes from `first` on.
+/// Describes a lock of this type on `length` bytes, starting at the offset `first`.
 fn byte_range_lock(lock_type: libc::c_int, first: i64, length: i64) -> libc::flock {
     libc::flock {
         l_type: lock_type as libc::c_short,
--- a/src/hot_restart/order_lock_file/tests.rs
+++ b/src/hot_restart/order_lock_file/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the lock file. Each open file stands for a process, as locks belong to the open file description.
+//! Tests of the lock file of the order keys. Each open file represents one process, because the
+//! locks belong to the open file description.
 
 use super::*;
 use std::fs;
@@ -17,8 +18,8 @@
     OrderLockFile::open(path, Arc::default()).expect("locks")
 }
 
-fn key(n: u8) -> OrderKey {
-    OrderKey::new(&[n])
+fn key(number: u8) -> OrderKey {
+    OrderKey::new(&[number])
 }
 
 #[test]
@@ -32,7 +33,7 @@
     let _ = fs::remove_file(&path);
 }
 
-/// Many keys take one descriptor and no space in the file.
+/// Any number of locked keys needs one descriptor and no space in the file.
 #[test]
 fn a_thousand_locked_keys_take_no_space_in_the_file() {
     let path = lock_file_path("small");
@@ -49,7 +50,7 @@
 
 #[test]
 fn peers_detect_a_process_that_exits_with_a_locked_key() {
-    let path = lock_file_path("ends");
+    let path = lock_file_path("exit");
     let mut old = open_locks(&path);
     assert_eq!(old.live_peers(), 0);
     let (mut new, mut third) = (open_locks(&path), open_locks(&path));
@@ -60,7 +61,10 @@
     old.unlock(key(1));
     drop(old);
     assert_eq!(third.live_peers(), slots[1]);
-    assert!(third.may_have_held_keys_at_exit(slots[0]), "it held a key");
+    assert!(
+        third.may_have_held_keys_at_exit(slots[0]),
+        "the process held a key when it exited"
+    );
     assert!(new.try_lock(key(2)), "the key is free");
     new.unlock(key(2));
     drop(new);
@@ -72,7 +76,8 @@
     let _ = fs::remove_file(&path);
 }
 
-/// A process that starts after a kill notices it, unless another process has ended gracefully since.
+/// A process that starts after a kill detects the exit with a locked key, until a process that was
+/// started after the kill has exited gracefully.
 #[test]
 fn an_earlier_exit_with_a_locked_key_is_detected_until_a_clean_exit() {
     let path = lock_file_path("kill");
@@ -81,7 +86,7 @@
     let peer = open_locks(&path);
     assert!(
         !peer.earlier_process_may_have_held_keys(),
-        "the first one is running"
+        "the first process is running"
     );
     drop(first);
     let second = open_locks(&path);
@@ -91,10 +96,11 @@
     let _ = fs::remove_file(&path);
 }
 
-/// A slot with unknown content counts as an end with keys; a file that is too long does no harm.
+/// A slot with unknown content counts as the exit of a process with locked keys. A file that is
+/// longer than its slots is harmless.
 #[test]
 fn unknown_slot_content_counts_as_an_exit_with_keys() {
-    let path = lock_file_path("spoilt");
+    let path = lock_file_path("unknown-content");
     fs::write(&path, "?".repeat(1000)).expect("file");
     let mut locks = open_locks(&path);
     let unused = (0..PROCESS_SLOTS)
@@ -111,7 +117,7 @@
 
 #[test]
 fn opening_fails_when_every_slot_is_locked() {
-    let path = lock_file_path("places");
+    let path = lock_file_path("slots");
     let mut all: Vec<OrderLockFile> = (0..PROCESS_SLOTS).map(|_| open_locks(&path)).collect();
     assert!(OrderLockFile::open(&path, Arc::default()).is_err());
     assert_eq!(all[0].live_peers().count_ones(), PeerProcesses::BITS - 1);
--- a/src/hot_restart/peer_process.rs
+++ b/src/hot_restart/peer_process.rs
@@ -1,7 +1,7 @@
-//! Detection of the peer process, by file locks.
+//! Detection of the peer process by file locks.
 //!
-//! Each process locks one of two slot files for as long as it lives; the system releases the lock however the process
-//! ends. The peer is running while the other slot is locked.
+//! Each process keeps one of two slot files locked until it exits; the operating system releases
+//! the lock however the process exits. While the other slot file is locked, the peer is running.
 
 use super::shared_file;
 use crate::limits::Limits;
@@ -10,23 +10,24 @@
 use std::path::Path;
 use tokio::time::sleep;
 
-/// Extensions of the slot files: at most two processes take part in a hot restart.
+/// File name extensions of the slot files. At most two processes take part in a hot restart.
 const SLOT_FILE_EXTENSIONS: [&str; 2] = ["place-0", "place-1"];
 
-/// This process's slot, and the one in which its peer is looked for.
+/// The slot files of this process and of its peer.
 pub(super) struct PeerDetector {
-    /// Locked while this process lives.
+    /// Locked until this process exits. `None` if no slot could be locked.
     _own_slot: Option<File>,
-    /// The other slot; `None` where both were locked already, so that other processes are certainly running.
+    /// The other slot file. `None` if both were already locked: then other processes are certainly
+    /// running.
     peer_slot: Option<File>,
 }
 
 impl PeerDetector {
-    /// Opens the slot files and locks a free one.
+    /// Opens the slot files and locks one that is free.
     ///
     /// # Errors
     ///
-    /// A slot file cannot be opened or created.
+    /// Returns an error if a slot file cannot be opened or created.
     pub(super) async fn open(folder: &Path, name: &str, limits: &Limits) -> io::Result<Self> {
         let mut slots = Vec::with_capacity(SLOT_FILE_EXTENSIONS.len());
         for extension in SLOT_FILE_EXTENSIONS {
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Whether another process of this workload manager is running.
+    /// Returns true if another process of this workload manager is running.
     pub(super) fn peer_is_running(&self) -> bool {
         let Some(peer_slot) = &self.peer_slot else {
             return true;
@@ -56,8 +57,8 @@
     }
 }
 
-/// Locks one of the slots and takes it out of the list. Retries, as a running peer locks the free slot for a moment
-/// whenever it looks for this process.
+/// Locks one of the slot files and removes it from the list. Retries, because a running peer
+/// briefly locks the free slot file each time it checks whether this process is running.
 async fn claim_process_slot(slots: &mut Vec<File>, limits: &Limits) -> Option<File> {
     for _ in 0..limits.state_lock_attempts {
         let free_index = slots.iter().position(|slot| slot.try_lock().is_ok());
@@ -69,7 +70,7 @@
     None
 }
 
-/// Opens a file that serves only as a lock, and creates it where it is missing.
+/// Opens a file that is used only as a lock. Creates it if it does not exist.
 pub(super) fn open_for_locking(path: &Path) -> io::Result<File> {
     File::options()
         .create(true)
--- a/src/hot_restart/peer_sync.rs
+++ b/src/hot_restart/peer_sync.rs
@@ -1,5 +1,5 @@
-//! The actor that keeps this process and its peer in agreement: it records this process's manual ejections, and passes
-//! the peer's ejections, start and end to the core.
+//! The actor that exchanges state with the peer process. It records the manual ejections of this
+//! process, and reports to the core the peer's manual ejections and whether the peer is running.
 
 use super::state_store::StateStore;
 use super::stored_state::ManualEjection;
@@ -11,26 +11,27 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// This process's capacity is one part in so many while the peer that it replaces is running. The old process stops
-/// accepting as soon as the successor is ready and its load on warming engines falls from then on, so the successor
-/// has nearly all new requests.
+/// While both processes run, the successor divides its budget on engines that are warming up by
+/// this number, so it uses three quarters of the budget. The old process stops accepting requests
+/// as soon as the successor is ready, and its load on these engines falls from then on, so the
+/// successor receives nearly all new requests.
 const SUCCESSOR_CAPACITY_DIVISOR: f64 = 4.0 / 3.0;
 
-/// The same for the process that is being replaced.
+/// The divisor of the process that is being replaced: it uses one quarter of the budget.
 const PREDECESSOR_CAPACITY_DIVISOR: f64 = 4.0;
 
-/// The divisor of a process that has no peer.
+/// The divisor of a process without a running peer.
 const SOLE_CAPACITY_DIVISOR: f64 = 1.0;
 
-/// A manual ejection to be recorded.
+/// A request to record a manual ejection, or the return of an engine to service.
 pub(crate) struct RecordRequest {
     engine: EngineId,
     ejection: ManualEjection,
-    /// Notified once it is written.
+    /// Notified when the store has tried to write the ejection.
     done: oneshot::Sender<()>,
 }
 
-/// The actor. It owns the store and reports to the core.
+/// The actor that exchanges state with the peer process. It owns the store and reports to the core.
 pub(crate) struct PeerSync {
     store: StateStore,
     core: Handle,
@@ -38,7 +39,8 @@
 }
 
 impl PeerSync {
-    /// An actor on this store. It does nothing before [`PeerSync::synchronize`] or [`PeerSync::run`].
+    /// Creates the actor. It does nothing before [`PeerSync::synchronize`] or [`PeerSync::run`] is
+    /// called.
     pub(crate) fn new(store: StateStore, core: Handle, limits: Arc<Limits>) -> Self {
         PeerSync {
             store,
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Records what arrives and looks for changes of the peer, until the program ends.
+    /// Records the manual ejections that are requested and polls for changes of the peer, until the
+    /// program exits.
     pub(crate) async fn run(mut self, mut requests: mpsc::Receiver<RecordRequest>) {
         let mut poll_timer = interval(self.limits.state_poll_interval);
         poll_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -66,18 +69,19 @@
             done,
         } = request;
         self.store.record(engine, ejection).await;
-        // The caller may have given up waiting.
+        // The send fails if the caller has stopped waiting, which is harmless.
         let _ = done.send(());
     }
 
-    /// Passes to the core what has changed at the peer since the last call.
+    /// Reports to the core what the peer process has changed since the last call. Also retries a
+    /// failed write of the stored state.
     pub(crate) async fn synchronize(&mut self) {
         self.report_peer_presence().await;
         self.store.retry_failed_write(self.core.now()).await;
         for (engine, ejection) in self.store.take_peer_changes(self.core.now()) {
             let decision_time_ms = ejection.decided_at_ms;
-            // An engine that was returned to service begins with slow start. The core starts that where an ejected
-            // engine returns, so it is ejected first.
+            // An engine that is returned to service begins with slow start. The core applies slow
+            // start only to an engine that was ejected, so the engine is ejected first.
             if !ejection.ejected {
                 self.core
                     .set_manual_ejection(engine, true, decision_time_ms, true)
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Reports the start or the end of the peer process.
+    /// Reports to the core that the peer process has started or ended.
     async fn report_peer_presence(&self) {
         let running = self.store.peer_is_running();
         let was_running = self.limits.set_peer_process(running);
@@ -105,6 +109,7 @@
         tracing::info!("peer process {change}");
     }
 
+    /// Returns the divisor of this process's budget on engines that are warming up.
     fn capacity_divisor(&self, peer_is_running: bool) -> f64 {
         if !peer_is_running {
             SOLE_CAPACITY_DIVISOR
@@ -124,7 +129,8 @@
 }
 
 impl StateWriter {
-    /// A writer, and the mailbox to hand to [`PeerSync::run`]. Where the mailbox is dropped, nothing is recorded.
+    /// Creates a writer and the mailbox for [`PeerSync::run`]. If the mailbox is dropped, manual
+    /// ejections are not recorded.
     pub(crate) fn new(limits: &Limits) -> (StateWriter, mpsc::Receiver<RecordRequest>) {
         let (requests, mailbox) = mpsc::channel(limits.admin_connections);
         let writer = StateWriter {
@@ -134,8 +140,9 @@
         (writer, mailbox)
     }
 
-    /// Records a manual ejection and waits until it is written. Without a shared folder, or where writing takes too
-    /// long, it holds for this process alone.
+    /// Records a manual ejection and waits until it is written, up to the write timeout. Without a
+    /// shared folder, or if the write takes too long, the method returns all the same, and the
+    /// ejection may apply to this process only.
     pub(crate) async fn record(&self, engine: EngineId, ejection: ManualEjection) {
         let _ = timeout(self.write_timeout, self.send(engine, ejection)).await;
     }
--- a/src/hot_restart/state_store.rs
+++ b/src/hot_restart/state_store.rs
@@ -1,4 +1,5 @@
-//! The store of manual ejections: what this process knows, kept equal to the stored state file.
+//! The store of manual ejections: the decisions known to this process, synchronized with the stored
+//! state file.
 
 use super::peer_process::{PeerDetector, open_for_locking};
 use super::shared_file;
@@ -15,36 +16,41 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// Decisions of two processes differ by less than this from their order, in ms, as both read the clock of one machine.
-/// Where they differ by more, the clock was stepped between the starts of the processes.
+/// Both processes read the clock of one machine. If a new decision has a time that is earlier than
+/// the previous decision's by more than this, in ms, the wall clock was stepped back between the
+/// starts of the two processes.
 const MAX_CLOCK_SKEW_MS: Millis = 1000.0;
 
-/// A decision may lie this far in the future, in ms: the clock was stepped back. What lies further is no time.
+/// The time of a stored decision may be this far in the future, in ms, because the wall clock may
+/// have been stepped back. A later time is invalid.
 const MAX_CLOCK_STEP_MS: Millis = 86_400_000.0;
 
-/// By how much a decision follows the one before it where the clock cannot tell, in ms.
+/// After a backward step of the wall clock, a new decision gets the previous decision's time plus
+/// this, in ms.
 const DECISION_STEP_MS: Millis = 1.0;
 
-/// The manual ejections of this workload manager, shared with the peer process by a file.
+/// The manual ejections of this workload manager, shared with the peer process through a file.
 pub(crate) struct StateStore {
     state_path: PathBuf,
-    /// Locked while a process replaces the state file.
+    /// The lock file that a process keeps locked while it replaces the state file.
     write_lock: File,
     peer: PeerDetector,
-    /// A peer was running when this process started.
+    /// Whether a peer was running when this process started.
     is_successor: bool,
+    /// The last decision on each engine.
     ejections: BTreeMap<EngineId, ManualEjection>,
-    /// Decisions read from the file that have not been passed on yet.
+    /// Decisions read from the file that [`StateStore::take_peer_changes`] has not returned yet.
     peer_changes: Vec<(EngineId, ManualEjection)>,
-    /// A decision could not be written. It is owed to the peer and to the next start, so writing is tried again.
+    /// Whether the last write failed. The peer and the next start need the decisions, so the write
+    /// is retried.
     write_failed: bool,
-    /// The state file as it was when it was last read.
+    /// The fingerprint of the state file when it was last read.
     last_read: Option<FileFingerprint>,
     limits: Arc<Limits>,
     metrics: Arc<Metrics>,
 }
 
-/// What tells one content of a file from another without reading it.
+/// File metadata that shows whether the content of a file has changed, without reading it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileFingerprint {
     inode: u64,
@@ -65,11 +71,12 @@
 }
 
 impl StateStore {
-    /// Opens the store of the workload manager `name` in the shared folder and locks a process slot.
+    /// Opens the store of the workload manager `name` in the shared folder and locks a process
+    /// slot.
     ///
     /// # Errors
     ///
-    /// One of the lock files cannot be opened.
+    /// Returns an error if one of the lock files cannot be opened.
     pub(crate) async fn open(
         folder: &Path,
         name: &str,
@@ -93,30 +100,30 @@
         })
     }
 
-    /// Whether another process of this workload manager is running.
+    /// Returns true if another process of this workload manager is running.
     pub(crate) fn peer_is_running(&self) -> bool {
         self.peer.peer_is_running()
     }
 
-    /// Whether a peer was running when this process started.
+    /// Returns true if a peer was running when this process started.
     pub(super) fn is_successor(&self) -> bool {
         self.is_successor
     }
 
-    /// The counters of this process.
+    /// The metrics of this process.
     pub(super) fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The decisions that the peer process recorded since the last call.
-    #[must_use = "the changes are handed out once"]
+    /// Returns the decisions that the peer process has recorded since the last call.
+    #[must_use = "each change is returned only once"]
     pub(super) fn take_peer_changes(&mut self, now: Millis) -> Vec<(EngineId, ManualEjection)> {
         self.refresh(now);
         std::mem::take(&mut self.peer_changes)
     }
 
-    /// Reads the state file if it has changed. Whatever it holds, the program continues: a file that cannot be used is
-    /// counted and ignored.
+    /// Reads the state file if it has changed. A file that cannot be used is counted as a state
+    /// error and ignored, so that no content of the file can stop the program.
     fn refresh(&mut self, now: Millis) {
         let Ok(metadata) = fs::metadata(&self.state_path) else {
             return;
@@ -131,8 +138,9 @@
         }
     }
 
-    /// Takes over the stored decisions that are newer than the known ones. A time that no step of the clock explains is
-    /// refused.
+    /// Adopts the stored decisions that are newer than the known ones. A decision is counted as a
+    /// state error and ignored if its engine id is invalid or its time is further in the future
+    /// than a clock step explains.
     fn merge(&mut self, stored: StoredState, now: Millis) {
         for (id, ejection) in stored.ejections {
             let is_plausible = (0.0..=now + MAX_CLOCK_STEP_MS).contains(&ejection.decided_at_ms);
@@ -148,9 +156,10 @@
         }
     }
 
-    /// Records one more decision, together with what the peer process has recorded.
+    /// Records one decision and writes it together with the decisions of the peer process.
     pub(super) async fn record(&mut self, engine: EngineId, ejection: ManualEjection) {
-        // Without the lock the decision is written all the same: a lost update of the peer is the lesser harm.
+        // The decision is written even if the lock cannot be taken: to lose an update of the peer
+        // is less harmful than not to record this decision.
         let ejection = self.with_ordered_time(engine, ejection);
         let lock_held = self.lock_for_writing().await;
         self.refresh(ejection.decided_at_ms);
@@ -162,7 +171,7 @@
         }
     }
 
-    /// Writes what could not be written before, if there is anything.
+    /// Writes the state again if the last write failed.
     pub(super) async fn retry_failed_write(&mut self, now: Millis) {
         if !self.write_failed {
             return;
@@ -175,8 +184,9 @@
         }
     }
 
-    /// The decision with a time after the one that it follows. A time far before that was read off a clock that was
-    /// stepped back since the other process started.
+    /// Returns the decision with a corrected time if the wall clock was stepped back: a time far
+    /// before the engine's previous decision was read after the clock was stepped back since the
+    /// other process started. The corrected time is just after the previous decision.
     fn with_ordered_time(&self, engine: EngineId, ejection: ManualEjection) -> ManualEjection {
         let previous_ms = self
             .ejections
@@ -193,7 +203,7 @@
         }
     }
 
-    /// Writes the state. The first of several failures in a row is logged.
+    /// Writes the state. Of several failures in a row, only the first is counted and logged.
     fn write_and_log_failure(&mut self) {
         let written = self.write();
         let failed_before = std::mem::replace(&mut self.write_failed, written.is_err());
@@ -203,11 +213,12 @@
         if !failed_before {
             self.metrics.state_errors.increment();
             let path = self.state_path.display();
-            tracing::warn!(%path, %error, "cannot write the stored state, trying again");
+            tracing::warn!(%path, %error, "cannot write the stored state; the write is retried at the next poll");
         }
     }
 
-    /// Locks the state file against the peer's writes; false where the peer keeps it locked for too long.
+    /// Takes the write lock of the state file. Returns false if the peer still holds it after all
+    /// attempts.
     async fn lock_for_writing(&self) -> bool {
         for _ in 0..self.limits.state_lock_attempts {
             if self.write_lock.try_lock().is_ok() {
@@ -218,14 +229,15 @@
         false
     }
 
-    /// Drops engines that were returned to service longer ago than a successor needs to know. This also bounds the
-    /// file's size.
+    /// Removes the engines that were returned to service longer ago than the retention period; a
+    /// successor no longer needs them. This also bounds the size of the file.
     fn remove_expired_returns(&mut self, now: Millis) {
         let retention_ms = self.limits.state_retention.as_secs_f64() * 1000.0;
         self.ejections
             .retain(|_, ejection| ejection.ejected || now - ejection.decided_at_ms < retention_ms);
     }
 
+    /// Replaces the state file with the known decisions.
     fn write(&self) -> io::Result<()> {
         let ejections = self
             .ejections
--- a/src/hot_restart/stored_state.rs
+++ b/src/hot_restart/stored_state.rs
@@ -1,4 +1,4 @@
-//! The stored state file: its JSON form, and how it is read and replaced.
+//! The stored state file: its JSON format, and how it is read and replaced.
 
 use crate::decision::Millis;
 use serde::{Deserialize, Serialize};
@@ -8,22 +8,23 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Version of the file's form; a file of another version is not used.
+/// Version of the file format. A file of another version is ignored.
 const FORMAT_VERSION: u32 = 1;
 
-/// The content of the file.
+/// The content of the stored state file.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct StoredState {
     version: u32,
-    /// The last manual ejection or return of each engine, by the engine's id as text.
+    /// The last decision on each engine: its manual ejection or its return to service. The keys are
+    /// engine ids as text.
     #[serde(rename = "engines")]
     pub(super) ejections: BTreeMap<String, ManualEjection>,
 }
 
-/// The last decision of on-call staff on one engine.
+/// The last decision of the on-call staff about one engine.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct ManualEjection {
-    /// True where the engine was ejected, false where it was returned to service.
+    /// True if the engine was ejected, false if it was returned to service.
     #[serde(rename = "out")]
     pub(crate) ejected: bool,
     /// Time of the decision, in Unix ms.
@@ -31,7 +32,7 @@
     pub(crate) decided_at_ms: Millis,
 }
 
-/// Why a stored state file cannot be used.
+/// An error while reading a stored state file.
 #[derive(Debug, Error)]
 pub(super) enum StoredStateError {
     /// The file cannot be read.
@@ -40,13 +41,13 @@
     /// The file is larger than the limit.
     #[error("the stored state has more than {max_bytes} bytes")]
     TooLarge {
-        /// The limit.
+        /// The limit, in bytes.
         max_bytes: u64,
     },
-    /// The file is not JSON of the expected form.
+    /// The file is not JSON of the expected structure.
     #[error("the stored state is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The file was written in another form.
+    /// The file has another format version.
     #[error("the stored state has version {found}, expected {FORMAT_VERSION}")]
     UnknownVersion {
         /// The version in the file.
@@ -55,7 +56,7 @@
 }
 
 impl StoredState {
-    /// A state of the current version.
+    /// Creates a state of the current format version.
     pub(super) fn new(ejections: BTreeMap<String, ManualEjection>) -> Self {
         StoredState {
             version: FORMAT_VERSION,
@@ -63,14 +64,15 @@
         }
     }
 
-    /// Reads a file of at most `max_bytes`.
+    /// Reads the file. A file of more than `max_bytes` is an error.
     ///
     /// # Errors
     ///
     /// See [`StoredStateError`].
     pub(super) fn read(path: &Path, max_bytes: u64) -> Result<Self, StoredStateError> {
         let mut text = Vec::new();
-        // One byte more than allowed tells a file that is too large from one that just fits.
+        // One byte more than the limit is read, so that a file of exactly the limit is
+        // distinguished from a larger one.
         File::open(path)?
             .take(max_bytes + 1)
             .read_to_end(&mut text)?;
@@ -86,11 +88,12 @@
         Ok(state)
     }
 
-    /// Replaces the file in one step: a reader, or a start after a kill, finds either the old content or the new.
+    /// Replaces the file atomically: a reader, or a process that starts after a kill, finds either
+    /// the old content or the new content.
     ///
     /// # Errors
     ///
-    /// The temporary file cannot be written or renamed.
+    /// Returns an error if the temporary file cannot be written or renamed.
     pub(super) fn replace(&self, path: &Path) -> io::Result<()> {
         let text = serde_json::to_vec(self)?;
         let temporary_path = path.with_extension("next");
--- a/src/hot_restart/tests.rs
+++ b/src/hot_restart/tests.rs
@@ -43,7 +43,8 @@
     (engine_id(engine), ejection(ejected, decided_at_ms))
 }
 
-/// Two processes see each other for as long as both live, and the later decision wins whichever process took it.
+/// Two processes detect each other while both run. The later decision wins, whichever process
+/// recorded it.
 #[test]
 fn two_processes_exchange_ejections_and_the_latest_decision_wins() {
     let folder = empty_folder("two");
@@ -75,8 +76,8 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// A successor that started after the clock was stepped back knows the ejections of the old process, and its own decisions
-/// win although their times are earlier.
+/// After a backward step of the wall clock, a successor still adopts the ejections of the old
+/// process. The successor's own decisions win, although the clock gives them earlier times.
 #[test]
 fn decisions_keep_their_order_after_a_backward_clock_step() {
     const HOUR_MS: f64 = 3_600_000.0;
@@ -100,20 +101,24 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// A decision that cannot be written for a while is written once that is possible again.
+/// A decision whose write failed is written at a retry, once the write succeeds.
 #[test]
 fn a_failed_write_of_a_decision_is_retried() {
     let folder = empty_folder("unwritable");
     let metrics: Arc<Metrics> = Arc::default();
     run_async(async {
         let mut store = open_store(&folder, &metrics).await;
-        // A folder stands where the file is to be written first.
-        let obstacle = folder.join("magpiechute-n1.next");
-        fs::create_dir(&obstacle).expect("folder");
+        // A folder with the path of the temporary file makes the write fail.
+        let blocking_folder = folder.join("magpiechute-n1.next");
+        fs::create_dir(&blocking_folder).expect("folder");
         store.record(engine_id(1), ejection(true, 100.0)).await;
         store.retry_failed_write(150.0).await;
-        assert_eq!(metrics.state_errors.get(), 1, "one failure in a row");
-        fs::remove_dir(&obstacle).expect("no folder");
+        assert_eq!(
+            metrics.state_errors.get(),
+            1,
+            "of several failures in a row, one is counted"
+        );
+        fs::remove_dir(&blocking_folder).expect("folder is removed");
         store.retry_failed_write(200.0).await;
         let mut successor = open_store(&folder, &metrics).await;
         assert_eq!(successor.take_peer_changes(300.0), [change(1, true, 100.0)]);
@@ -121,7 +126,7 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// A damaged file does not stop a start, and its sound records are used.
+/// A damaged file does not prevent a start, and its valid records are used.
 #[rstest]
 #[case::not_json("noise", "\u{1}\u{2}", 0)]
 #[case::truncated("cut", r#"{"version":1,"engines":{"s-00000001":{"out":tr"#, 0)]
@@ -159,7 +164,7 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// The text of a file as the versions before and after the renames write it.
+/// The text of a stored state file, which the previous version and this version write alike.
 const STORED_TEXT: &str = r#"{"version":1,"engines":{"s-00000001":{"out":true,"at":1796200000123.0},"s-0000000a":{"out":false,"at":1796200000456.5}}}"#;
 
 #[test]
