--- a/src/node.rs
+++ b/src/node.rs
@@ -1,8 +1,8 @@
-//! One running workload manager.
+//! A node: one running workload manager.
 //!
-//! A [`Node`] is the handle on everything that runs: it reloads the configuration and shuts down. [`startup`] opens the
-//! sockets and starts the actors, [`reload`] puts a new configuration in force, [`shutdown`] ends the node. `main` and
-//! the tests are its callers.
+//! [`Node`] is the handle that `main` and the tests use to start, reload and shut down a workload
+//! manager. [`startup`] opens the sockets and starts the actors, [`reload`] applies a new
+//! configuration, and [`shutdown`] ends the node gracefully.
 
 mod reload;
 mod shutdown;
@@ -33,31 +33,35 @@
     pub listen: SocketAddr,
     /// The address at which Flight SQL clients connect, if that front end is on.
     pub flight: Option<SocketAddr>,
-    /// The address of the SNMP agent, if it is on.
+    /// The address of the SNMP agent, if the agent is on.
     pub snmp: Option<SocketAddr>,
     /// The admin address, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The counters.
+    /// The metrics of this workload manager.
     pub metrics: Arc<Metrics>,
     limits: Arc<Limits>,
+    /// The settings at the start that a reload cannot change.
     start_only_settings: StartOnlySettings,
     /// The configuration in force, as the JSON values of its file.
     config_values: Mutex<Value>,
+    /// The platform's settings in force, sent to the actors that follow them.
     current_settings: watch::Sender<Arc<PlatformSettings>>,
-    /// The operators' file, read again with each reload.
+    /// The path of the operators' file, which is read again at each reload.
     operator_file: Option<PathBuf>,
     /// The retry policy in force, shared with the admin server.
     policy: Arc<Mutex<Arc<Policy>>>,
+    /// The address of the discovery feed, sent to its follower.
     feed_sender: watch::Sender<SocketAddr>,
     lifecycle: Arc<Lifecycle>,
     core: Handle,
-    /// The platform owns the listening socket: clients that connect during a shutdown wait there for a successor, which
-    /// may be ready before this process notices it.
+    /// Whether the listening socket belongs to the platform and was inherited from it. Clients that
+    /// connect during a shutdown then wait in the socket's queue for a successor process, which may
+    /// be ready before this process detects it.
     listener_is_inherited: bool,
 }
 
 impl Node {
-    /// Starts everything that the configuration and the operators' file name.
+    /// Starts a node with this configuration and these settings of the operators' file.
     ///
     /// # Errors
     ///
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,4 +1,5 @@
-//! Reload of the configuration: checks a new one completely, then puts it in force in one step or refuses it.
+//! Reload of the configuration. A new configuration is checked completely; it is then either
+//! applied in one step or rejected.
 
 use super::Node;
 use crate::core::CoreMessage;
@@ -10,14 +11,15 @@
 use std::sync::{Arc, PoisonError};
 use thiserror::Error;
 
-/// Why a reload is refused.
+/// The reason why a reload is rejected.
 #[derive(Debug, Error)]
 enum ReloadError {
     /// The configuration cannot be read or used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A key of the configuration in force is missing in the new one. At a start it would have a default, but here the
-    /// default would replace a value without notice.
+    /// The new configuration lacks a key that the configuration in force has. At a start the key
+    /// would get its default, but at a reload the default would silently replace the value in
+    /// force.
     #[error("configuration: {0} is missing")]
     MissingKey(String),
     /// The operators' file cannot be used with the new settings.
@@ -25,7 +27,7 @@
     OperatorFile(#[from] Faults),
 }
 
-/// The settings that only a start can change.
+/// The settings that only a restart can change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StartOnlySettings {
     listen: SocketAddr,
@@ -34,6 +36,7 @@
 }
 
 impl StartOnlySettings {
+    /// Returns these settings of a configuration.
     pub(super) fn from_config(config: &NodeConfig) -> Self {
         StartOnlySettings {
             listen: config.listen,
@@ -42,7 +45,7 @@
         }
     }
 
-    /// The names of the settings that differ from those of the new configuration.
+    /// Returns the names of the settings that the new configuration changes.
     fn changed_names(&self, config: &NodeConfig) -> impl Iterator<Item = &'static str> {
         let new = StartOnlySettings::from_config(config);
         let limit_settings = |settings: &Self| (settings.max_descriptors, settings.memory_mb);
@@ -54,7 +57,8 @@
     }
 }
 
-/// Whether two settings differ in what connections and limits were set up with at the start.
+/// Returns true if the settings differ in a value that connections and limits use only at the
+/// start.
 fn connection_settings_differ(old: &PlatformSettings, new: &PlatformSettings) -> bool {
     let connection_settings = |settings: &PlatformSettings| {
         (
@@ -69,9 +73,10 @@
 }
 
 impl Node {
-    /// Puts a new configuration in force, or keeps the old one where the new one cannot be used. Connections, requests
-    /// and engines stay: the settings and the discovery feed's address may change while the program runs. The events
-    /// in the configuration are those of its start and are not used; the feed announces changes under its own numbers.
+    /// Applies a new configuration, or keeps the old one if the new one cannot be used. A reload
+    /// can change the settings and the address of the discovery feed; connections, requests and
+    /// engines stay. The events in the configuration date from the start of the process and are not
+    /// used: the feed announces changes under its own event numbers.
     pub async fn reload(&self, config: Result<NodeConfig, ConfigError>) {
         let checked = config
             .map_err(ReloadError::from)
@@ -98,20 +103,24 @@
         tracing::info!(feed = %config.feed, "reload complete");
     }
 
+    /// Logs a warning for each changed setting that takes effect only at the next start.
     fn warn_of_start_only_changes(&self, old_settings: &PlatformSettings, config: &NodeConfig) {
         let connections = connection_settings_differ(old_settings, &config.settings)
-            .then_some("settings of connections");
+            .then_some("connection settings");
         for setting in self
             .start_only_settings
             .changed_names(config)
             .chain(connections)
         {
-            tracing::warn!(setting, "a changed setting takes effect at the next start");
+            tracing::warn!(
+                setting,
+                "the changed setting takes effect only at the next start"
+            );
         }
     }
 
-    /// Checks a new configuration together with the operators' file; both are used or neither. Returns it with the
-    /// retry policy of that file.
+    /// Checks a new configuration and the operators' file together: either both are used or
+    /// neither. Returns the configuration and the retry policy of the operators' file.
     fn check_reload(&self, config: NodeConfig) -> Result<(NodeConfig, Arc<Policy>), ReloadError> {
         let missing_key = config.missing_key(
             &self
@@ -138,8 +147,9 @@
         }
     }
 
-    /// Replaces settings and policy in one step. The core's mailbox slot is reserved first and nothing is awaited after
-    /// that, so a request is handled under the old ones by front ends and core alike, or under the new ones by both.
+    /// Replaces the settings and the retry policy in one step. A slot in the core's mailbox is
+    /// reserved first, and nothing is awaited after that. The front ends and the core therefore
+    /// handle any request under the same settings and policy, either the old or the new ones.
     async fn apply_settings(
         &self,
         old: &PlatformSettings,
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -1,24 +1,25 @@
-//! Graceful shutdown: the node answers what is open and what still arrives, within a bound on the time.
+//! Graceful shutdown: the node answers open requests and those that still arrive, within a time
+//! limit.
 
 use super::Node;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Interval at which a shutdown looks whether anything is still open.
+/// Interval at which a shutdown checks for open requests and connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// When a shutdown is complete.
+/// The state that decides whether a shutdown is complete.
 struct CompletionCheck {
-    /// Requests may arrive until then.
+    /// New requests are accepted until this time.
     accept_until: Instant,
-    /// The time from which on no request has been open.
+    /// The time since which no request has been open; `None` while one is open.
     idle_since: Option<Instant>,
-    /// How long clients may take to read their last answers.
+    /// How long the node waits for clients to read their last answers.
     read_timeout: Duration,
 }
 
 impl Node {
-    /// Begins a graceful shutdown: from now on the node reports that it is not ready.
+    /// Begins a graceful shutdown. From now on the node reports that it is not ready.
     pub fn begin_shutdown(&self) {
         self.lifecycle.update(|state| {
             state.shutting_down = true;
@@ -26,8 +27,9 @@
         });
     }
 
-    /// Shuts down gracefully: accepts and answers until the time for late arrivals is over and nothing is open. Where a
-    /// successor accepts on the same socket, none arrive late, and it ends once all accepted connections are closed.
+    /// Shuts down gracefully. Requests are accepted and answered until the accept window is over
+    /// and no request is open. If a successor process accepts connections on the same socket, there
+    /// is no accept window, and the shutdown is complete when all accepted connections are closed.
     pub async fn shut_down(&self) {
         self.begin_shutdown();
         let handed_over = self.lifecycle.current().listener_handed_over;
@@ -50,8 +52,9 @@
         }
     }
 
-    /// Sends the core the time at which the process ends. The platform kills the process after the longest client
-    /// timeout, which counts as no longer than the bound of the limits; a request that is open then has no answer.
+    /// Sends the core the time at which the process ends. The platform kills the process a short
+    /// margin after the longest client timeout; a timeout counts as no longer than the maximum in
+    /// `planned_shutdown` of the limits. A request that is still open then gets no answer.
     async fn send_deadline_to_core(&self) {
         let (max_timeout, margin) = self.limits.planned_shutdown;
         let longest_timeout_ms = self
@@ -67,7 +70,7 @@
         self.core.set_shutdown_deadline(deadline_ms).await;
     }
 
-    /// How long requests may still arrive.
+    /// Returns how long new requests are accepted after the shutdown has begun.
     fn accept_window(&self, handed_over: bool) -> Duration {
         if handed_over {
             Duration::ZERO
@@ -78,8 +81,9 @@
 }
 
 impl CompletionCheck {
-    /// Whether the shutdown is complete. A client that reads none of its answers is waited for no longer than the read
-    /// timeout, as the process would be killed otherwise.
+    /// Returns true if the shutdown is complete. The node waits no longer than the read timeout for
+    /// a client that does not read its answers, because the platform would kill the process
+    /// otherwise.
     fn is_complete(&mut self, now: Instant, is_idle: bool, all_answered: bool) -> bool {
         self.idle_since = match self.idle_since {
             _ if !is_idle => None,
--- a/src/node/sockets.rs
+++ b/src/node/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a node: bound at the start, before any actor runs.
+//! The sockets of a node. All are bound at the start, before any actor runs.
 
 use crate::node_config::{ConfigError, NodeConfig, OptionalFronts, loopback};
 use std::io;
@@ -7,31 +7,31 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio_listener::{Listener, ListenerAddress, SystemOptions, UserOptions};
 
-/// Why a socket cannot be opened.
+/// An error while opening a socket.
 #[derive(Debug, Error)]
 pub enum BindError {
     /// An address in a configuration file cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The address is not free, or not this machine's.
+    /// The address is in use, or is not an address of this machine.
     #[error("cannot listen on {address}: {source}")]
     Address {
-        /// The address.
+        /// The address of the socket.
         address: SocketAddr,
-        /// What the system reported.
+        /// The error that the operating system reported.
         source: io::Error,
     },
-    /// The inherited descriptor is no listening TCP socket.
+    /// The inherited descriptor is not a listening TCP socket.
     #[error("cannot listen on descriptor {descriptor}: {source}")]
     Descriptor {
         /// The descriptor's number.
         descriptor: i32,
-        /// What the system reported.
+        /// The error that the operating system reported.
         source: io::Error,
     },
 }
 
-/// A socket with the address that it is bound to.
+/// A socket and the address that it is bound to.
 pub(super) struct BoundSocket<S> {
     pub(super) socket: S,
     pub(super) address: SocketAddr,
@@ -40,7 +40,7 @@
 /// The SNMP agent's socket.
 pub(super) struct SnmpSocket {
     pub(super) bound: BoundSocket<UdpSocket>,
-    /// The community that may read.
+    /// The SNMP community that may read.
     pub(super) community: String,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl Sockets {
-    /// Opens all sockets that the configuration and the operators' file name.
+    /// Opens all sockets that the configuration and the operators' file ask for.
     pub(super) async fn bind(
         config: &NodeConfig,
         front_ends: OptionalFronts,
@@ -86,7 +86,7 @@
     }
 }
 
-/// The listening socket that the platform owns and hands over under this descriptor.
+/// Takes over the listening socket that the platform owns and passes under this descriptor.
 async fn inherit_listener(descriptor: i32) -> Result<BoundSocket<TcpListener>, BindError> {
     let bind_error = |source: io::Error| BindError::Descriptor { descriptor, source };
     let mut options = UserOptions::default();
@@ -100,7 +100,7 @@
     .map_err(bind_error)?;
     let socket = listener
         .try_into_tcp_listener()
-        .map_err(|_| bind_error(io::Error::other("it is no TCP socket")))?;
+        .map_err(|_| bind_error(io::Error::other("it is not a TCP socket")))?;
     let address = socket.local_addr().map_err(bind_error)?;
     Ok(BoundSocket { socket, address })
 }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -1,5 +1,6 @@
-//! The start of a node: opens its sockets, then starts its actors, each after what it depends on. The front ends come
-//! last, so that no request arrives before the endpoint list and the manual ejections are known.
+//! The start of a node: opens its sockets, then starts its actors, each one after the actors that
+//! it depends on. The front ends start last, so that no request arrives before the endpoint list
+//! and the manual ejections are known.
 
 use super::Node;
 use super::reload::StartOnlySettings;
@@ -27,18 +28,18 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Why a node cannot start.
+/// An error while starting a node.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A socket cannot be opened.
     #[error(transparent)]
     Bind(#[from] BindError),
-    /// The dispatcher refuses the settings.
+    /// The dispatcher rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// What nearly every actor of the node holds.
+/// The handles that nearly every actor of the node needs.
 #[derive(Clone)]
 struct ActorContext {
     limits: Arc<Limits>,
@@ -46,16 +47,17 @@
     lifecycle: Arc<Lifecycle>,
 }
 
-/// What the node shares with its peer process. Without a shared folder, or where it cannot be used, the node runs
-/// all the same and knows of no other process.
+/// The state that the node shares with its peer process. The node also runs without a shared
+/// folder, or with one that cannot be used; it then detects no peer process.
 struct SharedState {
     store: Option<StateStore>,
     order_locks: Option<Box<dyn OrderLocks>>,
-    /// Another process of this workload manager was running when this one started.
+    /// Whether another process of this workload manager was running when this one started.
     is_successor: bool,
 }
 
-/// Starts the node. The settings are in force and the node accepts clients when this returns.
+/// Starts the node. When this function returns, the settings are in force and the node accepts
+/// clients.
 pub(super) async fn start_node(
     config: NodeConfig,
     operator_config: OperatorConfig,
@@ -135,6 +137,7 @@
         }
     }
 
+    /// Creates the server of the admin address.
     fn admin_server(
         &self,
         core: &Handle,
@@ -153,7 +156,7 @@
         }
     }
 
-    /// What the front ends hold.
+    /// Creates the handles that the front ends need.
     fn frontend(
         &self,
         core: &Handle,
@@ -171,6 +174,7 @@
 }
 
 impl SharedState {
+    /// Opens the shared state. What cannot be opened is logged and left out.
     async fn open(config: &NodeConfig, context: &ActorContext) -> Self {
         let Some(folder) = &config.shared_folder else {
             return SharedState {
@@ -196,7 +200,7 @@
         .await
         .inspect_err(|error| {
             let folder = folder.display();
-            tracing::warn!(%folder, %error, "no shared state, manual ejections hold for this process alone");
+            tracing::warn!(%folder, %error, "cannot open the stored state; manual ejections apply to this process only");
         })
         .ok()
 }
@@ -209,12 +213,12 @@
     hot_restart::open_order_locks(folder, name, metrics.clone())
         .inspect_err(|error| {
             let folder = folder.display();
-            tracing::warn!(%folder, %error, "no order locks, the order of a key holds within this process alone");
+            tracing::warn!(%folder, %error, "cannot open the order locks; requests of one key stay in order within this process only");
         })
         .ok()
 }
 
-/// What the core's dispatcher is made of.
+/// What the core is created from.
 struct CoreSetup {
     settings: Settings,
     seed: u64,
@@ -238,7 +242,7 @@
         metrics.clone(),
         engine_protocol,
     );
-    // With the seed of its predecessor a successor would act at the same random times.
+    // With the same seed, a successor would act at the same random times as its predecessor.
     let seed = if setup.is_successor {
         setup.seed ^ clock.now().to_bits()
     } else {
@@ -257,7 +261,8 @@
     Ok(handle)
 }
 
-/// Passes the events that the configuration knows to the core; returns the number of the last one.
+/// Sends the endpoint list events of the configuration to the core. Returns the number of the last
+/// known event.
 async fn send_known_events(core: &Handle, events: Vec<EndpointListEvent>, last_known: u64) -> u64 {
     let mut last_event = last_known;
     for event in events {
@@ -267,7 +272,8 @@
     last_event
 }
 
-/// Starts the follower of the discovery feed; the receiver turns true with the feed's first frame.
+/// Starts the follower of the discovery feed. The value of the returned receiver becomes true when
+/// the first frame of the feed arrives.
 fn start_discovery(
     feed: watch::Receiver<SocketAddr>,
     last_event: u64,
@@ -287,8 +293,8 @@
     first_frame
 }
 
-/// Starts the exchange with the peer process, where there is a store. The manual ejections of the peer are in force
-/// when this returns.
+/// Starts the exchange of state with the peer process, if there is a store. When this function
+/// returns, the manual ejections of the peer are in force.
 async fn start_peer_sync(
     store: Option<StateStore>,
     core: &Handle,
@@ -303,28 +309,29 @@
     writer
 }
 
-/// Counts the operators' file as loaded, where there is one.
+/// Counts one load of the operators' file, if the file exists.
 fn count_operator_config_load(path: Option<&Path>, metrics: &Metrics) {
     if path.is_some_and(Path::exists) {
         metrics.operator_config_loads.increment();
     }
 }
 
-/// Makes the figures of each class visible before its first request.
+/// Creates the metrics of each class, so that they are shown before the class's first request.
 fn register_classes(settings: &PlatformSettings, metrics: &Metrics) {
     for class in &settings.classes {
         metrics.class(&class.name);
     }
 }
 
-/// Waits until the feed is connected, within a limit. The list in a successor's configuration is that of the first
-/// start, and may name engines that are gone.
+/// Waits, up to a time limit, until the first frame of the discovery feed arrives. The endpoint
+/// list in a successor's configuration is that of the first start, and may contain engines that no
+/// longer exist.
 async fn wait_for_first_frame(mut first_frame: watch::Receiver<bool>, limits: &Limits) {
     let received = first_frame.wait_for(|received| *received);
     let _ = timeout(limits.first_feed_event_timeout, received).await;
 }
 
-/// Starts what accepts connections on this socket, and returns the socket's address.
+/// Starts the task that accepts connections on this socket. Returns the socket's address.
 fn spawn_listener<F>(
     bound: BoundSocket<TcpListener>,
     listen: impl FnOnce(TcpListener) -> F,
@@ -336,7 +343,7 @@
     bound.address
 }
 
-/// Starts the SNMP agent, and returns its address.
+/// Starts the SNMP agent. Returns its address.
 fn start_snmp_agent(socket: SnmpSocket, name: String, context: &ActorContext) -> SocketAddr {
     let (metrics, limits) = (context.metrics.clone(), context.limits.clone());
     let snmp_agent = snmp::Agent::new(socket.community, name, metrics, limits);
