--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use class_outcomes::{ClassFigures, ClassOutcomes};
+pub use class_outcomes::{ClassCounts, ClassOutcomes};
 pub use histogram::{LatencyHistogram, LatencySummary};
 pub use table::Metrics;
 pub use value::{Counter, Gauge, Metric, MetricKind};
--- a/src/metrics/class_outcomes.rs
+++ b/src/metrics/class_outcomes.rs
@@ -20,7 +20,7 @@
 
 /// A class's counts at one moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClassFigures {
+pub struct ClassCounts {
     /// The class's name in the settings.
     pub class: String,
     /// Requests served.
@@ -31,7 +31,7 @@
     pub failed: u64,
 }
 
-impl ClassFigures {
+impl ClassCounts {
     /// The counts with their printed names, in the order of the MIB's columns.
     #[must_use]
     pub fn named_counts(&self) -> [(&'static str, u64); 3] {
@@ -78,11 +78,11 @@
     }
 
     /// The counts of all classes.
-    pub(super) fn figures(&self) -> Vec<ClassFigures> {
+    pub(super) fn counts(&self) -> Vec<ClassCounts> {
         let entries = self.0.read().unwrap_or_else(PoisonError::into_inner);
         entries
             .iter()
-            .map(|ClassEntry { class, outcomes }| ClassFigures {
+            .map(|ClassEntry { class, outcomes }| ClassCounts {
                 class: class.clone(),
                 served: outcomes.served.get(),
                 rejected: outcomes.rejected.get(),
--- a/src/metrics/histogram.rs
+++ b/src/metrics/histogram.rs
@@ -5,13 +5,13 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// The shortest latency that is recorded as such, in microseconds.
-const SHORTEST_US: u64 = 1;
+const MIN_LATENCY_US: u64 = 1;
 
 /// The longest latency, in milliseconds; what is longer counts as this long.
-const LONGEST_MS: f64 = 60_000.0;
+const MAX_LATENCY_MS: f64 = 60_000.0;
 
 /// The longest latency, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Significant decimal digits of a latency. Two digits over the whole range take about 12 kB.
 const SIGNIFICANT_DIGITS: u8 = 2;
@@ -36,17 +36,18 @@
 impl LatencyHistogram {
     /// Records one latency in milliseconds, clamped to the histogram's range.
     pub fn record(&self, latency_ms: f64) {
-        let microseconds = (latency_ms.clamp(0.0, LONGEST_MS) * 1000.0) as u64;
-        self.lock().saturating_record(microseconds.max(SHORTEST_US));
+        let microseconds = (latency_ms.clamp(0.0, MAX_LATENCY_MS) * 1000.0) as u64;
+        self.lock()
+            .saturating_record(microseconds.max(MIN_LATENCY_US));
     }
 
     /// The content now.
     #[must_use]
     pub fn summary(&self) -> LatencySummary {
         let histogram = self.lock();
-        let quantile_us = |share| match histogram.is_empty() {
+        let quantile_us = |quantile| match histogram.is_empty() {
             true => 0,
-            false => histogram.value_at_quantile(share),
+            false => histogram.value_at_quantile(quantile),
         };
         LatencySummary {
             count: histogram.len(),
@@ -64,7 +65,7 @@
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
-        let empty = Histogram::new_with_bounds(SHORTEST_US, LONGEST_US, SIGNIFICANT_DIGITS);
+        let empty = Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
         LatencyHistogram(Mutex::new(
             empty.unwrap_or_else(|_| unreachable!("constant bounds are valid")),
         ))
--- a/src/metrics/table.rs
+++ b/src/metrics/table.rs
@@ -1,7 +1,7 @@
 //! The table of counters and gauges.
 
 use super::class_outcomes::ClassOutcomesTable;
-use super::{ClassFigures, ClassOutcomes, Counter, Gauge, LatencyHistogram, Metric};
+use super::{ClassCounts, ClassOutcomes, Counter, Gauge, LatencyHistogram, Metric};
 use std::sync::Arc;
 
 /// Defines [`Metrics`] and its listing from one table, so that names, kinds and order cannot differ.
@@ -38,8 +38,8 @@
 
     /// The counts of all classes, in the order in which the classes were first named.
     #[must_use]
-    pub fn classes(&self) -> Vec<ClassFigures> {
-        self.class_outcomes.figures()
+    pub fn classes(&self) -> Vec<ClassCounts> {
+        self.class_outcomes.counts()
     }
 }
 
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn latencies_outside_the_range_count_as_its_ends() {
+fn latencies_outside_the_range_are_clamped() {
     let histogram = LatencyHistogram::default();
     histogram.record(-1.0);
     histogram.record(1e9);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_class_keeps_its_counters_and_its_printed_names() {
+fn both_printed_forms_contain_the_counts_of_each_class() {
     let metrics = Metrics::default();
     metrics.class("a").served.increment();
     metrics.class("b").rejected.increment();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_oldest_class_gives_way_past_the_bound() {
+fn the_oldest_class_is_removed_when_the_table_is_full() {
     let metrics = Metrics::default();
     for class in 0..=256 {
         metrics.class(&format!("class-{class}")).served.increment();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_gauge_falls_and_a_counter_is_listed_as_one() {
+fn metrics_are_listed_with_their_kind_and_value() {
     let metrics = Metrics::default();
     metrics.requests_open.increment();
     metrics.requests_open.increment();
--- a/src/metrics/text.rs
+++ b/src/metrics/text.rs
@@ -9,9 +9,9 @@
     #[must_use]
     pub fn admin_figures(&self) -> String {
         let mut text = String::new();
-        for figures in self.classes() {
-            for (name, count) in figures.named_counts() {
-                push_figure(&mut text, &format!("{name}.{}", figures.class), count);
+        for class_counts in self.classes() {
+            for (name, count) in class_counts.named_counts() {
+                push_figure(&mut text, &format!("{name}.{}", class_counts.class), count);
             }
         }
         let process_figures = [
@@ -45,11 +45,11 @@
             write!(f, " {}={}", metric.name, metric.value)?;
         }
         write!(f, " cancellation_latency={}", self.cancellation_latency)?;
-        for figures in self.classes() {
-            let counts = figures
+        for class_counts in self.classes() {
+            let counts = class_counts
                 .named_counts()
                 .map(|(name, count)| format!("{name}:{count}"));
-            write!(f, " {}={}", figures.class, counts.join(","))?;
+            write!(f, " {}={}", class_counts.class, counts.join(","))?;
         }
         Ok(())
     }
--- a/src/snmp/mib_view.rs
+++ b/src/snmp/mib_view.rs
@@ -1,6 +1,6 @@
 //! Everything that can be read at one moment, ordered by object identifier.
 
-use crate::metrics::{ClassFigures, Metric, MetricKind, Metrics};
+use crate::metrics::{ClassCounts, Metric, MetricKind, Metrics};
 use rasn::types::ObjectIdentifier;
 use rasn_smi::v1::{Gauge, TimeTicks};
 use rasn_smi::v2::{ApplicationSyntax, Counter64, ObjectSyntax, SimpleSyntax};
@@ -12,14 +12,14 @@
 const ENTERPRISE: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 62];
 
 /// The `system` group of SNMPv2-MIB (RFC 3418) and its objects served here.
-const SYSTEM: [u32; 7] = [1, 3, 6, 1, 2, 1, 1];
+const SYSTEM_GROUP: [u32; 7] = [1, 3, 6, 1, 2, 1, 1];
 const SYS_DESCR: u32 = 1;
 const SYS_OBJECT_ID: u32 = 2;
 const SYS_UP_TIME: u32 = 3;
 const SYS_NAME: u32 = 5;
 
 /// The table of classes below [`ENTERPRISE`], its entry, and its columns that can be read. The counts follow the name,
-/// in the order of [`ClassFigures::named_counts`].
+/// in the order of [`ClassCounts::named_counts`].
 pub(super) const CLASS_TABLE: u32 = 100;
 const CLASS_ENTRY: u32 = 1;
 const CLASS_NAME_COLUMN: u32 = 2;
@@ -29,7 +29,7 @@
 const SCALAR_INSTANCE: u32 = 0;
 
 /// `sysDescr`.
-const DESCRIPTION: &str = concat!(
+const SYSTEM_DESCRIPTION: &str = concat!(
     "magpiechute ",
     env!("CARGO_PKG_VERSION"),
     ", a workload manager"
@@ -61,8 +61,8 @@
         for (object, metric) in (1..).zip(metrics.all()) {
             view.insert_scalar(&ENTERPRISE, object, metric_value(metric));
         }
-        for (row, figures) in (1..).zip(metrics.classes()) {
-            view.insert_class(row, &figures);
+        for (row, class_counts) in (1..).zip(metrics.classes()) {
+            view.insert_class(row, &class_counts);
         }
         view
     }
@@ -71,15 +71,19 @@
         let ticks = (system.up_time.as_millis() / TICK_MS) as u32;
         let up_time = ObjectSyntax::ApplicationWide(ApplicationSyntax::Ticks(TimeTicks(ticks)));
         let object_id = SimpleSyntax::ObjectId(identifier(&ENTERPRISE, &[]));
-        self.insert_scalar(&SYSTEM, SYS_DESCR, text(DESCRIPTION));
-        self.insert_scalar(&SYSTEM, SYS_OBJECT_ID, ObjectSyntax::Simple(object_id));
-        self.insert_scalar(&SYSTEM, SYS_UP_TIME, up_time);
-        self.insert_scalar(&SYSTEM, SYS_NAME, text(system.name));
+        self.insert_scalar(&SYSTEM_GROUP, SYS_DESCR, octet_string(SYSTEM_DESCRIPTION));
+        self.insert_scalar(
+            &SYSTEM_GROUP,
+            SYS_OBJECT_ID,
+            ObjectSyntax::Simple(object_id),
+        );
+        self.insert_scalar(&SYSTEM_GROUP, SYS_UP_TIME, up_time);
+        self.insert_scalar(&SYSTEM_GROUP, SYS_NAME, octet_string(system.name));
     }
 
-    fn insert_class(&mut self, row: u32, figures: &ClassFigures) {
-        self.insert_class_cell(CLASS_NAME_COLUMN, row, text(&figures.class));
-        for (column, (_, count)) in (FIRST_CLASS_COUNT_COLUMN..).zip(figures.named_counts()) {
+    fn insert_class(&mut self, row: u32, class_counts: &ClassCounts) {
+        self.insert_class_cell(CLASS_NAME_COLUMN, row, octet_string(&class_counts.class));
+        for (column, (_, count)) in (FIRST_CLASS_COUNT_COLUMN..).zip(class_counts.named_counts()) {
             self.insert_class_cell(column, row, counter(count));
         }
     }
@@ -100,10 +104,10 @@
     }
 
     /// Whether an instance's object is there, if under other instances.
-    pub(super) fn has_object_of(&self, instance: &ObjectIdentifier) -> bool {
+    pub(super) fn has_object_of_instance(&self, instance: &ObjectIdentifier) -> bool {
         self.instances
             .keys()
-            .any(|known| instance.starts_with(&known[..known.len() - 1]))
+            .any(|existing| instance.starts_with(&existing[..existing.len() - 1]))
     }
 
     /// The first instance after an identifier, with its value.
@@ -111,16 +115,16 @@
         &self,
         identifier: &ObjectIdentifier,
     ) -> Option<(&ObjectIdentifier, &ObjectSyntax)> {
-        let after = (Bound::Excluded(identifier), Bound::Unbounded);
-        self.instances.range::<ObjectIdentifier, _>(after).next()
+        let range = (Bound::Excluded(identifier), Bound::Unbounded);
+        self.instances.range::<ObjectIdentifier, _>(range).next()
     }
 }
 
-fn identifier(group: &[u32], below: &[u32]) -> ObjectIdentifier {
-    ObjectIdentifier::new_unchecked([group, below].concat().into())
+fn identifier(group: &[u32], sub_identifiers: &[u32]) -> ObjectIdentifier {
+    ObjectIdentifier::new_unchecked([group, sub_identifiers].concat().into())
 }
 
-fn text(value: &str) -> ObjectSyntax {
+fn octet_string(value: &str) -> ObjectSyntax {
     ObjectSyntax::Simple(SimpleSyntax::String(value.as_bytes().to_vec().into()))
 }
 
--- a/src/snmp/request.rs
+++ b/src/snmp/request.rs
@@ -26,8 +26,8 @@
     view: impl FnOnce() -> MibView,
 ) -> Option<Vec<u8>> {
     let message: Message<Pdus> = rasn::ber::decode(message).ok()?;
-    let has_version = message.version == Integer::from(Message::<Pdus>::VERSION);
-    if !has_version || message.community.as_ref() != community {
+    let is_version_2c = message.version == Integer::from(Message::<Pdus>::VERSION);
+    if !is_version_2c || message.community.as_ref() != community {
         return None;
     }
     let Message {
@@ -106,7 +106,7 @@
 fn get(view: &MibView, name: ObjectIdentifier) -> VarBind {
     let value = match view.get(&name) {
         Some(value) => VarBindValue::Value(value.clone()),
-        None if view.has_object_of(&name) => VarBindValue::NoSuchInstance,
+        None if view.has_object_of_instance(&name) => VarBindValue::NoSuchInstance,
         None => VarBindValue::NoSuchObject,
     };
     VarBind { name, value }
@@ -131,7 +131,7 @@
     let variables = &request.variable_bindings;
     let non_repeaters = (request.non_repeaters as usize).min(variables.len());
     let (single, repeated) = variables.split_at(non_repeaters);
-    let mut found: Vec<VarBind> = single
+    let mut bindings: Vec<VarBind> = single
         .iter()
         .map(|binding| get_next(view, binding.name.clone()))
         .collect();
@@ -140,18 +140,18 @@
         .map(|binding| binding.name.clone())
         .collect();
     for _ in 0..request.max_repetitions {
-        if names.is_empty() || found.len() + names.len() > max_variables {
+        if names.is_empty() || bindings.len() + names.len() > max_variables {
             break;
         }
         let row: Vec<VarBind> = names.into_iter().map(|name| get_next(view, name)).collect();
         names = row.iter().map(|binding| binding.name.clone()).collect();
-        let at_end = row
+        let all_at_end = row
             .iter()
             .all(|binding| binding.value == VarBindValue::EndOfMibView);
-        found.extend(row);
-        if at_end {
+        bindings.extend(row);
+        if all_at_end {
             break;
         }
     }
-    found
+    bindings
 }
--- a/src/snmp/tests.rs
+++ b/src/snmp/tests.rs
@@ -4,39 +4,40 @@
 
 /// The file names every counter, with its number and syntax.
 #[test]
-fn the_mib_file_tells_what_the_agent_has() {
+fn the_mib_file_describes_every_metric_in_order() {
     let mib = include_str!("../../mibs/MAGPIECHUTE-MIB.txt");
     let mut objects = Vec::new();
-    let metrics = mib
+    let scalars = mib
         .split("mcClassTable OBJECT-TYPE")
         .next()
         .unwrap_or_default();
-    for part in metrics.split(" OBJECT-TYPE\n").skip(1) {
-        let word = |after: &str| {
-            part.split(after)
+    for definition in scalars.split(" OBJECT-TYPE\n").skip(1) {
+        let word_after = |marker: &str| {
+            definition
+                .split(marker)
                 .nth(1)
-                .and_then(|t| t.split_whitespace().next())
+                .and_then(|rest| rest.split_whitespace().next())
         };
-        objects.push((word("SYNTAX"), word("::= { magpiechute")));
+        objects.push((word_after("SYNTAX"), word_after("::= { magpiechute")));
     }
     let names: Vec<String> = Metrics::default()
         .all()
         .iter()
         .map(|metric| metric.name.replace('_', ""))
         .collect();
-    for (i, metric) in Metrics::default().all().iter().enumerate() {
+    for (index, metric) in Metrics::default().all().iter().enumerate() {
         let name = metric.name;
         let syntax = match metric.kind {
             MetricKind::Gauge => "Gauge32",
             MetricKind::Counter => "Counter64",
         };
-        let number = (i + 1).to_string();
+        let number = (index + 1).to_string();
         assert_eq!(
-            objects.get(i),
+            objects.get(index),
             Some(&(Some(syntax), Some(number.as_str()))),
             "{name}"
         );
-        let object = format!("\nmc{} object-type", names[i]);
+        let object = format!("\nmc{} object-type", names[index]);
         assert!(mib.to_lowercase().contains(&object), "{object}");
     }
     assert_eq!(objects.len(), names.len());
