--- a/src/log.rs
+++ b/src/log.rs
@@ -57,7 +57,7 @@
         .with_max_level(level_filter(log.level))
         .with_ansi(false);
     match log.format {
-        LogFormat::Text => Box::new(builder.event_format(TextLines::default()).finish()),
+        LogFormat::Text => Box::new(builder.event_format(TextEventFormat::default()).finish()),
         LogFormat::Json => Box::new(
             builder
                 .json()
@@ -80,19 +80,19 @@
 
 /// The text form. The program's own events from `info` up are operational lines, `workload-manager: MESSAGE
 /// key=value ...`; all others begin with their level.
-struct TextLines {
-    with_level: format::Format<Full, ()>,
+struct TextEventFormat {
+    format_with_level: format::Format<Full, ()>,
 }
 
-impl Default for TextLines {
+impl Default for TextEventFormat {
     fn default() -> Self {
-        TextLines {
-            with_level: format::format().without_time().with_target(false),
+        TextEventFormat {
+            format_with_level: format::format().without_time().with_target(false),
         }
     }
 }
 
-impl<S, N> FormatEvent<S, N> for TextLines
+impl<S, N> FormatEvent<S, N> for TextEventFormat
 where
     S: Subscriber + for<'span> LookupSpan<'span>,
     N: for<'writer> FormatFields<'writer> + 'static,
@@ -104,7 +104,7 @@
         event: &Event<'_>,
     ) -> fmt::Result {
         if !is_operational(event.metadata()) {
-            return self.with_level.format_event(context, writer, event);
+            return self.format_with_level.format_event(context, writer, event);
         }
         writer.write_str(LINE_PREFIX)?;
         context
--- a/src/log/capture.rs
+++ b/src/log/capture.rs
@@ -34,13 +34,13 @@
     pub(crate) fn new(level: LogLevel, format: LogFormat) -> LogCapture {
         let output = Output::default();
         let writer = output.clone();
-        let second = tracing_subscriber::fmt().with_writer(io::sink).finish();
-        let second = tracing::Dispatch::new(second);
+        let second_subscriber = tracing_subscriber::fmt().with_writer(io::sink).finish();
+        let second_subscriber = tracing::Dispatch::new(second_subscriber);
         let subscriber = subscriber(&LogTable { level, format }, move || writer.clone());
         LogCapture {
             output,
             _subscriber: tracing::subscriber::set_default(subscriber),
-            _second_subscriber: second,
+            _second_subscriber: second_subscriber,
         }
     }
 
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use tracing::{debug, error, info, warn};
 
-fn logged(level: LogLevel, format: LogFormat, log_events: impl FnOnce()) -> String {
+fn captured_text(level: LogLevel, format: LogFormat, log_events: impl FnOnce()) -> String {
     let log = LogCapture::new(level, format);
     log_events();
     log.text()
@@ -13,7 +13,7 @@
 
 #[test]
 fn own_events_from_info_up_are_prefixed_lines_in_text_format() {
-    let text = logged(LogLevel::Info, LogFormat::Text, || {
+    let text = captured_text(LogLevel::Info, LogFormat::Text, || {
         info!("manager-1 serves on 127.0.0.1:1");
         info!(engine = %"s-1", state = "down", "engine changed state");
         warn!(reason = %"line 3", "settings rejected");
@@ -28,7 +28,7 @@
 
 #[test]
 fn debug_lines_begin_with_their_level_in_text_format() {
-    let text = logged(LogLevel::Debug, LogFormat::Text, || {
+    let text = captured_text(LogLevel::Debug, LogFormat::Text, || {
         debug!(id = 7, "attempt started");
     });
     assert_eq!(text, "DEBUG attempt started id=7\n");
@@ -36,7 +36,7 @@
 
 #[test]
 fn events_of_other_crates_begin_with_their_level_in_text_format() {
-    let text = logged(LogLevel::Info, LogFormat::Text, || {
+    let text = captured_text(LogLevel::Info, LogFormat::Text, || {
         info!(target: "workload_manager_client", "connected");
         info!(target: "h2::proto", "connected");
     });
@@ -45,7 +45,7 @@
 
 #[test]
 fn operational_lines_are_objects_in_json_format() {
-    let text = logged(LogLevel::Info, LogFormat::Json, || {
+    let text = captured_text(LogLevel::Info, LogFormat::Json, || {
         info!(ordinal = 2, "new settings in force");
     });
     let line: serde_json::Value = serde_json::from_str(&text).expect("one JSON object");
@@ -60,8 +60,8 @@
 #[case(LogLevel::Info, 3)]
 #[case(LogLevel::Debug, 4)]
 #[case(LogLevel::Trace, 4)]
-fn a_level_lets_through_itself_and_what_is_graver(#[case] level: LogLevel, #[case] lines: usize) {
-    let text = logged(level, LogFormat::Text, || {
+fn a_level_includes_all_more_severe_levels(#[case] level: LogLevel, #[case] lines: usize) {
+    let text = captured_text(level, LogFormat::Text, || {
         error!("at error");
         warn!("at warn");
         info!("at info");
