--- a/src/bin/simulator-adapter/decode.rs
+++ b/src/bin/simulator-adapter/decode.rs
@@ -11,11 +11,11 @@
 pub(crate) mod code {
     pub(crate) const PEER_MESSAGE: u8 = 1;
     pub(crate) const ENDPOINT_LIST: u8 = 2;
-    pub(crate) const INVENTORY: u8 = 3;
+    pub(crate) const ENGINE_LIST: u8 = 3;
     pub(crate) const TIMER: u8 = 4;
     pub(crate) const CLIENT_DISCONNECTED: u8 = 5;
-    pub(crate) const START: u8 = 6;
-    pub(crate) const STOP: u8 = 7;
+    pub(crate) const START_INSTANCE: u8 = 6;
+    pub(crate) const STOP_INSTANCE: u8 = 7;
     pub(crate) const RESULT_STREAMING: u8 = 8;
     pub(crate) const ATTEMPT_ENDED: u8 = 9;
     pub(crate) const PROGRESS: u8 = 10;
@@ -24,24 +24,24 @@
 }
 
 /// Bytes of an engine in an inventory.
-const ENTRY_BYTES: usize = 24;
-/// Inventories that a process holds.
-const MAX_INVENTORIES: u16 = 16;
+const ENGINE_ENTRY_BYTES: usize = 24;
+/// Engine lists that a process holds.
+const MAX_ENGINE_LISTS: u16 = 16;
 /// Figures of a load report in a record.
-const MAX_REPORT_FIGURES: usize = 4;
+const MAX_LOAD_REPORT_FIELDS: usize = 4;
 /// Code of a served attempt.
 const OUTCOME_OK: u16 = 100;
 /// Flag of a request whose work is estimated.
-const HAS_WORK_ESTIMATE: u8 = 1;
+const WORK_ESTIMATE_FLAG: u8 = 1;
 /// Measured work, in ms, stands above these bits of the statistics; measured memory stands in them.
-const MEMORY_BITS: u32 = 12;
+const MEASURED_MEMORY_BITS: u32 = 12;
 /// Unit of the measured memory, in MB.
-const MEMORY_UNIT_MB: f64 = 4.0;
+const MEASURED_MEMORY_UNIT_MB: f64 = 4.0;
 /// Level of a progress report that waits for a bulk load.
-const LEVEL_BULK_LOAD: u8 = 2;
+const BULK_LOAD_WAIT_CODE: u8 = 2;
 
 /// The inventories of engines, by number.
-pub(crate) type Inventories = BTreeMap<u16, Vec<EngineEntry>>;
+pub(crate) type EngineLists = BTreeMap<u16, Vec<EngineEntry>>;
 
 /// How the answers of an instance's engines read.
 #[derive(Default)]
@@ -77,7 +77,7 @@
         self.fields.u16(1)
     }
 
-    fn unknown(&self, what: &'static str, value: impl Into<u64>) -> FrameError {
+    fn unknown_value(&self, what: &'static str, value: impl Into<u64>) -> FrameError {
         FrameError::UnknownValue {
             batch: self.batch.number,
             record: self.index,
@@ -89,13 +89,13 @@
     /// Its event for a dispatcher.
     pub(crate) fn event(
         &self,
-        inventories: &Inventories,
-        format: &AnswerFormat,
+        engine_lists: &EngineLists,
+        answer_format: &AnswerFormat,
     ) -> Result<Event, FrameError> {
         let fields = self.fields;
         Ok(match self.code() {
             code::PEER_MESSAGE => self.peer_message()?,
-            code::ENDPOINT_LIST => self.endpoint_list(inventories)?,
+            code::ENDPOINT_LIST => self.endpoint_list(engine_lists)?,
             code::TIMER => Event::Timer {
                 token: fields.u64(3),
             },
@@ -104,11 +104,11 @@
                 id: fields.u32(3),
                 attempt: fields.u16(7),
             },
-            code::ATTEMPT_ENDED => self.attempt_ended(format)?,
+            code::ATTEMPT_ENDED => self.attempt_ended(answer_format)?,
             code::PROGRESS => self.progress()?,
             code::REQUEST => self.request(),
-            code::HEALTH_CHECK_ENDED => self.health_check_ended(format)?,
-            other => return Err(self.unknown("unknown event code", other)),
+            code::HEALTH_CHECK_ENDED => self.health_check_ended(answer_format)?,
+            other => return Err(self.unknown_value("unknown event code", other)),
         })
     }
 
@@ -127,17 +127,17 @@
     }
 
     /// The inventory of engines in the record, and its number.
-    pub(crate) fn inventory(&self) -> Result<(u16, Vec<EngineEntry>), FrameError> {
+    pub(crate) fn engine_list(&self) -> Result<(u16, Vec<EngineEntry>), FrameError> {
         let number = self.instance();
-        if number >= MAX_INVENTORIES {
-            return Err(self.unknown("list number", number));
+        if number >= MAX_ENGINE_LISTS {
+            return Err(self.unknown_value("list number", number));
         }
-        let length = (self.fields.u32(7) as usize).saturating_mul(ENTRY_BYTES);
+        let length = (self.fields.u32(7) as usize).saturating_mul(ENGINE_ENTRY_BYTES);
         let bytes = self
             .batch
             .tail(self.fields.u32(3), length, "an engine list")?;
         let entries = bytes
-            .chunks_exact(ENTRY_BYTES)
+            .chunks_exact(ENGINE_ENTRY_BYTES)
             .map(|entry| self.engine_entry(Fields(entry)))
             .collect::<Result<Vec<EngineEntry>, FrameError>>()?;
         Ok((number, entries))
@@ -148,7 +148,7 @@
             0 => EngineState::Removed,
             1 => EngineState::Ready,
             2 => EngineState::Draining,
-            other => return Err(self.unknown("health", other)),
+            other => return Err(self.unknown_value("health", other)),
         };
         Ok(EngineEntry {
             engine: entry.engine(0),
@@ -162,26 +162,26 @@
         })
     }
 
-    fn endpoint_list(&self, inventories: &Inventories) -> Result<Event, FrameError> {
+    fn endpoint_list(&self, engine_lists: &EngineLists) -> Result<Event, FrameError> {
         let kind = match self.fields.u8(3) {
             0 => ListUpdateKind::Delta,
             1 => ListUpdateKind::Full,
             2 => ListUpdateKind::Cached,
             3 => ListUpdateKind::PollFailed,
-            other => return Err(self.unknown("unknown kind of list", other)),
+            other => return Err(self.unknown_value("unknown kind of list", other)),
         };
         let number = self.fields.u16(12);
-        let entries = match (kind, inventories.get(&number)) {
+        let entries = match (kind, engine_lists.get(&number)) {
             (ListUpdateKind::PollFailed, _) => Vec::new(),
             (_, Some(entries)) => entries.clone(),
-            (_, None) => return Err(self.unknown("unknown list number", number)),
+            (_, None) => return Err(self.unknown_value("unknown list number", number)),
         };
         Ok(Event::EndpointList { kind, entries })
     }
 
     fn request(&self) -> Event {
         let fields = self.fields;
-        let has_work_estimate = fields.u8(42) & HAS_WORK_ESTIMATE != 0;
+        let has_work_estimate = fields.u8(42) & WORK_ESTIMATE_FLAG != 0;
         Event::Request(Request {
             id: fields.u32(3),
             class: usize::from(fields.u8(7)),
@@ -195,13 +195,13 @@
     }
 
     fn progress(&self) -> Result<Event, FrameError> {
-        let level = self.fields.f32(10);
-        let progress = match (self.fields.u8(9), level as u8) {
-            (1, _) => Progress::ShareDone(level),
-            (2, _) => Progress::SpillingMb(level),
-            (3, LEVEL_BULK_LOAD) => Progress::WaitingForBulkLoad,
+        let value = self.fields.f32(10);
+        let progress = match (self.fields.u8(9), value as u8) {
+            (1, _) => Progress::ShareDone(value),
+            (2, _) => Progress::SpillingMb(value),
+            (3, BULK_LOAD_WAIT_CODE) => Progress::WaitingForBulkLoad,
             (3, _) => Progress::WaitingForMemory,
-            (other, _) => return Err(self.unknown("unknown kind of note", other)),
+            (other, _) => return Err(self.unknown_value("unknown kind of note", other)),
         };
         Ok(Event::Progress {
             id: self.fields.u32(3),
@@ -210,13 +210,14 @@
         })
     }
 
-    fn attempt_ended(&self, format: &AnswerFormat) -> Result<Event, FrameError> {
+    fn attempt_ended(&self, answer_format: &AnswerFormat) -> Result<Event, FrameError> {
         let fields = self.fields;
         let outcome_code = fields.u16(28);
         let statistics = fields.u32(24);
-        let is_measured = format.reports_work && outcome_code == OUTCOME_OK && statistics > 0;
-        let work_ms = f64::from(statistics >> MEMORY_BITS);
-        let memory_units = f64::from(statistics & ((1 << MEMORY_BITS) - 1));
+        let is_measured =
+            answer_format.reports_work && outcome_code == OUTCOME_OK && statistics > 0;
+        let work_ms = f64::from(statistics >> MEASURED_MEMORY_BITS);
+        let memory_units = f64::from(statistics & ((1 << MEASURED_MEMORY_BITS) - 1));
         Ok(Event::AttemptEnded(AttemptEnded {
             id: fields.u32(3),
             attempt: fields.u16(22),
@@ -225,17 +226,17 @@
             elapsed_ms: fields.f64(7),
             answered: fields.u8(15) != 0,
             measured_work_ms: is_measured.then_some(work_ms),
-            measured_memory_mb: is_measured.then_some(memory_units * MEMORY_UNIT_MB),
-            load_report: self.load_report(30, format),
+            measured_memory_mb: is_measured.then_some(memory_units * MEASURED_MEMORY_UNIT_MB),
+            load_report: self.load_report(30, answer_format),
         }))
     }
 
-    fn health_check_ended(&self, format: &AnswerFormat) -> Result<Event, FrameError> {
+    fn health_check_ended(&self, answer_format: &AnswerFormat) -> Result<Event, FrameError> {
         Ok(Event::HealthCheckEnded {
             engine: self.fields.engine(3),
             outcome: self.outcome(self.fields.u16(9))?,
             elapsed_ms: self.fields.f64(11),
-            load_report: self.load_report(19, format),
+            load_report: self.load_report(19, answer_format),
         })
     }
 
@@ -249,15 +250,15 @@
             305 => Outcome::Reset,
             306 => Outcome::Cancelled,
             307 => Outcome::NotSent,
-            other => return Err(self.unknown("unknown outcome", other)),
+            other => return Err(self.unknown_value("unknown outcome", other)),
         })
     }
 
     /// The load report at an offset: the number of its figures, then the figures in the instance's order.
-    fn load_report(&self, offset: usize, format: &AnswerFormat) -> LoadReport {
+    fn load_report(&self, offset: usize, answer_format: &AnswerFormat) -> LoadReport {
         let mut report = LoadReport::default();
-        let figures = usize::from(self.fields.u8(offset)).min(MAX_REPORT_FIGURES);
-        let names = format.load_report_fields.iter().take(figures);
+        let field_count = usize::from(self.fields.u8(offset)).min(MAX_LOAD_REPORT_FIELDS);
+        let names = answer_format.load_report_fields.iter().take(field_count);
         for (position, name) in names.enumerate() {
             let value = Some(self.fields.f32(offset + 1 + 4 * position));
             match name.as_str() {
--- a/src/bin/simulator-adapter/encode.rs
+++ b/src/bin/simulator-adapter/encode.rs
@@ -12,7 +12,7 @@
     pub(super) const SET_TIMER: u8 = 69;
     pub(super) const SEND_HEALTH_CHECK: u8 = 70;
     pub(super) const LOG: u8 = 73;
-    pub(super) const SETTINGS_FAULT: u8 = 74;
+    pub(super) const SETTINGS_ERROR: u8 = 74;
     pub(super) const SUBSCRIBE: u8 = 75;
     pub(super) const SET_ATTEMPT_TERMS: u8 = 77;
 }
@@ -30,9 +30,9 @@
 }
 
 /// Adds the fault of an instance whose settings cannot be used.
-pub(crate) fn settings_fault(reply: &mut Reply, instance: u16, reason: &str) {
+pub(crate) fn settings_error(reply: &mut Reply, instance: u16, reason: &str) {
     let text = reply.add_text(reason);
-    reply.add_record(code::SETTINGS_FAULT, instance, &[(3, &text)]);
+    reply.add_record(code::SETTINGS_ERROR, instance, &[(3, &text)]);
 }
 
 /// Adds an action of an instance.
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -4,11 +4,11 @@
 use workload_manager::EngineId;
 
 /// Bytes of a batch's header.
-const HEADER_BYTES: usize = 20;
+const BATCH_HEADER_BYTES: usize = 20;
 /// Bytes of an event record.
-const EVENT_BYTES: usize = 48;
+const EVENT_RECORD_BYTES: usize = 48;
 /// Bytes of an action record.
-const ACTION_BYTES: usize = 24;
+const ACTION_RECORD_BYTES: usize = 24;
 /// Bytes of a reply's header.
 const REPLY_HEADER_BYTES: usize = 12;
 
@@ -16,7 +16,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
     /// The input ended within a header.
-    #[error("input ends {read} bytes into a batch header of {HEADER_BYTES}")]
+    #[error("input ends {read} bytes into a batch header of {BATCH_HEADER_BYTES}")]
     PartialHeader { read: usize },
     /// The input could not be read at all.
     #[error("cannot read: {0}")]
@@ -30,7 +30,7 @@
     },
     /// The clock is not finite.
     #[error("batch {batch}: the clock is not a number")]
-    BadClock { batch: u32 },
+    ClockNotFinite { batch: u32 },
     /// The input ended within a body.
     #[error("batch {batch}: input ends {read} bytes into a body of {body_bytes}")]
     PartialBody {
@@ -74,12 +74,12 @@
 impl Batch {
     /// Reads one batch; `None` at the end of input.
     pub(crate) fn read(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
-        let mut header = [0u8; HEADER_BYTES];
-        let read = fill(input, &mut header).map_err(FrameError::Unreadable)?;
+        let mut header = [0u8; BATCH_HEADER_BYTES];
+        let read = read_until_full(input, &mut header).map_err(FrameError::Unreadable)?;
         if read == 0 {
             return Ok(None);
         }
-        if read < HEADER_BYTES {
+        if read < BATCH_HEADER_BYTES {
             return Err(FrameError::PartialHeader { read });
         }
         let header = Fields(&header);
@@ -87,10 +87,10 @@
         let clock_ms = header.f64(4);
         let record_count = header.u32(12) as usize;
         let number = header.u32(16);
-        let least_bytes = record_count
-            .checked_mul(EVENT_BYTES)
-            .and_then(|bytes| bytes.checked_add(HEADER_BYTES));
-        if least_bytes.is_none_or(|bytes| bytes > frame_bytes) {
+        let min_frame_bytes = record_count
+            .checked_mul(EVENT_RECORD_BYTES)
+            .and_then(|bytes| bytes.checked_add(BATCH_HEADER_BYTES));
+        if min_frame_bytes.is_none_or(|bytes| bytes > frame_bytes) {
             return Err(FrameError::TooManyRecords {
                 batch: number,
                 records: record_count,
@@ -98,9 +98,9 @@
             });
         }
         if !clock_ms.is_finite() {
-            return Err(FrameError::BadClock { batch: number });
+            return Err(FrameError::ClockNotFinite { batch: number });
         }
-        let body = read_body(input, number, frame_bytes - HEADER_BYTES)?;
+        let body = read_body(input, number, frame_bytes - BATCH_HEADER_BYTES)?;
         Ok(Some(Batch {
             clock_ms,
             number,
@@ -111,7 +111,7 @@
 
     /// A record; its fields are read at fixed offsets, all of which lie inside.
     pub(crate) fn record(&self, index: usize) -> Fields<'_> {
-        Fields(&self.body[index * EVENT_BYTES..(index + 1) * EVENT_BYTES])
+        Fields(&self.body[index * EVENT_RECORD_BYTES..(index + 1) * EVENT_RECORD_BYTES])
     }
 
     /// A stretch of the tail; `what` names it in the error.
@@ -121,12 +121,12 @@
         length: usize,
         what: &'static str,
     ) -> Result<&[u8], FrameError> {
-        let tail = &self.body[self.record_count * EVENT_BYTES..];
+        let tail = &self.body[self.record_count * EVENT_RECORD_BYTES..];
         let offset = offset as usize;
-        let stretch = offset
+        let bytes = offset
             .checked_add(length)
             .and_then(|end| tail.get(offset..end));
-        stretch.ok_or(FrameError::OutsideTail {
+        bytes.ok_or(FrameError::OutsideTail {
             batch: self.number,
             what,
             offset,
@@ -155,7 +155,7 @@
 }
 
 /// Reads until the buffer is full or the input ends; returns the bytes read.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+fn read_until_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut read = 0;
     while read < buffer.len() {
         match input.read(&mut buffer[read..]) {
@@ -222,7 +222,7 @@
 impl Reply {
     /// Adds a record: its code, its instance and its fields, each with its offset.
     pub(crate) fn add_record(&mut self, code: u8, instance: u16, fields: &[(usize, &[u8])]) {
-        let mut record = [0u8; ACTION_BYTES];
+        let mut record = [0u8; ACTION_RECORD_BYTES];
         record[0] = code;
         record[1..3].copy_from_slice(&instance.to_le_bytes());
         for (offset, bytes) in fields {
@@ -243,10 +243,10 @@
 
     /// The reply to a batch of this number.
     pub(crate) fn into_bytes(self, batch: u32) -> Vec<u8> {
-        let size = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
-        let mut bytes = Vec::with_capacity(size);
+        let frame_bytes = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
+        let mut bytes = Vec::with_capacity(frame_bytes);
         bytes.extend_from_slice(&self.record_count.to_le_bytes());
-        bytes.extend_from_slice(&(size as u32).to_le_bytes());
+        bytes.extend_from_slice(&(frame_bytes as u32).to_le_bytes());
         bytes.extend_from_slice(&batch.to_le_bytes());
         bytes.extend_from_slice(&self.records);
         bytes.extend_from_slice(&self.tail);
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,6 +1,6 @@
 //! The table of instances: it hands events to their dispatchers, and frames the dispatchers' actions.
 
-use crate::decode::{AnswerFormat, Inventories, Record, code};
+use crate::decode::{AnswerFormat, EngineLists, Record, code};
 use crate::encode;
 use crate::frame::{Batch, FrameError, Reply};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 /// One simulated workload manager.
 struct Instance {
     dispatcher: Dispatcher,
-    format: AnswerFormat,
+    answer_format: AnswerFormat,
 }
 
 impl Instance {
@@ -30,7 +30,7 @@
         let dispatcher = Dispatcher::new(platform.settings, seed)?;
         Ok(Instance {
             dispatcher,
-            format: AnswerFormat {
+            answer_format: AnswerFormat {
                 load_report_fields: platform.load_report_fields,
                 reports_work: platform.answers_report_work,
             },
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u16, Instance>,
-    inventories: Inventories,
+    engine_lists: EngineLists,
 }
 
 impl Host {
@@ -53,15 +53,15 @@
         for index in 0..batch.record_count {
             let record = Record::new(batch, index);
             match record.code() {
-                code::INVENTORY => {
-                    let (number, entries) = record.inventory()?;
-                    self.inventories.insert(number, entries);
+                code::ENGINE_LIST => {
+                    let (number, entries) = record.engine_list()?;
+                    self.engine_lists.insert(number, entries);
                 }
-                code::START => self.start(record, &mut reply, &mut actions)?,
-                code::STOP => {
+                code::START_INSTANCE => self.start_instance(record, &mut reply, &mut actions)?,
+                code::STOP_INSTANCE => {
                     self.instances.remove(&record.instance());
                 }
-                _ => self.handle(record, &mut actions)?,
+                _ => self.handle_event(record, &mut actions)?,
             }
             for action in actions.drain(..) {
                 encode::action(&mut reply, record.instance(), &action);
@@ -71,7 +71,7 @@
     }
 
     /// Starts an instance in place of one of the same number.
-    fn start(
+    fn start_instance(
         &mut self,
         record: Record<'_>,
         reply: &mut Reply,
@@ -87,21 +87,25 @@
                     .handle(clock_ms, Event::Started, actions);
                 self.instances.insert(number, instance);
             }
-            Err(error) => encode::settings_fault(reply, number, &error.to_string()),
+            Err(error) => encode::settings_error(reply, number, &error.to_string()),
         }
         Ok(())
     }
 
     /// Hands an event to its instance. The record of an unknown instance is checked all the same.
-    fn handle(&mut self, record: Record<'_>, actions: &mut Vec<Action>) -> Result<(), FrameError> {
+    fn handle_event(
+        &mut self,
+        record: Record<'_>,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), FrameError> {
         match self.instances.get_mut(&record.instance()) {
             Some(instance) => {
-                let event = record.event(&self.inventories, &instance.format)?;
+                let event = record.event(&self.engine_lists, &instance.answer_format)?;
                 let clock_ms = record.batch.clock_ms;
                 instance.dispatcher.handle(clock_ms, event, actions);
             }
             None => {
-                record.event(&self.inventories, &AnswerFormat::default())?;
+                record.event(&self.engine_lists, &AnswerFormat::default())?;
             }
         }
         Ok(())
