--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,9 +1,9 @@
-//! What the program accepts, sends and answers, counted where it happens in one table of [`Metrics`] that all actors
-//! of a process share.
+//! Counters and gauges of the program's requests, attempts, connections and configuration. All
+//! actors of a process update one shared [`Metrics`] table.
 //!
-//! The table is read in three forms: the line of counters on SIGUSR1 and at exit (`Display`), the `node.` figures of
-//! the admin address ([`Metrics::admin_figures`]), and the objects of the SNMP agent, which follow the order of
-//! [`Metrics::all`].
+//! The table is published in three forms: the line of counters that is printed on SIGUSR1 and at
+//! exit (`Display`), the `node.` figures of the admin address ([`Metrics::admin_figures`]), and the
+//! objects of the SNMP agent, which follow the order of [`Metrics::all`].
 
 mod class_outcomes;
 mod histogram;
--- a/src/metrics/class_outcomes.rs
+++ b/src/metrics/class_outcomes.rs
@@ -1,24 +1,25 @@
-//! The final answers of each class's requests.
+//! Counters of the final answers to requests, by class.
 
 use super::Counter;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// The most classes that have counters; past it the oldest lose theirs. Names come from configurations alone, so this
-/// bounds only an endless row of configurations with ever new names.
+/// Maximum number of classes with counters. A further class replaces the class that was added
+/// first. Class names come only from configurations, so the limit matters only if reloads keep
+/// adding new names.
 const MAX_CLASSES: usize = 256;
 
-/// Final answers to the requests of one class, as its clients received them.
+/// Counters of the final answers that clients received to the requests of one class.
 #[derive(Debug, Default)]
 pub struct ClassOutcomes {
-    /// Served; printed as `passed`.
+    /// Requests served; printed as `passed`.
     pub served: Counter,
-    /// Rejected; printed as `dropped`.
+    /// Requests rejected; printed as `dropped`.
     pub rejected: Counter,
-    /// Failed; printed as `bad_gateway`.
+    /// Requests failed; printed as `bad_gateway`.
     pub failed: Counter,
 }
 
-/// A class's counts at one moment.
+/// A snapshot of the counters of one class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassCounts {
     /// The class's name in the settings.
@@ -32,7 +33,7 @@
 }
 
 impl ClassCounts {
-    /// The counts with their printed names, in the order of the MIB's columns.
+    /// Returns the counts with their printed names, in the order of the MIB's columns.
     #[must_use]
     pub fn named_counts(&self) -> [(&'static str, u64); 3] {
         [
@@ -43,7 +44,7 @@
     }
 }
 
-/// The counters of all classes, in the order in which the classes were first named.
+/// The counters of all classes, in the order in which the classes were added.
 #[derive(Debug, Default)]
 pub(super) struct ClassOutcomesTable(RwLock<Vec<ClassEntry>>);
 
@@ -54,7 +55,7 @@
 }
 
 impl ClassOutcomesTable {
-    /// The counters of a class, which are created at its first mention.
+    /// Returns the counters of a class. They are created if the class has none.
     pub(super) fn get_or_create(&self, class: &str) -> Arc<ClassOutcomes> {
         let entries = self.0.read().unwrap_or_else(PoisonError::into_inner);
         if let Some(outcomes) = find(&entries, class) {
@@ -62,7 +63,7 @@
         }
         drop(entries);
         let mut entries = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        // Another thread may have created it between the two locks.
+        // Another thread may have added the class between the two locks.
         if let Some(outcomes) = find(&entries, class) {
             return outcomes;
         }
@@ -77,7 +78,7 @@
         outcomes
     }
 
-    /// The counts of all classes.
+    /// Returns a snapshot of the counters of all classes, in the order of the table.
     pub(super) fn counts(&self) -> Vec<ClassCounts> {
         let entries = self.0.read().unwrap_or_else(PoisonError::into_inner);
         entries
--- a/src/metrics/histogram.rs
+++ b/src/metrics/histogram.rs
@@ -1,35 +1,36 @@
-//! Latencies in a histogram of fixed size.
+//! A latency histogram of fixed size.
 
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The shortest latency that is recorded as such, in microseconds.
+/// The shortest recorded latency, in microseconds. Shorter latencies count as this long.
 const MIN_LATENCY_US: u64 = 1;
 
-/// The longest latency, in milliseconds; what is longer counts as this long.
+/// The longest recorded latency, in milliseconds. Longer latencies count as this long.
 const MAX_LATENCY_MS: f64 = 60_000.0;
 
-/// The longest latency, in microseconds.
+/// [`MAX_LATENCY_MS`] in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Significant decimal digits of a latency. Two digits over the whole range take about 12 kB.
+/// Significant decimal digits of a recorded latency. With two digits over the whole range, a
+/// histogram takes about 12 kB.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The latencies of one kind of event since the start of the process. Its `Display` is the printed form:
+/// The latencies of one kind of event since the start of the process. `Display` prints
 /// `n:COUNT,p50_us:...,p99_us:...,max_us:...`.
 pub struct LatencyHistogram(Mutex<Histogram<u32>>);
 
-/// A histogram's content at one moment; latencies in microseconds, 0 where nothing was recorded.
+/// A snapshot of a histogram. Latencies are in microseconds, and 0 if none has been recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LatencySummary {
-    /// Latencies recorded.
+    /// Number of recorded latencies.
     pub count: u64,
-    /// The median.
+    /// The median latency.
     pub p50_us: u64,
-    /// The 99th percentile.
+    /// The 99th percentile of the latencies.
     pub p99_us: u64,
-    /// The longest.
+    /// The longest latency.
     pub max_us: u64,
 }
 
@@ -41,7 +42,7 @@
             .saturating_record(microseconds.max(MIN_LATENCY_US));
     }
 
-    /// The content now.
+    /// Returns a snapshot of the histogram.
     #[must_use]
     pub fn summary(&self) -> LatencySummary {
         let histogram = self.lock();
@@ -57,7 +58,8 @@
         }
     }
 
-    /// A panic elsewhere leaves the counts usable, so a poisoned lock is taken as it is.
+    /// Locks the histogram. A poisoned lock is used too, because a panic in another thread leaves
+    /// the counts usable.
     fn lock(&self) -> MutexGuard<'_, Histogram<u32>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of the metrics table, its printed forms and the latency histogram.
 
 use super::{LatencyHistogram, LatencySummary, MetricKind, Metrics};
 
@@ -20,7 +20,7 @@
         ..
     } = histogram.summary();
     assert_eq!((count, p50_us), (2, 1));
-    // Two significant digits.
+    // The histogram keeps two significant digits of the maximum of 60 s.
     assert!((59_000_000..61_000_000).contains(&max_us), "{max_us}");
 }
 
--- a/src/metrics/text.rs
+++ b/src/metrics/text.rs
@@ -1,11 +1,12 @@
-//! The two printed forms of the table. Their names are published: the `node.` figures keep those of the operators'
-//! pages, the line of counters has the names of the table.
+//! The two printed forms of the table. Their names are published and must not change: the `node.`
+//! figures have the names in the operators' documentation, and the line of counters has the names
+//! of the table.
 
 use super::Metrics;
 use std::fmt::{self, Write};
 
 impl Metrics {
-    /// The figures of the admin address, one `node.NAME=VALUE` line each.
+    /// Returns the figures of the admin address, each on a line `node.NAME=VALUE`.
     #[must_use]
     pub fn admin_figures(&self) -> String {
         let mut text = String::new();
@@ -37,7 +38,8 @@
     let _ = writeln!(text, "node.{name}={value}");
 }
 
-/// One line: `counters NAME=VALUE ... cancellation_latency=... CLASS=passed:N,dropped:N,bad_gateway:N ...`.
+/// Prints one line:
+/// `counters NAME=VALUE ... cancellation_latency=... CLASS=passed:N,dropped:N,bad_gateway:N ...`.
 impl fmt::Display for Metrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "counters")?;
--- a/src/metrics/value.rs
+++ b/src/metrics/value.rs
@@ -1,32 +1,32 @@
-//! The two kinds of values in the table, counters and gauges, and one value as it is read.
+//! The two kinds of metrics, [`Counter`] and [`Gauge`], and the snapshot of a metric.
 //!
-//! All accesses are relaxed. Each value stands alone: nobody infers from one value that another write is visible, so
-//! only the atomicity of the single value counts. Values that a shutdown waits for are written and read on the one
-//! thread of the runtime.
+//! All atomic operations use relaxed ordering. The values are independent of each other, and no
+//! code relies on a value to make other writes visible. The values that a shutdown waits for are
+//! written and read on the same thread, the only one of the runtime.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Whether a value only grows.
+/// Kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// Grows from 0 at the start of the process; `Counter64` in SNMP.
+    /// A count that never falls, from 0 at the start of the process; `Counter64` in SNMP.
     Counter,
-    /// A level that rises and falls; `Gauge32` in SNMP.
+    /// A value that may rise and fall; `Gauge32` in SNMP.
     Gauge,
 }
 
-/// One value of the table with its name.
+/// A snapshot of one metric, with its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// The printed name, as `requests_accepted`.
+    /// The printed name, for example `requests_accepted`.
     pub name: &'static str,
-    /// Counter or gauge.
+    /// The metric's kind.
     pub kind: MetricKind,
-    /// The value now.
+    /// The value when the metric was read.
     pub value: u64,
 }
 
-/// A count that only grows.
+/// A count that never falls.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -43,14 +43,14 @@
         self.0.fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// The count since the start of the process.
+    /// Returns the count since the start of the process.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A level that rises and falls.
+/// A value that may rise and fall.
 #[derive(Debug, Default)]
 pub struct Gauge(AtomicU64);
 
@@ -62,17 +62,17 @@
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Subtracts one; each call follows an [`increment`](Gauge::increment) of its own.
+    /// Subtracts one. Each call must be preceded by its own [`increment`](Gauge::increment).
     pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Replaces the level.
+    /// Sets the value.
     pub fn set(&self, value: usize) {
         self.0.store(value as u64, Ordering::Relaxed);
     }
 
-    /// The level now.
+    /// Returns the current value.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
