--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -1,8 +1,9 @@
-//! The SNMP agent: version 2c, read-only. Its objects are the metrics in the order of their table, the outcomes by
-//! class, and a few of the standard `system` group; `mibs/MAGPIECHUTE-MIB.txt` describes them.
+//! The read-only SNMP agent, version 2c. Its objects are the metrics in the order of their table,
+//! the outcomes by class, and four objects of the standard `system` group.
+//! `mibs/MAGPIECHUTE-MIB.txt` describes the metrics and outcomes.
 //!
-//! [`Agent::serve`] is the transport, [`mib_view`] builds what can be read at one moment, and [`request`] answers one
-//! message from it.
+//! [`Agent::serve`] receives and sends messages, [`mib_view`] takes a snapshot of all objects, and
+//! [`request`] answers one message from the snapshot.
 
 mod mib_view;
 mod request;
@@ -18,10 +19,10 @@
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
-/// The agent and what it answers from.
+/// The SNMP agent, with the data that its answers are built from.
 pub(crate) struct Agent {
     community: String,
-    /// The workload manager's name, as `sysName`.
+    /// The workload manager's name, which is the value of `sysName`.
     name: String,
     metrics: Arc<Metrics>,
     limits: Arc<Limits>,
@@ -29,7 +30,7 @@
 }
 
 impl Agent {
-    /// An agent whose up time begins now. Messages with another community are dropped.
+    /// Creates an agent whose up time begins now. It drops messages with another community.
     pub(crate) fn new(
         community: String,
         name: String,
@@ -45,18 +46,18 @@
         }
     }
 
-    /// Answers messages until the program ends.
+    /// Answers messages until the process ends.
     pub(crate) async fn serve(self, socket: UdpSocket) {
         let mut buffer = vec![0; self.limits.snmp_bytes];
         loop {
-            // An error here is a peer's ICMP message about an earlier answer.
+            // An error comes from a peer's ICMP message about an earlier answer, so it is ignored.
             let Ok((length, peer)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
             match self.answer(&buffer[..length]) {
                 Some(answer) => {
                     self.metrics.snmp_answered.increment();
-                    // A lost answer is the manager's to ask for again.
+                    // A send error is ignored: the SNMP client repeats a request without an answer.
                     let _ = socket.send_to(&answer, peer).await;
                 }
                 None => self.metrics.snmp_dropped.increment(),
--- a/src/snmp/mib_view.rs
+++ b/src/snmp/mib_view.rs
@@ -1,4 +1,4 @@
-//! Everything that can be read at one moment, ordered by object identifier.
+//! A snapshot of all objects that the agent serves, ordered by object identifier.
 
 use crate::metrics::{ClassCounts, Metric, MetricKind, Metrics};
 use rasn::types::ObjectIdentifier;
@@ -8,51 +8,52 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// The project's objects, in an arc for projects without an enterprise number of their own.
+/// The arc of the project's objects. It lies in an arc for projects without an enterprise number of
+/// their own.
 const ENTERPRISE: [u32; 10] = [1, 3, 6, 1, 4, 1, 8072, 9999, 9999, 62];
 
-/// The `system` group of SNMPv2-MIB (RFC 3418) and its objects served here.
+/// The `system` group of SNMPv2-MIB (RFC 3418), and the objects of it that the agent serves.
 const SYSTEM_GROUP: [u32; 7] = [1, 3, 6, 1, 2, 1, 1];
 const SYS_DESCR: u32 = 1;
 const SYS_OBJECT_ID: u32 = 2;
 const SYS_UP_TIME: u32 = 3;
 const SYS_NAME: u32 = 5;
 
-/// The table of classes below [`ENTERPRISE`], its entry, and its columns that can be read. The counts follow the name,
-/// in the order of [`ClassCounts::named_counts`].
+/// The table of classes below [`ENTERPRISE`], its entry, and its readable columns. The columns of
+/// the counts follow the name's column, in the order of [`ClassCounts::named_counts`].
 pub(super) const CLASS_TABLE: u32 = 100;
 const CLASS_ENTRY: u32 = 1;
 const CLASS_NAME_COLUMN: u32 = 2;
 const FIRST_CLASS_COUNT_COLUMN: u32 = 3;
 
-/// The instance of an object that has only one.
+/// The instance number of an object that has only one instance.
 const SCALAR_INSTANCE: u32 = 0;
 
-/// `sysDescr`.
+/// The value of `sysDescr`.
 const SYSTEM_DESCRIPTION: &str = concat!(
     "magpiechute ",
     env!("CARGO_PKG_VERSION"),
     ", a workload manager"
 );
 
-/// A unit of `TimeTicks`, in milliseconds.
+/// The unit of `TimeTicks`, in milliseconds.
 const TICK_MS: u128 = 10;
 
 /// The values of the `system` group that differ between agents.
 pub(super) struct SystemGroup<'a> {
-    /// Since the start of the agent.
+    /// Time since the start of the agent.
     pub(super) up_time: Duration,
     /// The workload manager's name.
     pub(super) name: &'a str,
 }
 
-/// All instances with their values.
+/// The instances of all objects, with their values.
 pub(super) struct MibView {
     instances: BTreeMap<ObjectIdentifier, ObjectSyntax>,
 }
 
 impl MibView {
-    /// The instances now.
+    /// Takes a snapshot of all instances.
     pub(super) fn new(system: &SystemGroup<'_>, metrics: &Metrics) -> MibView {
         let mut view = MibView {
             instances: BTreeMap::new(),
@@ -98,19 +99,19 @@
         self.instances.insert(instance, value);
     }
 
-    /// The value of an instance.
+    /// Returns the value of an instance.
     pub(super) fn get(&self, instance: &ObjectIdentifier) -> Option<&ObjectSyntax> {
         self.instances.get(instance)
     }
 
-    /// Whether an instance's object is there, if under other instances.
+    /// Returns whether the object of an instance exists, possibly with other instances only.
     pub(super) fn has_object_of_instance(&self, instance: &ObjectIdentifier) -> bool {
         self.instances
             .keys()
             .any(|existing| instance.starts_with(&existing[..existing.len() - 1]))
     }
 
-    /// The first instance after an identifier, with its value.
+    /// Returns the first instance after an identifier, with its value.
     pub(super) fn next_after(
         &self,
         identifier: &ObjectIdentifier,
@@ -132,7 +133,7 @@
     ObjectSyntax::ApplicationWide(ApplicationSyntax::BigCounter(Counter64(value)))
 }
 
-/// Gauges have 32 bits in SNMP; a larger value is their greatest.
+/// An SNMP gauge has 32 bits; a larger value is reported as the largest 32-bit value.
 fn gauge(value: u64) -> ObjectSyntax {
     let value = u32::try_from(value).unwrap_or(u32::MAX);
     ObjectSyntax::ApplicationWide(ApplicationSyntax::Unsigned(Gauge(value)))
--- a/src/snmp/request.rs
+++ b/src/snmp/request.rs
@@ -1,4 +1,5 @@
-//! One SNMP message and its answer (RFC 3416): GET, GETNEXT and GETBULK; SET is refused, as nothing can be written.
+//! Answers one SNMP message (RFC 3416): GET, GETNEXT and GETBULK. A SET gets the error
+//! `notWritable`, because all objects are read-only.
 
 use super::mib_view::MibView;
 use rasn::types::{Integer, ObjectIdentifier};
@@ -8,17 +9,17 @@
 };
 use rasn_snmp::v2c::Message;
 
-/// Bounds of one answer.
+/// Limits of one answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnswerLimits {
-    /// Bytes of the encoded message.
+    /// Maximum size of the encoded message, in bytes.
     pub(super) bytes: usize,
-    /// Variables that a GETBULK answer may have.
+    /// Maximum number of variables in the answer to a GETBULK, up to which repetitions are added.
     pub(super) variables: usize,
 }
 
-/// The answer to one message. `None`, where the standard wants no answer: the message cannot be decoded, or has another
-/// version, community or type of request.
+/// Returns the encoded answer to a message. It is `None` if the standard requires no answer: the
+/// message cannot be decoded, or has another version, community or request type.
 pub(super) fn answer(
     message: &[u8],
     community: &[u8],
@@ -66,7 +67,7 @@
     }
 }
 
-/// Answers each variable of a request by itself.
+/// Answers each variable of a request separately.
 fn respond_each(request: Pdu, lookup: impl Fn(ObjectIdentifier) -> VarBind) -> Pdu {
     let bindings = request
         .variable_bindings
@@ -94,7 +95,7 @@
     }
 }
 
-/// The error names the first variable, where there is one.
+/// The answer to a SET. The error index refers to the first variable; it is 0 if there is none.
 fn not_writable(request: Pdu) -> Pdu {
     Pdu {
         error_status: Pdu::ERROR_STATUS_NOT_WRITABLE,
@@ -125,8 +126,9 @@
     }
 }
 
-/// The first `non_repeaters` variables once, the others up to `max_repetitions` times. The answer ends before it has
-/// more than `max_variables`, and where all repeated variables have reached the end of the view.
+/// Looks up the first `non_repeaters` variables once and the others up to `max_repetitions` times.
+/// The repetitions end early if another one would make more than `max_variables` variables, or if
+/// all repeated variables have reached the end of the MIB view.
 fn get_bulk(view: &MibView, request: &BulkPdu, max_variables: usize) -> Vec<VarBind> {
     let variables = &request.variable_bindings;
     let non_repeaters = (request.non_repeaters as usize).min(variables.len());
--- a/src/snmp/tests.rs
+++ b/src/snmp/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of this module.
+//! Tests that the MIB file matches the agent's objects.
 
 use crate::metrics::{MetricKind, Metrics};
 
-/// The file names every counter, with its number and syntax.
+/// The MIB file defines every metric under its number and name, with the syntax of its kind.
 #[test]
 fn the_mib_file_describes_every_metric_in_order() {
     let mib = include_str!("../../mibs/MAGPIECHUTE-MIB.txt");
