--- a/src/log.rs
+++ b/src/log.rs
@@ -1,16 +1,19 @@
-//! The program's log: `tracing` events with fields, written to standard error, one line each.
+//! The program's log: `tracing` events with fields, each written as one line to standard error.
 //!
-//! Every module logs with the macros of `tracing`: the message says what happened, the fields name what it happened
-//! to (`id`, `engine`, `attempt`, `class`, ...). The levels are those of `[log] level` in the operators' file:
+//! All modules log with the macros of `tracing`. The message describes the event, and the fields
+//! identify its subject (`id`, `engine`, `attempt`, `class`, ...). The operators' file sets the
+//! lowest level that is logged (`[log] level`):
 //!
-//! - `error`: the program cannot do its work, or ends. The least that an operator can ask for.
-//! - `warn`: something failed and the program goes on, as with a configuration that is rejected.
-//! - `info`: what changes during operation, as the address served or new settings in force. The usual level.
+//! - `error`: the program ends or cannot do its work. This level cannot be turned off.
+//! - `warn`: something failed and the program continues, for example when a configuration is
+//!   rejected.
+//! - `info`: changes during operation, for example the served address or new settings. The default.
 //! - `debug`: one line for each decision about a request.
 //!
-//! No event on the path of a request stands above `debug`, so at the usual level such an event costs one load of the
-//! global bound on levels. Two kinds of lines are no events and come at every level: errors before the log is set up,
-//! and the counters that are printed on SIGUSR1 and at exit.
+//! Events about a single request have level `debug` or below. At the default level such an event
+//! therefore costs only one load of the global level filter. Two kinds of lines are not log events
+//! and are printed at every level: errors before the log is set up, and the counters on SIGUSR1 and
+//! at exit.
 
 use crate::operator_config::text::{LogFormat, LogLevel, LogTable};
 use std::fmt;
@@ -22,32 +25,32 @@
 use tracing_subscriber::fmt::{FmtContext, Subscriber as FmtSubscriber};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Begins each operational line in text form.
+/// Prefix of each operational line in the text format.
 const LINE_PREFIX: &str = "workload-manager: ";
 
-/// The crate's name as it begins the target of its events.
+/// The crate's name, with which the targets of its own events begin.
 const OWN_TARGET: &str = "workload_manager";
 
 /// Why the log cannot be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// A global subscriber stands already.
+    /// A global subscriber has already been set.
     #[error("cannot set up the log: {0}")]
     AlreadySet(#[from] tracing::subscriber::SetGlobalDefaultError),
 }
 
-/// Sets up the log for the life of the process. Errors: a log was set up already.
+/// Sets up the log for the rest of the process. Returns an error if a log is already set up.
 pub fn init(log: &LogTable) -> Result<(), LogError> {
     let subscriber = subscriber(log, io::stderr);
     Ok(tracing::subscriber::set_global_default(subscriber)?)
 }
 
-/// A request's or client's own bytes as a field's value; what is not UTF-8 in them is replaced.
+/// Returns bytes from a client as the text of a log field. Invalid UTF-8 is replaced.
 pub fn lossy_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A subscriber with the operators' level and format.
+/// Creates a subscriber with the level and format from the operators' file.
 fn subscriber<W>(log: &LogTable, writer: W) -> Box<dyn Subscriber + Send + Sync>
 where
     W: for<'writer> MakeWriter<'writer> + Send + Sync + 'static,
@@ -78,8 +81,8 @@
     }
 }
 
-/// The text form. The program's own events from `info` up are operational lines, `workload-manager: MESSAGE
-/// key=value ...`; all others begin with their level.
+/// The text format. The program's own events of level `info` or higher become operational lines,
+/// `workload-manager: MESSAGE key=value ...`. The lines of all other events begin with their level.
 struct TextEventFormat {
     format_with_level: format::Format<Full, ()>,
 }
@@ -114,7 +117,8 @@
     }
 }
 
-/// Whether an event is one of the program's own at a level that on-call staff read.
+/// Returns whether an event comes from the program itself and has level `info` or higher. On-call
+/// staff read these events.
 fn is_operational(metadata: &tracing::Metadata<'_>) -> bool {
     let target = metadata.target();
     let is_own = target
--- a/src/log/capture.rs
+++ b/src/log/capture.rs
@@ -1,4 +1,4 @@
-//! Captures the events of one thread, for tests.
+//! Captures the log events of one thread, for tests.
 
 use super::subscriber;
 use crate::operator_config::text::{LogFormat, LogLevel, LogTable};
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use tracing::subscriber::DefaultGuard;
 
-/// Standard error's stand-in: what all events wrote.
+/// The captured lines of all events, in place of standard error.
 #[derive(Clone, Default)]
 struct Output(Arc<Mutex<Vec<u8>>>);
 
@@ -21,16 +21,17 @@
     }
 }
 
-/// Captures what the current thread logs until it is dropped.
+/// Captures the log events of the current thread until it is dropped.
 pub(crate) struct LogCapture {
     output: Output,
     _subscriber: DefaultGuard,
-    /// With a single subscriber, a callsite that another test's thread reaches first is disabled for all threads.
+    /// Keeps a second subscriber alive. With only one, a log call that the thread of another test
+    /// reaches first is disabled for all threads.
     _second_subscriber: tracing::Dispatch,
 }
 
 impl LogCapture {
-    /// Captures at this level, in this format.
+    /// Starts to capture events of this level or higher, in this format.
     pub(crate) fn new(level: LogLevel, format: LogFormat) -> LogCapture {
         let output = Output::default();
         let writer = output.clone();
@@ -44,12 +45,12 @@
         }
     }
 
-    /// All lines so far.
+    /// Returns all lines captured so far.
     pub(crate) fn text(&self) -> String {
         String::from_utf8(self.output.0.lock().expect("output").clone()).expect("UTF-8")
     }
 
-    /// All events so far, which were written as JSON, with this message.
+    /// Returns all events with this message captured so far. The format must be JSON.
     pub(crate) fn events(&self, message: &str) -> Vec<serde_json::Value> {
         self.text()
             .lines()
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of the log's levels and formats.
 
 use super::capture::LogCapture;
 use crate::operator_config::text::{LogFormat, LogLevel};
