--- a/src/bin/simulator-adapter/decode.rs
+++ b/src/bin/simulator-adapter/decode.rs
@@ -1,4 +1,4 @@
-//! Records of a batch as events of a dispatcher.
+//! Decodes the records of a batch into dispatcher events.
 
 use crate::frame::{Batch, Fields, FrameError};
 use std::collections::BTreeMap;
@@ -7,7 +7,8 @@
     Request,
 };
 
-/// Codes of the event records.
+/// Codes of the event records. An `ENGINE_LIST` record stores a numbered list of engines, and an
+/// `ENDPOINT_LIST` record refers to it.
 pub(crate) mod code {
     pub(crate) const PEER_MESSAGE: u8 = 1;
     pub(crate) const ENDPOINT_LIST: u8 = 2;
@@ -23,36 +24,37 @@
     pub(crate) const HEALTH_CHECK_ENDED: u8 = 12;
 }
 
-/// Bytes of an engine in an inventory.
+/// Bytes of one engine in an engine list.
 const ENGINE_ENTRY_BYTES: usize = 24;
-/// Engine lists that a process holds.
+/// Number of engine lists that a process can store.
 const MAX_ENGINE_LISTS: u16 = 16;
-/// Figures of a load report in a record.
+/// Maximum number of fields of a load report in a record.
 const MAX_LOAD_REPORT_FIELDS: usize = 4;
-/// Code of a served attempt.
+/// Code of the outcome [`Outcome::Ok`].
 const OUTCOME_OK: u16 = 100;
-/// Flag of a request whose work is estimated.
+/// Bit that is set if a request has an estimate of its work.
 const WORK_ESTIMATE_FLAG: u8 = 1;
-/// Measured work, in ms, stands above these bits of the statistics; measured memory stands in them.
+/// Number of low bits of the statistics field that hold the measured memory. The higher bits hold
+/// the measured work in ms.
 const MEASURED_MEMORY_BITS: u32 = 12;
-/// Unit of the measured memory, in MB.
+/// Unit of the measured memory in a record, in MB.
 const MEASURED_MEMORY_UNIT_MB: f64 = 4.0;
-/// Level of a progress report that waits for a bulk load.
+/// Value of a progress report about a wait, if the attempt waits for a bulk load.
 const BULK_LOAD_WAIT_CODE: u8 = 2;
 
-/// The inventories of engines, by number.
+/// The stored engine lists, by number.
 pub(crate) type EngineLists = BTreeMap<u16, Vec<EngineEntry>>;
 
-/// How the answers of an instance's engines read.
+/// Format of the answers that an instance's engines send.
 #[derive(Default)]
 pub(crate) struct AnswerFormat {
-    /// The names of the figures in its load reports, in order.
+    /// The names of the fields in load reports, in order.
     pub(crate) load_report_fields: Vec<String>,
-    /// Whether answers tell the work and memory that they needed.
+    /// Whether answers report the work and memory that the query needed.
     pub(crate) reports_work: bool,
 }
 
-/// One record of a batch.
+/// One event record of a batch.
 #[derive(Clone, Copy)]
 pub(crate) struct Record<'a> {
     pub(crate) batch: &'a Batch,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Its event for a dispatcher.
+    /// Decodes the record into a dispatcher event.
     pub(crate) fn event(
         &self,
         engine_lists: &EngineLists,
@@ -114,23 +116,23 @@
 
     fn peer_message(&self) -> Result<Event, FrameError> {
         let (offset, length) = (self.fields.u32(7), self.fields.u32(11) as usize);
-        let payload = self.batch.tail(offset, length, "a message")?;
+        let payload = self.batch.tail(offset, length, "a peer message")?;
         Ok(Event::PeerMessage {
             payload: payload.to_vec(),
         })
     }
 
-    /// The settings of an instance that starts.
+    /// Returns the settings of an instance to start, as JSON text.
     pub(crate) fn settings(&self) -> Result<&'a [u8], FrameError> {
         let (offset, length) = (self.fields.u32(11), self.fields.u32(15) as usize);
         self.batch.tail(offset, length, "the settings")
     }
 
-    /// The inventory of engines in the record, and its number.
+    /// Decodes an engine list and returns it with its number.
     pub(crate) fn engine_list(&self) -> Result<(u16, Vec<EngineEntry>), FrameError> {
         let number = self.instance();
         if number >= MAX_ENGINE_LISTS {
-            return Err(self.unknown_value("list number", number));
+            return Err(self.unknown_value("list number too large:", number));
         }
         let length = (self.fields.u32(7) as usize).saturating_mul(ENGINE_ENTRY_BYTES);
         let bytes = self
@@ -148,7 +150,7 @@
             0 => EngineState::Removed,
             1 => EngineState::Ready,
             2 => EngineState::Draining,
-            other => return Err(self.unknown_value("health", other)),
+            other => return Err(self.unknown_value("unknown engine state", other)),
         };
         Ok(EngineEntry {
             engine: entry.engine(0),
@@ -168,7 +170,7 @@
             1 => ListUpdateKind::Full,
             2 => ListUpdateKind::Cached,
             3 => ListUpdateKind::PollFailed,
-            other => return Err(self.unknown_value("unknown kind of list", other)),
+            other => return Err(self.unknown_value("unknown kind of list update", other)),
         };
         let number = self.fields.u16(12);
         let entries = match (kind, engine_lists.get(&number)) {
@@ -201,7 +203,7 @@
             (2, _) => Progress::SpillingMb(value),
             (3, BULK_LOAD_WAIT_CODE) => Progress::WaitingForBulkLoad,
             (3, _) => Progress::WaitingForMemory,
-            (other, _) => return Err(self.unknown_value("unknown kind of note", other)),
+            (other, _) => return Err(self.unknown_value("unknown kind of progress report", other)),
         };
         Ok(Event::Progress {
             id: self.fields.u32(3),
@@ -254,7 +256,8 @@
         })
     }
 
-    /// The load report at an offset: the number of its figures, then the figures in the instance's order.
+    /// Decodes the load report at an offset: one byte with the number of values, then the values in
+    /// the order of [`AnswerFormat::load_report_fields`].
     fn load_report(&self, offset: usize, answer_format: &AnswerFormat) -> LoadReport {
         let mut report = LoadReport::default();
         let field_count = usize::from(self.fields.u8(offset)).min(MAX_LOAD_REPORT_FIELDS);
--- a/src/bin/simulator-adapter/encode.rs
+++ b/src/bin/simulator-adapter/encode.rs
@@ -1,4 +1,4 @@
-//! Actions of a dispatcher as records of a reply.
+//! Encodes dispatcher actions as records of a reply.
 
 use crate::frame::Reply;
 use workload_manager::{Action, EngineId};
@@ -19,7 +19,7 @@
 
 /// Bytes of an engine's address in a record.
 const ADDRESS_BYTES: usize = 6;
-/// Subscribes to the endpoint list.
+/// Value of the `SUBSCRIBE` record that starts the subscription to the endpoint list.
 const SUBSCRIBE_ON: [u8; 1] = [1];
 
 fn address(engine: EngineId) -> [u8; ADDRESS_BYTES] {
@@ -29,13 +29,13 @@
     field
 }
 
-/// Adds the fault of an instance whose settings cannot be used.
+/// Adds a record that reports why an instance's settings cannot be used.
 pub(crate) fn settings_error(reply: &mut Reply, instance: u16, reason: &str) {
     let text = reply.add_text(reason);
     reply.add_record(code::SETTINGS_ERROR, instance, &[(3, &text)]);
 }
 
-/// Adds an action of an instance.
+/// Adds the record of an instance's action.
 pub(crate) fn action(reply: &mut Reply, instance: u16, action: &Action) {
     let mut add = |code, fields: &[(usize, &[u8])]| reply.add_record(code, instance, fields);
     match action {
--- a/src/bin/simulator-adapter/frame.rs
+++ b/src/bin/simulator-adapter/frame.rs
@@ -1,4 +1,5 @@
-//! Frames of the simulator's wire: header, records of fixed size, tail. Little-endian, without padding.
+//! The frames of the simulator's binary protocol: a header, records of fixed size, and a tail with
+//! data of variable size. All numbers are little-endian, and there is no padding.
 
 use std::io::{self, ErrorKind, Read};
 use workload_manager::EngineId;
@@ -12,34 +13,34 @@
 /// Bytes of a reply's header.
 const REPLY_HEADER_BYTES: usize = 12;
 
-/// What is wrong with the input, and where.
+/// Why the input cannot be decoded, and where.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
-    /// The input ended within a header.
-    #[error("input ends {read} bytes into a batch header of {BATCH_HEADER_BYTES}")]
+    /// The input ended inside a batch header.
+    #[error("input ends after {read} of {BATCH_HEADER_BYTES} bytes of a batch header")]
     PartialHeader { read: usize },
-    /// The input could not be read at all.
-    #[error("cannot read: {0}")]
+    /// A batch header could not be read.
+    #[error("cannot read a batch header: {0}")]
     Unreadable(#[source] io::Error),
-    /// The header's count of records is larger than its frame.
-    #[error("batch {batch}: {records} records do not fit a frame of {frame_bytes} bytes")]
+    /// The records that the header counts do not fit into the frame.
+    #[error("batch {batch}: {records} records do not fit into a frame of {frame_bytes} bytes")]
     TooManyRecords {
         batch: u32,
         records: usize,
         frame_bytes: usize,
     },
-    /// The clock is not finite.
-    #[error("batch {batch}: the clock is not a number")]
+    /// The simulator's clock is infinite or NaN.
+    #[error("batch {batch}: the clock is not a finite number")]
     ClockNotFinite { batch: u32 },
-    /// The input ended within a body.
-    #[error("batch {batch}: input ends {read} bytes into a body of {body_bytes}")]
+    /// The input ended inside the records or the tail of a batch.
+    #[error("batch {batch}: input ends after {read} of {body_bytes} bytes of the body")]
     PartialBody {
         batch: u32,
         read: usize,
         body_bytes: usize,
     },
-    /// A body could not be read.
-    #[error("batch {batch}: cannot read: {source}")]
+    /// The records and the tail of a batch could not be read.
+    #[error("batch {batch}: cannot read the body: {source}")]
     UnreadableBody { batch: u32, source: io::Error },
     /// A record refers to bytes outside the tail.
     #[error(
@@ -52,7 +53,7 @@
         length: usize,
         tail_bytes: usize,
     },
-    /// A record holds a value that the protocol does not have.
+    /// A record has a value that the protocol does not define.
     #[error("batch {batch}, record {record}: {what} {value}")]
     UnknownValue {
         batch: u32,
@@ -62,9 +63,9 @@
     },
 }
 
-/// One batch of events, as read.
+/// One batch of event records.
 pub(crate) struct Batch {
-    /// The simulator's clock in ms.
+    /// The simulator's time, in ms.
     pub(crate) clock_ms: f64,
     pub(crate) number: u32,
     pub(crate) record_count: usize,
@@ -109,12 +110,12 @@
         }))
     }
 
-    /// A record; its fields are read at fixed offsets, all of which lie inside.
+    /// Returns the record at an index. All offsets at which its fields are read lie inside it.
     pub(crate) fn record(&self, index: usize) -> Fields<'_> {
         Fields(&self.body[index * EVENT_RECORD_BYTES..(index + 1) * EVENT_RECORD_BYTES])
     }
 
-    /// A stretch of the tail; `what` names it in the error.
+    /// Returns a part of the tail. The error message describes it as `what`.
     pub(crate) fn tail(
         &self,
         offset: u32,
@@ -136,7 +137,8 @@
     }
 }
 
-/// Reads a body. Memory grows with what has come in, not with what the header claims.
+/// Reads the records and the tail of a batch. The buffer grows with the bytes that arrive, so a
+/// header with a wrong size does not make it large.
 fn read_body(input: &mut impl Read, batch: u32, body_bytes: usize) -> Result<Vec<u8>, FrameError> {
     let mut body = Vec::new();
     let read = input
@@ -154,7 +156,7 @@
     }
 }
 
-/// Reads until the buffer is full or the input ends; returns the bytes read.
+/// Reads until the buffer is full or the input ends, and returns the number of bytes read.
 fn read_until_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut read = 0;
     while read < buffer.len() {
@@ -168,7 +170,7 @@
     Ok(read)
 }
 
-/// Fields at fixed offsets.
+/// The bytes of a header or record, whose fields are read at fixed offsets.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(pub(crate) &'a [u8]);
 
@@ -220,7 +222,7 @@
 }
 
 impl Reply {
-    /// Adds a record: its code, its instance and its fields, each with its offset.
+    /// Adds a record with its code, its instance and its fields, each given with its offset.
     pub(crate) fn add_record(&mut self, code: u8, instance: u16, fields: &[(usize, &[u8])]) {
         let mut record = [0u8; ACTION_RECORD_BYTES];
         record[0] = code;
@@ -232,7 +234,7 @@
         self.record_count += 1;
     }
 
-    /// Adds text to the tail and returns the field that refers to it.
+    /// Adds text to the tail and returns the field with its offset and length.
     pub(crate) fn add_text(&mut self, text: &str) -> [u8; 8] {
         let mut field = [0; 8];
         field[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
@@ -241,7 +243,7 @@
         field
     }
 
-    /// The reply to a batch of this number.
+    /// Returns the encoded reply to the batch with this number.
     pub(crate) fn into_bytes(self, batch: u32) -> Vec<u8> {
         let frame_bytes = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         let mut bytes = Vec::with_capacity(frame_bytes);
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,4 +1,5 @@
-//! The table of instances: it hands events to their dispatchers, and frames the dispatchers' actions.
+//! Holds the instances, passes each event to its instance's dispatcher, and encodes the
+//! dispatcher's actions.
 
 use crate::decode::{AnswerFormat, EngineLists, Record, code};
 use crate::encode;
@@ -10,10 +11,10 @@
 /// Why an instance cannot start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    /// Its settings cannot be read.
+    /// The settings cannot be parsed.
     #[error(transparent)]
     Unreadable(#[from] ParseSettingsError),
-    /// Its settings cannot be used.
+    /// The dispatcher does not accept the settings.
     #[error(transparent)]
     Unusable(#[from] SettingsError),
 }
@@ -38,7 +39,7 @@
     }
 }
 
-/// All instances of this process.
+/// All instances in this process, and the engine lists that they share.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u16, Instance>,
@@ -46,7 +47,8 @@
 }
 
 impl Host {
-    /// Hands a batch's events to their instances, in order, and frames their actions.
+    /// Passes the events of a batch to their instances, in order, and returns the encoded reply
+    /// with the resulting actions.
     pub(crate) fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, FrameError> {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
@@ -70,7 +72,7 @@
         Ok(reply.into_bytes(batch.number))
     }
 
-    /// Starts an instance in place of one of the same number.
+    /// Starts an instance. It replaces an instance with the same number.
     fn start_instance(
         &mut self,
         record: Record<'_>,
@@ -92,7 +94,7 @@
         Ok(())
     }
 
-    /// Hands an event to its instance. The record of an unknown instance is checked all the same.
+    /// Passes an event to its instance. The record is validated even if the instance is unknown.
     fn handle_event(
         &mut self,
         record: Record<'_>,
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Hosts dispatchers on the simulator's wire: standard input to standard output. It only translates.
+//! Runs dispatchers for the simulator. The adapter reads batches of events from standard input, and
+//! writes a reply with the dispatchers' actions to standard output. It makes no decisions itself.
 #![forbid(unsafe_code)]
 
 mod decode;
@@ -10,7 +11,7 @@
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
-/// Bytes of the buffers of standard input and output.
+/// Size of the buffers for standard input and output, in bytes.
 const BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter's frames, through the real binary.
+//! Tests of the simulator's adapter: each runs the program and compares its binary replies.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,12 +9,12 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
+        .expect("simulator-adapter starts");
     let mut stdin = child.stdin.take().unwrap();
-    // It may end before it has read all: that is what some tests are about.
+    // The adapter ends at malformed input, so it may not read all of it.
     let _ = stdin.write_all(input);
     drop(stdin);
-    child.wait_with_output().expect("ends")
+    child.wait_with_output().expect("simulator-adapter ends")
 }
 
 fn event_record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
@@ -60,7 +60,7 @@
 
 const ENGINE: [u8; 6] = [10, 18, 74, 7, 0x93, 0x1f];
 
-/// The settings and, behind them, a list of one ready engine.
+/// A tail with the settings, followed by a list of one ready engine.
 fn settings_and_engine_list(settings: &str) -> Vec<u8> {
     let mut entry = [0u8; 24];
     entry[..6].copy_from_slice(&ENGINE);
@@ -145,12 +145,14 @@
         .chunks(24)
         .filter(|record| record[0] == 77)
         .collect();
-    let last = terms.last().expect("a grant once bills are known");
+    let last = terms
+        .last()
+        .expect("a memory grant after answers with measured memory");
     assert_eq!(&last[1..7], [3, 0, 39, 0, 0, 0]);
     let granted_mb = f32::from_le_bytes(last[7..11].try_into().unwrap());
     assert!(
         (250.0..500.0).contains(&granted_mb),
-        "needed 300 MB: {granted_mb}"
+        "queries needed 300 MB, memory grant {granted_mb} MB"
     );
     assert_eq!(last[11], 1);
 }
