--- a/src/metrics/table.rs
+++ b/src/metrics/table.rs
@@ -40,7 +40,7 @@
 
     /// Returns the counts of all classes, in the order in which the classes were added.
     #[must_use]
-    pub fn classes(&self) -> Vec<ClassCounts> {
+    pub fn class_counts(&self) -> Vec<ClassCounts> {
         self.class_outcomes.counts()
     }
 }
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -45,7 +45,7 @@
     for class in 0..=256 {
         metrics.class(&format!("class-{class}")).served.increment();
     }
-    let classes = metrics.classes();
+    let classes = metrics.class_counts();
     let names = (&classes[0].class[..], &classes[255].class[..]);
     assert_eq!((classes.len(), names), (256, ("class-1", "class-256")));
 }
--- a/src/metrics/text.rs
+++ b/src/metrics/text.rs
@@ -10,7 +10,7 @@
     #[must_use]
     pub fn admin_figures(&self) -> String {
         let mut text = String::new();
-        for class_counts in self.classes() {
+        for class_counts in self.class_counts() {
             for (name, count) in class_counts.named_counts() {
                 push_figure(&mut text, &format!("{name}.{}", class_counts.class), count);
             }
@@ -47,7 +47,7 @@
             write!(f, " {}={}", metric.name, metric.value)?;
         }
         write!(f, " cancellation_latency={}", self.cancellation_latency)?;
-        for class_counts in self.classes() {
+        for class_counts in self.class_counts() {
             let counts = class_counts
                 .named_counts()
                 .map(|(name, count)| format!("{name}:{count}"));
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -67,8 +67,8 @@
 
     fn answer(&self, message: &[u8]) -> Option<Vec<u8>> {
         let limits = AnswerLimits {
-            bytes: self.limits.snmp_bytes,
-            variables: self.limits.snmp_variables,
+            max_bytes: self.limits.snmp_bytes,
+            max_variables: self.limits.snmp_variables,
         };
         answer(message, self.community.as_bytes(), limits, || self.view())
     }
--- a/src/snmp/mib_view.rs
+++ b/src/snmp/mib_view.rs
@@ -62,7 +62,7 @@
         for (object, metric) in (1..).zip(metrics.all()) {
             view.insert_scalar(&ENTERPRISE, object, metric_value(metric));
         }
-        for (row, class_counts) in (1..).zip(metrics.classes()) {
+        for (row, class_counts) in (1..).zip(metrics.class_counts()) {
             view.insert_class(row, &class_counts);
         }
         view
--- a/src/snmp/request.rs
+++ b/src/snmp/request.rs
@@ -12,10 +12,10 @@
 /// Limits of one answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnswerLimits {
-    /// Maximum size of the encoded message, in bytes.
-    pub(super) bytes: usize,
-    /// Maximum number of variables in the answer to a GETBULK, up to which repetitions are added.
-    pub(super) variables: usize,
+    /// Maximum size of the encoded answer, in bytes.
+    pub(super) max_bytes: usize,
+    /// Maximum number of variables up to which the answer to a GETBULK adds repetitions.
+    pub(super) max_variables: usize,
 }
 
 /// Returns the encoded answer to a message. It is `None` if the standard requires no answer: the
@@ -36,7 +36,7 @@
         community,
         data,
     } = message;
-    let response = respond(data, &view(), limits.variables)?;
+    let response = respond(data, &view(), limits.max_variables)?;
     let too_big = too_big(response.request_id);
     let encode = |pdu| {
         rasn::ber::encode(&Message {
@@ -47,7 +47,7 @@
         .ok()
     };
     let encoded = encode(response)?;
-    if encoded.len() <= limits.bytes {
+    if encoded.len() <= limits.max_bytes {
         return Some(encoded);
     }
     encode(too_big)
