--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -6,7 +6,7 @@
 
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::{TestBench, class, entry, measured, sent, served, settings};
+use common::{TestBench, class, entry, measured, sent_to, served_event, settings};
 use std::time::Instant;
 use workload_manager::{
     EngineEntry, EngineId, EngineState, Event, ListUpdateKind, LoadReport, Settings,
@@ -33,7 +33,7 @@
             engine: engine_id(n),
             ..entry(n as u8, EngineState::Ready, 0.0)
         };
-        bench.event(Event::EndpointList {
+        bench.handle_event(Event::EndpointList {
             kind: ListUpdateKind::Full,
             entries: (0..engines).map(list_entry).collect(),
         });
@@ -54,8 +54,8 @@
                 inflight: Some(4.0),
                 ..LoadReport::default()
             };
-            let engine = sent(&actions, id).expect("the request is sent to an engine");
-            bench.event(served(id, engine, 60.0, measured(50.0, 8.0), report));
+            let engine = sent_to(&actions, id).expect("the request is sent to an engine");
+            bench.handle_event(served_event(id, engine, 60.0, measured(50.0, 8.0), report));
         }
         let us_per_request = started_at.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
         println!(
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -46,20 +46,20 @@
 }
 
 /// The address of the engine with this number.
-pub(crate) fn engine(n: u8) -> EngineId {
+pub(crate) fn engine(number: u8) -> EngineId {
     EngineId {
-        addr: [10, 0, 0, n],
+        addr: [10, 0, 0, number],
         port: 8000,
     }
 }
 
 /// The list's entry of an engine: two zones, two machine types and three cells in turn.
-pub(crate) fn entry(n: u8, state: EngineState, started_at_ms: f64) -> EngineEntry {
+pub(crate) fn entry(number: u8, state: EngineState, started_at_ms: f64) -> EngineEntry {
     EngineEntry {
-        engine: engine(n),
-        zone: n % 2,
-        machine_type: u16::from(n / 2 % 2),
-        cell: u16::from(n % 3),
+        engine: engine(number),
+        zone: number % 2,
+        machine_type: u16::from(number / 2 % 2),
+        cell: u16::from(number % 3),
         state,
         nominal_capacity: 8.0,
         started_at_ms,
@@ -76,16 +76,16 @@
 
 impl TestBench {
     /// A dispatcher that has started and has so many ready engines.
-    pub(crate) fn new(settings: Settings, engines: u8) -> TestBench {
+    pub(crate) fn new(settings: Settings, engine_count: u8) -> TestBench {
         let mut bench = TestBench {
             dispatcher: Dispatcher::new(settings, 7).expect("settings"),
             now: 1000.0,
         };
-        bench.event(Event::Started);
-        let entries = (0..engines)
-            .map(|n| entry(n, EngineState::Ready, 0.0))
+        bench.handle_event(Event::Started);
+        let entries = (0..engine_count)
+            .map(|number| entry(number, EngineState::Ready, 0.0))
             .collect();
-        bench.event(Event::EndpointList {
+        bench.handle_event(Event::EndpointList {
             kind: ListUpdateKind::Cached,
             entries,
         });
@@ -93,7 +93,7 @@
     }
 
     /// Hands an event to the dispatcher and returns its actions.
-    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, event, &mut actions);
         actions
@@ -102,12 +102,12 @@
     /// Lets time pass and the housekeeping's timer come due.
     pub(crate) fn tick(&mut self, elapsed_ms: f64) -> Vec<Action> {
         self.now += elapsed_ms;
-        self.event(Event::Timer { token: 1 })
+        self.handle_event(Event::Timer { token: 1 })
     }
 
     /// Changes entries of the endpoint list.
-    pub(crate) fn list(&mut self, entries: Vec<EngineEntry>) -> Vec<Action> {
-        self.event(Event::EndpointList {
+    pub(crate) fn update_list(&mut self, entries: Vec<EngineEntry>) -> Vec<Action> {
+        self.handle_event(Event::EndpointList {
             kind: ListUpdateKind::Delta,
             entries,
         })
@@ -124,14 +124,14 @@
         id: u32,
         class: usize,
         order_key: u64,
-        patience_ms: f64,
+        timeout_ms: f64,
         estimated_work_ms: Option<f64>,
     ) -> Vec<Action> {
-        self.event(Event::Request(Request {
+        self.handle_event(Event::Request(Request {
             id,
             class,
             order_key,
-            deadline_ms: self.now + patience_ms,
+            deadline_ms: self.now + timeout_ms,
             estimated_work_ms,
             data_set: id % 3,
             estimated_memory_mb: None,
@@ -140,18 +140,18 @@
     }
 
     /// An attempt ends after 100 ms.
-    pub(crate) fn ended(
+    pub(crate) fn end_attempt(
         &mut self,
         id: u32,
         attempt: u16,
         engine: EngineId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.ended_after(id, attempt, engine, outcome, 100.0)
+        self.end_attempt_after(id, attempt, engine, outcome, 100.0)
     }
 
     /// An attempt ends after so long.
-    pub(crate) fn ended_after(
+    pub(crate) fn end_attempt_after(
         &mut self,
         id: u32,
         attempt: u16,
@@ -159,7 +159,7 @@
         outcome: Outcome,
         elapsed_ms: f64,
     ) -> Vec<Action> {
-        self.event(Event::AttemptEnded(AttemptEnded {
+        self.handle_event(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
             engine,
@@ -174,7 +174,7 @@
 }
 
 /// A request of data set 7 with the given estimates.
-pub(crate) fn query(
+pub(crate) fn request_event(
     id: u32,
     class: usize,
     deadline_ms: f64,
@@ -206,7 +206,7 @@
 }
 
 /// The end of a request's first attempt, which was served.
-pub(crate) fn served(
+pub(crate) fn served_event(
     id: u32,
     engine: EngineId,
     elapsed_ms: f64,
@@ -220,14 +220,14 @@
         outcome: Outcome::Ok,
         elapsed_ms,
         answered: true,
-        measured_work_ms: measured.map(|needed| needed.work_ms),
-        measured_memory_mb: measured.map(|needed| needed.memory_mb),
+        measured_work_ms: measured.map(|usage| usage.work_ms),
+        measured_memory_mb: measured.map(|usage| usage.memory_mb),
         load_report,
     })
 }
 
 /// Where a request was sent by these actions, if it was.
-pub(crate) fn sent(actions: &[Action], id: u32) -> Option<EngineId> {
+pub(crate) fn sent_to(actions: &[Action], id: u32) -> Option<EngineId> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt {
             id: sent_id,
@@ -239,7 +239,7 @@
 }
 
 /// Ids of the requests sent by these actions, in order.
-pub(crate) fn all_sent(actions: &[Action]) -> Vec<u32> {
+pub(crate) fn sent_request_ids(actions: &[Action]) -> Vec<u32> {
     let sent_id = |action: &Action| match action {
         Action::StartAttempt { id, .. } => Some(*id),
         _ => None,
@@ -248,8 +248,8 @@
 }
 
 /// Whether these actions give the request its final answer.
-pub(crate) fn answered(actions: &[Action], id: u32) -> bool {
+pub(crate) fn is_answered(actions: &[Action], id: u32) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject { id: i, .. } | Action::Fail { id: i, .. } if *i == id))
+        .any(|action| matches!(action, Action::Reject { id: ended_id, .. } | Action::Fail { id: ended_id, .. } if *ended_id == id))
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -15,11 +15,11 @@
         } else {
             Outcome::Reset
         };
-        let at = sent(&bench.request(next, 0, 0), next);
+        let at = sent_to(&bench.request(next, 0, 0), next);
         assert_eq!(at, Some(engine(0)), "round {next}");
-        let again = all_sent(&bench.ended(next, 0, engine(0), outcome));
+        let again = sent_request_ids(&bench.end_attempt(next, 0, engine(0), outcome));
         for id in again {
-            bench.ended(id, 1, engine(0), Outcome::Ok);
+            bench.end_attempt(id, 1, engine(0), Outcome::Ok);
         }
     }
 }
@@ -31,22 +31,22 @@
     for id in 0..4 {
         bench.request(id, 0, 0);
     }
-    bench.list(vec![entry(1, EngineState::Ready, 0.0)]);
+    bench.update_list(vec![entry(1, EngineState::Ready, 0.0)]);
     let mut actions = Vec::new();
     for id in 0..4 {
-        actions.extend(bench.ended(id, 0, engine(0), Outcome::Reset));
+        actions.extend(bench.end_attempt(id, 0, engine(0), Outcome::Reset));
     }
     let back: Vec<u32> = (0..4)
-        .filter(|id| sent(&actions, *id) == Some(engine(0)))
+        .filter(|id| sent_to(&actions, *id) == Some(engine(0)))
         .collect();
     for id in back {
-        actions.extend(bench.ended(id, 1, engine(0), Outcome::NoConnection));
+        actions.extend(bench.end_attempt(id, 1, engine(0), Outcome::NoConnection));
     }
     let down = actions.iter().filter_map(health_change);
     let down = down.filter(|(_, change)| change.event() == "engine down");
     assert!(down.count() <= 1);
     for id in 10..20 {
-        assert_ne!(sent(&bench.request(id, 0, 0), id), Some(engine(0)));
+        assert_ne!(sent_to(&bench.request(id, 0, 0), id), Some(engine(0)));
     }
 }
 
@@ -60,8 +60,8 @@
     );
     for id in 0..100 {
         bench.now += 10.0;
-        let at = sent(&bench.request(id, 0, 0), id).unwrap();
-        bench.ended_after(id, 0, at, Outcome::Ok, 80.0 + f64::from(id % 5) * 20.0);
+        let at = sent_to(&bench.request(id, 0, 0), id).unwrap();
+        bench.end_attempt_after(id, 0, at, Outcome::Ok, 80.0 + f64::from(id % 5) * 20.0);
     }
     bench
 }
@@ -71,7 +71,7 @@
 #[test]
 fn attempt_far_past_its_usual_time_is_cancelled_once() {
     let mut bench = bench_with_history(true);
-    assert!(sent(&bench.request_with(500, 0, 0, 20_000.0, Some(120.0)), 500).is_some());
+    assert!(sent_to(&bench.request_with(500, 0, 0, 20_000.0, Some(120.0)), 500).is_some());
     let calls = |bench: &mut TestBench, ms: f64| {
         let until = bench.now + ms;
         let mut calls = 0;
@@ -107,7 +107,7 @@
 #[test]
 fn request_with_no_time_left_is_answered_at_once() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
-    assert!(answered(&bench.request_with(1, 0, 0, 20.0, None), 1));
+    assert!(is_answered(&bench.request_with(1, 0, 0, 20.0, None), 1));
 }
 
 /// ib21b41: an engine that is heard of every ten seconds gives no second failure in time.
@@ -115,8 +115,8 @@
 fn one_failed_connection_marks_a_rarely_heard_engine_down() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     bench.now += 5000.0;
-    assert!(sent(&bench.request(1, 0, 0), 1).is_some());
-    let down = bench.ended(1, 0, engine(0), Outcome::NoConnection);
+    assert!(sent_to(&bench.request(1, 0, 0), 1).is_some());
+    let down = bench.end_attempt(1, 0, engine(0), Outcome::NoConnection);
     assert!(
         down.iter()
             .filter_map(health_change)
@@ -148,15 +148,15 @@
         let asked = bench.request(id, 0, 0);
         count += health_checks(&asked);
         assert!(
-            health_checks(&asked) == 0 || all_sent(&asked).is_empty(),
+            health_checks(&asked) == 0 || sent_request_ids(&asked).is_empty(),
             "waits for its health checks"
         );
         let tick = bench.tick(50.0);
         count += health_checks(&tick);
-        sends += all_sent(&tick).len();
-        for at in all_sent(&tick) {
-            let at_engine = sent(&tick, at).unwrap();
-            bench.ended(at, 0, at_engine, Outcome::Ok);
+        sends += sent_request_ids(&tick).len();
+        for at in sent_request_ids(&tick) {
+            let at_engine = sent_to(&tick, at).unwrap();
+            bench.end_attempt(at, 0, at_engine, Outcome::Ok);
         }
     }
     assert!(sends >= 95, "none waits for a lost health check: {sends}");
@@ -173,12 +173,12 @@
     bench.request_with(500, 0, 0, 20_000.0, Some(400.0));
     bench.request_with(501, 0, 0, 20_000.0, Some(400.0));
     bench.now += 500.0;
-    let usual = bench.event(Event::Progress {
+    let usual = bench.handle_event(Event::Progress {
         id: 500,
         attempt: 0,
         progress: Progress::ShareDone(0.9),
     });
-    let bad = bench.event(Event::Progress {
+    let bad = bench.handle_event(Event::Progress {
         id: 501,
         attempt: 0,
         progress: Progress::ShareDone(0.02),
@@ -200,23 +200,23 @@
     let at = engine(0);
     for _ in 0..3 {
         let report = LoadReport::default();
-        bench.event(Event::HealthCheckEnded {
+        bench.handle_event(Event::HealthCheckEnded {
             engine: at,
             outcome: Outcome::NoConnection,
             elapsed_ms: 250.0,
             load_report: report,
         });
     }
-    assert_eq!(sent(&bench.request(1, 0, 0), 1), None, "shut");
+    assert_eq!(sent_to(&bench.request(1, 0, 0), 1), None, "shut");
     let report = LoadReport::default();
-    bench.event(Event::HealthCheckEnded {
+    bench.handle_event(Event::HealthCheckEnded {
         engine: at,
         outcome: Outcome::Ok,
         elapsed_ms: 1.0,
         load_report: report,
     });
     let sent: usize = (10..60)
-        .map(|id| all_sent(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))).len())
+        .map(|id| sent_request_ids(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))).len())
         .sum();
     assert!((1..16).contains(&sent), "{sent} sent at once");
 }
@@ -227,10 +227,10 @@
 fn latency_objective_counts_from_the_clients_first_attempt() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     for id in 0..3 {
-        assert!(sent(&bench.request_with(id, 0, 0, 5000.0, Some(300.0)), id).is_some());
+        assert!(sent_to(&bench.request_with(id, 0, 0, 5000.0, Some(300.0)), id).is_some());
     }
     assert!(
-        sent(&bench.request_with(3, 0, 0, 900.0, Some(300.0)), 3).is_some(),
+        sent_to(&bench.request_with(3, 0, 0, 900.0, Some(300.0)), 3).is_some(),
         "room: late is better than never"
     );
     for id in 4..40 {
@@ -241,7 +241,7 @@
         ..LoadReport::default()
     };
     for _ in 0..20 {
-        bench.event(Event::HealthCheckEnded {
+        bench.handle_event(Event::HealthCheckEnded {
             engine: engine(0),
             outcome: Outcome::Ok,
             elapsed_ms: 1.0,
@@ -265,7 +265,7 @@
         Outcome::Ok,
     ] {
         let report = LoadReport::default();
-        for a in bench.event(Event::HealthCheckEnded {
+        for a in bench.handle_event(Event::HealthCheckEnded {
             engine: engine(0),
             outcome,
             elapsed_ms: 1.0,
@@ -308,7 +308,7 @@
     for (n, report) in [(0, report_0), (1, report_1)] {
         for _ in 0..5 {
             let (outcome, took_ms) = (Outcome::Ok, 1.0);
-            bench.event(Event::HealthCheckEnded {
+            bench.handle_event(Event::HealthCheckEnded {
                 engine: engine(n),
                 outcome,
                 elapsed_ms: took_ms,
@@ -317,7 +317,7 @@
         }
     }
     (0..3)
-        .filter_map(|id| sent(&bench.request(id, 0, 0), id))
+        .filter_map(|id| sent_to(&bench.request(id, 0, 0), id))
         .collect()
 }
 
@@ -359,14 +359,14 @@
         ..settings(vec![class(1, 2000.0, 1.0)])
     };
     let mut bench = TestBench::new(large, 2);
-    let at = sent(&bench.request(1, 0, 0), 1).unwrap();
-    bench.event(Event::Progress {
+    let at = sent_to(&bench.request(1, 0, 0), 1).unwrap();
+    bench.handle_event(Event::Progress {
         id: 1,
         attempt: 0,
         progress: Progress::WaitingForMemory,
     });
     for id in 2..5 {
-        assert_ne!(sent(&bench.request(id, 0, 0), id), Some(at));
+        assert_ne!(sent_to(&bench.request(id, 0, 0), id), Some(at));
     }
 }
 
@@ -381,14 +381,14 @@
     let mut bench = TestBench::new(large, 20);
     let mut seen = std::collections::BTreeSet::new();
     for id in 0..40 {
-        let at = sent(
-            &bench.event(query(id, 0, bench.now + 9000.0, Some(50.0), None)),
+        let at = sent_to(
+            &bench.handle_event(request_event(id, 0, bench.now + 9000.0, Some(50.0), None)),
             id,
         )
         .unwrap();
         seen.insert(at);
         bench.now += 50.0;
-        bench.event(served(id, at, 50.0, None, LoadReport::default()));
+        bench.handle_event(served_event(id, at, 50.0, None, LoadReport::default()));
     }
     assert!(seen.len() > 8, "{} engines", seen.len());
 }
@@ -412,9 +412,9 @@
             },
             2,
         );
-        bench.event(query(1, 0, bench.now + 5000.0, Some(1000.0), None));
+        bench.handle_event(request_event(1, 0, bench.now + 5000.0, Some(1000.0), None));
         bench.now += 2000.0;
-        let acts = bench.event(Event::Progress {
+        let acts = bench.handle_event(Event::Progress {
             id: 1,
             attempt: 0,
             progress: Progress::ShareDone(0.02),
@@ -455,8 +455,14 @@
     ];
     for id in 0..8 {
         let kind = id as usize % 2;
-        let to = sent(
-            &bench.event(query(id, kind, bench.now + 9000.0, Some(100.0), None)),
+        let to = sent_to(
+            &bench.handle_event(request_event(
+                id,
+                kind,
+                bench.now + 9000.0,
+                Some(100.0),
+                None,
+            )),
             id,
         )
         .unwrap();
@@ -476,8 +482,14 @@
     let mut bench = TestBench::new(settings(vec![load]), 12);
     let at: std::collections::BTreeSet<_> = (0..10)
         .map(|id| {
-            sent(
-                &bench.event(query(id, 0, bench.now + 30_000.0, Some(100.0), None)),
+            sent_to(
+                &bench.handle_event(request_event(
+                    id,
+                    0,
+                    bench.now + 30_000.0,
+                    Some(100.0),
+                    None,
+                )),
                 id,
             )
             .unwrap()
@@ -489,12 +501,18 @@
 fn overdue_attempt_is_cancelled(measured: Option<Measured>) -> bool {
     let mut bench = TestBench::new(settings(vec![class(1, 2000.0, 1.0)]), 2);
     for id in 0..60 {
-        let acts = bench.event(query(id, 0, bench.now + 9000.0, Some(1000.0), None));
-        let at = sent(&acts, id).unwrap();
+        let acts = bench.handle_event(request_event(id, 0, bench.now + 9000.0, Some(1000.0), None));
+        let at = sent_to(&acts, id).unwrap();
         bench.now += 1000.0;
-        bench.event(served(id, at, 1000.0, measured, LoadReport::default()));
+        bench.handle_event(served_event(
+            id,
+            at,
+            1000.0,
+            measured,
+            LoadReport::default(),
+        ));
     }
-    bench.event(query(99, 0, bench.now + 9000.0, Some(1000.0), None));
+    bench.handle_event(request_event(99, 0, bench.now + 9000.0, Some(1000.0), None));
     let early = bench.tick(1200.0);
     assert!(
         !early.contains(&Action::CancelAttempt { id: 99, attempt: 0 }),
@@ -525,10 +543,16 @@
             2,
         );
         for id in 0..60 {
-            let acts = bench.event(query(id, 0, bench.now + 9000.0, Some(100.0), Some(100.0)));
-            let at = sent(&acts, id).unwrap();
+            let acts = bench.handle_event(request_event(
+                id,
+                0,
+                bench.now + 9000.0,
+                Some(100.0),
+                Some(100.0),
+            ));
+            let at = sent_to(&acts, id).unwrap();
             bench.now += 100.0;
-            bench.event(served(
+            bench.handle_event(served_event(
                 id,
                 at,
                 100.0,
@@ -536,7 +560,13 @@
                 LoadReport::default(),
             ));
         }
-        let acts = bench.event(query(99, 0, bench.now + 9000.0, Some(100.0), Some(200.0)));
+        let acts = bench.handle_event(request_event(
+            99,
+            0,
+            bench.now + 9000.0,
+            Some(100.0),
+            Some(200.0),
+        ));
         let grant = acts.iter().find_map(|a| match a {
             Action::SetAttemptTerms { memory_mb, .. } => Some(*memory_mb),
             _ => None,
@@ -566,7 +596,7 @@
                 ..LoadReport::default()
             };
             let (outcome, took_ms) = (Outcome::Ok, 1.0);
-            bench.event(Event::HealthCheckEnded {
+            bench.handle_event(Event::HealthCheckEnded {
                 engine: engine(n),
                 outcome,
                 elapsed_ms: took_ms,
@@ -575,7 +605,7 @@
         }
         bench.tick(50.0);
         (0..12)
-            .filter(|id| sent(&bench.request(*id, 0, 0), *id).is_some())
+            .filter(|id| sent_to(&bench.request(*id, 0, 0), *id).is_some())
             .count()
     };
     assert!(held(vec![50.0]) > held(Vec::new()) + 2);
@@ -593,7 +623,7 @@
     };
     let mut bench = TestBench::new(zoned, 6);
     for id in 0..2 {
-        let EngineId { addr, .. } = sent(&bench.request(id, 0, 0), id).unwrap();
+        let EngineId { addr, .. } = sent_to(&bench.request(id, 0, 0), id).unwrap();
         assert_eq!(addr[3] % 2, 1);
     }
 }
@@ -602,13 +632,19 @@
 #[test]
 fn large_estimate_counts_in_full_against_the_slow_start_budget() {
     let mut bench = TestBench::new(settings(vec![class(1, 2000.0, 1.0)]), 0);
-    bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
+    bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
     for id in 0..20 {
-        bench.event(query(id, 0, bench.now + 9000.0, Some(10.0), None));
+        bench.handle_event(request_event(id, 0, bench.now + 9000.0, Some(10.0), None));
     }
     assert_eq!(
-        sent(
-            &bench.event(query(90, 0, bench.now + 60_000.0, Some(9000.0), None)),
+        sent_to(
+            &bench.handle_event(request_event(
+                90,
+                0,
+                bench.now + 60_000.0,
+                Some(9000.0),
+                None
+            )),
             90
         ),
         None
@@ -624,21 +660,23 @@
     for id in 0..200 {
         bench.now += 20.0;
         bench.tick(0.0);
-        let mut at = sent(&bench.request(id, 0, 0), id).expect("an engine");
+        let mut at = sent_to(&bench.request(id, 0, 0), id).expect("an engine");
         for attempt in 0.. {
             let bad = id % 10 == 0;
             if at != engine(1) && !bad {
-                bench.ended_after(id, attempt, at, Outcome::Ok, 60.0);
+                bench.end_attempt_after(id, attempt, at, Outcome::Ok, 60.0);
                 break;
             }
             failed += u32::from(!bad);
-            let next = bench.ended_after(id, attempt, at, Outcome::Error, 1.0);
+            let next = bench.end_attempt_after(id, attempt, at, Outcome::Error, 1.0);
             assert!(
-                attempt < 2 || answered(&next, id) && bad,
+                attempt < 2 || is_answered(&next, id) && bad,
                 "{id} has had three engines"
             );
-            nonsense += u32::from(answered(&next, id));
-            let Some(engine) = sent(&next, id) else { break };
+            nonsense += u32::from(is_answered(&next, id));
+            let Some(engine) = sent_to(&next, id) else {
+                break;
+            };
             at = engine;
         }
     }
@@ -655,16 +693,16 @@
     let mut bench = bench_with_history(true);
     for id in 1000..1100 {
         bench.request_with(id, 0, 0, 9000.0, Some(1e8));
-        bench.event(Event::ClientDisconnected { id });
-        bench.ended(id, 0, engine(0), Outcome::Cancelled);
-        bench.ended(id, 0, engine(1), Outcome::Cancelled);
+        bench.handle_event(Event::ClientDisconnected { id });
+        bench.end_attempt(id, 0, engine(0), Outcome::Cancelled);
+        bench.end_attempt(id, 0, engine(1), Outcome::Cancelled);
     }
     // A usual query that finds no engine is still held, as one that could be served in time.
-    bench.list(vec![
+    bench.update_list(vec![
         entry(0, EngineState::Draining, 0.0),
         entry(1, EngineState::Draining, 0.0),
     ]);
-    assert!(!answered(
+    assert!(!is_answered(
         &bench.request_with(2000, 0, 0, 900.0, None),
         2000
     ));
@@ -683,16 +721,16 @@
 fn bulk_load_avoids_engines_with_a_load_of_its_data_set() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0), bulk_load_class()]), 1);
     for id in [1, 2, 4] {
-        assert_eq!(sent(&bench.request(id, 0, 0), id), Some(engine(0)));
+        assert_eq!(sent_to(&bench.request(id, 0, 0), id), Some(engine(0)));
     }
-    bench.list(vec![entry(1, EngineState::Ready, 0.0)]);
+    bench.update_list(vec![entry(1, EngineState::Ready, 0.0)]);
     assert_eq!(
-        sent(&bench.request(3, 1, 0), 3),
+        sent_to(&bench.request(3, 1, 0), 3),
         Some(engine(1)),
         "the emptier one"
     );
     assert_eq!(
-        sent(&bench.request(6, 1, 0), 6),
+        sent_to(&bench.request(6, 1, 0), 6),
         Some(engine(0)),
         "not behind the load of this data set"
     );
@@ -710,7 +748,7 @@
             ..settings(vec![bulk_load_class()])
         };
         let mut bench = TestBench::new(set, 12);
-        sent(&bench.request(id, 0, 0), id).expect("an engine")
+        sent_to(&bench.request(id, 0, 0), id).expect("an engine")
     };
     let met =
         (0..3).filter(|id| choice(0, *id) == choice(1, *id) || choice(1, *id) == choice(2, *id));
@@ -727,13 +765,13 @@
         ejected,
         at_ms,
     };
-    bench.event(manual_ejection(true, 1000.0));
+    bench.handle_event(manual_ejection(true, 1000.0));
     let mut next = 0;
     let mut ask = |bench: &mut TestBench| {
         next += 1;
-        let to = sent(&bench.request(next, 0, 0), next);
+        let to = sent_to(&bench.request(next, 0, 0), next);
         to.into_iter()
-            .for_each(|at| drop(bench.ended(next, 0, at, Outcome::Ok)));
+            .for_each(|at| drop(bench.end_attempt(next, 0, at, Outcome::Ok)));
         to
     };
     for change in [
@@ -741,7 +779,7 @@
         vec![entry(0, EngineState::Removed, 0.0)],
         vec![entry(0, EngineState::Ready, 900.0)],
     ] {
-        bench.list(change);
+        bench.update_list(change);
         bench.tick(50.0);
         assert_eq!(
             bench.dispatcher.ejected_engines(),
@@ -749,7 +787,7 @@
         );
         assert!((0..20).all(|_| ask(&mut bench) == Some(engine(1))));
     }
-    bench.list(vec![entry(1, EngineState::Draining, 0.0)]);
+    bench.update_list(vec![entry(1, EngineState::Draining, 0.0)]);
     assert_eq!(
         ask(&mut bench),
         None,
@@ -757,11 +795,11 @@
     );
     bench.now = 60_000.0;
     let back = manual_ejection(false, bench.now);
-    bench.event(back);
+    bench.handle_event(back);
     assert_eq!(bench.dispatcher.ejected_engines(), 0);
     // Cold by the guard for fresh engines: a burst of queries is not let through at once, one comes soon.
     let sent_at_once = (5000..5100)
-        .filter(|id| sent(&bench.request(*id, 0, 0), *id).is_some())
+        .filter(|id| sent_to(&bench.request(*id, 0, 0), *id).is_some())
         .count();
     assert!(
         (1..60).contains(&sent_at_once),
@@ -783,17 +821,17 @@
     };
     let old = named(vec![("a", class(1, 1000.0, 1.0)), ("load", once.clone())]);
     let mut bench = TestBench::new(old.clone(), 2);
-    let at = sent(&bench.request(1, 1, 0), 1).expect("an engine");
+    let at = sent_to(&bench.request(1, 1, 0), 1).expect("an engine");
     let new = named(vec![("b", once.clone()), ("a", class(1, 1000.0, 1.0))]);
-    bench.event(Event::Settings(Box::new(new)));
-    let after = bench.ended(1, 0, at, Outcome::Reset);
+    bench.handle_event(Event::Settings(Box::new(new)));
+    let after = bench.end_attempt(1, 0, at, Outcome::Reset);
     assert!(
-        answered(&after, 1) && sent(&after, 1).is_none(),
+        is_answered(&after, 1) && sent_to(&after, 1).is_none(),
         "a load that may have run, whatever is in its place"
     );
-    let at = sent(&bench.request(2, 1, 0), 2).expect("an engine");
+    let at = sent_to(&bench.request(2, 1, 0), 2).expect("an engine");
     assert!(
-        sent(&bench.ended(2, 0, at, Outcome::Reset), 2).is_some(),
+        sent_to(&bench.end_attempt(2, 0, at, Outcome::Reset), 2).is_some(),
         "a query goes again"
     );
     assert_eq!(
@@ -801,7 +839,7 @@
         ["b", "a", "load"],
         "kept while it was under way"
     );
-    bench.event(Event::Settings(Box::new(old)));
+    bench.handle_event(Event::Settings(Box::new(old)));
     assert_eq!(
         bench.dispatcher.settings().class_names,
         ["a", "load"],
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -19,7 +19,7 @@
             dispatcher: Dispatcher::new(large, seed).expect("settings"),
             now: 1000.0,
         };
-        bench.event(Event::Started);
+        bench.handle_event(Event::Started);
         bench
     };
     (0..instances).map(one).collect()
@@ -40,12 +40,12 @@
     let window = 1000.0;
     let mut sends = Vec::new();
     for bench in &mut fleet(250, &[class(1, 400.0, 1.0)]) {
-        bench.list(vec![entry(0, EngineState::Ready, 1000.0)]);
+        bench.update_list(vec![entry(0, EngineState::Ready, 1000.0)]);
         for id in 0..40u32 {
             bench.now += 200.0;
-            for id in all_sent(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))) {
+            for id in sent_request_ids(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))) {
                 sends.push((bench.now, 200.0));
-                bench.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
+                bench.end_attempt_after(id, 0, engine(0), Outcome::Ok, 5.0);
             }
         }
     }
@@ -68,15 +68,15 @@
     let (work, window, whole) = (600.0, 1000.0, 2.0 * 0.3 * 8.0 * 1000.0);
     let mut sends = Vec::new();
     for (k, bench) in fleet(MANY, &[class(3, 1500.0, 1.0)]).iter_mut().enumerate() {
-        bench.list(vec![entry(0, EngineState::Ready, 1000.0)]);
+        bench.update_list(vec![entry(0, EngineState::Ready, 1000.0)]);
         bench.now += k as f64 * 2.0;
         for id in 0..40 {
             bench.now += 100.0;
             let mut actions = bench.tick(0.0);
             actions.extend(bench.request_with(id, 0, 0, 4000.0, Some(work)));
-            for id in all_sent(&actions) {
+            for id in sent_request_ids(&actions) {
                 sends.push((bench.now, work));
-                bench.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
+                bench.end_attempt_after(id, 0, engine(0), Outcome::Ok, 5.0);
             }
         }
     }
@@ -93,13 +93,13 @@
 #[test]
 fn light_query_of_a_heavy_class_passes_the_slow_start_budget() {
     let mut bench = TestBench::new(settings(vec![class(3, 6000.0, 1.0)]), 0); // usually 9,000 ms of work
-    bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
+    bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
     assert_eq!(
-        sent(&bench.request_with(1, 0, 0, 9000.0, Some(300.0)), 1),
+        sent_to(&bench.request_with(1, 0, 0, 9000.0, Some(300.0)), 1),
         Some(engine(0))
     );
     assert_eq!(
-        sent(&bench.request_with(2, 0, 0, 9000.0, Some(9000.0)), 2),
+        sent_to(&bench.request_with(2, 0, 0, 9000.0, Some(9000.0)), 2),
         None
     );
 }
@@ -116,15 +116,15 @@
     );
     for id in 0..60 {
         bench.now += 20.0;
-        let at = sent(&bench.request(id, 0, 0), id).expect("an engine");
+        let at = sent_to(&bench.request(id, 0, 0), id).expect("an engine");
         let report = LoadReport {
             inflight: Some(60.0),
             ..LoadReport::default()
         };
-        bench.event(served(id, at, 150.0, measured(100.0, 8.0), report));
+        bench.handle_event(served_event(id, at, 150.0, measured(100.0, 8.0), report));
     }
-    bench.list(vec![entry(4, EngineState::Ready, bench.now - 500.0)]);
-    let asked = (90..96).map(|id| sent(&bench.request_with(id, 0, 0, 9000.0, Some(100.0)), id));
+    bench.update_list(vec![entry(4, EngineState::Ready, bench.now - 500.0)]);
+    let asked = (90..96).map(|id| sent_to(&bench.request_with(id, 0, 0, 9000.0, Some(100.0)), id));
     assert_eq!(asked.collect::<Vec<_>>(), vec![Some(engine(4)); 6]);
 }
 
@@ -144,14 +144,14 @@
     let mut quick = 0;
     for id in 0..240 {
         if id == 40 {
-            bench.list(
+            bench.update_list(
                 (3..15)
                     .map(|n| entry(n, EngineState::Ready, bench.now - 500.0))
                     .collect(),
             );
         }
         bench.now += 25.0;
-        let at = sent(&bench.request_with(id, 0, 0, 4000.0, Some(5.0)), id).expect("an engine");
+        let at = sent_to(&bench.request_with(id, 0, 0, 4000.0, Some(5.0)), id).expect("an engine");
         let cold = at.addr[3] >= 3;
         quick += u32::from(cold);
         let (took, inflight) = if cold { (6.0, 1.0) } else { (30.0, 48.0) };
@@ -159,12 +159,14 @@
             inflight: Some(inflight),
             ..LoadReport::default()
         };
-        bench.event(served(id, at, took, measured(5.0, 8.0), report));
+        bench.handle_event(served_event(id, at, took, measured(5.0, 8.0), report));
     }
     assert!(quick > 150, "{quick} to the cold ones");
     // One heavy query an engine may bring news; those after it find no room, and do not pile up.
     let asked = (300..310).map(|id| bench.request_with(id, 1, 0, 4000.0, Some(6000.0)));
-    let warm: Vec<u32> = asked.flat_map(|actions| all_sent(&actions)).collect();
+    let warm: Vec<u32> = asked
+        .flat_map(|actions| sent_request_ids(&actions))
+        .collect();
     assert!(warm.len() <= 3, "{warm:?} went to engines that drown");
 }
 
@@ -189,19 +191,19 @@
             },
             0,
         );
-        bench.list((0..300).map(|n| line(n, EngineState::Ready, 0.0)).collect());
+        bench.update_list((0..300).map(|n| line(n, EngineState::Ready, 0.0)).collect());
         let mut served_of = [0; 2];
         for id in 0..400u32 {
             if id == 200 {
                 let old = (0..180).map(|n| line(n, EngineState::Draining, 0.0));
                 let new = (300..480).map(|n| line(n, EngineState::Ready, bench.now));
-                bench.list(old.chain(new).collect());
+                bench.update_list(old.chain(new).collect());
             }
             bench.now += 50.0;
             let (of, cost) = if id % 4 == 0 { (1, 900.0) } else { (0, 50.0) };
             let mut actions = bench.tick(0.0);
             actions.extend(bench.request_with(id, of, 0, 15_000.0, Some(cost)));
-            let to = sent(&actions, id)
+            let to = sent_to(&actions, id)
                 .unwrap_or_else(|| panic!("{instances} managers: {id} was not sent"));
             assert!(
                 id < 200 || to.addr[3] >= 180 || to.addr[2] > 0,
@@ -211,7 +213,7 @@
                 inflight: Some(4.0),
                 ..LoadReport::default()
             };
-            bench.event(served(id, to, cost, measured(cost, 8.0), report));
+            bench.handle_event(served_event(id, to, cost, measured(cost, 8.0), report));
             served_of[of] += 1;
         }
         assert_eq!(served_of, [300, 100]);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -12,7 +12,7 @@
             cpu_busy: Some(1.0),
             ..LoadReport::default()
         };
-        bench.event(Event::HealthCheckEnded {
+        bench.handle_event(Event::HealthCheckEnded {
             engine,
             outcome: Outcome::Ok,
             elapsed_ms: 1.0,
@@ -32,7 +32,7 @@
     );
     report_all_cores_busy(&mut bench, engine(0));
     let sent: usize = (0..30)
-        .map(|id| all_sent(&bench.request(id, 0, 0)).len())
+        .map(|id| sent_request_ids(&bench.request(id, 0, 0)).len())
         .sum();
     assert_eq!(sent, 8, "2 threads per core x 8 cores / 2 managers");
 }
@@ -48,8 +48,8 @@
         1,
     );
     report_all_cores_busy(&mut bench, engine(0));
-    assert!(sent(&bench.request(1, 0, 0), 1).is_some());
-    assert!(sent(&bench.request(2, 0, 0), 2).is_none());
+    assert!(sent_to(&bench.request(1, 0, 0), 1).is_some());
+    assert!(sent_to(&bench.request(2, 0, 0), 2).is_none());
 }
 
 /// With many managers, one manager's share of an engine is less than one thread. The reported
@@ -70,14 +70,15 @@
                 cpu_busy: Some(1.0),
                 ..LoadReport::default()
             };
-            bench.event(Event::HealthCheckEnded {
+            bench.handle_event(Event::HealthCheckEnded {
                 engine: engine(report_number % 2),
                 outcome: Outcome::Ok,
                 elapsed_ms: 1.0,
                 load_report: report,
             });
         }
-        all_sent(&bench.request(1, 0, 0)).len() + all_sent(&bench.request(2, 0, 0)).len()
+        sent_request_ids(&bench.request(1, 0, 0)).len()
+            + sent_request_ids(&bench.request(2, 0, 0)).len()
     };
     assert_eq!(
         run(10.0),
@@ -96,29 +97,29 @@
     let mut bench = TestBench::new(settings(vec![class(1, 9000.0, 1.0)]), 1);
     bench.request(1, 0, 0);
     assert!(
-        all_sent(&bench.ended(1, 0, engine(0), Outcome::Rejected)).is_empty(),
+        sent_request_ids(&bench.end_attempt(1, 0, engine(0), Outcome::Rejected)).is_empty(),
         "a rejection pauses the engine"
     );
     assert!(
-        all_sent(&bench.request(2, 0, 0)).is_empty(),
+        sent_request_ids(&bench.request(2, 0, 0)).is_empty(),
         "a newer request waits too"
     );
     assert!(
-        all_sent(&bench.tick(400.0)).is_empty(),
+        sent_request_ids(&bench.tick(400.0)).is_empty(),
         "the first pause is half a second"
     );
-    assert_eq!(all_sent(&bench.tick(100.0)), vec![1, 2]);
-    bench.ended(2, 0, engine(0), Outcome::Rejected);
+    assert_eq!(sent_request_ids(&bench.tick(100.0)), vec![1, 2]);
+    bench.end_attempt(2, 0, engine(0), Outcome::Rejected);
     assert!(
-        all_sent(&bench.tick(900.0)).is_empty(),
+        sent_request_ids(&bench.tick(900.0)).is_empty(),
         "the second pause is longer"
     );
-    assert_eq!(all_sent(&bench.tick(100.0)), vec![2]);
-    bench.ended(2, 1, engine(0), Outcome::Ok);
+    assert_eq!(sent_request_ids(&bench.tick(100.0)), vec![2]);
+    bench.end_attempt(2, 1, engine(0), Outcome::Ok);
     bench.request(3, 0, 0);
-    bench.ended(3, 0, engine(0), Outcome::Rejected);
+    bench.end_attempt(3, 0, engine(0), Outcome::Rejected);
     assert_eq!(
-        all_sent(&bench.tick(500.0)),
+        sent_request_ids(&bench.tick(500.0)),
         vec![3],
         "a served query resets the pause to half a second"
     );
@@ -130,23 +131,23 @@
     let mut bench = TestBench::new(settings(vec![narrow, wide]), 1);
     report_all_cores_busy(&mut bench, engine(0));
     for id in 0..14 {
-        assert!(sent(&bench.request_with(id, 0, 0, 20_000.0, Some(300.0)), id).is_some());
+        assert!(sent_to(&bench.request_with(id, 0, 0, 20_000.0, Some(300.0)), id).is_some());
     }
     assert!(
-        all_sent(&bench.request_with(20, 1, 0, 20_000.0, Some(300.0))).is_empty(),
+        sent_request_ids(&bench.request_with(20, 1, 0, 20_000.0, Some(300.0))).is_empty(),
         "4 threads do not fit beside 14 of 16"
     );
     assert!(
-        all_sent(&bench.request_with(21, 0, 0, 20_000.0, Some(300.0))).is_empty(),
+        sent_request_ids(&bench.request_with(21, 0, 0, 20_000.0, Some(300.0))).is_empty(),
         "1 thread would fit, but the oldest request is sent first"
     );
-    assert!(all_sent(&bench.ended(0, 0, engine(0), Outcome::Ok)).is_empty());
+    assert!(sent_request_ids(&bench.end_attempt(0, 0, engine(0), Outcome::Ok)).is_empty());
     assert_eq!(
-        all_sent(&bench.ended(1, 0, engine(0), Outcome::Ok)),
+        sent_request_ids(&bench.end_attempt(1, 0, engine(0), Outcome::Ok)),
         vec![20]
     );
     assert_eq!(
-        all_sent(&bench.ended(2, 0, engine(0), Outcome::Ok)),
+        sent_request_ids(&bench.end_attempt(2, 0, engine(0), Outcome::Ok)),
         vec![21]
     );
 }
@@ -163,7 +164,8 @@
         let latency_ms = f64::from(concurrency) * 300.0 / throughput;
         for _ in 0..75 {
             while running.len() < concurrency as usize {
-                let sent_ids = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
+                let sent_ids =
+                    sent_request_ids(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
                 id += 1;
                 if sent_ids.is_empty() {
                     break;
@@ -172,7 +174,7 @@
             }
             bench.now += latency_ms / f64::from(concurrency);
             let ended_id = running.remove(0);
-            running.extend(all_sent(&bench.ended_after(
+            running.extend(sent_request_ids(&bench.end_attempt_after(
                 ended_id,
                 0,
                 engine(0),
@@ -183,7 +185,7 @@
     }
     report_all_cores_busy(&mut bench, engine(0));
     while running.len() < 60 {
-        let sent_ids = all_sent(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
+        let sent_ids = sent_request_ids(&bench.request_with(id, 0, 0, 90_000.0, Some(300.0)));
         id += 1;
         if sent_ids.is_empty() {
             break;
@@ -209,7 +211,7 @@
             all.extend(bench.request(id, id as usize % 2, 0));
             all.extend(bench.tick(7.0));
             if id > 20 {
-                all.extend(bench.ended(id - 20, 0, engine((id % 5) as u8), Outcome::Ok));
+                all.extend(bench.end_attempt(id - 20, 0, engine((id % 5) as u8), Outcome::Ok));
             }
         }
         all
@@ -263,11 +265,15 @@
 #[test]
 fn unknown_and_repeated_ids_are_ignored() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
-    assert!(bench.ended(99, 0, engine(0), Outcome::Ok).is_empty());
-    assert!(bench.event(Event::ClientDisconnected { id: 99 }).is_empty());
+    assert!(bench.end_attempt(99, 0, engine(0), Outcome::Ok).is_empty());
     assert!(
         bench
-            .event(Event::PeerMessage { payload: vec![1] })
+            .handle_event(Event::ClientDisconnected { id: 99 })
+            .is_empty()
+    );
+    assert!(
+        bench
+            .handle_event(Event::PeerMessage { payload: vec![1] })
             .is_empty()
     );
     assert_eq!(
@@ -278,22 +284,28 @@
         }],
         "a request of an unknown class fails at once"
     );
-    let engine_id = sent(&bench.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
+    let engine_id = sent_to(&bench.request_with(2, 0, 0, 9000.0, Some(f64::NAN)), 2).unwrap();
     assert!(
-        bench.ended(2, 3, engine_id, Outcome::Reset).is_empty(),
+        bench
+            .end_attempt(2, 3, engine_id, Outcome::Reset)
+            .is_empty(),
         "an unknown attempt is ignored"
     );
     assert!(
-        bench.ended(2, 0, engine(9), Outcome::Reset).is_empty(),
+        bench
+            .end_attempt(2, 0, engine(9), Outcome::Reset)
+            .is_empty(),
         "an outcome from another engine is ignored"
     );
     assert!(
         bench.request(2, 0, 0).is_empty(),
         "a request with a repeated id is ignored"
     );
-    bench.ended(2, 0, engine_id, Outcome::Ok);
+    bench.end_attempt(2, 0, engine_id, Outcome::Ok);
     assert!(
-        bench.ended(2, 0, engine_id, Outcome::Reset).is_empty(),
+        bench
+            .end_attempt(2, 0, engine_id, Outcome::Reset)
+            .is_empty(),
         "a repeated outcome is ignored"
     );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -20,19 +20,22 @@
     assert!(bench.request_with(1, 0, 0, 900.0, None).is_empty());
     let mut answer = false;
     while bench.now < 1890.0 {
-        answer |= answered(&bench.tick(10.0), 1);
+        answer |= is_answered(&bench.tick(10.0), 1);
     }
     assert!(answer, "no engine: ended before the deadline");
-    assert!(!answered(&bench.tick(500.0), 1), "and once only");
+    assert!(!is_answered(&bench.tick(500.0), 1), "and once only");
 }
 
 #[test]
 fn rule_1_request_of_a_disconnected_client_is_not_sent() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
     bench.request(1, 0, 0);
-    bench.event(Event::ClientDisconnected { id: 1 });
+    bench.handle_event(Event::ClientDisconnected { id: 1 });
     assert_eq!(
-        sent(&bench.list(vec![entry(0, EngineState::Ready, 0.0)]), 1),
+        sent_to(
+            &bench.update_list(vec![entry(0, EngineState::Ready, 0.0)]),
+            1
+        ),
         None
     );
 }
@@ -44,12 +47,12 @@
         ..class(1, 1000.0, 1.0)
     };
     let mut bench = TestBench::new(settings(vec![once]), 3);
-    let at = sent(&bench.request(1, 0, 0), 1).unwrap();
-    let again = bench.ended(1, 0, at, Outcome::NoConnection);
-    let at = sent(&again, 1).expect("never ran: another attempt");
+    let at = sent_to(&bench.request(1, 0, 0), 1).unwrap();
+    let again = bench.end_attempt(1, 0, at, Outcome::NoConnection);
+    let at = sent_to(&again, 1).expect("never ran: another attempt");
     assert!(
         bench
-            .ended(1, 1, at, Outcome::Reset)
+            .end_attempt(1, 1, at, Outcome::Reset)
             .contains(&Action::Fail {
                 id: 1,
                 reason: EndReason::NoRetryAllowed
@@ -72,21 +75,21 @@
         ..settings(vec![class(1, 1000.0, 1.0)])
     };
     let mut bench = TestBench::new(limits, 9);
-    let held = sent(&bench.request(1, 0, 0), 1).expect("an engine");
-    let bare = sent(&bench.request(2, 0, 0), 2).expect("an engine");
+    let held = sent_to(&bench.request(1, 0, 0), 1).expect("an engine");
+    let bare = sent_to(&bench.request(2, 0, 0), 2).expect("an engine");
     assert_ne!(held, bare);
     for number in 0..3 {
         let at = if number == 0 { bare } else { held };
-        let again = bench.ended(2, number, at, Outcome::NoConnectionSlot);
+        let again = bench.end_attempt(2, number, at, Outcome::NoConnectionSlot);
         if number == 0 {
-            assert_eq!(sent(&again, 2), Some(held), "the one that is reached");
+            assert_eq!(sent_to(&again, 2), Some(held), "the one that is reached");
         } else {
             assert!(
-                !answered(&again, 2) && all_sent(&again).is_empty(),
+                !is_answered(&again, 2) && sent_request_ids(&again).is_empty(),
                 "not the same again at once"
             );
             assert_eq!(
-                sent(&bench.tick(50.0), 2).is_some(),
+                sent_to(&bench.tick(50.0), 2).is_some(),
                 number == 1,
                 "later any of them"
             );
@@ -95,19 +98,19 @@
     }
     // Where nothing is out there is no descriptor for a tick, and then the request goes all the same.
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
-    let at = sent(&bench.request(1, 0, 0), 1).expect("an engine");
-    let none = bench.ended(1, 0, at, Outcome::NoConnectionSlot);
-    assert!(!answered(&none, 1) && all_sent(&none).is_empty());
-    assert!(sent(&bench.tick(60.0), 1).is_some());
+    let at = sent_to(&bench.request(1, 0, 0), 1).expect("an engine");
+    let none = bench.end_attempt(1, 0, at, Outcome::NoConnectionSlot);
+    assert!(!is_answered(&none, 1) && sent_request_ids(&none).is_empty());
+    assert!(sent_to(&bench.tick(60.0), 1).is_some());
 }
 
 #[test]
 fn rule_2_keyed_retry_stays_in_its_dedup_scope_and_window() {
     for scope in [DedupScope::Zone, DedupScope::Cell] {
         let mut bench = TestBench::new(settings(vec![keyed(scope)]), 6);
-        let first = sent(&bench.request(1, 0, 0), 1).unwrap();
+        let first = sent_to(&bench.request(1, 0, 0), 1).unwrap();
         bench.now += 100.0;
-        let second = sent(&bench.ended(1, 0, first, Outcome::Error), 1).expect("repeat");
+        let second = sent_to(&bench.end_attempt(1, 0, first, Outcome::Error), 1).expect("repeat");
         let group = |e: EngineId| {
             if scope == DedupScope::Zone {
                 e.addr[3] % 2
@@ -117,7 +120,7 @@
         };
         assert_eq!(group(first), group(second));
         bench.now += 1000.0;
-        let late = bench.ended(1, 1, second, Outcome::Error);
+        let late = bench.end_attempt(1, 1, second, Outcome::Error);
         assert!(
             late.contains(&Action::Fail {
                 id: 1,
@@ -131,28 +134,28 @@
 #[test]
 fn rule_3_draining_or_unlisted_engine_gets_nothing() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
-    bench.list(vec![entry(0, EngineState::Draining, 0.0)]);
+    bench.update_list(vec![entry(0, EngineState::Draining, 0.0)]);
     for id in 1..6 {
-        assert_eq!(sent(&bench.request(id, 0, 0), id), Some(engine(1)));
+        assert_eq!(sent_to(&bench.request(id, 0, 0), id), Some(engine(1)));
     }
-    bench.event(Event::EndpointList {
+    bench.handle_event(Event::EndpointList {
         kind: ListUpdateKind::Full,
         entries: vec![entry(0, EngineState::Ready, 0.0)],
     });
-    assert_eq!(sent(&bench.request(9, 0, 0), 9), Some(engine(0)));
+    assert_eq!(sent_to(&bench.request(9, 0, 0), 9), Some(engine(0)));
 }
 
 #[test]
 fn rule_4_cold_engine_gets_less_than_its_budget() {
     let mut bench = TestBench::new(settings(vec![class(1, 400.0, 1.0)]), 0);
-    bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
+    bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
     let mut work = 0.0;
     for id in 0..200 {
         bench.now += 5.0;
         let actions = bench.request_with(id, 0, 0, 3000.0, Some(200.0));
-        for id in all_sent(&actions) {
+        for id in sent_request_ids(&actions) {
             work += 200.0;
-            bench.ended_after(id, 0, engine(0), Outcome::Ok, 5.0);
+            bench.end_attempt_after(id, 0, engine(0), Outcome::Ok, 5.0);
         }
     }
     // Multiple x share x cores x window: what would tip it over.
@@ -169,17 +172,24 @@
         ..keyed(DedupScope::All)
     };
     let mut bench = TestBench::new(settings(vec![ordered]), 3);
-    let at = sent(&bench.request(1, 0, 9), 1).unwrap();
-    assert_eq!(sent(&bench.request(2, 0, 9), 2), None);
+    let at = sent_to(&bench.request(1, 0, 9), 1).unwrap();
+    assert_eq!(sent_to(&bench.request(2, 0, 9), 2), None);
     assert!(
-        sent(&bench.request(3, 0, 8), 3).is_some(),
+        sent_to(&bench.request(3, 0, 8), 3).is_some(),
         "another key steps past"
     );
-    bench.event(Event::ClientDisconnected { id: 1 });
-    assert_eq!(sent(&bench.tick(10.0), 2), None, "its attempt is still out");
-    assert_eq!(sent(&bench.ended(1, 0, at, Outcome::TimedOut), 2), None);
-    assert_eq!(sent(&bench.tick(250.0), 2), None, "the key rests");
-    assert!(sent(&bench.tick(60.0), 2).is_some());
+    bench.handle_event(Event::ClientDisconnected { id: 1 });
+    assert_eq!(
+        sent_to(&bench.tick(10.0), 2),
+        None,
+        "its attempt is still out"
+    );
+    assert_eq!(
+        sent_to(&bench.end_attempt(1, 0, at, Outcome::TimedOut), 2),
+        None
+    );
+    assert_eq!(sent_to(&bench.tick(250.0), 2), None, "the key rests");
+    assert!(sent_to(&bench.tick(60.0), 2).is_some());
 }
 
 /// Keys come from clients, so one is held only while it has requests or a pause.
@@ -191,9 +201,9 @@
     };
     let mut bench = TestBench::new(settings(vec![ordered]), 3);
     for id in 1..=100 {
-        let at = sent(&bench.request(id, 0, u64::from(id)), id).unwrap();
-        bench.event(Event::ClientDisconnected { id });
-        bench.ended(id, 0, at, Outcome::Reset);
+        let at = sent_to(&bench.request(id, 0, u64::from(id)), id).unwrap();
+        bench.handle_event(Event::ClientDisconnected { id });
+        bench.end_attempt(id, 0, at, Outcome::Reset);
     }
     assert_eq!(bench.dispatcher.state_sizes()[2], 100, "all of them rest");
     bench.tick(400.0);
@@ -208,13 +218,16 @@
         ..class(1, 1000.0, 1.0)
     };
     let mut bench = TestBench::new(settings(vec![bound, class(1, 1000.0, 1.0)]), 1);
-    assert_eq!(sent(&bench.request(1, 0, 0), 1), None);
+    assert_eq!(sent_to(&bench.request(1, 0, 0), 1), None);
     assert!(
-        sent(&bench.request(2, 1, 0), 2).is_some(),
+        sent_to(&bench.request(2, 1, 0), 2).is_some(),
         "others step past"
     );
     assert_eq!(
-        sent(&bench.list(vec![entry(1, EngineState::Ready, 0.0)]), 1),
+        sent_to(
+            &bench.update_list(vec![entry(1, EngineState::Ready, 0.0)]),
+            1
+        ),
         Some(engine(1))
     );
 }
@@ -236,8 +249,9 @@
     let mut sends = 0;
     for id in 0..10 {
         let asked = bench.request(id, 0, 0);
-        let at = sent(&asked, id).unwrap();
-        sends += all_sent(&asked).len() + all_sent(&bench.ended(id, 0, at, Outcome::Error)).len();
+        let at = sent_to(&asked, id).unwrap();
+        sends += sent_request_ids(&asked).len()
+            + sent_request_ids(&bench.end_attempt(id, 0, at, Outcome::Error)).len();
     }
     assert_eq!(sends, 13, "two free and a tenth of ten");
 }
@@ -432,7 +446,7 @@
         }
         let id = open[pick % open.len()];
         self.requests.get_mut(&id).unwrap().over = true;
-        self.bench.event(Event::ClientDisconnected { id })
+        self.bench.handle_event(Event::ClientDisconnected { id })
     }
 
     fn change_list(&mut self, n: u8, state: usize, fresh: bool) -> Vec<Action> {
@@ -444,7 +458,7 @@
         self.states.insert(engine(n), states[state]);
         let started_at_ms = if fresh { self.bench.now } else { 0.0 };
         self.bench
-            .list(vec![entry(n, states[state], started_at_ms)])
+            .update_list(vec![entry(n, states[state], started_at_ms)])
     }
 
     /// Lets time pass; the actions of its ticks are checked here.
@@ -492,7 +506,7 @@
                 ..LoadReport::default()
             },
         };
-        self.bench.event(Event::AttemptEnded(ended))
+        self.bench.handle_event(Event::AttemptEnded(ended))
     }
 
     /// At its deadline an attempt times out; a waiting request must have been answered by then.
@@ -505,7 +519,7 @@
             );
             let actions = self.end(id, Outcome::TimedOut);
             assert!(
-                answered(&actions, id),
+                is_answered(&actions, id),
                 "rule 1: {id} is not answered at its deadline"
             );
             self.check(&actions);
@@ -667,14 +681,19 @@
 fn rule_4_peer_processes_share_the_slow_start_budget() {
     let sends = |parts: f64| {
         let mut bench = TestBench::new(settings(vec![class(1, 600.0, 1.0)]), 0);
-        bench.event(Event::PeerProcesses {
+        bench.handle_event(Event::PeerProcesses {
             capacity_divisor: parts,
         });
-        bench.list(vec![entry(0, EngineState::Ready, bench.now)]);
-        let ids = (0..200).map(|id| (id, query(id, 0, bench.now + 9000.0, Some(200.0), None)));
+        bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
+        let ids = (0..200).map(|id| {
+            (
+                id,
+                request_event(id, 0, bench.now + 9000.0, Some(200.0), None),
+            )
+        });
         ids.collect::<Vec<_>>()
             .into_iter()
-            .filter(|(id, q)| sent(&bench.event(q.clone()), *id).is_some())
+            .filter(|(id, q)| sent_to(&bench.handle_event(q.clone()), *id).is_some())
             .count()
     };
     let (alone, old, new) = (sends(1.0), sends(4.0), sends(4.0 / 3.0));
