--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -8,18 +8,18 @@
 #[test]
 fn resets_between_answers_keep_the_engine_available() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
-    for next in 0..20 {
+    for id in 0..20 {
         bench.now += 20.0;
-        let outcome = if next % 3 == 0 {
+        let outcome = if id % 3 == 0 {
             Outcome::Ok
         } else {
             Outcome::Reset
         };
-        let at = sent_to(&bench.request(next, 0, 0), next);
-        assert_eq!(at, Some(engine(0)), "round {next}");
-        let again = sent_request_ids(&bench.end_attempt(next, 0, engine(0), outcome));
-        for id in again {
-            bench.end_attempt(id, 1, engine(0), Outcome::Ok);
+        let target = sent_to(&bench.request(id, 0, 0), id);
+        assert_eq!(target, Some(engine(0)), "round {id}");
+        let retried_ids = sent_request_ids(&bench.end_attempt(id, 0, engine(0), outcome));
+        for retried_id in retried_ids {
+            bench.end_attempt(retried_id, 1, engine(0), Outcome::Ok);
         }
     }
 }
@@ -36,32 +36,32 @@
     for id in 0..4 {
         actions.extend(bench.end_attempt(id, 0, engine(0), Outcome::Reset));
     }
-    let back: Vec<u32> = (0..4)
+    let retried_ids: Vec<u32> = (0..4)
         .filter(|id| sent_to(&actions, *id) == Some(engine(0)))
         .collect();
-    for id in back {
+    for id in retried_ids {
         actions.extend(bench.end_attempt(id, 1, engine(0), Outcome::NoConnection));
     }
-    let down = actions.iter().filter_map(health_change);
-    let down = down.filter(|(_, change)| change.event() == "engine down");
-    assert!(down.count() <= 1);
+    let down_changes = actions.iter().filter_map(health_change);
+    let down_changes = down_changes.filter(|(_, change)| change.event() == "engine down");
+    assert!(down_changes.count() <= 1);
     for id in 10..20 {
         assert_ne!(sent_to(&bench.request(id, 0, 0), id), Some(engine(0)));
     }
 }
 
-fn bench_with_history(may_cancel: bool) -> TestBench {
+fn bench_with_history(allow_cancellation: bool) -> TestBench {
     let mut bench = TestBench::new(
         Settings {
-            cancellation_allowed: may_cancel,
+            cancellation_allowed: allow_cancellation,
             ..settings(vec![class(1, 1000.0, 1.0)])
         },
         2,
     );
     for id in 0..100 {
         bench.now += 10.0;
-        let at = sent_to(&bench.request(id, 0, 0), id).unwrap();
-        bench.end_attempt_after(id, 0, at, Outcome::Ok, 80.0 + f64::from(id % 5) * 20.0);
+        let target = sent_to(&bench.request(id, 0, 0), id).unwrap();
+        bench.end_attempt_after(id, 0, target, Outcome::Ok, 80.0 + f64::from(id % 5) * 20.0);
     }
     bench
 }
@@ -69,23 +69,27 @@
 /// i89ce4e, i40a09d: answers get lost. An attempt in flight far longer than usual is cancelled and retried; one that is
 /// only late is kept.
 #[test]
-fn attempt_far_past_its_usual_time_is_cancelled_once() {
+fn attempt_far_past_its_expected_time_is_cancelled_once() {
     let mut bench = bench_with_history(true);
     assert!(sent_to(&bench.request_with(500, 0, 0, 20_000.0, Some(120.0)), 500).is_some());
-    let calls = |bench: &mut TestBench, ms: f64| {
-        let until = bench.now + ms;
-        let mut calls = 0;
-        while bench.now < until {
-            calls += bench
+    let count_cancellations = |bench: &mut TestBench, elapsed_ms: f64| {
+        let end_ms = bench.now + elapsed_ms;
+        let mut cancellations = 0;
+        while bench.now < end_ms {
+            cancellations += bench
                 .tick(50.0)
                 .iter()
-                .filter(|a| matches!(a, Action::CancelAttempt { id: 500, .. }))
+                .filter(|action| matches!(action, Action::CancelAttempt { id: 500, .. }))
                 .count();
         }
-        calls
+        cancellations
     };
-    assert_eq!(calls(&mut bench, 450.0), 0, "late");
-    assert_eq!(calls(&mut bench, 4000.0), 1, "lost, and cancelled once");
+    assert_eq!(count_cancellations(&mut bench, 450.0), 0, "late");
+    assert_eq!(
+        count_cancellations(&mut bench, 4000.0),
+        1,
+        "lost, and cancelled once"
+    );
 }
 
 /// Without cancellation a retry would double the work (3f9329df).
@@ -98,7 +102,7 @@
             !bench
                 .tick(50.0)
                 .iter()
-                .any(|a| matches!(a, Action::CancelAttempt { .. }))
+                .any(|action| matches!(action, Action::CancelAttempt { .. }))
         );
     }
 }
@@ -112,22 +116,23 @@
 
 /// ib21b41: an engine that is heard of every ten seconds gives no second failure in time.
 #[test]
-fn one_failed_connection_marks_a_rarely_heard_engine_down() {
+fn one_failed_connection_marks_a_rarely_used_engine_down() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     bench.now += 5000.0;
     assert!(sent_to(&bench.request(1, 0, 0), 1).is_some());
-    let down = bench.end_attempt(1, 0, engine(0), Outcome::NoConnection);
+    let actions = bench.end_attempt(1, 0, engine(0), Outcome::NoConnection);
     assert!(
-        down.iter()
+        actions
+            .iter()
             .filter_map(health_change)
             .any(|(_, change)| change.event() == "engine down")
     );
 }
 
-fn health_checks(actions: &[Action]) -> usize {
+fn count_health_checks(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::SendHealthCheck { .. }))
+        .filter(|action| matches!(action, Action::SendHealthCheck { .. }))
         .count()
 }
 
@@ -135,34 +140,38 @@
 /// sent for it.
 #[test]
 fn health_checks_are_limited_by_the_number_of_requests() {
-    let large = Settings {
+    let fleet_settings = Settings {
         health_checks_allowed: true,
         load_reports: LoadReportMode::OnHealthCheck,
         instances: 250,
         ..settings(vec![class(1, 1000.0, 1.0)])
     };
-    let mut bench = TestBench::new(large, 60);
-    let (mut count, mut sends) = (0, 0);
+    let mut bench = TestBench::new(fleet_settings, 60);
+    let (mut check_count, mut sent_count) = (0, 0);
     for id in 0..100 {
         bench.now += 200.0;
-        let asked = bench.request(id, 0, 0);
-        count += health_checks(&asked);
+        let actions_on_request = bench.request(id, 0, 0);
+        check_count += count_health_checks(&actions_on_request);
         assert!(
-            health_checks(&asked) == 0 || sent_request_ids(&asked).is_empty(),
+            count_health_checks(&actions_on_request) == 0
+                || sent_request_ids(&actions_on_request).is_empty(),
             "waits for its health checks"
         );
-        let tick = bench.tick(50.0);
-        count += health_checks(&tick);
-        sends += sent_request_ids(&tick).len();
-        for at in sent_request_ids(&tick) {
-            let at_engine = sent_to(&tick, at).unwrap();
-            bench.end_attempt(at, 0, at_engine, Outcome::Ok);
+        let actions_on_tick = bench.tick(50.0);
+        check_count += count_health_checks(&actions_on_tick);
+        sent_count += sent_request_ids(&actions_on_tick).len();
+        for sent_id in sent_request_ids(&actions_on_tick) {
+            let target = sent_to(&actions_on_tick, sent_id).unwrap();
+            bench.end_attempt(sent_id, 0, target, Outcome::Ok);
         }
     }
-    assert!(sends >= 95, "none waits for a lost health check: {sends}");
     assert!(
-        (50..=220).contains(&count),
-        "{count} health checks for 100 requests"
+        sent_count >= 95,
+        "none waits for a lost health check: {sent_count}"
+    );
+    assert!(
+        (50..=220).contains(&check_count),
+        "{check_count} health checks for 100 requests"
     );
 }
 
@@ -173,19 +182,19 @@
     bench.request_with(500, 0, 0, 20_000.0, Some(400.0));
     bench.request_with(501, 0, 0, 20_000.0, Some(400.0));
     bench.now += 500.0;
-    let usual = bench.handle_event(Event::Progress {
+    let actions_at_normal_pace = bench.handle_event(Event::Progress {
         id: 500,
         attempt: 0,
         progress: Progress::ShareDone(0.9),
     });
-    let bad = bench.handle_event(Event::Progress {
+    let actions_with_bad_plan = bench.handle_event(Event::Progress {
         id: 501,
         attempt: 0,
         progress: Progress::ShareDone(0.02),
     });
-    assert!(usual.is_empty());
+    assert!(actions_at_normal_pace.is_empty());
     assert_eq!(
-        bad,
+        actions_with_bad_plan,
         vec![Action::CancelAttempt {
             id: 501,
             attempt: 0
@@ -197,11 +206,11 @@
 #[test]
 fn engine_that_answers_again_starts_slowly() {
     let mut bench = TestBench::new(settings(vec![class(1, 400.0, 1.0)]), 1);
-    let at = engine(0);
+    let engine_id = engine(0);
     for _ in 0..3 {
         let report = LoadReport::default();
         bench.handle_event(Event::HealthCheckEnded {
-            engine: at,
+            engine: engine_id,
             outcome: Outcome::NoConnection,
             elapsed_ms: 250.0,
             load_report: report,
@@ -210,15 +219,15 @@
     assert_eq!(sent_to(&bench.request(1, 0, 0), 1), None, "shut");
     let report = LoadReport::default();
     bench.handle_event(Event::HealthCheckEnded {
-        engine: at,
+        engine: engine_id,
         outcome: Outcome::Ok,
         elapsed_ms: 1.0,
         load_report: report,
     });
-    let sent: usize = (10..60)
+    let sent_count: usize = (10..60)
         .map(|id| sent_request_ids(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))).len())
         .sum();
-    assert!((1..16).contains(&sent), "{sent} sent at once");
+    assert!((1..16).contains(&sent_count), "{sent_count} sent at once");
 }
 
 /// id20f69: a request that its client has sent before, or that waited during a pause of the manager, has used up part of
@@ -249,13 +258,16 @@
         });
     }
     bench.request_with(50, 0, 0, 5000.0, Some(5.0));
-    let late = bench.request_with(51, 0, 0, 900.0, Some(5.0));
-    assert!(matches!(late[0], Action::Reject { id: 51, .. }), "{late:?}");
+    let actions = bench.request_with(51, 0, 0, 900.0, Some(5.0));
+    assert!(
+        matches!(actions[0], Action::Reject { id: 51, .. }),
+        "{actions:?}"
+    );
 }
 
 /// Each line names the event, then the engine and the reason.
 #[test]
-fn log_changes_name_event_engine_and_reason() {
+fn health_changes_have_event_engine_and_reason() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
     let mut changes = Vec::new();
     for outcome in [
@@ -265,13 +277,13 @@
         Outcome::Ok,
     ] {
         let report = LoadReport::default();
-        for a in bench.handle_event(Event::HealthCheckEnded {
+        for action in bench.handle_event(Event::HealthCheckEnded {
             engine: engine(0),
             outcome,
             elapsed_ms: 1.0,
             load_report: report,
         }) {
-            changes.extend(health_change(&a));
+            changes.extend(health_change(&action));
         }
     }
     let expected = [
@@ -297,7 +309,7 @@
     }
 }
 
-fn two_engines(report_0: LoadReport, report_1: LoadReport) -> Vec<EngineId> {
+fn engines_chosen_after_reports(report_0: LoadReport, report_1: LoadReport) -> Vec<EngineId> {
     let mut bench = TestBench::new(
         Settings {
             instances: 50,
@@ -305,13 +317,13 @@
         },
         2,
     );
-    for (n, report) in [(0, report_0), (1, report_1)] {
+    for (number, report) in [(0, report_0), (1, report_1)] {
         for _ in 0..5 {
-            let (outcome, took_ms) = (Outcome::Ok, 1.0);
+            let (outcome, check_ms) = (Outcome::Ok, 1.0);
             bench.handle_event(Event::HealthCheckEnded {
-                engine: engine(n),
+                engine: engine(number),
                 outcome,
-                elapsed_ms: took_ms,
+                elapsed_ms: check_ms,
                 load_report: report,
             });
         }
@@ -324,114 +336,115 @@
 /// cd0a4abb: reports that hold busy cores only were read as an empty fleet.
 #[test]
 fn busy_cores_replace_a_missing_query_count() {
-    let busy = |b| LoadReport {
-        cpu_busy: Some(b),
+    let report = |cpu_busy| LoadReport {
+        cpu_busy: Some(cpu_busy),
         ..LoadReport::default()
     };
-    let at = two_engines(busy(0.8), busy(0.2));
+    let targets = engines_chosen_after_reports(report(0.8), report(0.2));
     assert!(
-        !at.is_empty() && at.iter().all(|e| *e == engine(1)),
-        "{at:?}"
+        !targets.is_empty() && targets.iter().all(|target| *target == engine(1)),
+        "{targets:?}"
     );
 }
 
 /// 29742104: hung engines looked idle by their cores and got six times the mean; only their memory was full.
 #[test]
-fn engine_with_granted_memory_is_not_taken_for_idle() {
-    let report = |busy, granted| LoadReport {
-        cpu_busy: Some(busy),
-        memory_granted: Some(granted),
+fn engine_with_granted_memory_is_not_treated_as_idle() {
+    let report = |cpu_busy, memory_granted| LoadReport {
+        cpu_busy: Some(cpu_busy),
+        memory_granted: Some(memory_granted),
         ..LoadReport::default()
     };
-    let at = two_engines(report(0.06, 2.4), report(0.6, 0.5));
+    let targets = engines_chosen_after_reports(report(0.06, 2.4), report(0.6, 0.5));
     assert!(
-        !at.is_empty() && at.iter().all(|e| *e == engine(1)),
-        "{at:?}"
+        !targets.is_empty() && targets.iter().all(|target| *target == engine(1)),
+        "{targets:?}"
     );
 }
 
 /// 1b174d5d: an engine whose queries wait for memory has idle cores, and got still more queries.
 #[test]
 fn wait_for_memory_marks_its_engine_saturated() {
-    let large = Settings {
+    let fleet_settings = Settings {
         instances: 50,
         load_reports: LoadReportMode::Off,
         ..settings(vec![class(1, 2000.0, 1.0)])
     };
-    let mut bench = TestBench::new(large, 2);
-    let at = sent_to(&bench.request(1, 0, 0), 1).unwrap();
+    let mut bench = TestBench::new(fleet_settings, 2);
+    let target = sent_to(&bench.request(1, 0, 0), 1).unwrap();
     bench.handle_event(Event::Progress {
         id: 1,
         attempt: 0,
         progress: Progress::WaitingForMemory,
     });
     for id in 2..5 {
-        assert_ne!(sent_to(&bench.request(id, 0, 0), id), Some(at));
+        assert_ne!(sent_to(&bench.request(id, 0, 0), id), Some(target));
     }
 }
 
 /// 04dbf6b8: without load reports a popular data set overloaded the four engines that its hash prefers.
 #[test]
 fn without_load_reports_a_data_set_has_no_affinity_engines() {
-    let large = Settings {
+    let fleet_settings = Settings {
         instances: 50,
         load_reports: LoadReportMode::Off,
         ..settings(vec![class(1, 2000.0, 1.0)])
     };
-    let mut bench = TestBench::new(large, 20);
-    let mut seen = std::collections::BTreeSet::new();
+    let mut bench = TestBench::new(fleet_settings, 20);
+    let mut used_engines = std::collections::BTreeSet::new();
     for id in 0..40 {
-        let at = sent_to(
+        let target = sent_to(
             &bench.handle_event(request_event(id, 0, bench.now + 9000.0, Some(50.0), None)),
             id,
         )
         .unwrap();
-        seen.insert(at);
+        used_engines.insert(target);
         bench.now += 50.0;
-        bench.handle_event(served_event(id, at, 50.0, None, LoadReport::default()));
+        bench.handle_event(served_event(id, target, 50.0, None, LoadReport::default()));
     }
-    assert!(seen.len() > 8, "{} engines", seen.len());
+    assert!(used_engines.len() > 8, "{} engines", used_engines.len());
 }
 
 /// 31d1870b: half of the bulk loads were cancelled, as they were expected to end too late; they may not run again.
 #[test]
 fn non_idempotent_attempt_is_never_cancelled() {
-    for (effect, cancels) in [
+    for (class_idempotency, expect_cancellation) in [
         (Idempotency::NonIdempotent, false),
         (Idempotency::Idempotent, true),
     ] {
-        let load = Class {
-            idempotency: effect,
+        let bulk_load = Class {
+            idempotency: class_idempotency,
             is_bulk_load: true,
             ..class(2, 1000.0, 7.0)
         };
         let mut bench = TestBench::new(
             Settings {
                 progress_interval_ms: 500.0,
-                ..settings(vec![load])
+                ..settings(vec![bulk_load])
             },
             2,
         );
         bench.handle_event(request_event(1, 0, bench.now + 5000.0, Some(1000.0), None));
         bench.now += 2000.0;
-        let acts = bench.handle_event(Event::Progress {
+        let actions = bench.handle_event(Event::Progress {
             id: 1,
             attempt: 0,
             progress: Progress::ShareDone(0.02),
         });
         assert_eq!(
-            acts.iter()
-                .any(|a| matches!(a, Action::CancelAttempt { .. })),
-            cancels,
-            "{effect:?}"
+            actions
+                .iter()
+                .any(|action| matches!(action, Action::CancelAttempt { .. })),
+            expect_cancellation,
+            "{class_idempotency:?}"
         );
         bench.now += 2000.0;
-        let acts = bench.tick(0.0);
+        let actions = bench.tick(0.0);
         assert!(
-            cancels
-                || !acts
+            expect_cancellation
+                || !actions
                     .iter()
-                    .any(|a| matches!(a, Action::CancelAttempt { .. }))
+                    .any(|action| matches!(action, Action::CancelAttempt { .. }))
         );
     }
 }
@@ -443,22 +456,22 @@
         waits_for_bulk_loads: true,
         ..class(1, 2000.0, 1.0)
     };
-    let load = Class {
+    let bulk_load = Class {
         idempotency: Idempotency::NonIdempotent,
         is_bulk_load: true,
         ..class(1, 2000.0, 7.0)
     };
-    let mut bench = TestBench::new(settings(vec![reader, load]), 12);
-    let mut at = [
+    let mut bench = TestBench::new(settings(vec![reader, bulk_load]), 12);
+    let mut engines_by_class = [
         std::collections::BTreeSet::new(),
         std::collections::BTreeSet::new(),
     ];
     for id in 0..8 {
-        let kind = id as usize % 2;
-        let to = sent_to(
+        let class_index = id as usize % 2;
+        let target = sent_to(
             &bench.handle_event(request_event(
                 id,
-                kind,
+                class_index,
                 bench.now + 9000.0,
                 Some(100.0),
                 None,
@@ -466,21 +479,24 @@
             id,
         )
         .unwrap();
-        at[kind].insert(to);
+        engines_by_class[class_index].insert(target);
     }
-    assert!(at[0].is_disjoint(&at[1]), "{at:?}");
+    assert!(
+        engines_by_class[0].is_disjoint(&engines_by_class[1]),
+        "{engines_by_class:?}"
+    );
 }
 
 /// 86789ebb: where nothing waits for bulk loads, their separation only crowds a quarter of the engines.
 #[test]
 fn bulk_loads_without_waiting_readers_use_all_engines() {
-    let load = Class {
+    let bulk_load = Class {
         idempotency: Idempotency::NonIdempotent,
         is_bulk_load: true,
         ..class(2, 9000.0, 7.0)
     };
-    let mut bench = TestBench::new(settings(vec![load]), 12);
-    let at: std::collections::BTreeSet<_> = (0..10)
+    let mut bench = TestBench::new(settings(vec![bulk_load]), 12);
+    let used_engines: std::collections::BTreeSet<_> = (0..10)
         .map(|id| {
             sent_to(
                 &bench.handle_event(request_event(
@@ -495,27 +511,28 @@
             .unwrap()
         })
         .collect();
-    assert!(at.len() > 6, "{} engines", at.len());
+    assert!(used_engines.len() > 6, "{} engines", used_engines.len());
 }
 
 fn overdue_attempt_is_cancelled(measured: Option<Measured>) -> bool {
     let mut bench = TestBench::new(settings(vec![class(1, 2000.0, 1.0)]), 2);
     for id in 0..60 {
-        let acts = bench.handle_event(request_event(id, 0, bench.now + 9000.0, Some(1000.0), None));
-        let at = sent_to(&acts, id).unwrap();
+        let actions =
+            bench.handle_event(request_event(id, 0, bench.now + 9000.0, Some(1000.0), None));
+        let target = sent_to(&actions, id).unwrap();
         bench.now += 1000.0;
         bench.handle_event(served_event(
             id,
-            at,
+            target,
             1000.0,
             measured,
             LoadReport::default(),
         ));
     }
     bench.handle_event(request_event(99, 0, bench.now + 9000.0, Some(1000.0), None));
-    let early = bench.tick(1200.0);
+    let early_actions = bench.tick(1200.0);
     assert!(
-        !early.contains(&Action::CancelAttempt { id: 99, attempt: 0 }),
+        !early_actions.contains(&Action::CancelAttempt { id: 99, attempt: 0 }),
         "not before its time"
     );
     bench
@@ -534,46 +551,46 @@
 /// fa9f499c: the engine's own choice of memory follows estimates that are wrong by class, and queries spill.
 #[test]
 fn memory_grant_follows_the_measured_error_of_estimates() {
-    for takes_grants in [true, false] {
+    for grants_supported in [true, false] {
         let mut bench = TestBench::new(
             Settings {
-                memory_grants_supported: takes_grants,
+                memory_grants_supported: grants_supported,
                 ..settings(vec![class(1, 2000.0, 1.0)])
             },
             2,
         );
         for id in 0..60 {
-            let acts = bench.handle_event(request_event(
+            let actions = bench.handle_event(request_event(
                 id,
                 0,
                 bench.now + 9000.0,
                 Some(100.0),
                 Some(100.0),
             ));
-            let at = sent_to(&acts, id).unwrap();
+            let target = sent_to(&actions, id).unwrap();
             bench.now += 100.0;
             bench.handle_event(served_event(
                 id,
-                at,
+                target,
                 100.0,
                 measured(100.0, 300.0),
                 LoadReport::default(),
             ));
         }
-        let acts = bench.handle_event(request_event(
+        let actions = bench.handle_event(request_event(
             99,
             0,
             bench.now + 9000.0,
             Some(100.0),
             Some(200.0),
         ));
-        let grant = acts.iter().find_map(|a| match a {
+        let grant = actions.iter().find_map(|action| match action {
             Action::SetAttemptTerms { memory_mb, .. } => Some(*memory_mb),
             _ => None,
         });
-        assert_eq!(grant.is_some(), takes_grants);
+        assert_eq!(grant.is_some(), grants_supported);
         assert!(
-            grant.is_none_or(|mb| (550.0..1200.0).contains(&mb)),
+            grant.is_none_or(|memory_mb| (550.0..1200.0).contains(&memory_mb)),
             "{grant:?}"
         );
     }
@@ -582,24 +599,24 @@
 /// b1f6eff4: each client process has its own manager, and equal shares were too small for the busy ones.
 #[test]
 fn busy_manager_has_a_larger_share_where_quotas_are_known() {
-    let held = |tenant_quotas| {
-        let large = Settings {
+    let sent_count_with = |tenant_quotas| {
+        let fleet_settings = Settings {
             instances: 50,
             tenant_quotas_per_s: tenant_quotas,
             ..settings(vec![class(1, 9000.0, 1.0)])
         };
-        let mut bench = TestBench::new(large, 10);
-        for n in 0..10 {
+        let mut bench = TestBench::new(fleet_settings, 10);
+        for number in 0..10 {
             let report = LoadReport {
                 inflight: Some(40.0),
                 cpu_busy: Some(1.0),
                 ..LoadReport::default()
             };
-            let (outcome, took_ms) = (Outcome::Ok, 1.0);
+            let (outcome, check_ms) = (Outcome::Ok, 1.0);
             bench.handle_event(Event::HealthCheckEnded {
-                engine: engine(n),
+                engine: engine(number),
                 outcome,
-                elapsed_ms: took_ms,
+                elapsed_ms: check_ms,
                 load_report: report,
             });
         }
@@ -608,20 +625,20 @@
             .filter(|id| sent_to(&bench.request(*id, 0, 0), *id).is_some())
             .count()
     };
-    assert!(held(vec![50.0]) > held(Vec::new()) + 2);
+    assert!(sent_count_with(vec![50.0]) > sent_count_with(Vec::new()) + 2);
 }
 
 /// 886fd89d: cross-zone attempts cost.
 #[test]
-fn equal_engine_in_own_zone_wins_where_cross_zone_costs() {
-    let base = settings(vec![class(1, 2000.0, 1.0)]);
-    let zoned = Settings {
+fn engine_in_own_zone_is_preferred_where_cross_zone_attempts_cost() {
+    let base_settings = settings(vec![class(1, 2000.0, 1.0)]);
+    let settings_with_zone = Settings {
         zone: 1,
         cross_zone_cost: 0.04,
         load_reports: LoadReportMode::Off,
-        ..base
+        ..base_settings
     };
-    let mut bench = TestBench::new(zoned, 6);
+    let mut bench = TestBench::new(settings_with_zone, 6);
     for id in 0..2 {
         let EngineId { addr, .. } = sent_to(&bench.request(id, 0, 0), id).unwrap();
         assert_eq!(addr[3] % 2, 1);
@@ -656,34 +673,35 @@
 #[test]
 fn engine_that_fails_queries_others_serve_is_ejected() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
-    let (mut failed, mut nonsense) = (0, 0);
+    let (mut failures_of_faulty_engine, mut failed_everywhere) = (0, 0);
     for id in 0..200 {
         bench.now += 20.0;
         bench.tick(0.0);
-        let mut at = sent_to(&bench.request(id, 0, 0), id).expect("an engine");
+        let mut target = sent_to(&bench.request(id, 0, 0), id).expect("an engine");
         for attempt in 0.. {
-            let bad = id % 10 == 0;
-            if at != engine(1) && !bad {
-                bench.end_attempt_after(id, attempt, at, Outcome::Ok, 60.0);
+            let fails_everywhere = id % 10 == 0;
+            if target != engine(1) && !fails_everywhere {
+                bench.end_attempt_after(id, attempt, target, Outcome::Ok, 60.0);
                 break;
             }
-            failed += u32::from(!bad);
-            let next = bench.end_attempt_after(id, attempt, at, Outcome::Error, 1.0);
+            failures_of_faulty_engine += u32::from(!fails_everywhere);
+            let after = bench.end_attempt_after(id, attempt, target, Outcome::Error, 1.0);
             assert!(
-                attempt < 2 || is_answered(&next, id) && bad,
+                attempt < 2 || is_answered(&after, id) && fails_everywhere,
                 "{id} has had three engines"
             );
-            nonsense += u32::from(is_answered(&next, id));
-            let Some(engine) = sent_to(&next, id) else {
-                break;
-            };
-            at = engine;
+            failed_everywhere += u32::from(is_answered(&after, id));
+            let Some(to) = sent_to(&after, id) else { break };
+            target = to;
         }
     }
-    assert!(failed < 10, "{failed} went to the engine that fails");
     assert!(
-        nonsense == 20,
-        "{nonsense} of the requests that nobody can serve were answered"
+        failures_of_faulty_engine < 10,
+        "{failures_of_faulty_engine} went to the engine that fails"
+    );
+    assert!(
+        failed_everywhere == 20,
+        "{failed_everywhere} of the requests that nobody can serve were answered"
     );
 }
 
@@ -738,22 +756,24 @@
 
 /// Managers cannot see each other's bulk loads: a hash that they share keeps these apart.
 #[test]
-fn managers_place_bulk_loads_of_a_data_set_apart() {
-    let choice = |ordinal: u32, id: u32| {
-        let kind_cores = vec![8.0, 8.0];
-        let set = Settings {
+fn managers_place_bulk_loads_of_a_data_set_on_different_engines() {
+    let chosen_engine = |ordinal: u32, id: u32| {
+        let cores = vec![8.0, 8.0];
+        let manager_settings = Settings {
             instances: 3,
             ordinal,
-            machine_type_cores: kind_cores,
+            machine_type_cores: cores,
             ..settings(vec![bulk_load_class()])
         };
-        let mut bench = TestBench::new(set, 12);
+        let mut bench = TestBench::new(manager_settings, 12);
         sent_to(&bench.request(id, 0, 0), id).expect("an engine")
     };
-    let met =
-        (0..3).filter(|id| choice(0, *id) == choice(1, *id) || choice(1, *id) == choice(2, *id));
+    let shared_targets = (0..3).filter(|id| {
+        chosen_engine(0, *id) == chosen_engine(1, *id)
+            || chosen_engine(1, *id) == chosen_engine(2, *id)
+    });
     // A warm engine may still be worth a meeting; without the guard all three meet.
-    assert!(met.count() <= 1, "data sets whose loads met");
+    assert!(shared_targets.count() <= 1, "data sets whose loads met");
 }
 
 /// No update of the endpoint list ends a manual ejection, and an engine that is given back starts slowly.
@@ -766,36 +786,37 @@
         at_ms,
     };
     bench.handle_event(manual_ejection(true, 1000.0));
-    let mut next = 0;
-    let mut ask = |bench: &mut TestBench| {
-        next += 1;
-        let to = sent_to(&bench.request(next, 0, 0), next);
-        to.into_iter()
-            .for_each(|at| drop(bench.end_attempt(next, 0, at, Outcome::Ok)));
-        to
+    let mut last_id = 0;
+    let mut send_request = |bench: &mut TestBench| {
+        last_id += 1;
+        let target = sent_to(&bench.request(last_id, 0, 0), last_id);
+        target
+            .into_iter()
+            .for_each(|engine_id| drop(bench.end_attempt(last_id, 0, engine_id, Outcome::Ok)));
+        target
     };
-    for change in [
+    for entries in [
         vec![entry(0, EngineState::Ready, 0.0)],
         vec![entry(0, EngineState::Removed, 0.0)],
         vec![entry(0, EngineState::Ready, 900.0)],
     ] {
-        bench.update_list(change);
+        bench.update_list(entries);
         bench.tick(50.0);
         assert_eq!(
             bench.dispatcher.ejected_engines(),
             1.min(bench.dispatcher.state_sizes()[3] - 1)
         );
-        assert!((0..20).all(|_| ask(&mut bench) == Some(engine(1))));
+        assert!((0..20).all(|_| send_request(&mut bench) == Some(engine(1))));
     }
     bench.update_list(vec![entry(1, EngineState::Draining, 0.0)]);
     assert_eq!(
-        ask(&mut bench),
+        send_request(&mut bench),
         None,
         "better none than one that was taken out"
     );
     bench.now = 60_000.0;
-    let back = manual_ejection(false, bench.now);
-    bench.handle_event(back);
+    let return_to_service = manual_ejection(false, bench.now);
+    bench.handle_event(return_to_service);
     assert_eq!(bench.dispatcher.ejected_engines(), 0);
     // Cold by the guard for fresh engines: a burst of queries is not let through at once, one comes soon.
     let sent_at_once = (5000..5100)
@@ -811,27 +832,33 @@
 /// name.
 #[test]
 fn new_settings_match_classes_by_name() {
-    let once = Class {
+    let non_idempotent = Class {
         idempotency: Idempotency::NonIdempotent,
         ..class(1, 1000.0, 1.0)
     };
-    let named = |classes: Vec<(&str, Class)>| Settings {
+    let settings_of = |classes: Vec<(&str, Class)>| Settings {
         class_names: classes.iter().map(|(name, _)| (*name).to_owned()).collect(),
         ..settings(classes.into_iter().map(|(_, class)| class).collect())
     };
-    let old = named(vec![("a", class(1, 1000.0, 1.0)), ("load", once.clone())]);
-    let mut bench = TestBench::new(old.clone(), 2);
-    let at = sent_to(&bench.request(1, 1, 0), 1).expect("an engine");
-    let new = named(vec![("b", once.clone()), ("a", class(1, 1000.0, 1.0))]);
-    bench.handle_event(Event::Settings(Box::new(new)));
-    let after = bench.end_attempt(1, 0, at, Outcome::Reset);
+    let old_settings = settings_of(vec![
+        ("a", class(1, 1000.0, 1.0)),
+        ("load", non_idempotent.clone()),
+    ]);
+    let mut bench = TestBench::new(old_settings.clone(), 2);
+    let target = sent_to(&bench.request(1, 1, 0), 1).expect("an engine");
+    let new_settings = settings_of(vec![
+        ("b", non_idempotent.clone()),
+        ("a", class(1, 1000.0, 1.0)),
+    ]);
+    bench.handle_event(Event::Settings(Box::new(new_settings)));
+    let actions = bench.end_attempt(1, 0, target, Outcome::Reset);
     assert!(
-        is_answered(&after, 1) && sent_to(&after, 1).is_none(),
+        is_answered(&actions, 1) && sent_to(&actions, 1).is_none(),
         "a load that may have run, whatever is in its place"
     );
-    let at = sent_to(&bench.request(2, 1, 0), 2).expect("an engine");
+    let target = sent_to(&bench.request(2, 1, 0), 2).expect("an engine");
     assert!(
-        sent_to(&bench.end_attempt(2, 0, at, Outcome::Reset), 2).is_some(),
+        sent_to(&bench.end_attempt(2, 0, target, Outcome::Reset), 2).is_some(),
         "a query goes again"
     );
     assert_eq!(
@@ -839,7 +866,7 @@
         ["b", "a", "load"],
         "kept while it was under way"
     );
-    bench.handle_event(Event::Settings(Box::new(old)));
+    bench.handle_event(Event::Settings(Box::new(old_settings)));
     assert_eq!(
         bench.dispatcher.settings().class_names,
         ["a", "load"],
