--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use workload_manager::*;
 
-fn keyed(scope: DedupScope) -> Class {
+fn class_with_idempotency_key(scope: DedupScope) -> Class {
     Class {
         idempotency: Idempotency::WithKey(scope),
         dedup_window_ms: 1000.0,
@@ -18,11 +18,11 @@
 fn rule_1_waiting_request_is_answered_before_its_deadline() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
     assert!(bench.request_with(1, 0, 0, 900.0, None).is_empty());
-    let mut answer = false;
+    let mut was_answered = false;
     while bench.now < 1890.0 {
-        answer |= is_answered(&bench.tick(10.0), 1);
+        was_answered |= is_answered(&bench.tick(10.0), 1);
     }
-    assert!(answer, "no engine: ended before the deadline");
+    assert!(was_answered, "no engine: ended before the deadline");
     assert!(!is_answered(&bench.tick(500.0), 1), "and once only");
 }
 
@@ -42,17 +42,17 @@
 
 #[test]
 fn rule_2_non_idempotent_request_that_may_have_run_fails() {
-    let once = Class {
+    let non_idempotent = Class {
         idempotency: Idempotency::NonIdempotent,
         ..class(1, 1000.0, 1.0)
     };
-    let mut bench = TestBench::new(settings(vec![once]), 3);
-    let at = sent_to(&bench.request(1, 0, 0), 1).unwrap();
-    let again = bench.end_attempt(1, 0, at, Outcome::NoConnection);
-    let at = sent_to(&again, 1).expect("never ran: another attempt");
+    let mut bench = TestBench::new(settings(vec![non_idempotent]), 3);
+    let target = sent_to(&bench.request(1, 0, 0), 1).unwrap();
+    let actions = bench.end_attempt(1, 0, target, Outcome::NoConnection);
+    let target = sent_to(&actions, 1).expect("never ran: another attempt");
     assert!(
         bench
-            .end_attempt(1, 1, at, Outcome::Reset)
+            .end_attempt(1, 1, target, Outcome::Reset)
             .contains(&Action::Fail {
                 id: 1,
                 reason: EndReason::NoRetryAllowed
@@ -64,28 +64,36 @@
 /// once to an engine where a query holds a connection, and not to engines that cannot be reached.
 #[test]
 fn attempt_without_connection_slot_does_not_count() {
-    let extra = Some(RetryBudget {
+    let no_retries = Some(RetryBudget {
         free_retries: 0.0,
         retries_per_request: 0.0,
         window_ms: 1000.0,
     });
-    let limits = Settings {
+    let limited_settings = Settings {
         max_attempts: 1,
-        retry_budget: extra,
+        retry_budget: no_retries,
         ..settings(vec![class(1, 1000.0, 1.0)])
     };
-    let mut bench = TestBench::new(limits, 9);
-    let held = sent_to(&bench.request(1, 0, 0), 1).expect("an engine");
-    let bare = sent_to(&bench.request(2, 0, 0), 2).expect("an engine");
-    assert_ne!(held, bare);
+    let mut bench = TestBench::new(limited_settings, 9);
+    let connected_engine = sent_to(&bench.request(1, 0, 0), 1).expect("an engine");
+    let other_engine = sent_to(&bench.request(2, 0, 0), 2).expect("an engine");
+    assert_ne!(connected_engine, other_engine);
     for number in 0..3 {
-        let at = if number == 0 { bare } else { held };
-        let again = bench.end_attempt(2, number, at, Outcome::NoConnectionSlot);
+        let target = if number == 0 {
+            other_engine
+        } else {
+            connected_engine
+        };
+        let actions = bench.end_attempt(2, number, target, Outcome::NoConnectionSlot);
         if number == 0 {
-            assert_eq!(sent_to(&again, 2), Some(held), "the one that is reached");
+            assert_eq!(
+                sent_to(&actions, 2),
+                Some(connected_engine),
+                "the one that is reached"
+            );
         } else {
             assert!(
-                !is_answered(&again, 2) && sent_request_ids(&again).is_empty(),
+                !is_answered(&actions, 2) && sent_request_ids(&actions).is_empty(),
                 "not the same again at once"
             );
             assert_eq!(
@@ -98,31 +106,31 @@
     }
     // Where nothing is out there is no descriptor for a tick, and then the request goes all the same.
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
-    let at = sent_to(&bench.request(1, 0, 0), 1).expect("an engine");
-    let none = bench.end_attempt(1, 0, at, Outcome::NoConnectionSlot);
-    assert!(!is_answered(&none, 1) && sent_request_ids(&none).is_empty());
+    let target = sent_to(&bench.request(1, 0, 0), 1).expect("an engine");
+    let actions = bench.end_attempt(1, 0, target, Outcome::NoConnectionSlot);
+    assert!(!is_answered(&actions, 1) && sent_request_ids(&actions).is_empty());
     assert!(sent_to(&bench.tick(60.0), 1).is_some());
 }
 
 #[test]
 fn rule_2_keyed_retry_stays_in_its_dedup_scope_and_window() {
     for scope in [DedupScope::Zone, DedupScope::Cell] {
-        let mut bench = TestBench::new(settings(vec![keyed(scope)]), 6);
+        let mut bench = TestBench::new(settings(vec![class_with_idempotency_key(scope)]), 6);
         let first = sent_to(&bench.request(1, 0, 0), 1).unwrap();
         bench.now += 100.0;
         let second = sent_to(&bench.end_attempt(1, 0, first, Outcome::Error), 1).expect("repeat");
-        let group = |e: EngineId| {
+        let dedup_group = |engine: EngineId| {
             if scope == DedupScope::Zone {
-                e.addr[3] % 2
+                engine.addr[3] % 2
             } else {
-                e.addr[3] % 3
+                engine.addr[3] % 3
             }
         };
-        assert_eq!(group(first), group(second));
+        assert_eq!(dedup_group(first), dedup_group(second));
         bench.now += 1000.0;
-        let late = bench.end_attempt(1, 1, second, Outcome::Error);
+        let actions = bench.end_attempt(1, 1, second, Outcome::Error);
         assert!(
-            late.contains(&Action::Fail {
+            actions.contains(&Action::Fail {
                 id: 1,
                 reason: EndReason::NoRetryAllowed
             }),
@@ -146,22 +154,22 @@
 }
 
 #[test]
-fn rule_4_cold_engine_gets_less_than_its_budget() {
+fn rule_4_engine_in_slow_start_gets_less_than_its_budget() {
     let mut bench = TestBench::new(settings(vec![class(1, 400.0, 1.0)]), 0);
     bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
-    let mut work = 0.0;
+    let mut sent_work_ms = 0.0;
     for id in 0..200 {
         bench.now += 5.0;
         let actions = bench.request_with(id, 0, 0, 3000.0, Some(200.0));
-        for id in sent_request_ids(&actions) {
-            work += 200.0;
-            bench.end_attempt_after(id, 0, engine(0), Outcome::Ok, 5.0);
+        for sent_id in sent_request_ids(&actions) {
+            sent_work_ms += 200.0;
+            bench.end_attempt_after(sent_id, 0, engine(0), Outcome::Ok, 5.0);
         }
     }
     // Multiple x share x cores x window: what would tip it over.
     assert!(
-        work > 400.0 && work < 2.0 * 0.3 * 8.0 * 1000.0,
-        "sent {work}"
+        sent_work_ms > 400.0 && sent_work_ms < 2.0 * 0.3 * 8.0 * 1000.0,
+        "sent {sent_work_ms}"
     );
 }
 
@@ -169,10 +177,10 @@
 fn rule_5_requests_of_one_key_run_in_order_with_a_pause() {
     let ordered = Class {
         ordered_by_key: true,
-        ..keyed(DedupScope::All)
+        ..class_with_idempotency_key(DedupScope::All)
     };
     let mut bench = TestBench::new(settings(vec![ordered]), 3);
-    let at = sent_to(&bench.request(1, 0, 9), 1).unwrap();
+    let target = sent_to(&bench.request(1, 0, 9), 1).unwrap();
     assert_eq!(sent_to(&bench.request(2, 0, 9), 2), None);
     assert!(
         sent_to(&bench.request(3, 0, 8), 3).is_some(),
@@ -185,7 +193,7 @@
         "its attempt is still out"
     );
     assert_eq!(
-        sent_to(&bench.end_attempt(1, 0, at, Outcome::TimedOut), 2),
+        sent_to(&bench.end_attempt(1, 0, target, Outcome::TimedOut), 2),
         None
     );
     assert_eq!(sent_to(&bench.tick(250.0), 2), None, "the key rests");
@@ -194,16 +202,16 @@
 
 /// Keys come from clients, so one is held only while it has requests or a pause.
 #[test]
-fn rule_5_key_is_forgotten_after_its_pause() {
+fn rule_5_key_is_removed_after_its_pause() {
     let ordered = Class {
         ordered_by_key: true,
-        ..keyed(DedupScope::All)
+        ..class_with_idempotency_key(DedupScope::All)
     };
     let mut bench = TestBench::new(settings(vec![ordered]), 3);
     for id in 1..=100 {
-        let at = sent_to(&bench.request(id, 0, u64::from(id)), id).unwrap();
+        let target = sent_to(&bench.request(id, 0, u64::from(id)), id).unwrap();
         bench.handle_event(Event::ClientDisconnected { id });
-        bench.end_attempt(id, 0, at, Outcome::Reset);
+        bench.end_attempt(id, 0, target, Outcome::Reset);
     }
     assert_eq!(bench.dispatcher.state_sizes()[2], 100, "all of them rest");
     bench.tick(400.0);
@@ -211,13 +219,13 @@
 }
 
 #[test]
-fn rule_6_bound_class_waits_for_its_engines() {
-    let bound = Class {
+fn rule_6_restricted_class_waits_for_an_allowed_engine() {
+    let restricted = Class {
         allowed_zones: Some(vec![1]),
         allowed_machine_types: Some(vec![0]),
         ..class(1, 1000.0, 1.0)
     };
-    let mut bench = TestBench::new(settings(vec![bound, class(1, 1000.0, 1.0)]), 1);
+    let mut bench = TestBench::new(settings(vec![restricted, class(1, 1000.0, 1.0)]), 1);
     assert_eq!(sent_to(&bench.request(1, 0, 0), 1), None);
     assert!(
         sent_to(&bench.request(2, 1, 0), 2).is_some(),
@@ -234,26 +242,26 @@
 
 #[test]
 fn rule_7_retries_stay_within_their_budget() {
-    let extra = Some(RetryBudget {
+    let retry_limits = Some(RetryBudget {
         free_retries: 2.0,
         retries_per_request: 0.1,
         window_ms: 5000.0,
     });
     let mut bench = TestBench::new(
         Settings {
-            retry_budget: extra,
+            retry_budget: retry_limits,
             ..settings(vec![class(1, 1000.0, 1.0)])
         },
         4,
     );
-    let mut sends = 0;
+    let mut attempt_count = 0;
     for id in 0..10 {
-        let asked = bench.request(id, 0, 0);
-        let at = sent_to(&asked, id).unwrap();
-        sends += sent_request_ids(&asked).len()
-            + sent_request_ids(&bench.end_attempt(id, 0, at, Outcome::Error)).len();
+        let actions = bench.request(id, 0, 0);
+        let target = sent_to(&actions, id).unwrap();
+        attempt_count += sent_request_ids(&actions).len()
+            + sent_request_ids(&bench.end_attempt(id, 0, target, Outcome::Error)).len();
     }
-    assert_eq!(sends, 13, "two free and a tenth of ten");
+    assert_eq!(attempt_count, 13, "two free and a tenth of ten");
 }
 
 /// Pause of an order key in ms, as the shared settings have it.
@@ -267,7 +275,7 @@
 #[derive(Clone, Copy)]
 struct FirstExecution {
     engine: EngineId,
-    sent_at: f64,
+    sent_at_ms: f64,
 }
 
 /// What the random test knows of one request.
@@ -275,49 +283,60 @@
 struct TrackedRequest {
     class: usize,
     key: u64,
-    deadline: f64,
+    deadline_ms: f64,
     attempts: u16,
     /// The engine of its attempt in flight.
     engine: Option<EngineId>,
     /// Answered, or its client has left.
-    over: bool,
+    finished: bool,
     first_execution: Option<FirstExecution>,
-    sent_at: f64,
+    sent_at_ms: f64,
 }
 
 #[derive(Clone, Debug)]
 enum RandomEvent {
-    Ask {
+    SubmitRequest {
         class: usize,
         key: u64,
-        left: f64,
-        cost: f64,
+        timeout_ms: f64,
+        estimated_work_ms: f64,
     },
-    End {
-        pick: usize,
-        outcome: usize,
+    EndAttempt {
+        random_index: usize,
+        outcome_index: usize,
     },
-    Leave {
-        pick: usize,
+    DisconnectClient {
+        random_index: usize,
     },
-    List {
-        n: u8,
-        state: usize,
-        fresh: bool,
+    UpdateList {
+        number: u8,
+        state_index: usize,
+        is_restarted: bool,
     },
-    Wait {
-        ms: f64,
+    AdvanceTime {
+        elapsed_ms: f64,
     },
 }
 
 fn random_event() -> impl Strategy<Value = RandomEvent> {
     prop_oneof![
         4 => (0usize..5, 0u64..3, 200.0..4000.0, prop_oneof![Just(f64::NAN), Just(-1.0), 10.0..5000.0])
-            .prop_map(|(class, key, left, cost)| RandomEvent::Ask { class, key, left, cost }),
-        4 => (any::<usize>(), 0usize..8).prop_map(|(pick, outcome)| RandomEvent::End { pick, outcome }),
-        1 => any::<usize>().prop_map(|pick| RandomEvent::Leave { pick }),
-        1 => (0u8..5, 0usize..3, any::<bool>()).prop_map(|(n, state, fresh)| RandomEvent::List { n, state, fresh }),
-        3 => (1.0..120.0).prop_map(|ms| RandomEvent::Wait { ms }),
+            .prop_map(|(class, key, timeout_ms, estimated_work_ms)| RandomEvent::SubmitRequest {
+                class,
+                key,
+                timeout_ms,
+                estimated_work_ms,
+            }),
+        4 => (any::<usize>(), 0usize..8)
+            .prop_map(|(random_index, outcome_index)| RandomEvent::EndAttempt { random_index, outcome_index }),
+        1 => any::<usize>().prop_map(|random_index| RandomEvent::DisconnectClient { random_index }),
+        1 => (0u8..5, 0usize..3, any::<bool>())
+            .prop_map(|(number, state_index, is_restarted)| RandomEvent::UpdateList {
+                number,
+                state_index,
+                is_restarted,
+            }),
+        3 => (1.0..120.0).prop_map(|elapsed_ms| RandomEvent::AdvanceTime { elapsed_ms }),
     ]
 }
 
@@ -346,8 +365,8 @@
     requests: BTreeMap<u32, TrackedRequest>,
     states: BTreeMap<EngineId, EngineState>,
     paused_until: BTreeMap<u64, f64>,
-    accepted_at: VecDeque<f64>,
-    retried_at: VecDeque<f64>,
+    request_times_ms: VecDeque<f64>,
+    retry_times_ms: VecDeque<f64>,
 }
 
 impl Checker {
@@ -361,21 +380,21 @@
             },
             Class {
                 ordered_by_key: true,
-                ..keyed(DedupScope::Zone)
+                ..class_with_idempotency_key(DedupScope::Zone)
             },
             Class {
                 allowed_zones: Some(vec![1]),
                 ..class(2, 1000.0, 4.0)
             },
         ];
-        let extra = Some(RetryBudget {
+        let random_test_budget = Some(RetryBudget {
             free_retries: FREE_RETRIES,
             retries_per_request: RETRIES_PER_REQUEST,
             window_ms: RETRY_WINDOW_MS,
         });
         let bench = TestBench::new(
             Settings {
-                retry_budget: extra,
+                retry_budget: random_test_budget,
                 ..settings(classes.clone())
             },
             4,
@@ -388,42 +407,59 @@
             requests,
             states,
             paused_until,
-            accepted_at: VecDeque::new(),
-            retried_at: VecDeque::new(),
+            request_times_ms: VecDeque::new(),
+            retry_times_ms: VecDeque::new(),
         }
     }
 
     /// Plays one event; `next_id` is the id of a request that comes with it.
-    fn play(&mut self, event: &RandomEvent, next_id: u32) {
+    fn apply(&mut self, event: &RandomEvent, next_id: u32) {
         let actions = match *event {
-            RandomEvent::Ask {
+            RandomEvent::SubmitRequest {
                 class,
                 key,
-                left,
-                cost,
-            } => self.ask(next_id, class, key, left, cost),
-            RandomEvent::End { pick, outcome } => self.end_one(pick, OUTCOMES[outcome]),
-            RandomEvent::Leave { pick } => self.disconnect_one(pick),
-            RandomEvent::List { n, state, fresh } => self.change_list(n, state, fresh),
-            RandomEvent::Wait { ms } => self.wait(ms),
+                timeout_ms,
+                estimated_work_ms,
+            } => self.submit_request(next_id, class, key, timeout_ms, estimated_work_ms),
+            RandomEvent::EndAttempt {
+                random_index,
+                outcome_index,
+            } => self.end_random_attempt(random_index, OUTCOMES[outcome_index]),
+            RandomEvent::DisconnectClient { random_index } => {
+                self.disconnect_random_client(random_index)
+            }
+            RandomEvent::UpdateList {
+                number,
+                state_index,
+                is_restarted,
+            } => self.change_list(number, state_index, is_restarted),
+            RandomEvent::AdvanceTime { elapsed_ms } => self.advance_time(elapsed_ms),
         };
-        self.check(&actions);
+        self.check_actions(&actions);
     }
 
-    fn ask(&mut self, id: u32, class: usize, key: u64, left: f64, cost: f64) -> Vec<Action> {
+    fn submit_request(
+        &mut self,
+        id: u32,
+        class: usize,
+        key: u64,
+        timeout_ms: f64,
+        estimated_work_ms: f64,
+    ) -> Vec<Action> {
         let tracked = TrackedRequest {
             class,
             key,
-            deadline: self.bench.now + left,
+            deadline_ms: self.bench.now + timeout_ms,
             ..TrackedRequest::default()
         };
         self.requests.insert(id, tracked);
-        self.accepted_at.push_back(self.bench.now);
-        self.bench.request_with(id, class, key, left, Some(cost))
+        self.request_times_ms.push_back(self.bench.now);
+        self.bench
+            .request_with(id, class, key, timeout_ms, Some(estimated_work_ms))
     }
 
     /// Ids of the requests that meet a condition.
-    fn ids(&self, condition: impl Fn(&TrackedRequest) -> bool) -> Vec<u32> {
+    fn ids_where(&self, condition: impl Fn(&TrackedRequest) -> bool) -> Vec<u32> {
         self.requests
             .iter()
             .filter(|(_, request)| condition(request))
@@ -431,73 +467,73 @@
             .collect()
     }
 
-    fn end_one(&mut self, pick: usize, outcome: Outcome) -> Vec<Action> {
-        let in_flight = self.ids(|request| request.engine.is_some());
+    fn end_random_attempt(&mut self, random_index: usize, outcome: Outcome) -> Vec<Action> {
+        let in_flight = self.ids_where(|request| request.engine.is_some());
         if in_flight.is_empty() {
             return Vec::new();
         }
-        self.end(in_flight[pick % in_flight.len()], outcome)
+        self.end_attempt(in_flight[random_index % in_flight.len()], outcome)
     }
 
-    fn disconnect_one(&mut self, pick: usize) -> Vec<Action> {
-        let open = self.ids(|request| !request.over);
+    fn disconnect_random_client(&mut self, random_index: usize) -> Vec<Action> {
+        let open = self.ids_where(|request| !request.finished);
         if open.is_empty() {
             return Vec::new();
         }
-        let id = open[pick % open.len()];
-        self.requests.get_mut(&id).unwrap().over = true;
+        let id = open[random_index % open.len()];
+        self.requests.get_mut(&id).unwrap().finished = true;
         self.bench.handle_event(Event::ClientDisconnected { id })
     }
 
-    fn change_list(&mut self, n: u8, state: usize, fresh: bool) -> Vec<Action> {
+    fn change_list(&mut self, number: u8, state_index: usize, is_restarted: bool) -> Vec<Action> {
         let states = [
             EngineState::Ready,
             EngineState::Draining,
             EngineState::Removed,
         ];
-        self.states.insert(engine(n), states[state]);
-        let started_at_ms = if fresh { self.bench.now } else { 0.0 };
+        self.states.insert(engine(number), states[state_index]);
+        let started_at_ms = if is_restarted { self.bench.now } else { 0.0 };
         self.bench
-            .update_list(vec![entry(n, states[state], started_at_ms)])
+            .update_list(vec![entry(number, states[state_index], started_at_ms)])
     }
 
     /// Lets time pass; the actions of its ticks are checked here.
-    fn wait(&mut self, ms: f64) -> Vec<Action> {
-        let until = self.bench.now + ms;
-        while self.bench.now < until {
+    fn advance_time(&mut self, elapsed_ms: f64) -> Vec<Action> {
+        let end_ms = self.bench.now + elapsed_ms;
+        while self.bench.now < end_ms {
             let actions = self.bench.tick(5.0);
-            self.check(&actions);
-            self.deadlines();
+            self.check_actions(&actions);
+            self.check_deadlines();
         }
         Vec::new()
     }
 
     /// Ends the attempt in flight of a request.
-    fn end(&mut self, id: u32, outcome: Outcome) -> Vec<Action> {
+    fn end_attempt(&mut self, id: u32, outcome: Outcome) -> Vec<Action> {
         let now = self.bench.now;
         let request = self.requests.get_mut(&id).unwrap();
         let engine = request.engine.take().unwrap();
         if may_have_run(outcome) {
-            let sent_at = request.sent_at;
+            let sent_at_ms = request.sent_at_ms;
             request
                 .first_execution
-                .get_or_insert(FirstExecution { engine, sent_at });
+                .get_or_insert(FirstExecution { engine, sent_at_ms });
         }
-        let pauses = matches!(
+        let starts_pause = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
-        if pauses && self.classes[request.class].ordered_by_key {
+        if starts_pause && self.classes[request.class].ordered_by_key {
             self.paused_until.insert(request.key, now + KEY_PAUSE_MS);
         }
-        request.over |= outcome == Outcome::Ok;
+        request.finished |= outcome == Outcome::Ok;
         let ended = AttemptEnded {
             id,
             attempt: request.attempts - 1,
             engine,
             outcome,
-            elapsed_ms: now - request.sent_at,
-            answered: request.over,
+            elapsed_ms: now - request.sent_at_ms,
+            answered: request.finished,
             measured_work_ms: None,
             measured_memory_mb: None,
             load_report: LoadReport {
@@ -510,26 +546,26 @@
     }
 
     /// At its deadline an attempt times out; a waiting request must have been answered by then.
-    fn deadlines(&mut self) {
+    fn check_deadlines(&mut self) {
         let now = self.bench.now;
-        for id in self.ids(|request| !request.over && request.deadline <= now) {
+        for id in self.ids_where(|request| !request.finished && request.deadline_ms <= now) {
             assert!(
                 self.requests[&id].engine.is_some(),
                 "rule 1: {id} waits past its deadline"
             );
-            let actions = self.end(id, Outcome::TimedOut);
+            let actions = self.end_attempt(id, Outcome::TimedOut);
             assert!(
                 is_answered(&actions, id),
                 "rule 1: {id} is not answered at its deadline"
             );
-            self.check(&actions);
+            self.check_actions(&actions);
         }
     }
 
-    fn check(&mut self, actions: &[Action]) {
+    fn check_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::StartAttempt { id, engine, .. } => self.check_send(*id, *engine),
+                Action::StartAttempt { id, engine, .. } => self.check_attempt_start(*id, *engine),
                 Action::Reject { id, .. } => {
                     self.check_rejection(*id);
                     self.check_answer(*id);
@@ -542,23 +578,23 @@
 
     fn check_answer(&mut self, id: u32) {
         let request = self.requests.get_mut(&id).expect("known");
-        assert!(!request.over, "rule 1: {id} is answered twice");
-        request.over = true;
+        assert!(!request.finished, "rule 1: {id} is answered twice");
+        request.finished = true;
     }
 
     fn check_rejection(&self, id: u32) {
         let request = &self.requests[&id];
         let class = &self.classes[request.class];
-        let is_harmless = class.idempotency == Idempotency::Idempotent;
+        let is_idempotent = class.idempotency == Idempotency::Idempotent;
         assert!(
-            is_harmless || request.first_execution.is_none(),
+            is_idempotent || request.first_execution.is_none(),
             "rule 2: {id} rejected"
         );
     }
 
-    fn check_send(&mut self, id: u32, engine: EngineId) {
+    fn check_attempt_start(&mut self, id: u32, engine: EngineId) {
         let request = &self.requests[&id];
-        assert!(!request.over, "rule 1: {id} is sent after its end");
+        assert!(!request.finished, "rule 1: {id} is sent after its end");
         assert!(
             request.engine.is_none(),
             "rule 2: {id} has two attempts in flight"
@@ -584,7 +620,7 @@
         let request = self.requests.get_mut(&id).unwrap();
         request.attempts += 1;
         request.engine = Some(engine);
-        request.sent_at = now;
+        request.sent_at_ms = now;
     }
 
     /// Rule 2: what may have run is repeated only where that is harmless.
@@ -602,7 +638,7 @@
                     "rule 2: {id} leaves its dedup scope"
                 );
                 assert!(
-                    self.bench.now <= first.sent_at + class.dedup_window_ms,
+                    self.bench.now <= first.sent_at_ms + class.dedup_window_ms,
                     "rule 2: {id} is past its dedup window"
                 );
             }
@@ -625,7 +661,7 @@
             .map(|(_, other)| other)
             .filter(|other| is_same_key(other))
             .collect();
-        let is_unfinished = |other: &&TrackedRequest| !other.over || other.engine.is_some();
+        let is_unfinished = |other: &&TrackedRequest| !other.finished || other.engine.is_some();
         assert!(!earlier.iter().any(is_unfinished), "rule 5: {id} overtakes");
         let paused_until = self.paused_until.get(&request.key);
         let is_paused = paused_until.is_some_and(|until| self.bench.now < *until);
@@ -639,10 +675,18 @@
     /// Rule 7: retries stay within their budget.
     fn check_retry_budget(&mut self) {
         let now = self.bench.now;
-        self.retried_at.push_back(now);
-        let from = now - RETRY_WINDOW_MS;
-        let retries = self.retried_at.iter().filter(|at| **at > from).count() as f64;
-        let requests = self.accepted_at.iter().filter(|at| **at > from).count() as f64;
+        self.retry_times_ms.push_back(now);
+        let window_start_ms = now - RETRY_WINDOW_MS;
+        let retries = self
+            .retry_times_ms
+            .iter()
+            .filter(|time_ms| **time_ms > window_start_ms)
+            .count() as f64;
+        let requests = self
+            .request_times_ms
+            .iter()
+            .filter(|time_ms| **time_ms > window_start_ms)
+            .count() as f64;
         assert!(
             retries <= FREE_RETRIES + RETRIES_PER_REQUEST * requests,
             "rule 7: {retries} retries of {requests} requests"
@@ -661,44 +705,49 @@
         proptest::test_runner::RngAlgorithm::ChaCha,
     );
     let mut runner = proptest::test_runner::TestRunner::new_with_rng(config, seed);
-    let sends = std::cell::Cell::new(0usize);
+    let request_count = std::cell::Cell::new(0usize);
     runner
         .run(&prop::collection::vec(random_event(), 1..250), |events| {
             let mut checker = Checker::new();
             for (id, event) in events.iter().enumerate() {
-                checker.play(event, id as u32);
+                checker.apply(event, id as u32);
             }
             let ids: BTreeSet<u32> = checker.requests.keys().copied().collect();
-            sends.set(sends.get() + ids.len());
+            request_count.set(request_count.get() + ids.len());
             Ok(())
         })
         .unwrap();
-    assert!(sends.get() > 1000, "the test drove real traffic");
+    assert!(request_count.get() > 1000, "the test drove real traffic");
 }
 
 /// Two processes of one manager share its part of a cold engine's budget: neither sends more than its own part.
 #[test]
 fn rule_4_peer_processes_share_the_slow_start_budget() {
-    let sends = |parts: f64| {
+    let sent_count_with = |divisor: f64| {
         let mut bench = TestBench::new(settings(vec![class(1, 600.0, 1.0)]), 0);
         bench.handle_event(Event::PeerProcesses {
-            capacity_divisor: parts,
+            capacity_divisor: divisor,
         });
         bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
-        let ids = (0..200).map(|id| {
+        let requests = (0..200).map(|id| {
             (
                 id,
                 request_event(id, 0, bench.now + 9000.0, Some(200.0), None),
             )
         });
-        ids.collect::<Vec<_>>()
+        requests
+            .collect::<Vec<_>>()
             .into_iter()
-            .filter(|(id, q)| sent_to(&bench.handle_event(q.clone()), *id).is_some())
+            .filter(|(id, request)| sent_to(&bench.handle_event(request.clone()), *id).is_some())
             .count()
     };
-    let (alone, old, new) = (sends(1.0), sends(4.0), sends(4.0 / 3.0));
+    let (alone, old_process, new_process) = (
+        sent_count_with(1.0),
+        sent_count_with(4.0),
+        sent_count_with(4.0 / 3.0),
+    );
     assert!(
-        old > 0 && old < new && old + new <= alone,
-        "{old} and {new} of {alone}"
+        old_process > 0 && old_process < new_process && old_process + new_process <= alone,
+        "{old_process} and {new_process} of {alone}"
     );
 }
