--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,10 +1,12 @@
-//! One small test for each failure found on the bench. Snapshot ids are those of the journal.
+//! Regression tests of the dispatcher: one small test for each failure that was found in simulated
+//! runs. The ids in the comments, such as `18f1f014`, are those of the recorded failures.
 
 mod common;
 use common::*;
 use workload_manager::*;
 
-/// if7d304: some attempts are reset on every engine. Resets between answers must not mark an engine down.
+/// if7d304: some attempts were reset on every engine. An engine that also serves attempts must not
+/// be marked down because of such resets.
 #[test]
 fn resets_between_answers_keep_the_engine_available() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
@@ -24,7 +26,8 @@
     }
 }
 
-/// A process that ended resets all its attempts and then takes no connection: it is marked down, and logged once.
+/// When an engine's process ends, its attempts are reset and further connections are refused. The
+/// engine is marked down, and this is reported at most once.
 #[test]
 fn engine_that_resets_attempts_and_refuses_connections_is_down() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
@@ -50,6 +53,7 @@
     }
 }
 
+/// Two engines that have served 100 requests, each in 80 to 160 ms.
 fn bench_with_history(allow_cancellation: bool) -> TestBench {
     let mut bench = TestBench::new(
         Settings {
@@ -66,8 +70,8 @@
     bench
 }
 
-/// i89ce4e, i40a09d: answers get lost. An attempt in flight far longer than usual is cancelled and retried; one that is
-/// only late is kept.
+/// i89ce4e, i40a09d: the answers of some attempts were lost. An attempt that is in flight far
+/// longer than expected is cancelled; one that is only somewhat late is kept.
 #[test]
 fn attempt_far_past_its_expected_time_is_cancelled_once() {
     let mut bench = bench_with_history(true);
@@ -84,15 +88,19 @@
         }
         cancellations
     };
-    assert_eq!(count_cancellations(&mut bench, 450.0), 0, "late");
+    assert_eq!(
+        count_cancellations(&mut bench, 450.0),
+        0,
+        "a late attempt is kept"
+    );
     assert_eq!(
         count_cancellations(&mut bench, 4000.0),
         1,
-        "lost, and cancelled once"
+        "a lost attempt is cancelled once"
     );
 }
 
-/// Without cancellation a retry would double the work (3f9329df).
+/// Without cancellation, the hung attempt would run on and a retry would double the work (3f9329df).
 #[test]
 fn hung_attempt_is_kept_where_cancellation_is_not_allowed() {
     let mut bench = bench_with_history(false);
@@ -107,14 +115,16 @@
     }
 }
 
-/// 18f1f014: with an empty queue, a client that was about to give up was answered too late.
+/// 18f1f014: a client that was about to give up got its answer too late, even though the queue was
+/// empty.
 #[test]
 fn request_with_no_time_left_is_answered_at_once() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 0);
     assert!(is_answered(&bench.request_with(1, 0, 0, 20.0, None), 1));
 }
 
-/// ib21b41: an engine that is heard of every ten seconds gives no second failure in time.
+/// ib21b41: an engine that is used only every ten seconds does not fail a second time soon enough,
+/// so one failure has to suffice.
 #[test]
 fn one_failed_connection_marks_a_rarely_used_engine_down() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
@@ -129,6 +139,7 @@
     );
 }
 
+/// Number of health checks that the actions send.
 fn count_health_checks(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -136,8 +147,8 @@
         .count()
 }
 
-/// The number of health checks depends on a manager's traffic and not on the size of the fleet; a request waits for those
-/// sent for it.
+/// The number of health checks depends on a manager's traffic and not on the size of the fleet. A
+/// request waits for the health checks that are sent for it.
 #[test]
 fn health_checks_are_limited_by_the_number_of_requests() {
     let fleet_settings = Settings {
@@ -155,7 +166,7 @@
         assert!(
             count_health_checks(&actions_on_request) == 0
                 || sent_request_ids(&actions_on_request).is_empty(),
-            "waits for its health checks"
+            "a request waits for its health checks"
         );
         let actions_on_tick = bench.tick(50.0);
         check_count += count_health_checks(&actions_on_tick);
@@ -167,7 +178,7 @@
     }
     assert!(
         sent_count >= 95,
-        "none waits for a lost health check: {sent_count}"
+        "no request waits for a lost health check: {sent_count} of 100 sent"
     );
     assert!(
         (50..=220).contains(&check_count),
@@ -175,7 +186,7 @@
     );
 }
 
-/// An attempt whose progress is far too slow is cancelled; one at the usual pace is kept.
+/// An attempt whose progress is far too slow is cancelled; one at the expected pace is kept.
 #[test]
 fn attempt_with_a_bad_plan_is_cancelled() {
     let mut bench = bench_with_history(true);
@@ -202,7 +213,8 @@
     );
 }
 
-/// An engine that answers again may have restarted before the endpoint list says so.
+/// An engine that was down and answers again may have restarted, and the endpoint list may report
+/// the restart later. Such an engine is in slow start.
 #[test]
 fn engine_that_answers_again_starts_slowly() {
     let mut bench = TestBench::new(settings(vec![class(1, 400.0, 1.0)]), 1);
@@ -216,7 +228,11 @@
             load_report: report,
         });
     }
-    assert_eq!(sent_to(&bench.request(1, 0, 0), 1), None, "shut");
+    assert_eq!(
+        sent_to(&bench.request(1, 0, 0), 1),
+        None,
+        "the engine is down"
+    );
     let report = LoadReport::default();
     bench.handle_event(Event::HealthCheckEnded {
         engine: engine_id,
@@ -227,11 +243,15 @@
     let sent_count: usize = (10..60)
         .map(|id| sent_request_ids(&bench.request_with(id, 0, 0, 3000.0, Some(200.0))).len())
         .sum();
-    assert!((1..16).contains(&sent_count), "{sent_count} sent at once");
+    assert!(
+        (1..16).contains(&sent_count),
+        "{sent_count} requests sent immediately"
+    );
 }
 
-/// id20f69: a request that its client has sent before, or that waited during a pause of the manager, has used up part of
-/// its objective; where there is capacity it is still sent.
+/// id20f69: a request that its client has sent before, or that waited while the manager paused, has
+/// used up part of its latency objective. If an engine has free capacity, it is still sent; if not,
+/// it is rejected.
 #[test]
 fn latency_objective_counts_from_the_clients_first_attempt() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
@@ -240,7 +260,7 @@
     }
     assert!(
         sent_to(&bench.request_with(3, 0, 0, 900.0, Some(300.0)), 3).is_some(),
-        "room: late is better than never"
+        "there is free capacity, and a late answer is better than none"
     );
     for id in 4..40 {
         bench.request_with(id, 0, 0, 5000.0, Some(5.0));
@@ -265,7 +285,8 @@
     );
 }
 
-/// Each line names the event, then the engine and the reason.
+/// A change of an engine's health comes with the engine, and with the event and the reason that are
+/// logged. It is reported once, not once for each failure.
 #[test]
 fn health_changes_have_event_engine_and_reason() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 1);
@@ -301,7 +322,7 @@
     );
 }
 
-/// The change of an engine's health that an action reports.
+/// The change of an engine's health that an action reports, if it reports one.
 fn health_change(action: &Action) -> Option<(EngineId, EngineHealthChange)> {
     match action {
         Action::EngineHealthChanged { engine, change } => Some((*engine, *change)),
@@ -309,6 +330,8 @@
     }
 }
 
+/// Sends load reports of two engines to one of 50 managers. Returns the engines that its next three
+/// requests are sent to.
 fn engines_chosen_after_reports(report_0: LoadReport, report_1: LoadReport) -> Vec<EngineId> {
     let mut bench = TestBench::new(
         Settings {
@@ -333,7 +356,8 @@
         .collect()
 }
 
-/// cd0a4abb: reports that hold busy cores only were read as an empty fleet.
+/// cd0a4abb: load reports that contain only the share of busy cores, and no number of queries, were
+/// taken to mean that all engines were idle.
 #[test]
 fn busy_cores_replace_a_missing_query_count() {
     let report = |cpu_busy| LoadReport {
@@ -347,7 +371,8 @@
     );
 }
 
-/// 29742104: hung engines looked idle by their cores and got six times the mean; only their memory was full.
+/// 29742104: hung engines had idle cores and only their memory was full. They seemed idle and got
+/// six times the mean number of queries.
 #[test]
 fn engine_with_granted_memory_is_not_treated_as_idle() {
     let report = |cpu_busy, memory_granted| LoadReport {
@@ -362,7 +387,8 @@
     );
 }
 
-/// 1b174d5d: an engine whose queries wait for memory has idle cores, and got still more queries.
+/// 1b174d5d: an engine whose queries wait for memory has idle cores, and was therefore sent even
+/// more queries.
 #[test]
 fn wait_for_memory_marks_its_engine_saturated() {
     let fleet_settings = Settings {
@@ -382,7 +408,8 @@
     }
 }
 
-/// 04dbf6b8: without load reports a popular data set overloaded the four engines that its hash prefers.
+/// 04dbf6b8: without load reports, the requests of a popular data set overloaded its four affinity
+/// engines.
 #[test]
 fn without_load_reports_a_data_set_has_no_affinity_engines() {
     let fleet_settings = Settings {
@@ -402,10 +429,15 @@
         bench.now += 50.0;
         bench.handle_event(served_event(id, target, 50.0, None, LoadReport::default()));
     }
-    assert!(used_engines.len() > 8, "{} engines", used_engines.len());
+    assert!(
+        used_engines.len() > 8,
+        "{} engines used",
+        used_engines.len()
+    );
 }
 
-/// 31d1870b: half of the bulk loads were cancelled, as they were expected to end too late; they may not run again.
+/// 31d1870b: half of the bulk loads were cancelled because they were expected to end too late, but a
+/// non-idempotent bulk load may not run again.
 #[test]
 fn non_idempotent_attempt_is_never_cancelled() {
     for (class_idempotency, expect_cancellation) in [
@@ -449,7 +481,7 @@
     }
 }
 
-/// dc0943b2: readers of a data set waited for its bulk loads.
+/// dc0943b2: queries that read a data set waited on the same engine for its bulk loads.
 #[test]
 fn bulk_load_and_readers_of_its_data_set_use_different_engines() {
     let reader = Class {
@@ -487,7 +519,8 @@
     );
 }
 
-/// 86789ebb: where nothing waits for bulk loads, their separation only crowds a quarter of the engines.
+/// 86789ebb: if no class waits for bulk loads, keeping them separate has no use and crowds them on a
+/// quarter of the engines.
 #[test]
 fn bulk_loads_without_waiting_readers_use_all_engines() {
     let bulk_load = Class {
@@ -511,9 +544,15 @@
             .unwrap()
         })
         .collect();
-    assert!(used_engines.len() > 6, "{} engines", used_engines.len());
+    assert!(
+        used_engines.len() > 6,
+        "{} engines used",
+        used_engines.len()
+    );
 }
 
+/// Whether an attempt in flight for three times its expected time is cancelled, after 60 requests
+/// that ended on time and whose answers contained `measured`.
 fn overdue_attempt_is_cancelled(measured: Option<Measured>) -> bool {
     let mut bench = TestBench::new(settings(vec![class(1, 2000.0, 1.0)]), 2);
     for id in 0..60 {
@@ -533,22 +572,24 @@
     let early_actions = bench.tick(1200.0);
     assert!(
         !early_actions.contains(&Action::CancelAttempt { id: 99, attempt: 0 }),
-        "not before its time"
+        "an attempt at 1.2 times its expected time is not cancelled"
     );
     bench
         .tick(1800.0)
         .contains(&Action::CancelAttempt { id: 99, attempt: 0 })
 }
 
-/// 55af276f: without progress reports, bad plans held their threads 14 to 25 times too long. 0f513397: with measured work,
-/// elapsed time cancelled only attempts on crowded engines.
+/// 55af276f: without progress reports, attempts with bad plans occupied their threads 14 to 25 times
+/// too long, so elapsed time has to show a bad plan. 0f513397: where engines measure the work,
+/// elapsed time led only to the cancellation of attempts on crowded engines.
 #[test]
 fn without_measured_work_elapsed_time_shows_a_bad_plan() {
     assert!(overdue_attempt_is_cancelled(None));
     assert!(!overdue_attempt_is_cancelled(measured(1000.0, 100.0)));
 }
 
-/// fa9f499c: the engine's own choice of memory follows estimates that are wrong by class, and queries spill.
+/// fa9f499c: an engine that chooses a query's memory itself follows the estimates. Their error
+/// depends on the class, and queries spilled.
 #[test]
 fn memory_grant_follows_the_measured_error_of_estimates() {
     for grants_supported in [true, false] {
@@ -596,7 +637,8 @@
     }
 }
 
-/// b1f6eff4: each client process has its own manager, and equal shares were too small for the busy ones.
+/// b1f6eff4: each client process had a manager of its own, and equal shares were too small for the
+/// busy managers.
 #[test]
 fn busy_manager_has_a_larger_share_where_quotas_are_known() {
     let sent_count_with = |tenant_quotas| {
@@ -628,7 +670,7 @@
     assert!(sent_count_with(vec![50.0]) > sent_count_with(Vec::new()) + 2);
 }
 
-/// 886fd89d: cross-zone attempts cost.
+/// 886fd89d: cross-zone attempts have a cost, so an equal engine in the manager's zone is preferred.
 #[test]
 fn engine_in_own_zone_is_preferred_where_cross_zone_attempts_cost() {
     let base_settings = settings(vec![class(1, 2000.0, 1.0)]);
@@ -645,7 +687,7 @@
     }
 }
 
-/// A query counts with its own estimate where that is larger than its class's mean.
+/// A query whose estimated work is larger than its class's mean counts with its own estimate.
 #[test]
 fn large_estimate_counts_in_full_against_the_slow_start_budget() {
     let mut bench = TestBench::new(settings(vec![class(1, 2000.0, 1.0)]), 0);
@@ -668,8 +710,9 @@
     );
 }
 
-/// e34509af: an engine answered each query with an error at once, looked idle and got most of the traffic: a third of all
-/// bulk loads failed there. A query that another engine serves attributes the error; one that all fail attributes none.
+/// e34509af: an engine answered every query immediately with an error, seemed idle and got most of
+/// the traffic, so that a third of all bulk loads failed on it. An error is attributed to an engine
+/// if another engine then serves the query, and to none if all engines fail it.
 #[test]
 fn engine_that_fails_queries_others_serve_is_ejected() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
@@ -688,7 +731,7 @@
             let after = bench.end_attempt_after(id, attempt, target, Outcome::Error, 1.0);
             assert!(
                 attempt < 2 || is_answered(&after, id) && fails_everywhere,
-                "{id} has had three engines"
+                "request {id} has been tried on three engines"
             );
             failed_everywhere += u32::from(is_answered(&after, id));
             let Some(to) = sent_to(&after, id) else { break };
@@ -697,15 +740,16 @@
     }
     assert!(
         failures_of_faulty_engine < 10,
-        "{failures_of_faulty_engine} went to the engine that fails"
+        "{failures_of_faulty_engine} attempts went to the engine that fails every query"
     );
     assert!(
         failed_everywhere == 20,
-        "{failed_everywhere} of the requests that nobody can serve were answered"
+        "{failed_everywhere} of the 20 requests that no engine can serve were answered"
     );
 }
 
-/// A client sent estimates of 10^8 ms, and the means followed them.
+/// A client sent estimates of 10^8 ms, and the class's mean work followed them although none of
+/// these requests was served.
 #[test]
 fn estimates_of_unserved_requests_are_not_learned() {
     let mut bench = bench_with_history(true);
@@ -715,7 +759,8 @@
         bench.end_attempt(id, 0, engine(0), Outcome::Cancelled);
         bench.end_attempt(id, 0, engine(1), Outcome::Cancelled);
     }
-    // A usual query that finds no engine is still held, as one that could be served in time.
+    // A request without an estimate that finds no engine is still queued, because by its class's
+    // mean work it could be served in time.
     bench.update_list(vec![
         entry(0, EngineState::Draining, 0.0),
         entry(1, EngineState::Draining, 0.0),
@@ -726,6 +771,7 @@
     ));
 }
 
+/// A non-idempotent class of bulk loads.
 fn bulk_load_class() -> Class {
     Class {
         is_bulk_load: true,
@@ -734,7 +780,8 @@
     }
 }
 
-/// 405ee808: one bulk load in eight was late, as it waited on its engine for another one of its data set.
+/// 405ee808: one bulk load in eight was late, because it waited on its engine for another one of its
+/// data set.
 #[test]
 fn bulk_load_avoids_engines_with_a_load_of_its_data_set() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0), bulk_load_class()]), 1);
@@ -745,16 +792,17 @@
     assert_eq!(
         sent_to(&bench.request(3, 1, 0), 3),
         Some(engine(1)),
-        "the emptier one"
+        "the engine with the lower load"
     );
     assert_eq!(
         sent_to(&bench.request(6, 1, 0), 6),
         Some(engine(0)),
-        "not behind the load of this data set"
+        "not the engine with a bulk load of this data set"
     );
 }
 
-/// Managers cannot see each other's bulk loads: a hash that they share keeps these apart.
+/// A manager has no information on other managers' bulk loads. A hash that all managers share places
+/// the bulk loads of one data set on different engines.
 #[test]
 fn managers_place_bulk_loads_of_a_data_set_on_different_engines() {
     let chosen_engine = |ordinal: u32, id: u32| {
@@ -772,11 +820,16 @@
         chosen_engine(0, *id) == chosen_engine(1, *id)
             || chosen_engine(1, *id) == chosen_engine(2, *id)
     });
-    // A warm engine may still be worth a meeting; without the guard all three meet.
-    assert!(shared_targets.count() <= 1, "data sets whose loads met");
+    // An affinity engine may still be preferred to those that the hash gives a manager. Without the
+    // hash, managers share an engine for all three data sets.
+    assert!(
+        shared_targets.count() <= 1,
+        "more than one data set whose bulk loads share an engine"
+    );
 }
 
-/// No update of the endpoint list ends a manual ejection, and an engine that is given back starts slowly.
+/// No update of the endpoint list ends a manual ejection. An engine that is returned to service is in
+/// slow start.
 #[test]
 fn manual_ejection_outlasts_list_updates_and_ends_in_slow_start() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
@@ -812,24 +865,24 @@
     assert_eq!(
         send_request(&mut bench),
         None,
-        "better none than one that was taken out"
+        "an ejected engine gets nothing, even if no other engine is ready"
     );
     bench.now = 60_000.0;
     let return_to_service = manual_ejection(false, bench.now);
     bench.handle_event(return_to_service);
     assert_eq!(bench.dispatcher.ejected_engines(), 0);
-    // Cold by the guard for fresh engines: a burst of queries is not let through at once, one comes soon.
+    // The budget of the slow start lets part of a burst through immediately, but not all of it.
     let sent_at_once = (5000..5100)
         .filter(|id| sent_to(&bench.request(*id, 0, 0), *id).is_some())
         .count();
     assert!(
         (1..60).contains(&sent_at_once),
-        "{sent_at_once} sent to an engine just back"
+        "{sent_at_once} of 100 requests sent immediately to an engine in slow start"
     );
 }
 
-/// New settings move classes; a request keeps the class that it came with, and what was learned of a class stays with its
-/// name.
+/// New settings may list the classes in another order. A request keeps the class that it came with,
+/// also where the new settings no longer have it. The statistics of a class stay with its name.
 #[test]
 fn new_settings_match_classes_by_name() {
     let non_idempotent = Class {
@@ -854,22 +907,22 @@
     let actions = bench.end_attempt(1, 0, target, Outcome::Reset);
     assert!(
         is_answered(&actions, 1) && sent_to(&actions, 1).is_none(),
-        "a load that may have run, whatever is in its place"
+        "a non-idempotent request that may have run fails, whatever class now has its index"
     );
     let target = sent_to(&bench.request(2, 1, 0), 2).expect("an engine");
     assert!(
         sent_to(&bench.end_attempt(2, 0, target, Outcome::Reset), 2).is_some(),
-        "a query goes again"
+        "an idempotent request is retried"
     );
     assert_eq!(
         bench.dispatcher.settings().class_names,
         ["b", "a", "load"],
-        "kept while it was under way"
+        "a removed class is kept while it has an open request"
     );
     bench.handle_event(Event::Settings(Box::new(old_settings)));
     assert_eq!(
         bench.dispatcher.settings().class_names,
         ["a", "load"],
-        "and no longer"
+        "a removed class without open requests is dropped"
     );
 }
