--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,14 @@
-//! The seven rules, each switched on by settings alone, and a property test over random events.
+//! Tests of the seven rules that the dispatcher keeps, and a property test that checks them over
+//! random events. The settings alone determine which rules apply.
+//!
+//! 1. A request gets one final answer, by its deadline, and is not sent after its end.
+//! 2. A request that may have run is repeated only if the idempotency of its class allows it.
+//! 3. Only engines that the endpoint list has as ready get requests.
+//! 4. An engine in slow start gets no more work than its budget.
+//! 5. Requests with one order key run one at a time and in order, with a pause where an attempt may
+//!    still run.
+//! 6. A class runs only in its allowed zones and on its allowed machine types.
+//! 7. Retries stay within the retry budget.
 
 mod common;
 use common::*;
@@ -6,6 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use workload_manager::*;
 
+/// A class with idempotency key, whose engines drop repeats within 1 s.
 fn class_with_idempotency_key(scope: DedupScope) -> Class {
     Class {
         idempotency: Idempotency::WithKey(scope),
@@ -22,8 +33,14 @@
     while bench.now < 1890.0 {
         was_answered |= is_answered(&bench.tick(10.0), 1);
     }
-    assert!(was_answered, "no engine: ended before the deadline");
-    assert!(!is_answered(&bench.tick(500.0), 1), "and once only");
+    assert!(
+        was_answered,
+        "a request without an engine is answered before its deadline"
+    );
+    assert!(
+        !is_answered(&bench.tick(500.0), 1),
+        "the request is answered only once"
+    );
 }
 
 #[test]
@@ -49,7 +66,7 @@
     let mut bench = TestBench::new(settings(vec![non_idempotent]), 3);
     let target = sent_to(&bench.request(1, 0, 0), 1).unwrap();
     let actions = bench.end_attempt(1, 0, target, Outcome::NoConnection);
-    let target = sent_to(&actions, 1).expect("never ran: another attempt");
+    let target = sent_to(&actions, 1).expect("a request that has not run is retried");
     assert!(
         bench
             .end_attempt(1, 1, target, Outcome::Reset)
@@ -60,8 +77,10 @@
     );
 }
 
-/// An attempt for which the host had no connection slot counts against neither the cap nor the budget. The next goes at
-/// once to an engine where a query holds a connection, and not to engines that cannot be reached.
+/// An attempt for which the host had no connection slot counts neither towards the maximum of
+/// attempts nor towards the retry budget. The request is sent again immediately to an engine that
+/// already has a connection, because one of its queries is in flight. It is not sent to an engine
+/// that would need a new connection.
 #[test]
 fn attempt_without_connection_slot_does_not_count() {
     let no_retries = Some(RetryBudget {
@@ -89,22 +108,23 @@
             assert_eq!(
                 sent_to(&actions, 2),
                 Some(connected_engine),
-                "the one that is reached"
+                "the engine that has a connection already"
             );
         } else {
             assert!(
                 !is_answered(&actions, 2) && sent_request_ids(&actions).is_empty(),
-                "not the same again at once"
+                "the request waits instead of going to the same engine immediately"
             );
             assert_eq!(
                 sent_to(&bench.tick(50.0), 2).is_some(),
                 number == 1,
-                "later any of them"
+                "the request is sent again at the next tick"
             );
             break;
         }
     }
-    // Where nothing is out there is no descriptor for a tick, and then the request goes all the same.
+    // If no attempt is in flight, no engine has a connection: the request waits for a tick and is
+    // then sent again.
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 3);
     let target = sent_to(&bench.request(1, 0, 0), 1).expect("an engine");
     let actions = bench.end_attempt(1, 0, target, Outcome::NoConnectionSlot);
@@ -118,7 +138,8 @@
         let mut bench = TestBench::new(settings(vec![class_with_idempotency_key(scope)]), 6);
         let first = sent_to(&bench.request(1, 0, 0), 1).unwrap();
         bench.now += 100.0;
-        let second = sent_to(&bench.end_attempt(1, 0, first, Outcome::Error), 1).expect("repeat");
+        let second = sent_to(&bench.end_attempt(1, 0, first, Outcome::Error), 1)
+            .expect("the request is retried within its dedup scope");
         let dedup_group = |engine: EngineId| {
             if scope == DedupScope::Zone {
                 engine.addr[3] % 2
@@ -134,7 +155,7 @@
                 id: 1,
                 reason: EndReason::NoRetryAllowed
             }),
-            "span over; a refusal would promise too much"
+            "after the dedup window the request fails; a rejection would invite a repeat that may run twice"
         );
     }
 }
@@ -166,10 +187,11 @@
             bench.end_attempt_after(sent_id, 0, engine(0), Outcome::Ok, 5.0);
         }
     }
-    // Multiple x share x cores x window: what would tip it over.
+    // The upper bound is the work that would overload the engine: the overload multiple x the
+    // initial share of the slow start x cores x the window in ms.
     assert!(
         sent_work_ms > 400.0 && sent_work_ms < 2.0 * 0.3 * 8.0 * 1000.0,
-        "sent {sent_work_ms}"
+        "{sent_work_ms} ms of work sent"
     );
 }
 
@@ -184,23 +206,27 @@
     assert_eq!(sent_to(&bench.request(2, 0, 9), 2), None);
     assert!(
         sent_to(&bench.request(3, 0, 8), 3).is_some(),
-        "another key steps past"
+        "a request with another key is not held back"
     );
     bench.handle_event(Event::ClientDisconnected { id: 1 });
     assert_eq!(
         sent_to(&bench.tick(10.0), 2),
         None,
-        "its attempt is still out"
+        "the attempt of the disconnected client is still in flight"
     );
     assert_eq!(
         sent_to(&bench.end_attempt(1, 0, target, Outcome::TimedOut), 2),
         None
     );
-    assert_eq!(sent_to(&bench.tick(250.0), 2), None, "the key rests");
+    assert_eq!(
+        sent_to(&bench.tick(250.0), 2),
+        None,
+        "the order key is paused"
+    );
     assert!(sent_to(&bench.tick(60.0), 2).is_some());
 }
 
-/// Keys come from clients, so one is held only while it has requests or a pause.
+/// Order keys come from clients, so a key is stored only while it has requests or is paused.
 #[test]
 fn rule_5_key_is_removed_after_its_pause() {
     let ordered = Class {
@@ -213,7 +239,11 @@
         bench.handle_event(Event::ClientDisconnected { id });
         bench.end_attempt(id, 0, target, Outcome::Reset);
     }
-    assert_eq!(bench.dispatcher.state_sizes()[2], 100, "all of them rest");
+    assert_eq!(
+        bench.dispatcher.state_sizes()[2],
+        100,
+        "all order keys are paused"
+    );
     bench.tick(400.0);
     assert_eq!(bench.dispatcher.state_sizes()[2], 0);
 }
@@ -229,7 +259,7 @@
     assert_eq!(sent_to(&bench.request(1, 0, 0), 1), None);
     assert!(
         sent_to(&bench.request(2, 1, 0), 2).is_some(),
-        "others step past"
+        "requests of other classes are not held back"
     );
     assert_eq!(
         sent_to(
@@ -261,38 +291,46 @@
         attempt_count += sent_request_ids(&actions).len()
             + sent_request_ids(&bench.end_attempt(id, 0, target, Outcome::Error)).len();
     }
-    assert_eq!(attempt_count, 13, "two free and a tenth of ten");
+    assert_eq!(
+        attempt_count, 13,
+        "10 first attempts, 2 free retries and 1 retry for 10 requests"
+    );
 }
 
-/// Pause of an order key in ms, as the shared settings have it.
+/// Pause of an order key in ms, as in [`settings`].
 const KEY_PAUSE_MS: f64 = 300.0;
-/// The retry budget of the random test.
+/// Retries that the budget of the random test allows in addition to a share of the requests.
 const FREE_RETRIES: f64 = 3.0;
+/// Retries per request that the budget of the random test allows.
 const RETRIES_PER_REQUEST: f64 = 0.3;
+/// Window in ms over which the budget of the random test counts.
 const RETRY_WINDOW_MS: f64 = 3000.0;
 
-/// Where and when a request may have run first.
+/// The first attempt of a request that may have run: its engine, and when it was sent.
 #[derive(Clone, Copy)]
 struct FirstExecution {
     engine: EngineId,
     sent_at_ms: f64,
 }
 
-/// What the random test knows of one request.
+/// State of one request, as the random test tracks it.
 #[derive(Default)]
 struct TrackedRequest {
     class: usize,
     key: u64,
     deadline_ms: f64,
     attempts: u16,
-    /// The engine of its attempt in flight.
+    /// The engine of its attempt in flight, if there is one.
     engine: Option<EngineId>,
-    /// Answered, or its client has left.
+    /// Whether it has been answered or its client has disconnected.
     finished: bool,
     first_execution: Option<FirstExecution>,
+    /// When its latest attempt was sent.
     sent_at_ms: f64,
 }
 
+/// An event of the random test. `random_index` is taken modulo the number of requests that the
+/// event can affect.
 #[derive(Clone, Debug)]
 enum RandomEvent {
     SubmitRequest {
@@ -340,6 +378,7 @@
     ]
 }
 
+/// Outcomes that the random test picks from.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
@@ -351,6 +390,7 @@
     Outcome::Ok,
 ];
 
+/// Whether an attempt with this outcome may have run.
 fn may_have_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -358,14 +398,17 @@
     )
 }
 
-/// Plays random events against a dispatcher and checks the rules at every action.
+/// Sends random events to a dispatcher and checks the rules for each of its actions.
 struct Checker {
     bench: TestBench,
     classes: Vec<Class>,
     requests: BTreeMap<u32, TrackedRequest>,
     states: BTreeMap<EngineId, EngineState>,
+    /// When the pause of each order key ends, in ms.
     paused_until: BTreeMap<u64, f64>,
+    /// When each request arrived.
     request_times_ms: VecDeque<f64>,
+    /// When each retry was sent.
     retry_times_ms: VecDeque<f64>,
 }
 
@@ -412,7 +455,8 @@
         }
     }
 
-    /// Plays one event; `next_id` is the id of a request that comes with it.
+    /// Applies one event and checks the actions that follow. `next_id` is the id of the request if
+    /// the event submits one.
     fn apply(&mut self, event: &RandomEvent, next_id: u32) {
         let actions = match *event {
             RandomEvent::SubmitRequest {
@@ -497,7 +541,7 @@
             .update_list(vec![entry(number, states[state_index], started_at_ms)])
     }
 
-    /// Lets time pass; the actions of its ticks are checked here.
+    /// Advances the time in ticks of 5 ms. Checks the actions of each tick here and returns none.
     fn advance_time(&mut self, elapsed_ms: f64) -> Vec<Action> {
         let end_ms = self.bench.now + elapsed_ms;
         while self.bench.now < end_ms {
@@ -545,7 +589,8 @@
         self.bench.handle_event(Event::AttemptEnded(ended))
     }
 
-    /// At its deadline an attempt times out; a waiting request must have been answered by then.
+    /// Ends the attempts whose deadline has passed as timed out. A request that still waits must have
+    /// been answered before.
     fn check_deadlines(&mut self) {
         let now = self.bench.now;
         for id in self.ids_where(|request| !request.finished && request.deadline_ms <= now) {
@@ -577,7 +622,10 @@
     }
 
     fn check_answer(&mut self, id: u32) {
-        let request = self.requests.get_mut(&id).expect("known");
+        let request = self
+            .requests
+            .get_mut(&id)
+            .expect("the request was submitted");
         assert!(!request.finished, "rule 1: {id} is answered twice");
         request.finished = true;
     }
@@ -588,7 +636,7 @@
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
         assert!(
             is_idempotent || request.first_execution.is_none(),
-            "rule 2: {id} rejected"
+            "rule 2: {id} is rejected although it may have run"
         );
     }
 
@@ -603,7 +651,7 @@
         assert_eq!(
             self.states[&engine],
             EngineState::Ready,
-            "rule 3: {id} to an engine that drains"
+            "rule 3: {id} is sent to an engine that is not ready"
         );
         self.check_order(id);
         let class = &self.classes[self.requests[&id].class];
@@ -611,7 +659,7 @@
         let zones = class.allowed_zones.as_ref();
         assert!(
             zones.is_none_or(|zones| zones.contains(&zone)),
-            "rule 6: {id}"
+            "rule 6: {id} is sent to a zone that its class does not allow"
         );
         if self.requests[&id].attempts > 0 {
             self.check_retry_budget();
@@ -623,7 +671,7 @@
         request.sent_at_ms = now;
     }
 
-    /// Rule 2: what may have run is repeated only where that is harmless.
+    /// Rule 2: a request that may have run is repeated only where a repeat is harmless.
     fn check_repeat(&self, id: u32, engine: EngineId) {
         let request = &self.requests[&id];
         let class = &self.classes[request.class];
@@ -662,13 +710,16 @@
             .filter(|other| is_same_key(other))
             .collect();
         let is_unfinished = |other: &&TrackedRequest| !other.finished || other.engine.is_some();
-        assert!(!earlier.iter().any(is_unfinished), "rule 5: {id} overtakes");
+        assert!(
+            !earlier.iter().any(is_unfinished),
+            "rule 5: {id} is sent before an earlier request of its key has ended"
+        );
         let paused_until = self.paused_until.get(&request.key);
         let is_paused = paused_until.is_some_and(|until| self.bench.now < *until);
         let other_ran = earlier.iter().any(|other| other.first_execution.is_some());
         assert!(
             !(request.attempts == 0 && is_paused && other_ran),
-            "rule 5: {id} while its key is paused"
+            "rule 5: {id} is sent while its key is paused"
         );
     }
 
@@ -717,10 +768,14 @@
             Ok(())
         })
         .unwrap();
-    assert!(request_count.get() > 1000, "the test drove real traffic");
+    assert!(
+        request_count.get() > 1000,
+        "the random events submit more than 1000 requests"
+    );
 }
 
-/// Two processes of one manager share its part of a cold engine's budget: neither sends more than its own part.
+/// Two processes of one manager share the manager's part of the budget of an engine in slow start.
+/// Each sends no more than its own part, so both together send no more than one process alone.
 #[test]
 fn rule_4_peer_processes_share_the_slow_start_budget() {
     let sent_count_with = |divisor: f64| {
@@ -748,6 +803,6 @@
     );
     assert!(
         old_process > 0 && old_process < new_process && old_process + new_process <= alone,
-        "{old_process} and {new_process} of {alone}"
+        "{old_process} and {new_process} requests sent by two processes, {alone} by one"
     );
 }
