--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers that the tests share: settings, engines and events with usual values, and a dispatcher with a clock.
+//! Helpers that the dispatcher's tests share: settings, engines and events with default values, and
+//! a dispatcher with a simulated clock.
 #![allow(dead_code)]
 
 use workload_manager::{
@@ -6,7 +7,8 @@
     Idempotency, ListUpdateKind, LoadReport, LoadReportMode, Outcome, Request, Settings,
 };
 
-/// An idempotent class without bounds; its clients wait five times its latency objective.
+/// An idempotent class that may run on all engines. Its client timeout is five times its latency
+/// objective.
 pub(crate) fn class(threads: u32, latency_objective_ms: f64, priority_weight: f64) -> Class {
     Class {
         priority_weight,
@@ -25,7 +27,7 @@
     }
 }
 
-/// Settings of a single workload manager with these classes.
+/// Settings of a single workload manager with the given classes.
 pub(crate) fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         instances: 1,
@@ -45,7 +47,7 @@
     }
 }
 
-/// The address of the engine with this number.
+/// The id of the engine with this number.
 pub(crate) fn engine(number: u8) -> EngineId {
     EngineId {
         addr: [10, 0, 0, number],
@@ -53,7 +55,8 @@
     }
 }
 
-/// The list's entry of an engine: two zones, two machine types and three cells in turn.
+/// An engine's entry in the endpoint list. Its number determines its zone (of two), its machine type
+/// (of two) and its cell (of three).
 pub(crate) fn entry(number: u8, state: EngineState, started_at_ms: f64) -> EngineEntry {
     EngineEntry {
         engine: engine(number),
@@ -67,15 +70,15 @@
     }
 }
 
-/// A dispatcher under test, with its clock.
+/// A dispatcher under test, with a simulated clock.
 pub(crate) struct TestBench {
     pub(crate) dispatcher: Dispatcher,
-    /// The time in ms.
+    /// The clock's time in ms.
     pub(crate) now: f64,
 }
 
 impl TestBench {
-    /// A dispatcher that has started and has so many ready engines.
+    /// Starts a dispatcher and gives it a list of `engine_count` ready engines.
     pub(crate) fn new(settings: Settings, engine_count: u8) -> TestBench {
         let mut bench = TestBench {
             dispatcher: Dispatcher::new(settings, 7).expect("settings"),
@@ -99,13 +102,14 @@
         actions
     }
 
-    /// Lets time pass and the housekeeping's timer come due.
+    /// Advances the clock and runs the dispatcher's periodic timer once. Returns the dispatcher's
+    /// actions.
     pub(crate) fn tick(&mut self, elapsed_ms: f64) -> Vec<Action> {
         self.now += elapsed_ms;
         self.handle_event(Event::Timer { token: 1 })
     }
 
-    /// Changes entries of the endpoint list.
+    /// Updates the given entries of the endpoint list.
     pub(crate) fn update_list(&mut self, entries: Vec<EngineEntry>) -> Vec<Action> {
         self.handle_event(Event::EndpointList {
             kind: ListUpdateKind::Delta,
@@ -113,12 +117,13 @@
         })
     }
 
-    /// A request without estimates, whose client waits 20 s.
+    /// Sends the dispatcher a request without estimates and with a deadline in 20 s.
     pub(crate) fn request(&mut self, id: u32, class: usize, order_key: u64) -> Vec<Action> {
         self.request_with(id, class, order_key, 20_000.0, None)
     }
 
-    /// A request of one of three data sets, whose client waits so long.
+    /// Sends the dispatcher a request with a deadline in `timeout_ms`. Its id determines its data set
+    /// (of three).
     pub(crate) fn request_with(
         &mut self,
         id: u32,
@@ -139,7 +144,7 @@
         }))
     }
 
-    /// An attempt ends after 100 ms.
+    /// Reports to the dispatcher that an attempt has ended after 100 ms.
     pub(crate) fn end_attempt(
         &mut self,
         id: u32,
@@ -150,7 +155,7 @@
         self.end_attempt_after(id, attempt, engine, outcome, 100.0)
     }
 
-    /// An attempt ends after so long.
+    /// Reports to the dispatcher that an attempt has ended after `elapsed_ms`.
     pub(crate) fn end_attempt_after(
         &mut self,
         id: u32,
@@ -173,7 +178,7 @@
     }
 }
 
-/// A request of data set 7 with the given estimates.
+/// The arrival of a request for data set 7 with the given estimates.
 pub(crate) fn request_event(
     id: u32,
     class: usize,
@@ -193,19 +198,19 @@
     })
 }
 
-/// What a served attempt needed, where answers tell that.
+/// Work and memory that a served attempt used, as measured by its engine.
 #[derive(Clone, Copy)]
 pub(crate) struct Measured {
     pub(crate) work_ms: f64,
     pub(crate) memory_mb: f64,
 }
 
-/// So much measured work and memory.
+/// The given measured work and memory, as [`served_event`] takes them.
 pub(crate) fn measured(work_ms: f64, memory_mb: f64) -> Option<Measured> {
     Some(Measured { work_ms, memory_mb })
 }
 
-/// The end of a request's first attempt, which was served.
+/// The end of a request's first attempt, which the engine has served.
 pub(crate) fn served_event(
     id: u32,
     engine: EngineId,
@@ -226,7 +231,7 @@
     })
 }
 
-/// Where a request was sent by these actions, if it was.
+/// The engine that these actions send the request to, or `None` if they do not send it.
 pub(crate) fn sent_to(actions: &[Action], id: u32) -> Option<EngineId> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt {
@@ -238,7 +243,7 @@
     })
 }
 
-/// Ids of the requests sent by these actions, in order.
+/// Ids of the requests that these actions send, in the order of the actions.
 pub(crate) fn sent_request_ids(actions: &[Action]) -> Vec<u32> {
     let sent_id = |action: &Action| match action {
         Action::StartAttempt { id, .. } => Some(*id),
@@ -247,9 +252,12 @@
     actions.iter().filter_map(sent_id).collect()
 }
 
-/// Whether these actions give the request its final answer.
+/// Whether these actions give the request its final answer, a rejection or a failure.
 pub(crate) fn is_answered(actions: &[Action], id: u32) -> bool {
     actions
         .iter()
-        .any(|action| matches!(action, Action::Reject { id: ended_id, .. } | Action::Fail { id: ended_id, .. } if *ended_id == id))
+        .any(|action| matches!(
+            action,
+            Action::Reject { id: ended_id, .. } | Action::Fail { id: ended_id, .. } if *ended_id == id
+        ))
 }
