--- a/tests/fault_soak/engine.rs
+++ b/tests/fault_soak/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::draws::Draws;
 use crate::rules::{End, Rules};
-use crate::scene::engine_fleet::label;
+use crate::scene::engine_fleet::parse_statement_label;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -141,7 +141,7 @@
                 let statement = String::from_utf8(body).expect("text");
                 let attempt = Attempt {
                     reference: reference.to_owned(),
-                    label: label(statement.trim_end()).0,
+                    label: parse_statement_label(statement.trim_end()).0,
                     plan: draw_plan(draws),
                 };
                 self.rules.check_drain(&attempt.label, self.engine);
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -260,7 +260,7 @@
 
 async fn play(number: usize, case: &Case) {
     let mut bench = Bench::start(&number.to_string()).await;
-    let mut client = Client::new("c1", bench.manager.at).await;
+    let mut client = Client::new("c1", bench.manager.address).await;
     client.step("send", &["1", case.class]).await;
     let first = bench.engine.expect("ASK").await;
     if let Some(result) = case.result {
@@ -298,7 +298,7 @@
     const REFERENCE: &str = "ref=00000000000000a7";
     run(async {
         let mut bench = Bench::start("reference").await;
-        let mut client = Client::new("c1", bench.manager.at).await;
+        let mut client = Client::new("c1", bench.manager.address).await;
         client.step("send", &["1", "seat-check", REFERENCE]).await;
         let first = bench.engine.expect("ASK").await;
         client.step("send", &["cancel", "1"]).await;
--- a/tests/order_keys.rs
+++ b/tests/order_keys.rs
@@ -7,7 +7,7 @@
 mod scene;
 
 use rstest::rstest;
-use scene::play;
+use scene::run_script;
 use workload_manager::node_config::EngineProtocol;
 
 #[rstest]
@@ -207,5 +207,5 @@
 "
 )]
 fn requests_with_order_keys(#[case] script: &str) {
-    play(3, EngineProtocol::Lines, script);
+    run_script(3, EngineProtocol::Lines, script);
 }
--- a/tests/order_keys_hot_restart.rs
+++ b/tests/order_keys_hot_restart.rs
@@ -12,7 +12,7 @@
 use scene::engine_fleet::Fleet;
 use scene::manager_process::{ManagerProcess, has_counter};
 use scene::msgpack_client::Client;
-use scene::{changed, configuration, within_timeout};
+use scene::{apply_changes, configuration, within_timeout};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use workload_manager::node_config::EngineProtocol;
@@ -45,10 +45,10 @@
         std::fs::create_dir_all(&folder).expect("folder");
         let mut fleet = Fleet::new(3, EngineProtocol::Lines).await;
         let config = folder.join("config.json");
-        let text = configuration(fleet.feed.address, &fleet.known());
-        std::fs::write(&config, changed(&text, &["fifoByKey=true"])).expect("file");
+        let text = configuration(fleet.feed.address, &fleet.first_list_event());
+        std::fs::write(&config, apply_changes(&text, &["fifoByKey=true"])).expect("file");
         let mut old = ManagerProcess::start(&config, &folder).await;
-        let mut first = Client::new("c1", old.at).await;
+        let mut first = Client::new("c1", old.address).await;
         first.step("send", &["1", CLASS, KEY, allow]).await;
         within_timeout("ASK c1.1", fleet.step("e", "expect", &["ASK", "c1.1"])).await;
         let new = ManagerProcess::start(&config, &folder).await;
@@ -70,7 +70,7 @@
 
     /// The successor takes a request of the key, `c2.1`, and sends nothing; what has another key goes at once.
     async fn expect_second_waits(&mut self) -> Client {
-        let mut second = Client::new("c2", self.new.at).await;
+        let mut second = Client::new("c2", self.new.address).await;
         second.step("send", &["1", CLASS, KEY]).await;
         // The core sends in the turn in which it takes.
         let counters = self.new.await_counter("requests_accepted=1").await;
@@ -79,7 +79,7 @@
                 && has_counter(&counters, "requests_held_for_order_key=1"),
             "two requests of one key are out at once: {counters}"
         );
-        let mut third = Client::new("c3", self.new.at).await;
+        let mut third = Client::new("c3", self.new.address).await;
         third.step("send", &["1", CLASS, OTHER_KEY]).await;
         self.engines("expect", &["ASK", "c3.1"]).await;
         self.engines("send", &["c3.1", "served", "batches=1", "other\\n"])
@@ -104,7 +104,7 @@
     }
 
     fn end(mut self) {
-        self.fleet.finish();
+        self.fleet.check_at_end();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -203,7 +203,7 @@
             .await;
         within_timeout("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
         both.expect_second_sent().await;
-        let mut late = Client::new("c4", both.old.at).await;
+        let mut late = Client::new("c4", both.old.address).await;
         late.step("send", &["1", CLASS, KEY, "allow=400"]).await;
         within_timeout("c4.1", late.step("expect", &["1", "DeadlineExceeded"])).await;
         let counters = both.old.await_counter("requests_failed=1").await;
--- a/tests/scenarios/admin_address.rs
+++ b/tests/scenarios/admin_address.rs
@@ -1,6 +1,6 @@
 //! Commands at the admin address.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -174,5 +174,5 @@
 "
 )]
 fn admin_address(#[case] script: &str) {
-    play(2, EngineProtocol::Lines, script);
+    run_script(2, EngineProtocol::Lines, script);
 }
--- a/tests/scenarios/attempts.rs
+++ b/tests/scenarios/attempts.rs
@@ -1,6 +1,6 @@
 //! What becomes of a request: its attempts, their ends, and what may follow them.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -206,5 +206,5 @@
 "
 )]
 fn attempts(#[case] script: &str) {
-    play(2, EngineProtocol::Lines, script);
+    run_script(2, EngineProtocol::Lines, script);
 }
--- a/tests/scenarios/configuration.rs
+++ b/tests/scenarios/configuration.rs
@@ -1,6 +1,6 @@
 //! The control feed and the list, and configurations that are read anew.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -180,5 +180,5 @@
 "
 )]
 fn configuration(#[case] script: &str) {
-    play(2, EngineProtocol::Lines, script);
+    run_script(2, EngineProtocol::Lines, script);
 }
--- a/tests/scenarios/connections.rs
+++ b/tests/scenarios/connections.rs
@@ -1,6 +1,6 @@
 //! Connections of clients and to engines: who gets one, and who shares it.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use workload_manager::node_config::EngineProtocol;
 
 /// Clients that ask once and keep their connection for good take no place from others, nor do silent ones.
@@ -20,7 +20,7 @@
         script += &format!("c{} send raw 94\n", 1000 + client);
     }
     script += &ask("c100".to_owned(), 2);
-    play(
+    run_script(
         2,
         EngineProtocol::Lines,
         &format!("{script}c1 expect closed\nc1001 expect closed\n"),
@@ -33,7 +33,7 @@
     let calls: String = (1..=65)
         .map(|n| format!("c1 send {n} no-such-class\n"))
         .collect();
-    play(
+    run_script(
         1,
         EngineProtocol::Lines,
         &format!("{calls}c1 expect 64 NoMethodError\nc1 expect closed\nwait client_bad_calls=65\n"),
@@ -54,7 +54,7 @@
         "c1 send 2 seat-check\n{}wait engine_connections=1\nc3 expect closed\n",
         served(2)
     );
-    play(
+    run_script(
         1,
         EngineProtocol::Lines,
         &format!(
@@ -72,7 +72,7 @@
     let script = "c1 send 1 usage-report effort=9000.0\ne expect ASK c1.1\nc2 expect closed\nc1 send 2 seat-check\n\
                   e expect ASK c1.2\ne send c1.2 served batches=1 a\\n\nc1 expect 2 served a\\n\n\
                   wait engine_connections=2\nc1 send cancel 1\ne expect QUIT c1.1\n";
-    play(1, EngineProtocol::Lines, script);
+    run_script(1, EngineProtocol::Lines, script);
 }
 
 /// Over 32 open on one connection: refused on the spot, while those open go on.
@@ -82,7 +82,7 @@
         .map(|n| format!("c1 send {n} seat-check\n"))
         .collect();
     let first = "c1 send 33 seat-check\nc1 expect 33 Overloaded\nwait client_over_limit=1\n";
-    play(
+    run_script(
         4,
         EngineProtocol::Lines,
         &format!("{open}{first}c1 send cancel 1\nwait client_disconnects=1\n"),
--- a/tests/scenarios/faulty_peers.rs
+++ b/tests/scenarios/faulty_peers.rs
@@ -1,6 +1,6 @@
 //! Clients and engines that do what they should not, or leave; and the planned end.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -313,5 +313,5 @@
 "
 )]
 fn faulty_peers(#[case] script: &str) {
-    play(2, EngineProtocol::Lines, script);
+    run_script(2, EngineProtocol::Lines, script);
 }
--- a/tests/scenarios/flight_sql.rs
+++ b/tests/scenarios/flight_sql.rs
@@ -1,6 +1,6 @@
 //! Flight SQL clients and engines.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -205,5 +205,5 @@
 "
 )]
 fn flight_sql(#[case] script: &str) {
-    play(2, EngineProtocol::Flight, script);
+    run_script(2, EngineProtocol::Flight, script);
 }
--- a/tests/scenarios/front_end_combinations.rs
+++ b/tests/scenarios/front_end_combinations.rs
@@ -1,6 +1,6 @@
 //! Both fronts, each on engines of the other protocol, and together.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -39,7 +39,7 @@
     #[case] protocol: EngineProtocol,
     #[case] script: &str,
 ) {
-    play(2, protocol, script);
+    run_script(2, protocol, script);
 }
 
 /// A Monday rush: one client on both protocols at once, round after round, with every kind of end among them.
@@ -94,7 +94,7 @@
             line(format!("{who} expect {} served {served}", numbers[3]));
         }
     }
-    play(
+    run_script(
         8,
         protocol,
         &format!(
--- a/tests/scenarios/snmp_agent.rs
+++ b/tests/scenarios/snmp_agent.rs
@@ -1,6 +1,6 @@
 //! The SNMP agent.
 
-use crate::scene::play;
+use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -65,5 +65,5 @@
 "
 )]
 fn snmp_agent(#[case] script: &str) {
-    play(1, EngineProtocol::Lines, script);
+    run_script(1, EngineProtocol::Lines, script);
 }
--- a/tests/scene/admin_client.rs
+++ b/tests/scene/admin_client.rs
@@ -12,9 +12,9 @@
 }
 
 impl Caller {
-    pub(super) async fn new(at: SocketAddr) -> Caller {
+    pub(super) async fn new(address: SocketAddr) -> Caller {
         Caller {
-            stream: TcpStream::connect(at).await.expect("connect"),
+            stream: TcpStream::connect(address).await.expect("connect"),
             engine: None,
         }
     }
@@ -38,18 +38,18 @@
                     .expect("write");
             }
             // The start of the answer, or all these lines among its own and the mark of its end.
-            ("expect", [what, wanted @ ..]) => {
+            ("expect", [mode, wanted @ ..]) => {
                 let mut answer = String::new();
                 self.stream
                     .read_to_string(&mut answer)
                     .await
                     .expect("an answer");
-                let complete = *what != "lines" || answer.ends_with("\nEOF\n");
-                let found = match *what {
+                let complete = *mode != "lines" || answer.ends_with("\nEOF\n");
+                let found = match *mode {
                     "lines" => wanted
                         .iter()
                         .all(|wanted| answer.lines().any(|line| line == *wanted)),
-                    _ => answer.starts_with(what) && answer.lines().count() == 1,
+                    _ => answer.starts_with(mode) && answer.lines().count() == 1,
                 };
                 assert!(complete && found, "{rest:?}: {answer}");
             }
--- a/tests/scene/child_process.rs
+++ b/tests/scene/child_process.rs
@@ -83,44 +83,44 @@
 }
 
 /// The next line that says this.
-pub(crate) fn wait_for_line(said: &mut impl BufRead, what: &str) -> String {
+pub(crate) fn wait_for_line(stderr: &mut impl BufRead, text: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(
-            said.read_line(&mut line).expect("line") > 0,
-            "the end before {what:?}"
+            stderr.read_line(&mut line).expect("line") > 0,
+            "the end before {text:?}"
         );
-        if line.contains(what) {
+        if line.contains(text) {
             return line;
         }
     }
 }
 
 /// Where a program serves its clients, and where staff ask it, from the line that says so.
-pub(crate) fn addresses(said: &mut impl BufRead) -> (SocketAddr, SocketAddr) {
-    let line = wait_for_line(said, "serves on");
-    let after = |what: &str| {
-        line.split(what)
+pub(crate) fn addresses(stderr: &mut impl BufRead) -> (SocketAddr, SocketAddr) {
+    let line = wait_for_line(stderr, "serves on");
+    let after = |prefix: &str| {
+        line.split(prefix)
             .nth(1)
             .and_then(|rest| rest.split([',', '\n']).next())
     };
-    let address = |what| {
-        after(what)
-            .and_then(|at| at.trim().parse().ok())
+    let address = |prefix| {
+        after(prefix)
+            .and_then(|text| text.trim().parse().ok())
             .expect("an address")
     };
     (address("serves on "), address("is operated at "))
 }
 
 /// One call at the operations address.
-pub(crate) fn admin_call(at: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(at).expect("connect");
+pub(crate) fn admin_call(address: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(address).expect("connect");
     stream
         .write_all(format!("{line}\n").as_bytes())
         .expect("write");
-    let mut said = String::new();
-    stream.read_to_string(&mut said).expect("an answer");
-    said
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).expect("an answer");
+    answer
 }
 
 /// Sends a signal to a child.
--- a/tests/scene/engine_fleet.rs
+++ b/tests/scene/engine_fleet.rs
@@ -2,7 +2,7 @@
 
 use super::engine_listener::{BACKLOG, GatedListener, listen};
 use super::list_feed::{Feed, ListedEngine};
-use super::{flight_engine, hex, line_engine, unescape};
+use super::{flight_engine, from_hex, line_engine, unescape};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -27,13 +27,13 @@
     /// Where the answer goes.
     pub reply: ReplyChannel,
     /// Breaks the connection that the call came over.
-    pub cut: Arc<dyn Fn() + Send + Sync>,
+    pub break_connection: Arc<dyn Fn() + Send + Sync>,
     /// The engine's own name for the request: the client's id.
-    pub id: String,
+    pub request_id: String,
     /// Whether the request is non-idempotent.
-    pub once: bool,
+    pub non_idempotent: bool,
     /// When its last byte was read.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// How the scene answers a call.
@@ -51,7 +51,7 @@
     /// Connections that fill its backlog while it accepts none, so that a further one does not come up.
     fillers: Vec<TcpStream>,
     /// Since when nothing new may go there.
-    drained: Arc<Mutex<Option<Instant>>>,
+    draining_since: Arc<Mutex<Option<Instant>>>,
     /// Keeps the port once nobody listens there, or another test's engine could be the next to get it.
     _port: TcpSocket,
 }
@@ -93,8 +93,8 @@
     }
 
     /// The first event of the list, as the configuration has it.
-    pub(crate) fn known(&self) -> String {
-        let member = |(number, engine): (usize, &Engine)| {
+    pub(crate) fn first_list_event(&self) -> String {
+        let instance = |(number, engine): (usize, &Engine)| {
             format!(
                 r#"{{"instanceId":"s-{:08x}","hostPort":"{}","zone":"hall-a","machineType":"std-8c","cell":0,
                 "lifecycle":"active","weight":1,"startedAtMs":0}}"#,
@@ -102,10 +102,10 @@
                 engine.address
             )
         };
-        let members: Vec<String> = self.engines.iter().enumerate().map(member).collect();
+        let instances: Vec<String> = self.engines.iter().enumerate().map(instance).collect();
         format!(
             r#"{{"n":1,"members":{{"generation":1,"reset":true,"instances":[{}]}}}}"#,
-            members.join(",")
+            instances.join(",")
         )
     }
 
@@ -116,8 +116,8 @@
 
     /// From now on nothing new may go to this engine, or it may again.
     pub(crate) fn set_draining(&mut self, number: usize, draining: bool) {
-        let mut drained = self.engines[number].drained.lock().expect("lock");
-        *drained = draining.then(Instant::now);
+        let mut draining_since = self.engines[number].draining_since.lock().expect("lock");
+        *draining_since = draining.then(Instant::now);
     }
 
     /// A client has left, or cancelled the request with this label.
@@ -137,10 +137,14 @@
             ("e", "expect", ["none", wanted @ ..]) => self.expect_none(&wanted.join(" ")),
             ("e", "expect", wanted) => self.expect_call(&wanted.join(" ")).await,
             ("e", "send", [label, word, rest @ ..]) => self.answer(label, word, rest).await,
-            ("e", "close", [label]) => self.cut_connection_of(label),
-            (engine, "hold", []) => self.engines[number(engine)].stop_accepting().await,
-            (engine, "release", []) => self.engines[number(engine)].resume_accepting(),
-            (engine, "close", []) => self.engines[number(engine)].refuse_connections().await,
+            ("e", "close", [label]) => self.break_connection_of(label),
+            (engine, "hold", []) => self.engines[engine_index(engine)].stop_accepting().await,
+            (engine, "release", []) => self.engines[engine_index(engine)].resume_accepting(),
+            (engine, "close", []) => {
+                self.engines[engine_index(engine)]
+                    .refuse_connections()
+                    .await
+            }
             other => panic!("engines: {other:?}"),
         }
     }
@@ -150,15 +154,15 @@
         while let Ok(call) = self.calls.try_recv() {
             self.record(call);
         }
-        let came = self.unmatched.iter().any(|call| call.line == wanted);
-        assert!(!came, "{wanted}");
+        let received = self.unmatched.iter().any(|call| call.line == wanted);
+        assert!(!received, "{wanted}");
     }
 
     /// Waits for this call.
     async fn expect_call(&mut self, wanted: &str) {
         let call = loop {
-            if let Some(place) = self.unmatched.iter().position(|call| call.line == wanted) {
-                break self.unmatched.remove(place);
+            if let Some(index) = self.unmatched.iter().position(|call| call.line == wanted) {
+                break self.unmatched.remove(index);
             }
             let call = self.calls.recv().await.expect("engines");
             self.record(call);
@@ -182,7 +186,7 @@
                 let _ = reply.send((word.to_owned(), unescape(&rest.join(" "))));
             }
             ReplyChannel::Line(writer) => {
-                let text = line_answer(&call.id, word, rest);
+                let text = line_answer(&call.request_id, word, rest);
                 let mut writer = writer.lock().await;
                 let writer = writer.as_mut().expect("connection");
                 writer.write_all(&text).await.expect("write");
@@ -190,10 +194,10 @@
         }
     }
 
-    fn cut_connection_of(&mut self, label: &str) {
+    fn break_connection_of(&mut self, label: &str) {
         self.in_flight.remove(label);
         self.may_have_run.insert(label.to_owned());
-        (self.attempts[label].cut)();
+        (self.attempts[label].break_connection)();
     }
 
     /// Keeps a call for the script, and checks the rules that it has to keep.
@@ -217,24 +221,28 @@
             self.unconfirmed_retries.insert(label.to_owned());
         }
         assert!(
-            !self.may_have_run.contains(label) || !call.once,
+            !self.may_have_run.contains(label) || !call.non_idempotent,
             "{label} may have run already"
         );
-        let drained = *self.engines[call.engine].drained.lock().expect("lock");
-        let late = drained.is_some_and(|at| at.elapsed() > MAX_START_AFTER_DRAIN);
+        let draining_since = *self.engines[call.engine]
+            .draining_since
+            .lock()
+            .expect("lock");
+        let late = draining_since.is_some_and(|since| since.elapsed() > MAX_START_AFTER_DRAIN);
         assert!(!late, "{label} went to an engine that drains");
         let client = label.split('.').next().unwrap_or_default();
         let departed = [client, label]
             .iter()
             .filter_map(|who| self.departures.get(*who))
             .min();
-        let late =
-            departed.is_some_and(|at| call.at.duration_since(*at) > MAX_START_AFTER_DISCONNECT);
+        let late = departed.is_some_and(|left_at| {
+            call.received_at.duration_since(*left_at) > MAX_START_AFTER_DISCONNECT
+        });
         assert!(!late, "{label} began after its client had left");
     }
 
     /// What has to hold once the scene is over.
-    pub(crate) fn finish(&mut self) {
+    pub(crate) fn check_at_end(&mut self) {
         while let Ok(call) = self.calls.try_recv() {
             self.record(call);
         }
@@ -265,7 +273,7 @@
             ("send", [state, engine]) => {
                 // A record that is `listed` as before does not change what may go to the engine.
                 if *state != "listed" {
-                    self.set_draining(number(engine), *state != "active");
+                    self.set_draining(engine_index(engine), *state != "active");
                 }
                 let engine = self.listed(engine);
                 self.feed.send_state(state, engine).await;
@@ -275,7 +283,7 @@
     }
 
     fn listed(&self, engine: &str) -> ListedEngine {
-        let number = number(engine);
+        let number = engine_index(engine);
         ListedEngine {
             number,
             address: self.engines[number].address,
@@ -305,7 +313,7 @@
             task: task.abort_handle(),
             accepts,
             fillers: Vec::new(),
-            drained: Arc::default(),
+            draining_since: Arc::default(),
             _port: port,
         }
     }
@@ -334,26 +342,26 @@
 }
 
 /// An answer of the line protocol as a script gives it.
-fn line_answer(id: &str, word: &str, rest: &[&str]) -> Vec<u8> {
+fn line_answer(request_id: &str, word: &str, rest: &[&str]) -> Vec<u8> {
     if word == "raw" {
-        return hex(rest[0]);
+        return from_hex(rest[0]);
     }
     let fields = rest.first().copied().unwrap_or("-");
     let body = unescape(&rest.get(1..).unwrap_or_default().join(" "));
-    format!("{id} {word} {fields} {}\r\n{body}\r\n", body.len()).into_bytes()
+    format!("{request_id} {word} {fields} {}\r\n{body}\r\n", body.len()).into_bytes()
 }
 
-fn number(engine: &str) -> usize {
+fn engine_index(engine: &str) -> usize {
     engine[1..].parse::<usize>().expect("engine") - 1
 }
 
 /// The label of an attempt, without the key that may stand behind it.
-fn label_of(asked: &str) -> String {
-    asked.split(' ').next().unwrap_or_default().to_owned()
+fn label_of(text: &str) -> String {
+    text.split(' ').next().unwrap_or_default().to_owned()
 }
 
 /// The label that a statement's comment carries; one that may run once only is marked.
-pub(crate) fn label(statement: &str) -> (String, bool) {
+pub(crate) fn parse_statement_label(statement: &str) -> (String, bool) {
     let label = statement
         .rsplit("-- ")
         .next()
--- a/tests/scene/engine_listener.rs
+++ b/tests/scene/engine_listener.rs
@@ -8,23 +8,23 @@
 pub(super) const BACKLOG: u32 = 64;
 
 /// A socket on this port, which others may share.
-fn bound(at: SocketAddr) -> TcpSocket {
+fn bind_shared_port(address: SocketAddr) -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_reuseport(true).expect("option");
-    socket.bind(at).expect("bind");
+    socket.bind(address).expect("bind");
     socket
 }
 
 /// A listener, and a second socket on its port that never listens.
 pub(crate) fn listen() -> (TcpListener, TcpSocket) {
-    let socket = bound(([127, 0, 0, 1], 0).into());
-    let port = bound(socket.local_addr().expect("address"));
+    let socket = bind_shared_port(([127, 0, 0, 1], 0).into());
+    let port = bind_shared_port(socket.local_addr().expect("address"));
     (socket.listen(BACKLOG).expect("listen"), port)
 }
 
 /// A listener on a port that such a second socket keeps.
-pub(crate) fn listen_at(at: SocketAddr) -> TcpListener {
-    bound(at).listen(BACKLOG).expect("listen")
+pub(crate) fn listen_at(address: SocketAddr) -> TcpListener {
+    bind_shared_port(address).listen(BACKLOG).expect("listen")
 }
 
 /// An engine's listener, and whether it accepts connections.
--- a/tests/scene/flight_client.rs
+++ b/tests/scene/flight_client.rs
@@ -27,8 +27,8 @@
 }
 
 impl Client {
-    pub(super) async fn new(name: &str, at: SocketAddr) -> Client {
-        let channel = Endpoint::from_shared(format!("http://{at}"))
+    pub(super) async fn new(name: &str, address: SocketAddr) -> Client {
+        let channel = Endpoint::from_shared(format!("http://{address}"))
             .expect("address")
             .connect()
             .await;
@@ -47,14 +47,14 @@
         let client = FlightServiceClient::new(self.channel.clone());
         match (verb, rest) {
             ("send", ["ticket", id, class, fields @ ..]) => {
-                let plan = self.request(class, fields, query(class, &self.name, id));
-                let ticket = ticket(client, plan).await.expect("a ticket");
+                let plan = self.request(class, fields, query_descriptor(class, &self.name, id));
+                let ticket = fetch_ticket(client, plan).await.expect("a ticket");
                 self.tickets.insert((*id).to_owned(), ticket);
             }
-            ("send", ["get", id, of]) => {
-                let ticket = Request::new(self.tickets[*of].clone());
+            ("send", ["get", id, ticket_id]) => {
+                let ticket = Request::new(self.tickets[*ticket_id].clone());
                 self.calls
-                    .insert((*id).to_owned(), tokio::spawn(get(client, ticket)));
+                    .insert((*id).to_owned(), tokio::spawn(fetch_result(client, ticket)));
             }
             ("send", ["action", id]) => {
                 let call = async move {
@@ -71,17 +71,17 @@
                 };
                 let data = FlightData::new()
                     .with_descriptor(FlightDescriptor::new_cmd(command.as_any().encode_to_vec()));
-                let call = put(
+                let call = execute_update(
                     client,
                     self.request("log-load", fields, stream::iter([data])),
                 );
                 self.calls.insert((*id).to_owned(), tokio::spawn(call));
             }
             ("send", [id, class, fields @ ..]) => {
-                let plan = self.request(class, fields, query(class, &self.name, id));
+                let plan = self.request(class, fields, query_descriptor(class, &self.name, id));
                 let timeout = plan.metadata().get("grpc-timeout").cloned();
                 let call = async move {
-                    let ticket = match ticket(client.clone(), plan).await {
+                    let ticket = match fetch_ticket(client.clone(), plan).await {
                         Ok(ticket) => ticket,
                         Err(status) => return status_text(Some(status)),
                     };
@@ -89,7 +89,7 @@
                     timeout.into_iter().for_each(|value| {
                         drop(request.metadata_mut().insert("grpc-timeout", value))
                     });
-                    get(client, request).await
+                    fetch_result(client, request).await
                 };
                 self.calls.insert((*id).to_owned(), tokio::spawn(call));
             }
@@ -105,24 +105,24 @@
 
     fn request<T>(&self, class: &str, fields: &[&str], message: T) -> Request<T> {
         let mut request = Request::new(message);
-        let mut put = |key: &str, value: &str| {
+        let mut insert = |key: &str, value: &str| {
             let key: tonic::metadata::AsciiMetadataKey = key.parse().expect("key");
             request
                 .metadata_mut()
                 .insert(key, value.parse().expect("value"));
         };
-        put("magpiechute-class", class);
-        put("magpiechute-tenant", "member-north");
-        put("magpiechute-effort", "50.0");
+        insert("magpiechute-class", class);
+        insert("magpiechute-tenant", "member-north");
+        insert("magpiechute-effort", "50.0");
         fields
             .iter()
             .filter_map(|field| field.split_once('='))
-            .for_each(|(key, value)| put(key, value));
+            .for_each(|(key, value)| insert(key, value));
         request
     }
 }
 
-fn query(class: &str, name: &str, id: &str) -> FlightDescriptor {
+fn query_descriptor(class: &str, name: &str, id: &str) -> FlightDescriptor {
     let query = if class == "none" {
         String::new()
     } else {
@@ -135,7 +135,7 @@
     FlightDescriptor::new_cmd(command.as_any().encode_to_vec())
 }
 
-async fn ticket(
+async fn fetch_ticket(
     mut client: FlightServiceClient<Channel>,
     plan: Request<FlightDescriptor>,
 ) -> Result<Ticket, Status> {
@@ -143,7 +143,7 @@
     Ok(info.endpoint[0].ticket.clone().expect("ticket"))
 }
 
-async fn get(mut client: FlightServiceClient<Channel>, ticket: Request<Ticket>) -> String {
+async fn fetch_result(mut client: FlightServiceClient<Channel>, ticket: Request<Ticket>) -> String {
     let mut data = match client.do_get(ticket).await {
         Ok(response) => response.into_inner(),
         Err(status) => return status_text(Some(status)),
@@ -161,7 +161,7 @@
             let cells: Vec<String> = batch
                 .columns()
                 .iter()
-                .map(|column| cell(column, row))
+                .map(|column| cell_text(column, row))
                 .collect();
             text += &format!("{}\n", cells.join("\t"));
         }
@@ -174,7 +174,7 @@
     }
 }
 
-fn cell(column: &ArrayRef, row: usize) -> String {
+fn cell_text(column: &ArrayRef, row: usize) -> String {
     column
         .as_any()
         .downcast_ref::<StringArray>()
@@ -183,7 +183,7 @@
         .to_owned()
 }
 
-async fn put(
+async fn execute_update(
     mut client: FlightServiceClient<Channel>,
     request: Request<impl futures::Stream<Item = FlightData> + Send + 'static>,
 ) -> String {
--- a/tests/scene/flight_engine.rs
+++ b/tests/scene/flight_engine.rs
@@ -1,6 +1,6 @@
 //! A fake engine that speaks Flight SQL and leaves every answer to the script.
 
-use super::engine_fleet::{ReceivedCall, ReplyChannel, label};
+use super::engine_fleet::{ReceivedCall, ReplyChannel, parse_statement_label};
 use super::engine_listener::GatedListener;
 use arrow_array::{ArrayRef, RecordBatch, StringArray};
 use arrow_flight::flight_service_server::{FlightService, FlightServiceServer};
@@ -26,9 +26,9 @@
     calls: mpsc::UnboundedSender<ReceivedCall>,
 ) {
     let inner = TcpListener::bind("127.0.0.1:0").await.expect("bind");
-    let at = inner.local_addr().expect("address");
+    let inner_address = inner.local_addr().expect("address");
     let relays: Arc<Mutex<Vec<AbortHandle>>> = Arc::default();
-    let cut: Arc<dyn Fn() + Send + Sync> = {
+    let break_connection: Arc<dyn Fn() + Send + Sync> = {
         let relays = relays.clone();
         Arc::new(move || {
             relays
@@ -38,7 +38,11 @@
                 .for_each(|relay| relay.abort())
         })
     };
-    let service = FlightServiceServer::new(Service { engine, calls, cut });
+    let service = FlightServiceServer::new(Service {
+        engine,
+        calls,
+        break_connection,
+    });
     let incoming = tokio_stream::wrappers::TcpListenerStream::new(inner);
     tokio::spawn(
         tonic::transport::Server::builder()
@@ -47,7 +51,7 @@
     );
     while let Some(mut outer) = listener.accept().await {
         let relay = tokio::spawn(async move {
-            let mut inner = TcpStream::connect(at).await.expect("engine");
+            let mut inner = TcpStream::connect(inner_address).await.expect("engine");
             let _ = tokio::io::copy_bidirectional(&mut outer, &mut inner).await;
         });
         relays.lock().expect("lock").push(relay.abort_handle());
@@ -57,14 +61,14 @@
 struct Service {
     engine: usize,
     calls: mpsc::UnboundedSender<ReceivedCall>,
-    cut: Arc<dyn Fn() + Send + Sync>,
+    break_connection: Arc<dyn Fn() + Send + Sync>,
 }
 
 /// Reports a cancelled call when it is dropped before its end.
 struct CallGuard {
     engine: usize,
     calls: mpsc::UnboundedSender<ReceivedCall>,
-    cut: Arc<dyn Fn() + Send + Sync>,
+    break_connection: Arc<dyn Fn() + Send + Sync>,
     label: String,
     completed: bool,
 }
@@ -77,10 +81,10 @@
                 line: format!("QUIT {}", self.label),
                 engine: self.engine,
                 reply: ReplyChannel::Flight(reply),
-                cut: self.cut.clone(),
-                id: String::new(),
-                once: false,
-                at: Instant::now(),
+                break_connection: self.break_connection.clone(),
+                request_id: String::new(),
+                non_idempotent: false,
+                received_at: Instant::now(),
             });
         }
     }
@@ -92,25 +96,25 @@
         &self,
         statement: &str,
     ) -> (CallGuard, mpsc::UnboundedReceiver<(String, String)>) {
-        let (label, once) = label(statement);
-        let (reply, orders) = mpsc::unbounded_channel();
+        let (label, non_idempotent) = parse_statement_label(statement);
+        let (reply, answers) = mpsc::unbounded_channel();
         let _ = self.calls.send(ReceivedCall {
             line: format!("ASK {label}"),
             engine: self.engine,
             reply: ReplyChannel::Flight(reply),
-            cut: self.cut.clone(),
-            id: String::new(),
-            once,
-            at: Instant::now(),
+            break_connection: self.break_connection.clone(),
+            request_id: String::new(),
+            non_idempotent,
+            received_at: Instant::now(),
         });
         let guard = CallGuard {
             engine: self.engine,
             calls: self.calls.clone(),
-            cut: self.cut.clone(),
+            break_connection: self.break_connection.clone(),
             label,
             completed: false,
         };
-        (guard, orders)
+        (guard, answers)
     }
 }
 
@@ -122,15 +126,15 @@
 }
 
 /// Rows as Flight data; `x9000` stands for that many rows.
-fn rows(text: &str, first: bool) -> Vec<FlightData> {
+fn encode_rows(text: &str, first: bool) -> Vec<FlightData> {
     let text = match text.strip_prefix('x').and_then(|n| n.parse().ok()) {
-        Some(n) => "many\trows\there\n".repeat(n),
+        Some(count) => "many\trows\there\n".repeat(count),
         None => text.to_owned(),
     };
     let column = |i: usize| -> (String, ArrayRef) {
         let cells: Vec<&str> = text
             .lines()
-            .map(|l| l.split('\t').nth(i).unwrap_or_default())
+            .map(|line| line.split('\t').nth(i).unwrap_or_default())
             .collect();
         (format!("c{i}"), Arc::new(StringArray::from(cells)))
     };
@@ -169,22 +173,22 @@
     ) -> Result<Response<Self::DoGetStream>, Status> {
         assert!(request.metadata().contains_key("grpc-timeout"));
         let text = String::from_utf8(request.into_inner().ticket.to_vec()).expect("text");
-        let (guard, orders) = self.report_call(&text);
+        let (guard, answers) = self.report_call(&text);
         let data = stream::unfold(
-            (guard, orders, true),
-            |(mut guard, mut orders, first)| async move {
+            (guard, answers, true),
+            |(mut guard, mut answers, first)| async move {
                 if guard.completed {
                     return None;
                 }
-                let (word, text) = orders.recv().await?;
+                let (word, text) = answers.recv().await?;
                 guard.completed = word != "rows";
                 let data = match word.as_str() {
-                    "rows" => rows(&text, first).into_iter().map(Ok).collect(),
+                    "rows" => encode_rows(&text, first).into_iter().map(Ok).collect(),
                     "served" if text.is_empty() => Vec::new(),
-                    "served" => rows(&text, first).into_iter().map(Ok).collect(),
+                    "served" => encode_rows(&text, first).into_iter().map(Ok).collect(),
                     word => vec![Err(failure(word))],
                 };
-                Some((stream::iter(data), (guard, orders, false)))
+                Some((stream::iter(data), (guard, answers, false)))
             },
         );
         let mut response = Response::new(data.flatten().boxed());
@@ -201,8 +205,8 @@
         let first = request.into_inner().message().await?.expect("command");
         let any = Any::decode(first.flight_descriptor.expect("descriptor").cmd).expect("command");
         let update: CommandStatementUpdate = any.unpack().expect("command").expect("update");
-        let (mut guard, mut orders) = self.report_call(&update.query);
-        let (word, text) = orders
+        let (mut guard, mut answers) = self.report_call(&update.query);
+        let (word, text) = answers
             .recv()
             .await
             .ok_or_else(|| Status::internal("the scene is over"))?;
--- a/tests/scene/line_engine.rs
+++ b/tests/scene/line_engine.rs
@@ -1,6 +1,6 @@
 //! A fake engine that speaks the line protocol and leaves every answer to the script.
 
-use super::engine_fleet::{ReceivedCall, ReplyChannel, label};
+use super::engine_fleet::{ReceivedCall, ReplyChannel, parse_statement_label};
 use super::engine_listener::GatedListener;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 type SharedWriter = Arc<Mutex<Option<OwnedWriteHalf>>>;
 
 /// Figures of a request are below this, whatever a client wrote.
-const MAX_FIGURE: u32 = 10_000_000;
+const FIELD_VALUE_LIMIT: u32 = 10_000_000;
 
 /// Accepts connections until the scene is over.
 pub(super) async fn serve(
@@ -35,8 +35,8 @@
     writer: SharedWriter,
     /// By the client's id: the label, and whether the request is non-idempotent.
     requests: HashMap<String, (String, bool)>,
-    cut: Arc<dyn Fn() + Send + Sync>,
-    cut_requested: mpsc::UnboundedReceiver<()>,
+    break_connection: Arc<dyn Fn() + Send + Sync>,
+    break_requested: mpsc::UnboundedReceiver<()>,
 }
 
 impl Connection {
@@ -46,15 +46,15 @@
         calls: mpsc::UnboundedSender<ReceivedCall>,
     ) -> Connection {
         let (reader, writer) = stream.into_split();
-        let (stop, cut_requested) = mpsc::unbounded_channel::<()>();
+        let (request_break, break_requested) = mpsc::unbounded_channel::<()>();
         Connection {
             engine,
             calls,
             reader: BufReader::new(reader),
             writer: Arc::new(Mutex::new(Some(writer))),
             requests: HashMap::new(),
-            cut: Arc::new(move || _ = stop.send(())),
-            cut_requested,
+            break_connection: Arc::new(move || _ = request_break.send(())),
+            break_requested,
         }
     }
 
@@ -67,15 +67,15 @@
                         return self.report_closed();
                     }
                 }
-                _ = self.cut_requested.recv() => return drop(self.writer.lock().await.take()),
+                _ = self.break_requested.recv() => return drop(self.writer.lock().await.take()),
             }
             self.handle(&line).await;
         }
     }
 
     fn report_closed(&self) {
-        for (id, (label, once)) in &self.requests {
-            self.report(format!("CLOSED {label}"), id.clone(), *once);
+        for (id, (label, non_idempotent)) in &self.requests {
+            self.report(format!("CLOSED {label}"), id.clone(), *non_idempotent);
         }
     }
 
@@ -91,12 +91,16 @@
             self.requests.insert(id.to_owned(), request);
             key = idempotency_key(words[2]);
         }
-        let (label, once) = self.requests.get(id).cloned().expect("a known id");
+        let (label, non_idempotent) = self.requests.get(id).cloned().expect("a known id");
         let page = match words.get(2) {
             Some(page) if verb == "NEXT" => format!(" {page}"),
             _ => String::new(),
         };
-        self.report(format!("{verb} {label}{page}{key}"), id.to_owned(), once);
+        self.report(
+            format!("{verb} {label}{page}{key}"),
+            id.to_owned(),
+            non_idempotent,
+        );
     }
 
     async fn answer_health_check(&self, id: &str) {
@@ -114,19 +118,19 @@
         let body = String::from_utf8(body).expect("text");
         let complete = body.ends_with("\r\n") && words[2].contains("patience=");
         assert!(complete, "{line}");
-        assert!(figures_are_usable(words[2]), "{line}");
-        label(body.trim_end())
+        assert!(field_values_are_valid(words[2]), "{line}");
+        parse_statement_label(body.trim_end())
     }
 
-    fn report(&self, line: String, id: String, once: bool) {
+    fn report(&self, line: String, request_id: String, non_idempotent: bool) {
         let _ = self.calls.send(ReceivedCall {
             line,
             engine: self.engine,
             reply: ReplyChannel::Line(self.writer.clone()),
-            cut: self.cut.clone(),
-            id,
-            once,
-            at: Instant::now(),
+            break_connection: self.break_connection.clone(),
+            request_id,
+            non_idempotent,
+            received_at: Instant::now(),
         });
     }
 }
@@ -136,21 +140,23 @@
     fields.split(',').skip(1).map(|field| field.split_once('='))
 }
 
-fn is_key(field: Option<(&str, &str)>) -> bool {
+fn is_idempotency_key(field: Option<(&str, &str)>) -> bool {
     field.is_some_and(|(name, _)| name == "op")
 }
 
 /// The idempotency key of a request as scripts write it.
 fn idempotency_key(text: &str) -> String {
-    let keys = fields(text).filter(|field| is_key(*field)).flatten();
+    let keys = fields(text)
+        .filter(|field| is_idempotency_key(*field))
+        .flatten();
     keys.map(|(_, key)| format!(" op={key}")).collect()
 }
 
 /// Whether every field but the key is a figure that an engine can use.
-fn figures_are_usable(text: &str) -> bool {
-    let mut figures = fields(text).filter(|field| !is_key(*field));
-    figures.all(|field| {
-        let figure = field.and_then(|(_, value)| value.parse::<u32>().ok());
-        figure.is_some_and(|figure| figure < MAX_FIGURE)
+fn field_values_are_valid(text: &str) -> bool {
+    let mut other_fields = fields(text).filter(|field| !is_idempotency_key(*field));
+    other_fields.all(|field| {
+        let number = field.and_then(|(_, value)| value.parse::<u32>().ok());
+        number.is_some_and(|number| number < FIELD_VALUE_LIMIT)
     })
 }
--- a/tests/scene/list_feed.rs
+++ b/tests/scene/list_feed.rs
@@ -1,6 +1,6 @@
 //! The fake list feed: accepts the manager's watch and writes the frames that a script asks for.
 
-use super::hex;
+use super::from_hex;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -10,9 +10,9 @@
 /// Kind of a frame with changes.
 const KIND_CHANGES: u8 = 2;
 /// States of an engine in a record.
-const ACTIVE: u8 = 0;
-const DRAINING: u8 = 1;
-const REMOVED: u8 = 2;
+const STATE_READY: u8 = 0;
+const STATE_DRAINING: u8 = 1;
+const STATE_REMOVED: u8 = 2;
 /// Bytes of a frame that is cut off inside its record.
 const HALF_FRAME_BYTES: usize = 20;
 
@@ -31,7 +31,7 @@
     pub address: SocketAddr,
     listener: TcpListener,
     stream: Option<TcpStream>,
-    events: u64,
+    last_event: u64,
 }
 
 impl Feed {
@@ -43,7 +43,7 @@
             address,
             listener,
             stream: None,
-            events: 1,
+            last_event: 1,
         }
     }
 
@@ -57,8 +57,8 @@
     /// Accepts a connection, which has to name this event as its last one.
     pub(super) async fn expect_watch(&mut self, last_event: &str) {
         let (mut stream, _) = self.listener.accept().await.expect("accept");
-        let last = stream.read_u64().await.expect("the last event");
-        assert_eq!(last.to_string(), last_event);
+        let received = stream.read_u64().await.expect("the last event");
+        assert_eq!(received.to_string(), last_event);
         self.stream = Some(stream);
     }
 
@@ -69,38 +69,38 @@
 
     /// Writes these bytes.
     pub(super) async fn send_raw(&mut self, digits: &str) {
-        self.write(&hex(digits)).await;
+        self.write(&from_hex(digits)).await;
     }
 
     /// Sends a full list that names this engine alone.
     pub(super) async fn send_full_list_of(&mut self, engine: ListedEngine) {
-        self.events += 1;
-        let frame = frame_of(self.events, KIND_FULL, engine, ACTIVE);
+        self.last_event += 1;
+        let frame = frame_of(self.last_event, KIND_FULL, engine, STATE_READY);
         self.write(&frame).await;
     }
 
     /// Repeats the number of an earlier event, with this engine as removed.
     pub(super) async fn send_repeated_event(&mut self, engine: ListedEngine) {
-        let frame = frame_of(self.events, KIND_CHANGES, engine, REMOVED);
+        let frame = frame_of(self.last_event, KIND_CHANGES, engine, STATE_REMOVED);
         self.write(&frame).await;
     }
 
     /// Sends half of an event that removes this engine.
     pub(super) async fn send_half_event(&mut self, engine: ListedEngine) {
-        let frame = frame_of(self.events + 1, KIND_CHANGES, engine, REMOVED);
+        let frame = frame_of(self.last_event + 1, KIND_CHANGES, engine, STATE_REMOVED);
         self.write(&frame[..HALF_FRAME_BYTES]).await;
     }
 
     /// Sends a change of one engine's state, by its name in scripts.
     pub(super) async fn send_state(&mut self, state: &str, engine: ListedEngine) {
         let state = match state {
-            "active" | "listed" => ACTIVE,
-            "draining" => DRAINING,
-            "gone" => REMOVED,
+            "active" | "listed" => STATE_READY,
+            "draining" => STATE_DRAINING,
+            "gone" => STATE_REMOVED,
             other => panic!("state: {other}"),
         };
-        self.events += 1;
-        let frame = frame_of(self.events, KIND_CHANGES, engine, state);
+        self.last_event += 1;
+        let frame = frame_of(self.last_event, KIND_CHANGES, engine, state);
         self.write(&frame).await;
     }
 
@@ -119,8 +119,8 @@
 pub(crate) fn feed_frame(
     event: u64,
     kind: u8,
-    n: usize,
-    at: SocketAddr,
+    engine_number: usize,
+    address: SocketAddr,
     state: u8,
     started_ms: u64,
 ) -> Vec<u8> {
@@ -128,9 +128,9 @@
     frame.extend_from_slice(&(9 + 27u32).to_be_bytes());
     frame.extend_from_slice(&event.to_be_bytes());
     frame.push(kind);
-    frame.extend_from_slice(&(n as u32 + 1).to_be_bytes());
+    frame.extend_from_slice(&(engine_number as u32 + 1).to_be_bytes());
     frame.extend_from_slice(&[127, 0, 0, 1]);
-    frame.extend_from_slice(&at.port().to_be_bytes());
+    frame.extend_from_slice(&address.port().to_be_bytes());
     frame.extend_from_slice(&[state, 0, 0, 0, 0, 0, 0, 3, 232]);
     frame.extend_from_slice(&started_ms.to_be_bytes());
     frame
--- a/tests/scene/manager_process.rs
+++ b/tests/scene/manager_process.rs
@@ -12,7 +12,7 @@
 pub(crate) struct ManagerProcess {
     pub(crate) child: Child,
     /// Where it serves its clients.
-    pub(crate) at: SocketAddr,
+    pub(crate) address: SocketAddr,
     lines: UnboundedReceiver<String>,
 }
 
@@ -27,36 +27,40 @@
     /// Starts one, and waits until it serves.
     pub(crate) async fn start(config: &Path, folder: &Path) -> ManagerProcess {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-        let at = listener.local_addr().expect("address");
+        let address = listener.local_addr().expect("address");
         let mut child = start_with_listener(&listener, config, folder);
         let stderr = stderr_of(&mut child);
-        let (tell, lines) = unbounded_channel();
+        let (line_sender, lines) = unbounded_channel();
         std::thread::spawn(move || {
             stderr
                 .lines()
                 .map_while(Result::ok)
-                .all(|line| tell.send(line).is_ok());
+                .all(|line| line_sender.send(line).is_ok());
         });
-        let mut process = ManagerProcess { child, at, lines };
+        let mut process = ManagerProcess {
+            child,
+            address,
+            lines,
+        };
         process.await_line(" serves on ").await;
         process
     }
 
     /// The next line that says this.
-    pub(crate) async fn await_line(&mut self, what: &str) -> String {
+    pub(crate) async fn await_line(&mut self, text: &str) -> String {
         let next = async {
             loop {
                 let line = self
                     .lines
                     .recv()
                     .await
-                    .unwrap_or_else(|| panic!("the end before {what:?}"));
-                if line.contains(what) {
+                    .unwrap_or_else(|| panic!("the end before {text:?}"));
+                if line.contains(text) {
                     return line;
                 }
             }
         };
-        within_timeout(what, next).await
+        within_timeout(text, next).await
     }
 
     /// Sends it a signal.
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -15,7 +15,7 @@
 //! - `o1`, `o2` are callers at the admin address, one call each: `o1 send READY`, `o1 send part REA`,
 //!   `o1 expect 200`, `o1 expect lines node.loads=0`, `o1 close` (the next `o1` is a new one).
 //! - `n close` asks the workload manager to stop, `n expect closed` waits until it has.
-//! - `n send settings CHANGE ...` gives it a configuration with other settings; see `changed`.
+//! - `n send settings CHANGE ...` gives it a configuration with other settings; see `apply_changes`.
 //! - `n send moved` gives it a configuration with the feed at another address, `n send {` one that says `{`.
 //! - `wait requests_accepted=3` waits until a counter has that value.
 //!
@@ -36,7 +36,7 @@
 mod node_settings;
 mod snmp_manager;
 
-pub(crate) use node_settings::{changed, configuration};
+pub(crate) use node_settings::{apply_changes, configuration};
 
 use engine_fleet::Fleet;
 use std::collections::HashMap;
@@ -56,56 +56,56 @@
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits for an event of this description; panics if it does not happen in time.
-pub(crate) async fn within_timeout<T>(what: &str, event: impl Future<Output = T>) -> T {
+pub(crate) async fn within_timeout<T>(description: &str, event: impl Future<Output = T>) -> T {
     tokio::time::timeout(STEP_TIMEOUT, event)
         .await
-        .unwrap_or_else(|_| panic!("no {what}"))
+        .unwrap_or_else(|_| panic!("no {description}"))
 }
 
 /// A manager with its clients, engines and feed.
 pub(crate) struct Scene {
     node: Arc<Node>,
-    ended: bool,
+    shutdown_requested: bool,
     /// The shutdown task, and when it began.
-    ending: Option<(tokio::task::JoinHandle<()>, Instant)>,
+    shutdown_task: Option<(tokio::task::JoinHandle<()>, Instant)>,
     metrics: Arc<workload_manager::metrics::Metrics>,
-    listen: (std::net::SocketAddr, Option<std::net::SocketAddr>),
+    listen_addresses: (std::net::SocketAddr, Option<std::net::SocketAddr>),
     fleet: Fleet,
     clients: HashMap<String, msgpack_client::Client>,
-    flights: HashMap<String, flight_client::Client>,
-    manager: snmp_manager::Manager,
-    ops: std::net::SocketAddr,
-    callers: HashMap<String, admin_client::Caller>,
+    flight_clients: HashMap<String, flight_client::Client>,
+    snmp_manager: snmp_manager::Manager,
+    admin_address: std::net::SocketAddr,
+    admin_callers: HashMap<String, admin_client::Caller>,
 }
 
 /// An operators' file that sets nothing.
-pub(crate) const OPERATORS: &str = "version = 1\n";
+pub(crate) const EMPTY_OPERATOR_FILE: &str = "version = 1\n";
 
 /// How a scene is set up.
 pub(crate) struct SceneSetup<'a> {
     pub engines: usize,
     pub protocol: EngineProtocol,
-    /// Changes to the settings; see `changed`.
+    /// Changes to the settings; see `apply_changes`.
     pub changes: &'a [&'a str],
     /// The operators' file.
     pub operators: &'a str,
 }
 
 /// Plays a script with this many engines of one protocol.
-pub(crate) fn play(engines: usize, protocol: EngineProtocol, script: &str) {
-    play_on(
+pub(crate) fn run_script(engines: usize, protocol: EngineProtocol, script: &str) {
+    run_script_with_setup(
         &SceneSetup {
             engines,
             protocol,
             changes: &[],
-            operators: OPERATORS,
+            operators: EMPTY_OPERATOR_FILE,
         },
         script,
     );
 }
 
 /// Plays a script with this setup.
-pub(crate) fn play_on(setup: &SceneSetup<'_>, script: &str) {
+pub(crate) fn run_script_with_setup(setup: &SceneSetup<'_>, script: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -121,7 +121,7 @@
         }
         scene.step("n close").await;
         scene.step("n expect closed").await;
-        scene.fleet.finish();
+        scene.fleet.check_at_end();
     });
 }
 
@@ -129,8 +129,8 @@
     async fn new(setup: &SceneSetup<'_>) -> Scene {
         let protocol = setup.protocol;
         let fleet = Fleet::new(setup.engines, protocol).await;
-        let text = changed(
-            &configuration(fleet.feed.address, &fleet.known()),
+        let text = apply_changes(
+            &configuration(fleet.feed.address, &fleet.first_list_event()),
             setup.changes,
         );
         let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
@@ -146,33 +146,34 @@
             flight: Some(front),
             snmp: Some(agent),
         };
-        let judged = operator_config::parse_and_check(
+        let checked = operator_config::parse_and_check(
             setup.operators,
             Some(&PlatformConstraints::from_settings(&config.settings)),
         );
-        let policy = Arc::new(judged.expect("operators' file").1.unwrap_or_default());
+        let policy = Arc::new(checked.expect("operators' file").1.unwrap_or_default());
         let operators = OperatorConfig {
             front_ends: fronts,
             policy,
             ..OperatorConfig::default()
         };
         let node = Node::start(config, operators).await.expect("node");
-        let manager = snmp_manager::Manager::new(node.snmp.expect("agent")).await;
-        let (metrics, listen) = (node.metrics.clone(), (node.listen, node.flight));
-        let (clients, flights, callers) = Default::default();
-        let (ops, node, ending) = (node.admin.expect("operations"), Arc::new(node), None);
+        let snmp_manager = snmp_manager::Manager::new(node.snmp.expect("agent")).await;
+        let (metrics, listen_addresses) = (node.metrics.clone(), (node.listen, node.flight));
+        let (clients, flight_clients, admin_callers) = Default::default();
+        let (admin_address, node, shutdown_task) =
+            (node.admin.expect("operations"), Arc::new(node), None);
         Scene {
             node,
-            ended: false,
-            ending,
+            shutdown_requested: false,
+            shutdown_task,
             metrics,
-            listen,
+            listen_addresses,
             fleet,
             clients,
-            flights,
-            manager,
-            ops,
-            callers,
+            flight_clients,
+            snmp_manager,
+            admin_address,
+            admin_callers,
         }
     }
 
@@ -186,7 +187,7 @@
             ("n", "close") => self.begin_shutdown(),
             ("n", _) => self.expect_shutdown(step).await,
             ("o", _) => self.admin_step(step, who, verb, rest).await,
-            ("s", _) => within_timeout(step, self.manager.step(verb, rest)).await,
+            ("s", _) => within_timeout(step, self.snmp_manager.step(verb, rest)).await,
             ("c" | "x", _) => self.client_step(step, who, verb, rest).await,
             ("f", _) if who != "feed" => self.flight_client_step(step, who, verb, rest).await,
             _ => within_timeout(step, self.fleet.step(who, verb, rest)).await,
@@ -212,12 +213,12 @@
     async fn reload(&mut self, words: &[&str]) {
         let text = match words {
             ["settings", changes @ ..] => {
-                let text = configuration(self.fleet.feed.address, &self.fleet.known());
-                changed(&text, changes)
+                let text = configuration(self.fleet.feed.address, &self.fleet.first_list_event());
+                apply_changes(&text, changes)
             }
             ["moved"] => {
                 let address = self.fleet.move_feed().await;
-                configuration(address, &self.fleet.known())
+                configuration(address, &self.fleet.first_list_event())
             }
             words => words[0].to_owned(),
         };
@@ -225,33 +226,36 @@
     }
 
     fn begin_shutdown(&mut self) {
-        if self.ended {
+        if self.shutdown_requested {
             return;
         }
-        self.ended = true;
+        self.shutdown_requested = true;
         self.node.begin_shutdown();
         let node = self.node.clone();
-        let ending = tokio::spawn(async move { node.shut_down().await });
-        self.ending = Some((ending, Instant::now()));
+        let shutdown_task = tokio::spawn(async move { node.shut_down().await });
+        self.shutdown_task = Some((shutdown_task, Instant::now()));
     }
 
     async fn expect_shutdown(&mut self, step: &str) {
-        if let Some((ending, since)) = self.ending.take() {
-            within_timeout(step, ending).await.expect("the end");
-            let elapsed = since.elapsed();
+        if let Some((shutdown_task, started_at)) = self.shutdown_task.take() {
+            within_timeout(step, shutdown_task).await.expect("the end");
+            let elapsed = started_at.elapsed();
             assert!(elapsed < KILL_DEADLINE, "killed first: {elapsed:?}");
         }
     }
 
     async fn admin_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
-        if !self.callers.contains_key(who) {
-            let caller = admin_client::Caller::new(self.ops).await;
-            self.callers.insert(who.to_owned(), caller);
+        if !self.admin_callers.contains_key(who) {
+            let caller = admin_client::Caller::new(self.admin_address).await;
+            self.admin_callers.insert(who.to_owned(), caller);
         }
-        let caller = self.callers.get_mut(who).expect("caller");
+        let caller = self.admin_callers.get_mut(who).expect("caller");
         within_timeout(step, caller.step(verb, rest)).await;
         if verb != "send" {
-            let engine = self.callers.remove(who).and_then(|caller| caller.engine);
+            let engine = self
+                .admin_callers
+                .remove(who)
+                .and_then(|caller| caller.engine);
             if let Some((number, ejected)) = engine.filter(|_| rest == ["200"]) {
                 self.fleet.set_draining(number, ejected);
             }
@@ -261,9 +265,9 @@
     async fn client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
         if !self.clients.contains_key(who) {
             let address = if who.starts_with('x') {
-                self.listen.1.expect("flight front")
+                self.listen_addresses.1.expect("flight front")
             } else {
-                self.listen.0
+                self.listen_addresses.0
             };
             let client = msgpack_client::Client::new(who, address).await;
             self.clients.insert(who.to_owned(), client);
@@ -283,12 +287,12 @@
     }
 
     async fn flight_client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
-        if !self.flights.contains_key(who) {
-            let address = self.listen.1.expect("flight front");
+        if !self.flight_clients.contains_key(who) {
+            let address = self.listen_addresses.1.expect("flight front");
             let client = flight_client::Client::new(who, address).await;
-            self.flights.insert(who.to_owned(), client);
+            self.flight_clients.insert(who.to_owned(), client);
         }
-        let client = self.flights.get_mut(who).expect("client");
+        let client = self.flight_clients.get_mut(who).expect("client");
         within_timeout(step, client.step(verb, rest)).await;
         if let ("close", [id]) = (verb, rest) {
             self.fleet.client_left(format!("{who}.{id}"));
@@ -309,7 +313,7 @@
     text.replace("\\t", "\t").replace("\\n", "\n")
 }
 
-pub(crate) fn hex(text: &str) -> Vec<u8> {
-    let digits = |i: usize| u8::from_str_radix(&text[i..i + 2], 16).expect("hex");
-    (0..text.len()).step_by(2).map(digits).collect()
+pub(crate) fn from_hex(text: &str) -> Vec<u8> {
+    let byte_at = |i: usize| u8::from_str_radix(&text[i..i + 2], 16).expect("hex");
+    (0..text.len()).step_by(2).map(byte_at).collect()
 }
--- a/tests/scene/msgpack_client.rs
+++ b/tests/scene/msgpack_client.rs
@@ -1,6 +1,6 @@
 //! A fake client of the platform: MessagePack-RPC on one connection.
 
-use super::{hex, statement, unescape};
+use super::{from_hex, statement, unescape};
 use rmp::decode::{self, RmpRead};
 use rmp::encode;
 use std::collections::HashMap;
@@ -16,31 +16,31 @@
     input: Vec<u8>,
     answers: HashMap<u64, String>,
     /// Requests that have their answer.
-    seen: Vec<u64>,
+    answered: Vec<u64>,
     closed: bool,
 }
 
 impl Client {
     /// Connects.
-    pub(crate) async fn new(name: &str, at: SocketAddr) -> Client {
-        let stream = TcpStream::connect(at).await.expect("connect");
-        Client::on(name, stream)
+    pub(crate) async fn new(name: &str, address: SocketAddr) -> Client {
+        let stream = TcpStream::connect(address).await.expect("connect");
+        Client::with_stream(name, stream)
     }
 
     /// Connects; none where that fails.
-    pub(crate) async fn try_new(name: &str, at: SocketAddr) -> Option<Client> {
-        let stream = TcpStream::connect(at).await.ok()?;
-        Some(Client::on(name, stream))
+    pub(crate) async fn try_new(name: &str, address: SocketAddr) -> Option<Client> {
+        let stream = TcpStream::connect(address).await.ok()?;
+        Some(Client::with_stream(name, stream))
     }
 
-    fn on(name: &str, stream: TcpStream) -> Client {
+    fn with_stream(name: &str, stream: TcpStream) -> Client {
         let (input, answers) = (Vec::new(), HashMap::new());
         Client {
             name: name.to_owned(),
             stream,
             input,
             answers,
-            seen: Vec::new(),
+            answered: Vec::new(),
             closed: false,
         }
     }
@@ -48,7 +48,7 @@
     /// Plays one step of a script.
     pub(crate) async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
-            ("send", ["raw", bytes]) => self.write(&hex(bytes)).await,
+            ("send", ["raw", bytes]) => self.write(&from_hex(bytes)).await,
             // It sends no more, and reads on.
             ("send", ["end"]) => self.stream.shutdown().await.expect("shutdown"),
             ("send", ["cancel", id]) => self.send_cancel(id).await,
@@ -76,19 +76,19 @@
 
     /// Sends a statement of a class with one change of a field, unless the connection has broken.
     pub(crate) async fn try_send(&mut self, id: u64, class: &str, change: &str) {
-        let text = self.statement_call(id, class, &[change]);
-        let _ = self.stream.write_all(&text).await;
+        let message = self.statement_call(id, class, &[change]);
+        let _ = self.stream.write_all(&message).await;
     }
 
     async fn send_health(&mut self, id: &str) {
-        let text = self.call(id.parse().expect("id"), "health", &[("deep", "0")], None);
-        self.write(&text).await;
+        let message = self.call(id.parse().expect("id"), "health", &[("deep", "0")], None);
+        self.write(&message).await;
     }
 
     /// Sends a statement of a class. `NAME=VALUE` replaces a field, `NAME=` leaves it out.
     async fn send_statement(&mut self, id: &str, class: &str, changes: &[&str]) {
-        let text = self.statement_call(id.parse().expect("id"), class, changes);
-        self.write(&text).await;
+        let message = self.statement_call(id.parse().expect("id"), class, changes);
+        self.write(&message).await;
     }
 
     fn statement_call(&self, id: u64, class: &str, changes: &[&str]) -> Vec<u8> {
@@ -152,19 +152,19 @@
     }
 
     fn call(&self, id: u64, method: &str, fields: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
-        let mut text = vec![0x94, 0];
-        encode::write_uint(&mut text, id).expect("id");
-        encode::write_str(&mut text, method).expect("text");
-        encode::write_array_len(&mut text, 1 + body.iter().len() as u32).expect("length");
-        encode::write_map_len(&mut text, fields.len() as u32).expect("length");
+        let mut message = vec![0x94, 0];
+        encode::write_uint(&mut message, id).expect("id");
+        encode::write_str(&mut message, method).expect("text");
+        encode::write_array_len(&mut message, 1 + body.iter().len() as u32).expect("length");
+        encode::write_map_len(&mut message, fields.len() as u32).expect("length");
         for (name, value) in fields {
-            encode::write_str(&mut text, name).expect("text");
-            encode::write_str(&mut text, value).expect("text");
+            encode::write_str(&mut message, name).expect("text");
+            encode::write_str(&mut message, value).expect("text");
         }
         if let Some(body) = body {
-            encode::write_bin(&mut text, body).expect("body");
+            encode::write_bin(&mut message, body).expect("body");
         }
-        text
+        message
     }
 
     async fn read(&mut self) {
@@ -175,11 +175,11 @@
             self.input.drain(..len);
             // The rule: one final answer.
             assert!(
-                !self.seen.contains(&id),
+                !self.answered.contains(&id),
                 "{}: a second answer to {id}",
                 self.name
             );
-            self.seen.push(id);
+            self.answered.push(id);
             self.answers.insert(id, answer);
         }
     }
@@ -187,47 +187,47 @@
 
 /// The message that takes a request back.
 fn cancellation(id: u64) -> Vec<u8> {
-    let mut text = vec![0x93, 2];
-    encode::write_str(&mut text, "cancel").expect("text");
-    text.push(0x91);
-    encode::write_uint(&mut text, id).expect("id");
-    text
+    let mut message = vec![0x93, 2];
+    encode::write_str(&mut message, "cancel").expect("text");
+    message.push(0x91);
+    encode::write_uint(&mut message, id).expect("id");
+    message
 }
 
 /// One answer as a script writes it, and its length; none while it is incomplete.
 fn read_answer(bytes: &[u8]) -> Option<(u64, String, usize)> {
-    let mut at = Cursor::new(bytes);
-    let text = |at: &mut Cursor<&[u8]>| {
-        let len = decode::read_str_len(at).ok()? as usize;
+    let mut cursor = Cursor::new(bytes);
+    let read_text = |cursor: &mut Cursor<&[u8]>| {
+        let len = decode::read_str_len(cursor).ok()? as usize;
         let mut text = vec![0; len];
-        at.read_exact_buf(&mut text).ok()?;
+        cursor.read_exact_buf(&mut text).ok()?;
         String::from_utf8(text).ok()
     };
     let head = (
-        decode::read_array_len(&mut at).ok()?,
-        decode::read_int::<u8, _>(&mut at).ok()?,
+        decode::read_array_len(&mut cursor).ok()?,
+        decode::read_int::<u8, _>(&mut cursor).ok()?,
     );
     assert_eq!(head, (4, 1), "the head of an answer");
-    let id: u64 = decode::read_int(&mut at).ok()?;
-    let marker = *bytes.get(at.position() as usize)?;
+    let id: u64 = decode::read_int(&mut cursor).ok()?;
+    let marker = *bytes.get(cursor.position() as usize)?;
     let answer = if marker == 0xc0 {
-        decode::read_nil(&mut at).ok()?;
-        decode::read_array_len(&mut at).ok()?;
-        match *bytes.get(at.position() as usize)? {
-            0xc2 | 0xc3 => decode::read_bool(&mut at).ok()?.to_string(),
+        decode::read_nil(&mut cursor).ok()?;
+        decode::read_array_len(&mut cursor).ok()?;
+        match *bytes.get(cursor.position() as usize)? {
+            0xc2 | 0xc3 => decode::read_bool(&mut cursor).ok()?.to_string(),
             _ => {
-                let mut body = vec![0; decode::read_bin_len(&mut at).ok()? as usize];
-                at.read_exact_buf(&mut body).ok()?;
+                let mut body = vec![0; decode::read_bin_len(&mut cursor).ok()? as usize];
+                cursor.read_exact_buf(&mut body).ok()?;
                 format!("served {}", String::from_utf8(body).expect("text"))
             }
         }
     } else {
-        decode::read_array_len(&mut at).ok()?;
-        text(&mut at)?
+        decode::read_array_len(&mut cursor).ok()?;
+        read_text(&mut cursor)?
     };
     let mut answer = answer;
-    for _ in 0..decode::read_map_len(&mut at).ok()? {
-        let (name, value) = (text(&mut at)?, text(&mut at)?);
+    for _ in 0..decode::read_map_len(&mut cursor).ok()? {
+        let (name, value) = (read_text(&mut cursor)?, read_text(&mut cursor)?);
         // The delay depends on the backlog; that it is given does not.
         assert!(
             value.parse::<u32>().is_ok_and(|ms| ms <= 1000),
@@ -236,7 +236,7 @@
         answer = format!("{answer} {name}");
     }
     if marker != 0xc0 {
-        decode::read_nil(&mut at).ok()?;
+        decode::read_nil(&mut cursor).ok()?;
     }
-    Some((id, answer, at.position() as usize))
+    Some((id, answer, cursor.position() as usize))
 }
--- a/tests/scene/node_settings.rs
+++ b/tests/scene/node_settings.rs
@@ -4,9 +4,9 @@
 
 /// Settings with the classes of the exchange, as a first message has them.
 fn settings() -> String {
-    let class = |name: &str, effect: &str, promise: u32| {
+    let class = |name: &str, effect: &str, promise_ms: u32| {
         format!(
-            r#"{{"name":"{name}","effect":"{effect}","promiseMs":{promise},"aimStretch":3.0,"giveUpMs":15000,
+            r#"{{"name":"{name}","effect":"{effect}","promiseMs":{promise_ms},"aimStretch":3.0,"giveUpMs":15000,
                 "points":1,"lateWorth":0.5,"memorySpanMs":5000,"dedupScope":"all",
                 "fifoByKey":false}}"#
         )
@@ -43,7 +43,7 @@
 
 /// A configuration with changes: `-NAME` without a class, `+NAME` with one more that may run once only, `NAME=VALUE`
 /// with this value wherever the name stands, `!NAME` without that key, `cut` short or `empty`.
-pub(crate) fn changed(text: &str, changes: &[&str]) -> String {
+pub(crate) fn apply_changes(text: &str, changes: &[&str]) -> String {
     fn edit_each(
         value: &mut Value,
         key: &str,
@@ -76,10 +76,10 @@
             classes.insert(0, class);
         } else if let Some(key) = change.strip_prefix('!') {
             edit_each(&mut value, key, &|map| drop(map.remove(key)));
-        } else if let Some((key, new)) = change.split_once('=') {
-            let new: Value = serde_json::from_str(new).expect("value");
+        } else if let Some((key, new_value)) = change.split_once('=') {
+            let new_value: Value = serde_json::from_str(new_value).expect("value");
             edit_each(&mut value, key, &|map| {
-                drop(map.insert(key.to_owned(), new.clone()))
+                drop(map.insert(key.to_owned(), new_value.clone()))
             });
         }
     }
--- a/tests/scene/snmp_manager.rs
+++ b/tests/scene/snmp_manager.rs
@@ -1,6 +1,6 @@
 //! A fake SNMP manager.
 
-use super::hex;
+use super::from_hex;
 use rasn::types::ObjectIdentifier;
 use rasn_smi::v2::{ApplicationSyntax, ObjectSyntax, SimpleSyntax};
 use rasn_snmp::v2::{
@@ -27,7 +27,7 @@
 
     pub(super) async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
-            ("send", ["raw", bytes]) => drop(self.socket.send(&hex(bytes)).await.expect("send")),
+            ("send", ["raw", hex]) => drop(self.socket.send(&from_hex(hex)).await.expect("send")),
             ("send", ["bulk", non_repeaters, max_repetitions, names @ ..]) => {
                 let (non_repeaters, max_repetitions) = (
                     non_repeaters.parse().expect("count"),
@@ -43,7 +43,7 @@
                 self.send("public", 1, Pdus::GetBulkRequest(GetBulkRequest(pdu)))
                     .await;
             }
-            ("send", [what, names @ ..]) => {
+            ("send", [operation, names @ ..]) => {
                 let variable_bindings = bindings(names);
                 let pdu = Pdu {
                     request_id: 7,
@@ -51,9 +51,10 @@
                     error_index: 0,
                     variable_bindings,
                 };
-                let (what, community) = what.split_once('@').unwrap_or((what, "public"));
-                let version = if what == "v1" { 0 } else { 1 };
-                let data = match what {
+                let (operation, community) =
+                    operation.split_once('@').unwrap_or((operation, "public"));
+                let version = if operation == "v1" { 0 } else { 1 };
+                let data = match operation {
                     "get" | "v1" => Pdus::GetRequest(GetRequest(pdu)),
                     "next" => Pdus::GetNextRequest(GetNextRequest(pdu)),
                     _ => Pdus::SetRequest(SetRequest(pdu)),
--- a/tests/service_guarantees/client_disconnect.rs
+++ b/tests/service_guarantees/client_disconnect.rs
@@ -3,7 +3,7 @@
 //! meanwhile. A request of another client that passes the same place afterwards shows that the first one would have
 //! begun by then.
 
-use crate::scene::{OPERATORS, SceneSetup, play_on};
+use crate::scene::{EMPTY_OPERATOR_FILE, SceneSetup, run_script_with_setup};
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
@@ -21,7 +21,7 @@
 
 /// Plays a script in which `LEAVES` stands for the client's leaving, up to the moment at which the core has heard of it.
 fn play_with_disconnect(setup: &SceneSetup<'_>, leaves: &str, script: &str) {
-    play_on(
+    run_script_with_setup(
         setup,
         &script.replace("LEAVES", &format!("{leaves}\nwait client_disconnects=1")),
     );
@@ -36,7 +36,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: OPERATORS,
+        operators: EMPTY_OPERATOR_FILE,
     };
     let script = "
         feed expect 1
@@ -67,7 +67,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: OPERATORS,
+        operators: EMPTY_OPERATOR_FILE,
     };
     let script = "
         feed expect 1
@@ -132,7 +132,7 @@
         engines: 1,
         protocol: EngineProtocol::Lines,
         changes: SLOW_DIAL,
-        operators: OPERATORS,
+        operators: EMPTY_OPERATOR_FILE,
     };
     let script = "
         e1 hold
@@ -161,7 +161,7 @@
         engines: 1,
         protocol: EngineProtocol::Lines,
         changes: SLOW_DIAL,
-        operators: OPERATORS,
+        operators: EMPTY_OPERATOR_FILE,
     };
     let script = "
         c1 send 1 usage-report
@@ -197,7 +197,7 @@
         engines: 1,
         protocol: EngineProtocol::Flight,
         changes: SLOW_DIAL,
-        operators: OPERATORS,
+        operators: EMPTY_OPERATOR_FILE,
     };
     let script = "
         e1 hold
--- a/tests/service_guarantees/fake_engine.rs
+++ b/tests/service_guarantees/fake_engine.rs
@@ -1,6 +1,6 @@
 //! A fake engine that serves every request.
 
-use crate::scene::engine_fleet::label;
+use crate::scene::engine_fleet::parse_statement_label;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -33,7 +33,7 @@
         assert_eq!(verb, "ASK", "a line of four words");
         let mut body = vec![0; length.parse::<usize>().expect("length") + 2];
         read.read_exact(&mut body).await.expect("statement");
-        let (label, _) = label(String::from_utf8(body).expect("text").trim_end());
+        let (label, _) = parse_statement_label(String::from_utf8(body).expect("text").trim_end());
         let (takes, work) = asked(&label);
         let answer = format!("{name} served batches=1,cpu={work:.0},l=rif:1 2\r\na\n\r\n");
         let write = write.clone();
--- a/tests/service_guarantees/restart_readiness.rs
+++ b/tests/service_guarantees/restart_readiness.rs
@@ -4,7 +4,7 @@
 use crate::scene::child_process::{
     KillOnDrop, addresses, admin_call, start_with_listener, stderr_of,
 };
-use crate::scene::{changed, configuration};
+use crate::scene::{apply_changes, configuration};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -84,7 +84,7 @@
         r#"{{"n":1,"members":{{"reset":true,"instances":[{}]}}}}"#,
         members.join(",")
     );
-    changed(&configuration(feed, &known), &["sockets=256"])
+    apply_changes(&configuration(feed, &known), &["sockets=256"])
 }
 
 /// Where a program is operated; none where it does not say so in time. Its words are read to the end, so that it is not
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -6,7 +6,7 @@
 use crate::fake_engine::{RequestHandler, serve};
 use crate::scene::list_feed::feed_frame;
 use crate::scene::msgpack_client::Client;
-use crate::scene::{changed, configuration};
+use crate::scene::{apply_changes, configuration};
 use rstest::rstest;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -236,7 +236,7 @@
             let known = format!(r#"{{"n":1,"members":{{"reset":true,"instances":[{known}]}}}}"#);
             let seed = format!("seed=\"{:016x}\"", ordinal * 7919 + 3);
             let (instances, place) = (format!("nInstances={instances}"), format!("ordinal={ordinal}"));
-            let text = changed(&configuration(at, &known), &[&instances, &place, &seed]);
+            let text = apply_changes(&configuration(at, &known), &[&instances, &place, &seed]);
             let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
             let node = Node::start(config, OptionalFronts::default()).await.expect("node");
             tokio::spawn(client(ordinal, node.listen, mix));
