--- a/tests/scene/admin_client.rs
+++ b/tests/scene/admin_client.rs
@@ -1,13 +1,13 @@
-//! A fake caller at the admin address: one connection a call.
+//! A fake caller at the admin address: one connection for each call.
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// One call.
+/// A caller that makes one call.
 pub(super) struct Caller {
     stream: TcpStream,
-    /// An engine that this call ejects (true) or admits again.
+    /// The engine, counted from 0, that the call ejects (true) or returns to service (false).
     pub engine: Option<(usize, bool)>,
 }
 
@@ -37,7 +37,8 @@
                     .await
                     .expect("write");
             }
-            // The start of the answer, or all these lines among its own and the mark of its end.
+            // `expect lines A B`: the answer contains all these lines and ends with the line `EOF`.
+            // `expect TEXT`: the answer is one line that starts with TEXT.
             ("expect", [mode, wanted @ ..]) => {
                 let mut answer = String::new();
                 self.stream
@@ -54,7 +55,7 @@
                 assert!(complete && found, "{rest:?}: {answer}");
             }
             ("close", _) => {}
-            other => panic!("admin: {other:?}"),
+            other => panic!("unknown step of an admin caller: {other:?}"),
         }
     }
 }
--- a/tests/scene/engine_fleet.rs
+++ b/tests/scene/engine_fleet.rs
@@ -1,4 +1,4 @@
-//! The fake engines of a scene, and the rules that every attempt has to keep.
+//! The fake engines of a scene, and the rules that every attempt is checked against.
 
 use super::engine_listener::{BACKLOG, GatedListener, listen};
 use super::list_feed::{Feed, ListedEngine};
@@ -14,68 +14,74 @@
 use tokio::task::AbortHandle;
 use workload_manager::node_config::EngineProtocol;
 
-/// The operators' guarantee: no attempt begins later than this after its client has left.
+/// A service guarantee: no attempt starts later than this after its client has left.
 const MAX_START_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
 
-/// The operators' guarantee: an engine gets nothing new later than this after it began to drain.
+/// A service guarantee: an engine gets no new attempts later than this after it started to drain.
 const MAX_START_AFTER_DRAIN: Duration = Duration::from_millis(250);
 
-/// What reached an engine: `ASK c1.7`, `QUIT c1.7`, ...
+/// A call that reached an engine.
 pub(crate) struct ReceivedCall {
+    /// The call as scripts write it: `ASK c1.7`, `QUIT c1.7` and so on.
     pub line: String,
+    /// Index of the engine, from 0.
     pub engine: usize,
-    /// Where the answer goes.
+    /// Takes the answer.
     pub reply: ReplyChannel,
-    /// Breaks the connection that the call came over.
+    /// Breaks the connection that carried the call.
     pub break_connection: Arc<dyn Fn() + Send + Sync>,
-    /// The engine's own name for the request: the client's id.
+    /// The manager's id of the request in the line protocol; empty with Flight SQL.
     pub request_id: String,
     /// Whether the request is non-idempotent.
     pub non_idempotent: bool,
-    /// When its last byte was read.
+    /// When the whole call had been read.
     pub received_at: Instant,
 }
 
-/// How the scene answers a call.
+/// The channel over which the scene answers a call.
 #[derive(Clone)]
 pub(crate) enum ReplyChannel {
+    /// The writing half of the connection; none once the connection is broken.
     Line(Arc<tokio::sync::Mutex<Option<OwnedWriteHalf>>>),
+    /// Takes the first word of an answer (`served`, `rows`, `overload` and so on) and its text.
     Flight(mpsc::UnboundedSender<(String, String)>),
 }
 
 struct Engine {
     address: SocketAddr,
     task: AbortHandle,
-    /// Whether it accepts connections.
+    /// Tells the listener whether to accept connections.
     accepts: watch::Sender<bool>,
-    /// Connections that fill its backlog while it accepts none, so that a further one does not come up.
+    /// Connections that fill the backlog while none is accepted, so that no further one is
+    /// established.
     fillers: Vec<TcpStream>,
-    /// Since when nothing new may go there.
+    /// Since when the engine must not get new attempts.
     draining_since: Arc<Mutex<Option<Instant>>>,
-    /// Keeps the port once nobody listens there, or another test's engine could be the next to get it.
+    /// Keeps the port reserved after the listener is closed; an engine of another test could get it
+    /// otherwise.
     _port: TcpSocket,
 }
 
-/// All engines of a scene, with the list feed that names them.
+/// All engines of a scene, with the list feed that lists them.
 pub(crate) struct Fleet {
     engines: Vec<Engine>,
     calls: mpsc::UnboundedReceiver<ReceivedCall>,
-    /// Calls that no step of the script has matched yet.
+    /// Calls that no step of the script has expected yet.
     unmatched: Vec<ReceivedCall>,
-    /// Attempts by the label of their request.
+    /// The latest expected attempt of each request, by the label of the request.
     attempts: HashMap<String, ReceivedCall>,
     in_flight: HashSet<String>,
-    /// Requests retried before the end of the connection that carried them was received.
+    /// Requests with a new attempt before the end of the earlier attempt's connection was reported.
     unconfirmed_retries: HashSet<String>,
-    /// Requests that may have run; those that are non-idempotent must not be sent again.
+    /// Requests that may have run. A non-idempotent one must not be sent again.
     may_have_run: HashSet<String>,
-    /// When a client left, or cancelled a request: by its name, or by the request's label.
+    /// When a client left, by its name, or cancelled a request, by the request's label.
     departures: HashMap<String, Instant>,
     pub feed: Feed,
 }
 
 impl Fleet {
-    /// Starts this many engines, and the feed.
+    /// Starts this many engines and the list feed.
     pub(crate) async fn new(count: usize, protocol: EngineProtocol) -> Fleet {
         let (sender, calls) = mpsc::unbounded_channel();
         let engines = (0..count).map(|number| Engine::start(number, protocol, sender.clone()));
@@ -92,7 +98,7 @@
         }
     }
 
-    /// The first event of the list, as the configuration has it.
+    /// The event that lists all engines, in the JSON of the configuration.
     pub(crate) fn first_list_event(&self) -> String {
         let instance = |(number, engine): (usize, &Engine)| {
             format!(
@@ -109,28 +115,29 @@
         )
     }
 
-    /// Moves the feed to another address.
+    /// Moves the feed to another address, and returns that address.
     pub(crate) async fn move_feed(&mut self) -> SocketAddr {
         self.feed.move_to_new_address().await
     }
 
-    /// From now on nothing new may go to this engine, or it may again.
+    /// Records whether an engine is draining from now on, when it must not get new attempts.
     pub(crate) fn set_draining(&mut self, number: usize, draining: bool) {
         let mut draining_since = self.engines[number].draining_since.lock().expect("lock");
         *draining_since = draining.then(Instant::now);
     }
 
-    /// A client has left, or cancelled the request with this label.
+    /// Records that the client of this name has left, or that the request of this label was
+    /// cancelled.
     pub(crate) fn client_left(&mut self, who: String) {
         self.departures.insert(who, Instant::now());
     }
 
-    /// A client of this name is there again.
+    /// Records that a client of this name has connected again.
     pub(crate) fn client_returned(&mut self, who: &str) {
         self.departures.remove(who);
     }
 
-    /// Plays one step of a script.
+    /// Runs one step of a script.
     pub(crate) async fn step(&mut self, who: &str, verb: &str, rest: &[&str]) {
         match (who, verb, rest) {
             ("feed", ..) => self.feed_step(verb, rest).await,
@@ -145,20 +152,20 @@
                     .refuse_connections()
                     .await
             }
-            other => panic!("engines: {other:?}"),
+            other => panic!("unknown step of the engines: {other:?}"),
         }
     }
 
-    /// Fails if this call has come.
+    /// Fails if this call has been received and no earlier step expected it.
     fn expect_none(&mut self, wanted: &str) {
         while let Ok(call) = self.calls.try_recv() {
             self.record(call);
         }
         let received = self.unmatched.iter().any(|call| call.line == wanted);
-        assert!(!received, "{wanted}");
+        assert!(!received, "unexpected call: {wanted}");
     }
 
-    /// Waits for this call.
+    /// Waits for this call. A later step can answer it if it is an attempt.
     async fn expect_call(&mut self, wanted: &str) {
         let call = loop {
             if let Some(index) = self.unmatched.iter().position(|call| call.line == wanted) {
@@ -172,7 +179,8 @@
         }
     }
 
-    /// Answers the attempt of this request.
+    /// Sends an answer to the attempt of this request. All answers but `update`, `rows` and `raw`
+    /// end the attempt.
     async fn answer(&mut self, label: &str, word: &str, rest: &[&str]) {
         let call = &self.attempts[label];
         if !matches!(word, "update" | "rows" | "raw") {
@@ -200,7 +208,7 @@
         (self.attempts[label].break_connection)();
     }
 
-    /// Keeps a call for the script, and checks the rules that it has to keep.
+    /// Keeps a received call for the script, and checks it against the rules.
     fn record(&mut self, call: ReceivedCall) {
         if let Some(label) = call.line.strip_prefix("ASK ").map(label_of) {
             self.check_attempt(&call, &label);
@@ -229,7 +237,7 @@
             .lock()
             .expect("lock");
         let late = draining_since.is_some_and(|since| since.elapsed() > MAX_START_AFTER_DRAIN);
-        assert!(!late, "{label} went to an engine that drains");
+        assert!(!late, "{label} was sent to a draining engine");
         let client = label.split('.').next().unwrap_or_default();
         let departed = [client, label]
             .iter()
@@ -238,10 +246,10 @@
         let late = departed.is_some_and(|left_at| {
             call.received_at.duration_since(*left_at) > MAX_START_AFTER_DISCONNECT
         });
-        assert!(!late, "{label} began after its client had left");
+        assert!(!late, "{label} started after its client had left");
     }
 
-    /// What has to hold once the scene is over.
+    /// Checks the rules that can be decided only when the script has ended.
     pub(crate) fn check_at_end(&mut self) {
         while let Ok(call) = self.calls.try_recv() {
             self.record(call);
@@ -271,14 +279,15 @@
                 self.feed.send_half_event(engine).await;
             }
             ("send", [state, engine]) => {
-                // A record that is `listed` as before does not change what may go to the engine.
+                // `listed` sends the record of an active engine, but the rule for draining engines
+                // still applies.
                 if *state != "listed" {
                     self.set_draining(engine_index(engine), *state != "active");
                 }
                 let engine = self.listed(engine);
                 self.feed.send_state(state, engine).await;
             }
-            other => panic!("feed: {other:?}"),
+            other => panic!("unknown step of the feed: {other:?}"),
         }
     }
 
@@ -318,7 +327,7 @@
         }
     }
 
-    /// Fills the backlog, so that a further connection does not come up.
+    /// Stops accepting and fills the backlog, so that no further connection is established.
     async fn stop_accepting(&mut self) {
         self.accepts.send_replace(false);
         for _ in 0..=BACKLOG {
@@ -333,7 +342,7 @@
     }
 
     async fn refuse_connections(&self) {
-        // Until its listener is gone a connection could still be accepted, and then be reset.
+        // Until the listener is dropped, a connection could still be accepted and then be reset.
         self.task.abort();
         while !self.task.is_finished() {
             tokio::task::yield_now().await;
@@ -341,7 +350,7 @@
     }
 }
 
-/// An answer of the line protocol as a script gives it.
+/// The bytes of an answer in the line protocol, from the words of a script.
 fn line_answer(request_id: &str, word: &str, rest: &[&str]) -> Vec<u8> {
     if word == "raw" {
         return from_hex(rest[0]);
@@ -351,16 +360,17 @@
     format!("{request_id} {word} {fields} {}\r\n{body}\r\n", body.len()).into_bytes()
 }
 
+/// The index, from 0, of the engine that scripts call `e1`, `e2` and so on.
 fn engine_index(engine: &str) -> usize {
     engine[1..].parse::<usize>().expect("engine") - 1
 }
 
-/// The label of an attempt, without the key that may stand behind it.
+/// The label of an attempt, without the idempotency key that may follow it.
 fn label_of(text: &str) -> String {
     text.split(' ').next().unwrap_or_default().to_owned()
 }
 
-/// The label that a statement's comment carries; one that may run once only is marked.
+/// The label in the SQL comment of a statement, and whether the request is non-idempotent.
 pub(crate) fn parse_statement_label(statement: &str) -> (String, bool) {
     let label = statement
         .rsplit("-- ")
--- a/tests/scene/engine_listener.rs
+++ b/tests/scene/engine_listener.rs
@@ -4,10 +4,10 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 
-/// Connections that an engine's listener holds while it accepts none; the system lets one more come up.
+/// Length of an engine listener's backlog. The operating system establishes one connection more.
 pub(super) const BACKLOG: u32 = 64;
 
-/// A socket on this port, which others may share.
+/// A socket that is bound to this address and lets other sockets share the port.
 fn bind_shared_port(address: SocketAddr) -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_reuseport(true).expect("option");
@@ -15,26 +15,26 @@
     socket
 }
 
-/// A listener, and a second socket on its port that never listens.
+/// A listener on a free port, and a second socket that only reserves the port.
 pub(crate) fn listen() -> (TcpListener, TcpSocket) {
     let socket = bind_shared_port(([127, 0, 0, 1], 0).into());
     let port = bind_shared_port(socket.local_addr().expect("address"));
     (socket.listen(BACKLOG).expect("listen"), port)
 }
 
-/// A listener on a port that such a second socket keeps.
+/// A listener on a port that the second socket of `listen` reserves.
 pub(crate) fn listen_at(address: SocketAddr) -> TcpListener {
     bind_shared_port(address).listen(BACKLOG).expect("listen")
 }
 
-/// An engine's listener, and whether it accepts connections.
+/// An engine's listener, which accepts connections only while the scene allows it.
 pub(super) struct GatedListener {
     pub listener: TcpListener,
     pub accepting: watch::Receiver<bool>,
 }
 
 impl GatedListener {
-    /// The next connection; none once the scene is over.
+    /// The next connection; none once the scene has ended.
     pub(super) async fn accept(&mut self) -> Option<TcpStream> {
         loop {
             self.accepting.wait_for(|accepting| *accepting).await.ok()?;
--- a/tests/scene/flight_client.rs
+++ b/tests/scene/flight_client.rs
@@ -18,7 +18,7 @@
 use tonic::{Request, Status};
 use tonic_types::StatusExt;
 
-/// A client with one channel and any number of open calls.
+/// A client with one channel and any number of open calls, by the ids that scripts give them.
 pub(super) struct Client {
     name: String,
     channel: Channel,
@@ -41,8 +41,15 @@
         }
     }
 
-    /// `send 7 CLASS k=v` calls (a plan and a get, or a put); `send ticket 7 CLASS` plans only, and
-    /// `send get 8 7` brings the ticket of 7; `expect 7 ANSWER`; `close 7` drops the call.
+    /// Runs one step of a script:
+    ///
+    /// - `send 7 CLASS NAME=VALUE` runs a statement with changed or further metadata: GetFlightInfo
+    ///   and DoGet for a query, DoPut for class `log-load`. Class `none` stands for an empty
+    ///   statement.
+    /// - `send ticket 7 CLASS` calls GetFlightInfo only and keeps the ticket; `send get 8 7` calls
+    ///   DoGet with the ticket of 7.
+    /// - `send action 7` calls DoAction, which is not offered.
+    /// - `expect 7 ANSWER` waits for the answer; `close 7` drops the call.
     pub(super) async fn step(&mut self, verb: &str, rest: &[&str]) {
         let client = FlightServiceClient::new(self.channel.clone());
         match (verb, rest) {
@@ -99,7 +106,7 @@
                 assert_eq!(answer, unescape(&wanted.join(" ")), "{}.{id}", self.name);
             }
             ("close", [id]) => self.calls.remove(*id).expect("a call").abort(),
-            other => panic!("flight client: {other:?}"),
+            other => panic!("unknown step of a Flight SQL client: {other:?}"),
         }
     }
 
@@ -166,7 +173,7 @@
             text += &format!("{}\n", cells.join("\t"));
         }
     }
-    // A long result is represented by its length.
+    // Scripts give a long result by its length in bytes.
     if text.len() > 1000 {
         format!("served {}", text.len())
     } else {
@@ -201,7 +208,8 @@
     }
 }
 
-/// A status as scripts write it, with RETRY if it carries a retry delay.
+/// The code of a status as scripts write it, followed by `RETRY` if the status has a retry delay of
+/// at most 1 s.
 fn status_text(status: Option<Status>) -> String {
     let Some(status) = status else {
         return "OK".to_owned();
--- a/tests/scene/flight_engine.rs
+++ b/tests/scene/flight_engine.rs
@@ -1,4 +1,4 @@
-//! A fake engine that speaks Flight SQL and leaves every answer to the script.
+//! A fake engine that speaks Flight SQL and answers as the script says.
 
 use super::engine_fleet::{ReceivedCall, ReplyChannel, parse_statement_label};
 use super::engine_listener::GatedListener;
@@ -19,7 +19,8 @@
 use tokio::task::AbortHandle;
 use tonic::{Request, Response, Status, Streaming};
 
-/// Serves Flight SQL behind a relay; to abort the relay resets connections as a killed process does.
+/// Serves Flight SQL behind a relay. Aborting the relay breaks the connections at once, as the end
+/// of a killed process does.
 pub(super) async fn serve(
     engine: usize,
     mut listener: GatedListener,
@@ -58,13 +59,14 @@
     }
 }
 
+/// The Flight SQL service of one engine.
 struct Service {
     engine: usize,
     calls: mpsc::UnboundedSender<ReceivedCall>,
     break_connection: Arc<dyn Fn() + Send + Sync>,
 }
 
-/// Reports a cancelled call when it is dropped before its end.
+/// Reports a call as cancelled when it is dropped before its last answer.
 struct CallGuard {
     engine: usize,
     calls: mpsc::UnboundedSender<ReceivedCall>,
@@ -91,7 +93,7 @@
 }
 
 impl Service {
-    /// Reports a call to the scene; its answers come through the receiver.
+    /// Reports a call to the scene. The scene's answers come through the returned receiver.
     fn report_call(
         &self,
         statement: &str,
@@ -118,6 +120,7 @@
     }
 }
 
+/// The status that stands for an `overload` or any other failure in scripts.
 fn failure(word: &str) -> Status {
     match word {
         "overload" => Status::resource_exhausted("full"),
@@ -125,7 +128,8 @@
     }
 }
 
-/// Rows as Flight data; `x9000` stands for that many rows.
+/// Encodes rows as Flight data, with the schema if they are the first ones; `x9000` stands for that
+/// many equal rows.
 fn encode_rows(text: &str, first: bool) -> Vec<FlightData> {
     let text = match text.strip_prefix('x').and_then(|n| n.parse().ok()) {
         Some(count) => "many\trows\there\n".repeat(count),
@@ -209,7 +213,7 @@
         let (word, text) = answers
             .recv()
             .await
-            .ok_or_else(|| Status::internal("the scene is over"))?;
+            .ok_or_else(|| Status::internal("the scene has ended"))?;
         guard.completed = true;
         if word != "served" {
             return Err(failure(&word));
--- a/tests/scene/line_engine.rs
+++ b/tests/scene/line_engine.rs
@@ -1,4 +1,5 @@
-//! A fake engine that speaks the line protocol and leaves every answer to the script.
+//! A fake engine that speaks the line protocol and answers as the script says. It answers health
+//! checks by itself.
 
 use super::engine_fleet::{ReceivedCall, ReplyChannel, parse_statement_label};
 use super::engine_listener::GatedListener;
@@ -10,13 +11,13 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{Mutex, mpsc};
 
-/// The writing half of a connection; none once it was cut.
+/// The writing half of a connection; none once the connection is broken.
 type SharedWriter = Arc<Mutex<Option<OwnedWriteHalf>>>;
 
-/// Figures of a request are below this, whatever a client wrote.
+/// The manager must send only numbers below this to an engine, whatever the client sent.
 const FIELD_VALUE_LIMIT: u32 = 10_000_000;
 
-/// Accepts connections until the scene is over.
+/// Accepts connections until the scene has ended.
 pub(super) async fn serve(
     engine: usize,
     mut listener: GatedListener,
@@ -27,7 +28,7 @@
     }
 }
 
-/// One connection, and the requests that came over it.
+/// One connection, and the requests that it carried.
 struct Connection {
     engine: usize,
     calls: mpsc::UnboundedSender<ReceivedCall>,
@@ -73,6 +74,7 @@
         }
     }
 
+    /// Reports the end of the connection for each request that it carried.
     fn report_closed(&self) {
         for (id, (label, non_idempotent)) in &self.requests {
             self.report(format!("CLOSED {label}"), id.clone(), *non_idempotent);
@@ -91,7 +93,11 @@
             self.requests.insert(id.to_owned(), request);
             key = idempotency_key(words[2]);
         }
-        let (label, non_idempotent) = self.requests.get(id).cloned().expect("a known id");
+        let (label, non_idempotent) = self
+            .requests
+            .get(id)
+            .cloned()
+            .expect("request of this connection");
         let page = match words.get(2) {
             Some(page) if verb == "NEXT" => format!(" {page}"),
             _ => String::new(),
@@ -135,7 +141,7 @@
     }
 }
 
-/// The fields behind the first one, as `NAME=VALUE`.
+/// The fields after the first one, split into name and value; none for a field without `=`.
 fn fields(fields: &str) -> impl Iterator<Item = Option<(&str, &str)>> {
     fields.split(',').skip(1).map(|field| field.split_once('='))
 }
@@ -144,7 +150,7 @@
     field.is_some_and(|(name, _)| name == "op")
 }
 
-/// The idempotency key of a request as scripts write it.
+/// The idempotency key of a request as scripts write it, or an empty text.
 fn idempotency_key(text: &str) -> String {
     let keys = fields(text)
         .filter(|field| is_idempotency_key(*field))
@@ -152,7 +158,7 @@
     keys.map(|(_, key)| format!(" op={key}")).collect()
 }
 
-/// Whether every field but the key is a figure that an engine can use.
+/// Whether every field but the idempotency key has a number below `FIELD_VALUE_LIMIT`.
 fn field_values_are_valid(text: &str) -> bool {
     let mut other_fields = fields(text).filter(|field| !is_idempotency_key(*field));
     other_fields.all(|field| {
--- a/tests/scene/list_feed.rs
+++ b/tests/scene/list_feed.rs
@@ -1,4 +1,5 @@
-//! The fake list feed: accepts the manager's watch and writes the frames that a script asks for.
+//! The fake list feed. It accepts the manager's connection and sends the frames that a script
+//! requests.
 
 use super::from_hex;
 use std::net::SocketAddr;
@@ -7,35 +8,38 @@
 
 /// Kind of a frame with the full list.
 const KIND_FULL: u8 = 1;
-/// Kind of a frame with changes.
+/// Kind of a frame with a delta.
 const KIND_CHANGES: u8 = 2;
-/// States of an engine in a record.
+/// State of a ready engine in a record.
 const STATE_READY: u8 = 0;
+/// State of a draining engine.
 const STATE_DRAINING: u8 = 1;
+/// State of an engine that is no longer in the list.
 const STATE_REMOVED: u8 = 2;
-/// Bytes of a frame that is cut off inside its record.
+/// Length in bytes of a frame that breaks off inside its record.
 const HALF_FRAME_BYTES: usize = 20;
 
-/// An engine as records name it.
+/// An engine as its record in the list has it.
 #[derive(Clone, Copy)]
 pub(super) struct ListedEngine {
-    /// Its number, from 0.
+    /// Index of the engine, from 0.
     pub number: usize,
-    /// Where it listens.
+    /// Address at which the engine listens.
     pub address: SocketAddr,
 }
 
-/// The feed with at most one connection.
+/// The list feed, with at most one connection.
 pub(crate) struct Feed {
-    /// Where it listens.
+    /// Address at which the feed listens.
     pub address: SocketAddr,
     listener: TcpListener,
     stream: Option<TcpStream>,
+    /// Number of the last event.
     last_event: u64,
 }
 
 impl Feed {
-    /// A feed whose last event is that of the configuration.
+    /// Starts a feed whose last event is event 1 of the configuration.
     pub(super) async fn new() -> Feed {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
@@ -47,14 +51,14 @@
         }
     }
 
-    /// Listens at another address; connections to the old one stay open and silent.
+    /// Listens at another address, and returns that address. An accepted connection stays open.
     pub(super) async fn move_to_new_address(&mut self) -> SocketAddr {
         self.listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         self.address = self.listener.local_addr().expect("address");
         self.address
     }
 
-    /// Accepts a connection, which has to name this event as its last one.
+    /// Accepts a connection, on which the manager must send this number as its last event.
     pub(super) async fn expect_watch(&mut self, last_event: &str) {
         let (mut stream, _) = self.listener.accept().await.expect("accept");
         let received = stream.read_u64().await.expect("the last event");
@@ -62,42 +66,43 @@
         self.stream = Some(stream);
     }
 
-    /// Closes its connection.
+    /// Closes the connection.
     pub(super) fn close(&mut self) {
         self.stream = None;
     }
 
-    /// Writes these bytes.
+    /// Sends the bytes that these hexadecimal digits stand for.
     pub(super) async fn send_raw(&mut self, digits: &str) {
         self.write(&from_hex(digits)).await;
     }
 
-    /// Sends a full list that names this engine alone.
+    /// Sends a full list with this engine alone.
     pub(super) async fn send_full_list_of(&mut self, engine: ListedEngine) {
         self.last_event += 1;
         let frame = frame_of(self.last_event, KIND_FULL, engine, STATE_READY);
         self.write(&frame).await;
     }
 
-    /// Repeats the number of an earlier event, with this engine as removed.
+    /// Sends an event with the number of the previous one, in which this engine is removed.
     pub(super) async fn send_repeated_event(&mut self, engine: ListedEngine) {
         let frame = frame_of(self.last_event, KIND_CHANGES, engine, STATE_REMOVED);
         self.write(&frame).await;
     }
 
-    /// Sends half of an event that removes this engine.
+    /// Sends the first half of an event that removes this engine.
     pub(super) async fn send_half_event(&mut self, engine: ListedEngine) {
         let frame = frame_of(self.last_event + 1, KIND_CHANGES, engine, STATE_REMOVED);
         self.write(&frame[..HALF_FRAME_BYTES]).await;
     }
 
-    /// Sends a change of one engine's state, by its name in scripts.
+    /// Sends a change of an engine's state. Scripts call the states `active`, `listed`, `draining`
+    /// and `gone`.
     pub(super) async fn send_state(&mut self, state: &str, engine: ListedEngine) {
         let state = match state {
             "active" | "listed" => STATE_READY,
             "draining" => STATE_DRAINING,
             "gone" => STATE_REMOVED,
-            other => panic!("state: {other}"),
+            other => panic!("unknown state of an engine: {other}"),
         };
         self.last_event += 1;
         let frame = frame_of(self.last_event, KIND_CHANGES, engine, state);
@@ -110,12 +115,13 @@
     }
 }
 
-/// A frame with one record of an engine that started long ago.
+/// A frame with one record, of an engine that started long ago.
 fn frame_of(event: u64, kind: u8, engine: ListedEngine, state: u8) -> Vec<u8> {
     feed_frame(event, kind, engine.number, engine.address, state, 0)
 }
 
-/// A frame with one record, of an engine that started at this Unix time in ms, or long ago at 0.
+/// A frame with one record, of an engine that started at this Unix time in ms. Time 0 stands for an
+/// engine that started long ago and is not warming up.
 pub(crate) fn feed_frame(
     event: u64,
     kind: u8,
--- a/tests/scene/msgpack_client.rs
+++ b/tests/scene/msgpack_client.rs
@@ -9,25 +9,27 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// One connection with its answers.
+/// A client with one connection, and the answers that it received.
 pub(crate) struct Client {
     name: String,
     stream: TcpStream,
+    /// Received bytes that are not decoded yet.
     input: Vec<u8>,
+    /// Answers that the test has not taken, by the id of the request.
     answers: HashMap<u64, String>,
-    /// Requests that have their answer.
+    /// Requests that have been answered.
     answered: Vec<u64>,
     closed: bool,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects to a manager.
     pub(crate) async fn new(name: &str, address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.expect("connect");
         Client::with_stream(name, stream)
     }
 
-    /// Connects; none where that fails.
+    /// Connects to a manager; none if that fails.
     pub(crate) async fn try_new(name: &str, address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).await.ok()?;
         Some(Client::with_stream(name, stream))
@@ -45,11 +47,11 @@
         }
     }
 
-    /// Plays one step of a script.
+    /// Runs one step of a script.
     pub(crate) async fn step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
             ("send", ["raw", bytes]) => self.write(&from_hex(bytes)).await,
-            // It sends no more, and reads on.
+            // Closes the sending side only.
             ("send", ["end"]) => self.stream.shutdown().await.expect("shutdown"),
             ("send", ["cancel", id]) => self.send_cancel(id).await,
             ("send", ["health", id]) => self.send_health(id).await,
@@ -57,7 +59,7 @@
             ("expect", ["closed"]) => self.expect_closed().await,
             ("expect", [id, wanted @ ..]) => self.expect_answer(id, &wanted.join(" ")).await,
             ("close", _) => {}
-            other => panic!("client: {other:?}"),
+            other => panic!("unknown step of a platform client: {other:?}"),
         }
     }
 
@@ -69,12 +71,13 @@
         self.write(&cancellation(id.parse().expect("id"))).await;
     }
 
-    /// Takes a request back, unless the connection has broken.
+    /// Cancels a request. Does nothing if the connection is broken.
     pub(crate) async fn try_cancel(&mut self, id: u64) {
         let _ = self.stream.write_all(&cancellation(id)).await;
     }
 
-    /// Sends a statement of a class with one change of a field, unless the connection has broken.
+    /// Sends a statement of a class with one changed field. Does nothing if the connection is
+    /// broken.
     pub(crate) async fn try_send(&mut self, id: u64, class: &str, change: &str) {
         let message = self.statement_call(id, class, &[change]);
         let _ = self.stream.write_all(&message).await;
@@ -85,7 +88,7 @@
         self.write(&message).await;
     }
 
-    /// Sends a statement of a class. `NAME=VALUE` replaces a field, `NAME=` leaves it out.
+    /// Sends a statement of a class. `NAME=VALUE` sets or replaces a field, `NAME=` leaves it out.
     async fn send_statement(&mut self, id: &str, class: &str, changes: &[&str]) {
         let message = self.statement_call(id.parse().expect("id"), class, changes);
         self.write(&message).await;
@@ -127,7 +130,8 @@
         assert_eq!(self.answers[&id], unescape(wanted), "{name}.{id}");
     }
 
-    /// The next answer that came, with the number of its request.
+    /// An answer that the test has not taken, with the id of its request. Waits for one if there is
+    /// none; panics at the end of the connection.
     pub(crate) async fn next_answer(&mut self) -> (u64, String) {
         loop {
             if let Some(id) = self.answers.keys().next().copied() {
@@ -138,7 +142,8 @@
         }
     }
 
-    /// The next answer that came, with the number of its request; none at the end of the connection.
+    /// An answer that the test has not taken, with the id of its request. Waits for one if there is
+    /// none; none at the end of the connection.
     pub(crate) async fn next_answer_or_end(&mut self) -> Option<(u64, String)> {
         loop {
             if let Some(id) = self.answers.keys().next().copied() {
@@ -167,13 +172,14 @@
         message
     }
 
+    /// Reads from the connection and keeps the complete answers.
     async fn read(&mut self) {
         if !matches!(self.stream.read_buf(&mut self.input).await, Ok(n) if n > 0) {
             self.closed = true;
         }
         while let Some((id, answer, len)) = read_answer(&self.input) {
             self.input.drain(..len);
-            // The rule: one final answer.
+            // A request gets one answer.
             assert!(
                 !self.answered.contains(&id),
                 "{}: a second answer to {id}",
@@ -185,7 +191,7 @@
     }
 }
 
-/// The message that takes a request back.
+/// The message that cancels a request.
 fn cancellation(id: u64) -> Vec<u8> {
     let mut message = vec![0x93, 2];
     encode::write_str(&mut message, "cancel").expect("text");
@@ -194,7 +200,8 @@
     message
 }
 
-/// One answer as a script writes it, and its length; none while it is incomplete.
+/// The id, the text as scripts write it and the length in bytes of the first answer; none while it
+/// is incomplete.
 fn read_answer(bytes: &[u8]) -> Option<(u64, String, usize)> {
     let mut cursor = Cursor::new(bytes);
     let read_text = |cursor: &mut Cursor<&[u8]>| {
@@ -228,7 +235,7 @@
     let mut answer = answer;
     for _ in 0..decode::read_map_len(&mut cursor).ok()? {
         let (name, value) = (read_text(&mut cursor)?, read_text(&mut cursor)?);
-        // The delay depends on the backlog; that it is given does not.
+        // The delay depends on the backlog, so scripts expect only its name.
         assert!(
             value.parse::<u32>().is_ok_and(|ms| ms <= 1000),
             "{name}={value}"
--- a/tests/scene/snmp_manager.rs
+++ b/tests/scene/snmp_manager.rs
@@ -1,4 +1,4 @@
-//! A fake SNMP manager.
+//! A fake SNMP manager, which queries the agent of the workload manager.
 
 use super::from_hex;
 use rasn::types::ObjectIdentifier;
@@ -11,9 +11,10 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
+/// Root of the project's objects; scripts write it as `$`.
 const ROOT: &str = "1.3.6.1.4.1.8072.9999.9999.62";
 
-/// A manager with one socket.
+/// An SNMP manager with one socket.
 pub(super) struct Manager {
     socket: UdpSocket,
 }
@@ -79,7 +80,7 @@
                 };
                 assert_eq!(answer, wanted.join(" "));
             }
-            other => panic!("manager: {other:?}"),
+            other => panic!("unknown step of the SNMP manager: {other:?}"),
         }
     }
 
