--- a/tests/scene/child_process.rs
+++ b/tests/scene/child_process.rs
@@ -1,4 +1,4 @@
-//! The program itself as a child process.
+//! Runs the workload manager's program as a child process.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// A child that is ended with its test, also where the test fails: it would hold the test's output open.
+/// A child process that is killed at the end of its test, also when the test fails. A child that
+/// runs on would keep the output of the test open.
 pub(crate) struct KillOnDrop(pub Child);
 
 impl std::ops::Deref for KillOnDrop {
@@ -29,13 +30,14 @@
     }
 }
 
-/// Starts the program with these files, which are written under this name.
+/// Starts the program as `program` prepares it, with its standard error in a pipe.
 pub(crate) fn start_program(name: &str, config: &str, fronts: &str) -> Child {
     let mut program = program(name, config, fronts);
     program.stderr(Stdio::piped()).spawn().expect("program")
 }
 
-/// The program with these files, which are written under this name.
+/// The command that runs the program with this configuration and this text of an operators' file.
+/// Both are written to files with this name.
 pub(crate) fn program(name: &str, config: &str, fronts: &str) -> Command {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = |kind: &str, text: &str| {
@@ -55,7 +57,8 @@
     program
 }
 
-/// The program on a listening socket that the platform holds, in a folder that it gives to every start.
+/// Starts the program with an inherited listening socket and a shared folder, as the platform
+/// passes them to every process of a manager.
 pub(crate) fn start_with_listener(listener: &TcpListener, config: &Path, folder: &Path) -> Child {
     let socket: OwnedFd = listener.try_clone().expect("socket").into();
     Command::new("sh")
@@ -77,18 +80,18 @@
         .expect("program")
 }
 
-/// What a program says, by lines.
+/// Reads the standard error of a program.
 pub(crate) fn stderr_of(child: &mut Child) -> BufReader<ChildStderr> {
     BufReader::new(child.stderr.take().expect("stderr"))
 }
 
-/// The next line that says this.
+/// Reads up to the next line that contains this text, and returns that line.
 pub(crate) fn wait_for_line(stderr: &mut impl BufRead, text: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(
             stderr.read_line(&mut line).expect("line") > 0,
-            "the end before {text:?}"
+            "standard error ended before a line with {text:?}"
         );
         if line.contains(text) {
             return line;
@@ -96,7 +99,7 @@
     }
 }
 
-/// Where a program serves its clients, and where staff ask it, from the line that says so.
+/// The address for clients and the admin address, from the log line that prints them.
 pub(crate) fn addresses(stderr: &mut impl BufRead) -> (SocketAddr, SocketAddr) {
     let line = wait_for_line(stderr, "serves on");
     let after = |prefix: &str| {
@@ -112,7 +115,7 @@
     (address("serves on "), address("is operated at "))
 }
 
-/// One call at the operations address.
+/// Makes one call at the admin address and returns the answer.
 pub(crate) fn admin_call(address: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("connect");
     stream
@@ -123,7 +126,7 @@
     answer
 }
 
-/// Sends a signal to a child.
+/// Sends the signal of this name, such as `TERM`, to a child process.
 pub(crate) fn signal(child: &Child, name: &str) {
     let sent = Command::new("kill")
         .args(["-s", name, &child.id().to_string()])
--- a/tests/scene/manager_process.rs
+++ b/tests/scene/manager_process.rs
@@ -1,4 +1,4 @@
-//! One process of a workload manager, on a listening socket that the platform holds, for asynchronous tests.
+//! A process of the workload manager on an inherited listening socket, for asynchronous tests.
 
 use super::child_process::{signal, start_with_listener, stderr_of};
 use super::within_timeout;
@@ -8,11 +8,12 @@
 use std::process::Child;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// One process of the workload manager; killed when the test is over.
+/// A process of the workload manager, which is killed at the end of the test.
 pub(crate) struct ManagerProcess {
     pub(crate) child: Child,
-    /// Where it serves its clients.
+    /// Address for clients.
     pub(crate) address: SocketAddr,
+    /// Lines of its standard error.
     lines: UnboundedReceiver<String>,
 }
 
@@ -24,7 +25,7 @@
 }
 
 impl ManagerProcess {
-    /// Starts one, and waits until it serves.
+    /// Starts a process, and waits until it serves clients.
     pub(crate) async fn start(config: &Path, folder: &Path) -> ManagerProcess {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
@@ -46,15 +47,14 @@
         process
     }
 
-    /// The next line that says this.
+    /// Waits for the next line of standard error that contains this text.
     pub(crate) async fn await_line(&mut self, text: &str) -> String {
         let next = async {
             loop {
-                let line = self
-                    .lines
-                    .recv()
-                    .await
-                    .unwrap_or_else(|| panic!("the end before {text:?}"));
+                let line =
+                    self.lines.recv().await.unwrap_or_else(|| {
+                        panic!("standard error ended before a line with {text:?}")
+                    });
                 if line.contains(text) {
                     return line;
                 }
@@ -63,12 +63,12 @@
         within_timeout(text, next).await
     }
 
-    /// Sends it a signal.
+    /// Sends the signal of this name to the process.
     pub(crate) fn signal(&self, name: &str) {
         signal(&self.child, name);
     }
 
-    /// Asks for the counters until they hold this one, and returns all as they were at that moment.
+    /// Requests the line of counters until it contains this `NAME=VALUE`, and returns that line.
     pub(crate) async fn await_counter(&mut self, wanted: &str) -> String {
         let reached = async {
             loop {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Whether the line of counters has this one.
+/// Whether a line of counters contains this `NAME=VALUE`.
 pub(crate) fn has_counter(counters: &str, wanted: &str) -> bool {
     counters.split(' ').any(|counter| counter == wanted)
 }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,27 +1,44 @@
-//! The scenario language of the tests: one line a step, `WHO VERB ...` with the verbs send, expect, close and
-//! wait, played against a complete workload manager with fake clients, engines and list feed on loopback.
+//! Runs test scripts against a complete workload manager with fake clients, engines and list feed
+//! on loopback addresses.
 //!
-//! - `c1`, `c2` are clients of the platform, `f1`, `f2` Flight SQL clients: `c1 send 7 log-load allow=900`,
-//!   `c1 send cancel 7`, `c1 send health 8`, `c1 send raw HEX`, `c1 expect 7 served TEXT`, `c1 expect 7 ERROR`,
-//!   `c1 expect closed`, `c1 close`, `c1 send end` (it ends its side and reads on).
-//! - `x1` is a platform client that connects to the Flight SQL front: `x1 expect closed`.
-//! - `e` are the engines together; a request is named by its client and number, `c1.7`, and the step goes to the
-//!   engine that has it: `e expect ASK c1.7`, `e send c1.7 served batches=2 TEXT`, `e expect QUIT c1.7`,
-//!   `e expect none ASK c1.7`, `e close c1.7` (its connection breaks), `e1 close` (it refuses connections), `e1 hold`
-//!   (further connections to it do not come up), `e1 release` (they do).
-//! - `feed expect 1` (a connection that has event 1), `feed send draining e1`, `feed send raw HEX`, `feed close`.
-//! - `s` asks the SNMP agent; `$` stands for the project's objects: `s send get $.1.0`, `s send next $`,
-//!   `s send bulk 0 3 $`, `s send get@other $.1.0` (another community), `s expect $.1.0=2`.
-//! - `o1`, `o2` are callers at the admin address, one call each: `o1 send READY`, `o1 send part REA`,
-//!   `o1 expect 200`, `o1 expect lines node.loads=0`, `o1 close` (the next `o1` is a new one).
-//! - `n close` asks the workload manager to stop, `n expect closed` waits until it has.
-//! - `n send settings CHANGE ...` gives it a configuration with other settings; see `apply_changes`.
-//! - `n send moved` gives it a configuration with the feed at another address, `n send {` one that says `{`.
-//! - `wait requests_accepted=3` waits until a counter has that value.
+//! A script has one step a line: `WHO VERB ...`, with the verbs `send`, `expect` and `close`, and
+//! `hold` and `release` for engines; the one other step is `wait NAME=VALUE`. WHO is one of:
 //!
-//! No step sleeps: each waits for its event, and fails if that does not come within a timeout. In every script the
-//! scene checks the rules: one answer a request, one attempt in flight at a time, no retry of a non-idempotent request
-//! that may have run, nothing new to a draining engine, no attempt for a client that has left.
+//! - `c1`, `c2`: clients of the platform. `c1 send 7 log-load allow=900` sends request 7 of class
+//!   `log-load` with a changed field; `c1 send cancel 7`, `c1 send health 8`, `c1 send raw HEX`;
+//!   `c1 send end` closes the sending side only; `c1 expect 7 served TEXT`, `c1 expect 7 ERROR`,
+//!   `c1 expect closed` (by the manager); `c1 close` closes the connection.
+//! - `x1`: a platform client that connects to the Flight SQL address instead: `x1 expect closed`.
+//! - `f1`, `f2`: Flight SQL clients; see `flight_client::Client::step`.
+//! - `e`: all engines. A request is named by its client and number, as in `c1.7`, and the step
+//!   applies to the engine that received it: `e expect ASK c1.7`,
+//!   `e send c1.7 served batches=2 TEXT`, `e expect QUIT c1.7`, `e expect none ASK c1.7` (no such
+//!   call so far), `e close c1.7` (breaks the connection that carries the request).
+//! - `e1`, `e2`: one engine. `e1 close` makes it refuse connections; after `e1 hold` further
+//!   connections to it are not established until `e1 release`.
+//! - `feed`: the list feed. `feed expect 1` waits for a connection of the manager whose last event
+//!   is number 1. `feed send STATE e1` changes the state of an engine to `active`, `draining` or
+//!   `gone`; `feed send listed e1` sends the record of an active engine too, but an engine that
+//!   must not get new attempts still must not get any. `feed send only e1` sends a full list with
+//!   this engine alone, `feed send again e1` repeats the last event's number, `feed send half e1`
+//!   sends the first half of an event, `feed send raw HEX` these bytes; `feed close` closes the
+//!   connection.
+//! - `s`: an SNMP manager; `$` stands for the root of the project's objects: `s send get $.1.0`,
+//!   `s send next $`, `s send bulk 0 3 $`, `s send get@other $.1.0` (another community),
+//!   `s send v1 $.1.0` (SNMP version 1), `s expect $.1.0=2`.
+//! - `o1`, `o2`: callers at the admin address, one call each: `o1 send READY`, `o1 send part REA`
+//!   (an unfinished line), `o1 expect 200`, `o1 expect lines node.loads=0`, `o1 close`. The next
+//!   `o1` after `expect` or `close` is a new caller.
+//! - `n`: the workload manager. `n close` requests a graceful shutdown, `n expect closed` waits for
+//!   its end. `n send settings CHANGE ...` passes a configuration with other settings, see
+//!   `apply_changes`; `n send moved` one with the feed at another address; `n send {` one whose
+//!   whole text is `{`.
+//! - `wait requests_accepted=3` waits until a metric has that value.
+//!
+//! No step waits for a fixed time: each waits for its event, and fails if the event does not come
+//! within a timeout. In every script the scene checks these rules: a request gets one answer; it
+//! has one attempt in flight at a time; a non-idempotent request that may have run is not retried;
+//! a draining engine gets no new attempts; no attempt starts after its client has left.
 
 mod admin_client;
 pub(crate) mod child_process;
@@ -49,26 +66,28 @@
 };
 use workload_manager::operator_config::{self, OperatorConfig, PlatformConstraints};
 
-/// A graceful shutdown is complete by then: the platform kills the process 3.7 s after SIGTERM, and a busy machine may be late.
+/// Longest accepted time of a graceful shutdown. The platform kills the process 3.7 s after
+/// SIGTERM; the rest is a margin for a busy machine.
 const KILL_DEADLINE: Duration = Duration::from_secs(7);
 
-/// Every step completes within this time unless it fails.
+/// A step that has not completed within this time fails.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for an event of this description; panics if it does not happen in time.
+/// Waits for an event. Panics with its description if it does not happen within `STEP_TIMEOUT`.
 pub(crate) async fn within_timeout<T>(description: &str, event: impl Future<Output = T>) -> T {
     tokio::time::timeout(STEP_TIMEOUT, event)
         .await
-        .unwrap_or_else(|_| panic!("no {description}"))
+        .unwrap_or_else(|_| panic!("timed out waiting for: {description}"))
 }
 
-/// A manager with its clients, engines and feed.
+/// A workload manager with its fake clients, engines and list feed.
 pub(crate) struct Scene {
     node: Arc<Node>,
     shutdown_requested: bool,
-    /// The shutdown task, and when it began.
+    /// The task that runs the graceful shutdown, and when it started.
     shutdown_task: Option<(tokio::task::JoinHandle<()>, Instant)>,
     metrics: Arc<workload_manager::metrics::Metrics>,
+    /// Where platform clients and Flight SQL clients connect.
     listen_addresses: (std::net::SocketAddr, Option<std::net::SocketAddr>),
     fleet: Fleet,
     clients: HashMap<String, msgpack_client::Client>,
@@ -78,7 +97,7 @@
     admin_callers: HashMap<String, admin_client::Caller>,
 }
 
-/// An operators' file that sets nothing.
+/// An operators' file without settings.
 pub(crate) const EMPTY_OPERATOR_FILE: &str = "version = 1\n";
 
 /// How a scene is set up.
@@ -91,7 +110,7 @@
     pub operators: &'a str,
 }
 
-/// Plays a script with this many engines of one protocol.
+/// Runs a script with this many engines of one protocol.
 pub(crate) fn run_script(engines: usize, protocol: EngineProtocol, script: &str) {
     run_script_with_setup(
         &SceneSetup {
@@ -104,7 +123,7 @@
     );
 }
 
-/// Plays a script with this setup.
+/// Runs a script with this setup, then shuts the manager down and checks the rules of the scene.
 pub(crate) fn run_script_with_setup(setup: &SceneSetup<'_>, script: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -177,7 +196,7 @@
         }
     }
 
-    /// Plays one step of a script.
+    /// Runs one step of a script.
     async fn step(&mut self, step: &str) {
         let words: Vec<&str> = step.split_whitespace().collect();
         let (who, verb, rest) = (words[0], words[1], &words[2..]);
@@ -209,7 +228,7 @@
         within_timeout(step, reached).await;
     }
 
-    /// Gives the manager another configuration.
+    /// Passes another configuration to the manager.
     async fn reload(&mut self, words: &[&str]) {
         let text = match words {
             ["settings", changes @ ..] => {
@@ -238,9 +257,14 @@
 
     async fn expect_shutdown(&mut self, step: &str) {
         if let Some((shutdown_task, started_at)) = self.shutdown_task.take() {
-            within_timeout(step, shutdown_task).await.expect("the end");
+            within_timeout(step, shutdown_task)
+                .await
+                .expect("shutdown task");
             let elapsed = started_at.elapsed();
-            assert!(elapsed < KILL_DEADLINE, "killed first: {elapsed:?}");
+            assert!(
+                elapsed < KILL_DEADLINE,
+                "the platform would have killed the process: shutdown took {elapsed:?}"
+            );
         }
     }
 
@@ -300,7 +324,8 @@
     }
 }
 
-/// The statement of a request; its comment names it to the engines.
+/// The statement of a request. Its SQL comment carries the label by which the fake engines report
+/// it.
 pub(crate) fn statement(class: &str, label: &str) -> String {
     match class {
         "log-load" => format!("INSERT INTO lic_7.log SELECT * FROM staging.rows -- {label}"),
@@ -308,11 +333,12 @@
     }
 }
 
-/// Text of a script, with its escapes.
+/// Replaces the escapes `\t` and `\n` of a script's text by the characters that they stand for.
 pub(crate) fn unescape(text: &str) -> String {
     text.replace("\\t", "\t").replace("\\n", "\n")
 }
 
+/// The bytes that a string of hexadecimal digits stands for.
 pub(crate) fn from_hex(text: &str) -> Vec<u8> {
     let byte_at = |i: usize| u8::from_str_radix(&text[i..i + 2], 16).expect("hex");
     (0..text.len()).step_by(2).map(byte_at).collect()
--- a/tests/scene/node_settings.rs
+++ b/tests/scene/node_settings.rs
@@ -1,8 +1,8 @@
-//! The configuration of a manager in tests, and changes to it.
+//! The configuration of a workload manager in tests, and changes to it.
 
 use serde_json::Value;
 
-/// Settings with the classes of the exchange, as a first message has them.
+/// The settings, with three request classes, as the platform's configuration has them.
 fn settings() -> String {
     let class = |name: &str, effect: &str, promise_ms: u32| {
         format!(
@@ -31,7 +31,7 @@
     )
 }
 
-/// The text of a configuration.
+/// The text of a configuration with this feed and this event as the known list of engines.
 pub(crate) fn configuration(feed: std::net::SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","ops":"127.0.0.1:0","seed":"8c1f30d27a5be964",
@@ -41,8 +41,12 @@
     )
 }
 
-/// A configuration with changes: `-NAME` without a class, `+NAME` with one more that may run once only, `NAME=VALUE`
-/// with this value wherever the name stands, `!NAME` without that key, `cut` short or `empty`.
+/// A configuration with changes:
+///
+/// - `-NAME` removes a class; `+NAME` adds a non-idempotent class before the others.
+/// - `NAME=VALUE` sets this value wherever the key occurs; `!NAME` removes the key wherever it
+///   occurs.
+/// - `cut`, as the only change, keeps the first half of the text; `empty` keeps nothing.
 pub(crate) fn apply_changes(text: &str, changes: &[&str]) -> String {
     fn edit_each(
         value: &mut Value,
