--- a/tests/scene/child_process.rs
+++ b/tests/scene/child_process.rs
@@ -36,8 +36,8 @@
     program.stderr(Stdio::piped()).spawn().expect("program")
 }
 
-/// The command that runs the program with this configuration and this text of an operators' file.
-/// Both are written to files with this name.
+/// The command that runs the program with this configuration and an operators' file of version 1
+/// with this text. Both are written to files with this name.
 pub(crate) fn program(name: &str, config: &str, fronts: &str) -> Command {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = |kind: &str, text: &str| {
--- a/tests/scene/engine_fleet.rs
+++ b/tests/scene/engine_fleet.rs
@@ -30,7 +30,8 @@
     pub reply: ReplyChannel,
     /// Breaks the connection that carried the call.
     pub break_connection: Arc<dyn Fn() + Send + Sync>,
-    /// The manager's id of the request in the line protocol; empty with Flight SQL.
+    /// The client reference, by which the line protocol identifies the request; empty with Flight
+    /// SQL.
     pub request_id: String,
     /// Whether the request is non-idempotent.
     pub non_idempotent: bool,
--- a/tests/scene/line_engine.rs
+++ b/tests/scene/line_engine.rs
@@ -34,7 +34,7 @@
     calls: mpsc::UnboundedSender<ReceivedCall>,
     reader: BufReader<OwnedReadHalf>,
     writer: SharedWriter,
-    /// By the client's id: the label, and whether the request is non-idempotent.
+    /// By the client reference: the label, and whether the request is non-idempotent.
     requests: HashMap<String, (String, bool)>,
     break_connection: Arc<dyn Fn() + Send + Sync>,
     break_requested: mpsc::UnboundedReceiver<()>,
--- a/tests/scene/list_feed.rs
+++ b/tests/scene/list_feed.rs
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Listens at another address, and returns that address. An accepted connection stays open.
+    /// Listens at another address, and returns that address. A connection to the old one stays open
+    /// and silent.
     pub(super) async fn move_to_new_address(&mut self) -> SocketAddr {
         self.listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         self.address = self.listener.local_addr().expect("address");
