--- a/src/node/sockets.rs
+++ b/src/node/sockets.rs
@@ -1,6 +1,6 @@
 //! The sockets of a node. All are bound at the start, before any actor runs.
 
-use crate::node_config::{ConfigError, NodeConfig, OptionalFronts, loopback};
+use crate::node_config::{ConfigError, NodeConfig, OptionalFronts, parse_loopback_address};
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -63,7 +63,9 @@
             None => bind_tcp(config.listen).await?,
         };
         let flight = match &front_ends.flight {
-            Some(front_end) => Some(bind_tcp(loopback(&front_end.listen, "flight")?).await?),
+            Some(front_end) => {
+                Some(bind_tcp(parse_loopback_address(&front_end.listen, "flight")?).await?)
+            }
             None => None,
         };
         let admin = match config.admin {
@@ -72,7 +74,7 @@
         };
         let snmp_agent = match front_ends.snmp {
             Some(snmp_agent) => Some(SnmpSocket {
-                bound: bind_udp(loopback(&snmp_agent.listen, "snmp")?).await?,
+                bound: bind_udp(parse_loopback_address(&snmp_agent.listen, "snmp")?).await?,
                 community: snmp_agent.community,
             }),
             None => None,
--- a/src/node_config.rs
+++ b/src/node_config.rs
@@ -15,7 +15,7 @@
 };
 pub use error::ConfigError;
 pub use front_ends::{
-    EngineProtocol, FlightFrontConfig, OptionalFronts, SnmpAgentConfig, loopback,
+    EngineProtocol, FlightFrontConfig, OptionalFronts, SnmpAgentConfig, parse_loopback_address,
 };
 
 use crate::decision::ListUpdateKind;
@@ -124,7 +124,7 @@
     if text.is_empty() {
         return Ok(0);
     }
-    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed(text.to_owned()))
+    u64::from_str_radix(text, 16).map_err(|_| ConfigError::InvalidSeed(text.to_owned()))
 }
 
 fn parse_events(
--- a/src/node_config/error.rs
+++ b/src/node_config/error.rs
@@ -24,10 +24,10 @@
     Settings(#[from] ParseSettingsError),
     /// The seed is not a hexadecimal number of 64 bits.
     #[error("configuration: seed {0:?} is not 16 hex digits")]
-    Seed(String),
+    InvalidSeed(String),
     /// An engine of the known events has an id of another form than `s-` and 8 hex digits.
     #[error("known events: engine id {0:?}")]
-    EngineId(String),
+    InvalidEngineId(String),
     /// The file of front ends cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     FrontEndsUnreadable {
@@ -46,7 +46,7 @@
     },
     /// The address of a front end is no address.
     #[error("{front_end}: listen address {text:?} is not an address and port")]
-    ListenAddress {
+    InvalidListenAddress {
         /// `flight` or `snmp`.
         front_end: &'static str,
         /// The value in the file.
--- a/src/node_config/front_ends.rs
+++ b/src/node_config/front_ends.rs
@@ -82,18 +82,23 @@
 /// # Errors
 ///
 /// The text is no address, or the address is not on loopback.
-pub fn loopback(text: &str, front_end: &'static str) -> Result<SocketAddr, ConfigError> {
-    let text_of = || text.to_owned();
-    let address: SocketAddr = text.parse().map_err(|_| ConfigError::ListenAddress {
-        front_end,
-        text: text_of(),
-    })?;
+pub fn parse_loopback_address(
+    text: &str,
+    front_end: &'static str,
+) -> Result<SocketAddr, ConfigError> {
+    let owned_text = || text.to_owned();
+    let address: SocketAddr = text
+        .parse()
+        .map_err(|_| ConfigError::InvalidListenAddress {
+            front_end,
+            text: owned_text(),
+        })?;
     if address.ip().is_loopback() {
         Ok(address)
     } else {
         Err(ConfigError::NotLoopback {
             front_end,
-            text: text_of(),
+            text: owned_text(),
         })
     }
 }
--- a/src/node_config/json.rs
+++ b/src/node_config/json.rs
@@ -88,7 +88,7 @@
     machine_type: String,
     #[serde(default)]
     cell: u16,
-    #[serde(default = "active")]
+    #[serde(default = "default_lifecycle")]
     lifecycle: String,
     #[serde(default)]
     weight: f64,
@@ -96,7 +96,7 @@
     started_at_ms: f64,
 }
 
-fn active() -> String {
+fn default_lifecycle() -> String {
     "active".to_owned()
 }
 
@@ -131,7 +131,7 @@
 impl Instance {
     fn engine(&self) -> Result<EngineId, ConfigError> {
         parse_engine_id(&self.instance_id)
-            .ok_or_else(|| ConfigError::EngineId(self.instance_id.clone()))
+            .ok_or_else(|| ConfigError::InvalidEngineId(self.instance_id.clone()))
     }
 
     /// Its record; none where it names a state that is unknown or, as an engine that takes work, a zone or machine
--- a/src/node_config/missing_key.rs
+++ b/src/node_config/missing_key.rs
@@ -5,17 +5,17 @@
 /// The dotted path of a key that `reference` has and `document` lacks. Of the objects in an array, each has to have
 /// the keys that all objects of the reference's array have.
 pub(super) fn find(reference: &Value, document: &Value) -> Option<String> {
-    find_below(reference, document).map(|path| path.trim_start_matches('.').to_owned())
+    find_in_value(reference, document).map(|path| path.trim_start_matches('.').to_owned())
 }
 
-fn find_below(reference: &Value, document: &Value) -> Option<String> {
+fn find_in_value(reference: &Value, document: &Value) -> Option<String> {
     match (reference, document) {
         (Value::Object(reference), Value::Object(document)) => {
             reference
                 .iter()
                 .find_map(|(key, value)| match document.get(key) {
                     None => Some(format!(".{key}")),
-                    Some(below) => find_below(value, below).map(|path| format!(".{key}{path}")),
+                    Some(below) => find_in_value(value, below).map(|path| format!(".{key}{path}")),
                 })
         }
         (Value::Array(reference), Value::Array(document)) => {
