--- a/src/settings_json.rs
+++ b/src/settings_json.rs
@@ -70,7 +70,7 @@
     Ok(PlatformSettings {
         load_report_fields: json.report.fields,
         answers_report_work: json.specifics.answers_report_work,
-        classes: named_classes(&settings),
+        classes: classes_with_names(&settings),
         settings,
         tenants: json.tenants.into_iter().map(|tenant| tenant.name).collect(),
         zones: json.zones,
@@ -89,7 +89,7 @@
     for (class, times) in json.classes.iter().enumerate() {
         for milliseconds in [times.client_timeout_ms, times.latency_objective_ms] {
             if milliseconds <= 0.0 {
-                return Err(ParseSettingsError::NoTime {
+                return Err(ParseSettingsError::NonPositiveTime {
                     class,
                     milliseconds,
                 });
@@ -97,7 +97,7 @@
         }
     }
     if json.limits.max_attempts < 1.0 {
-        return Err(ParseSettingsError::NoAttempts(json.limits.max_attempts));
+        return Err(ParseSettingsError::TooFewAttempts(json.limits.max_attempts));
     }
     Ok(())
 }
@@ -172,7 +172,7 @@
         ("by_key", "all") => Ok(Idempotency::WithKey(DedupScope::All)),
         ("by_key", "zone") => Ok(Idempotency::WithKey(DedupScope::Zone)),
         ("by_key", "cell") => Ok(Idempotency::WithKey(DedupScope::Cell)),
-        (effect, scope) => Err(ParseSettingsError::Effect {
+        (effect, scope) => Err(ParseSettingsError::UnknownEffect {
             class: position,
             effect: effect.to_owned(),
             scope: scope.to_owned(),
@@ -215,7 +215,7 @@
     }
 }
 
-fn named_classes(settings: &Settings) -> Vec<Arc<NamedClass>> {
+fn classes_with_names(settings: &Settings) -> Vec<Arc<NamedClass>> {
     let named = |(name, class): (&String, &Class)| {
         Arc::new(NamedClass {
             name: name.clone(),
--- a/src/settings_json/error.rs
+++ b/src/settings_json/error.rs
@@ -11,7 +11,7 @@
     Malformed(#[from] serde_json::Error),
     /// A class has no time to answer in.
     #[error("settings: a deadline that is not above 0: class {class} has {milliseconds} ms")]
-    NoTime {
+    NonPositiveTime {
         /// The class's position.
         class: usize,
         /// Its latency objective or client timeout.
@@ -19,10 +19,10 @@
     },
     /// Requests may make no attempt.
     #[error("settings: a number of attempts that is not above 0: {0}")]
-    NoAttempts(f64),
+    TooFewAttempts(f64),
     /// The effect of a class is unknown, or its scope of duplicate detection is.
     #[error("settings: class {class} has effect {effect:?}, scope {scope:?}")]
-    Effect {
+    UnknownEffect {
         /// The class's position.
         class: usize,
         /// The value of `effect`.
@@ -35,5 +35,5 @@
     BudgetWithoutWindow,
     /// The figures contradict each other or make no sense.
     #[error(transparent)]
-    Figures(#[from] SettingsError),
+    InvalidSettings(#[from] SettingsError),
 }
