--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -43,19 +43,19 @@
 ) {
     let (first_backoff, max_backoff) = context.limits.feed_reconnect_backoff;
     let mut backoff = first_backoff;
-    let mut step = WallClockStep::default();
+    let mut wall_clock_step = WallClockStep::default();
     loop {
-        let (event_before, address) = (last_event, *feed.borrow_and_update());
+        let (last_event_before, address) = (last_event, *feed.borrow_and_update());
         // A feed that has moved announces nothing further at its old address, although that connection stays open for a
         // while. The session may be dropped at any point, because `last_event` counts only events passed on.
         let address_change = tokio::select! {
             biased;
             change = feed.changed() => Some(change),
-            result = session::run(address, &mut last_event, &mut step, &context) => {
+            result = session::run(address, &mut last_event, &mut wall_clock_step, &context) => {
                 let Err(error) = result;
                 tracing::debug!(feed = %address, last_event, %error, "connection to the feed failed");
                 count_failure(&error, &context.metrics);
-                let made_progress = last_event > event_before;
+                let made_progress = last_event > last_event_before;
                 backoff = if made_progress { first_backoff } else { (backoff * 2).min(max_backoff) };
                 tokio::select! {
                     change = feed.changed() => Some(change),
--- a/src/discovery/frame.rs
+++ b/src/discovery/frame.rs
@@ -17,7 +17,7 @@
 pub(super) const HEADER_BYTES: usize = 9;
 
 /// The feed gives an engine's nominal capacity in thousandths.
-const CAPACITY_UNITS: f64 = 1000.0;
+const CAPACITY_SCALE: f64 = 1000.0;
 
 const KIND_HEARTBEAT: u8 = 0;
 const KIND_FULL_LIST: u8 = 1;
@@ -157,8 +157,8 @@
             STATE_REMOVED => EngineState::Removed,
             unknown => return Err(RecordError::UnknownState(unknown)),
         };
-        let location_known = is_position_of(&settings.zones, self.zone)
-            && is_position_of(&settings.machine_types, self.machine_type);
+        let location_known = is_known_position(&settings.zones, self.zone)
+            && is_known_position(&settings.machine_types, self.machine_type);
         if state == EngineState::Ready && !location_known {
             return Err(RecordError::UnknownLocation {
                 zone: self.zone,
@@ -171,7 +171,7 @@
             machine_type: u16::from(self.machine_type),
             cell: self.cell,
             state,
-            nominal_capacity: f64::from(self.nominal_capacity) / CAPACITY_UNITS,
+            nominal_capacity: f64::from(self.nominal_capacity) / CAPACITY_SCALE,
             started_at_ms: self.started_at_ms as f64,
             sharing: None,
         };
@@ -183,6 +183,6 @@
 }
 
 /// Whether this is a position in the list of names; without names every position is known.
-fn is_position_of(names: &[String], position: u8) -> bool {
+fn is_known_position(names: &[String], position: u8) -> bool {
     names.is_empty() || usize::from(position) < names.len()
 }
--- a/src/discovery/session.rs
+++ b/src/discovery/session.rs
@@ -40,7 +40,7 @@
 pub(super) async fn run(
     feed: SocketAddr,
     last_event: &mut u64,
-    step: &mut WallClockStep,
+    wall_clock_step: &mut WallClockStep,
     context: &FollowerContext,
 ) -> Result<Infallible, SessionError> {
     let limits = &context.limits;
@@ -48,8 +48,12 @@
     let mut stream = RetryingStream::new(connected);
     context.metrics.feed_connections.increment();
     tracing::debug!(%feed, last_event = *last_event, "connected to the feed");
-    let position = last_event.to_be_bytes();
-    timeout(limits.feed_read_timeout, stream.write_all(&position)).await??;
+    let last_event_bytes = last_event.to_be_bytes();
+    timeout(
+        limits.feed_read_timeout,
+        stream.write_all(&last_event_bytes),
+    )
+    .await??;
     let mut buffer = Vec::new();
     loop {
         // The limit is on the complete frame: one that arrives byte by byte is no better than none.
@@ -61,8 +65,8 @@
         let Frame::Event(mut event) = frame else {
             continue;
         };
-        step.observe(context.core.wall_clock_step_ms());
-        step.adjust(&mut event, context.core.now());
+        wall_clock_step.observe(context.core.wall_clock_step_ms());
+        wall_clock_step.adjust(&mut event, context.core.now());
         if event.number <= *last_event {
             continue; // known from an earlier connection
         }
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -35,14 +35,14 @@
         for record in &mut event.records {
             let started_at_ms = &mut record.entry.started_at_ms;
             if *started_at_ms > 0.0 {
-                *started_at_ms = self.on_own_clock(*started_at_ms, now_ms);
+                *started_at_ms = self.to_process_clock(*started_at_ms, now_ms);
             }
         }
     }
 
     /// A start may have been before the step or after it. Of both times the later one that has passed is taken, as an
     /// engine that is thought cold for too long loses little, and one that is thought warm too early collapses.
-    fn on_own_clock(self, listed_ms: Millis, now_ms: Millis) -> Millis {
+    fn to_process_clock(self, listed_ms: Millis, now_ms: Millis) -> Millis {
         let after_step_ms = listed_ms - self.ahead_ms;
         let (earlier, later) = if after_step_ms < listed_ms {
             (after_step_ms, listed_ms)
--- a/src/discovery/start_times/tests.rs
+++ b/src/discovery/start_times/tests.rs
@@ -8,7 +8,7 @@
 const HOUR_MS: Millis = 3_600_000.0;
 const NOW_MS: Millis = 1_796_200_000_000.0;
 
-fn adjusted(step: WallClockStep, started_at_ms: Millis) -> Millis {
+fn adjusted_start_ms(step: WallClockStep, started_at_ms: Millis) -> Millis {
     let entry = EngineEntry {
         started_at_ms,
         ..EngineEntry::default()
@@ -33,27 +33,30 @@
 #[case::ahead_after_the_start(HOUR_MS, NOW_MS - 1000.0)]
 #[case::seconds_back(-5000.0, NOW_MS - 6000.0)]
 #[case::seconds_ahead(5000.0, NOW_MS + 4000.0)]
-fn a_start_of_a_second_ago_stays_one(#[case] ahead_ms: Millis, #[case] listed_ms: Millis) {
+fn an_engine_started_one_second_ago_keeps_its_start_across_a_clock_step(
+    #[case] ahead_ms: Millis,
+    #[case] listed_ms: Millis,
+) {
     let mut step = WallClockStep::default();
     step.observe(ahead_ms);
-    assert_eq!(adjusted(step, listed_ms), NOW_MS - 1000.0);
+    assert_eq!(adjusted_start_ms(step, listed_ms), NOW_MS - 1000.0);
 }
 
 #[test]
-fn readings_that_differ_little_leave_start_times_as_they_are() {
+fn readings_within_the_tolerance_leave_start_times_unchanged() {
     let mut step = WallClockStep::default();
     step.observe(0.3);
     step.observe(-0.2);
-    assert_eq!(adjusted(step, NOW_MS + 0.25), NOW_MS + 0.25);
+    assert_eq!(adjusted_start_ms(step, NOW_MS + 0.25), NOW_MS + 0.25);
     step.observe(HOUR_MS);
-    let first = adjusted(step, NOW_MS + HOUR_MS - 1.0);
+    let first = adjusted_start_ms(step, NOW_MS + HOUR_MS - 1.0);
     step.observe(HOUR_MS + 0.4);
-    assert_eq!(adjusted(step, NOW_MS + HOUR_MS - 1.0), first);
+    assert_eq!(adjusted_start_ms(step, NOW_MS + HOUR_MS - 1.0), first);
 }
 
 #[test]
-fn a_start_long_ago_stays_long_ago() {
+fn a_start_time_of_zero_is_not_adjusted() {
     let mut step = WallClockStep::default();
     step.observe(-HOUR_MS);
-    assert_eq!(adjusted(step, 0.0), 0.0);
+    assert_eq!(adjusted_start_ms(step, 0.0), 0.0);
 }
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -97,15 +97,15 @@
 /// One record with unknown values does not cost the other records or later frames. A draining or removed engine is
 /// reported whatever else its record holds.
 #[test]
-fn a_record_with_unknown_values_is_left_out_alone() {
+fn only_the_record_with_unknown_values_is_left_out() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":1,"giveUpMs":9}],
         "guarantees":{"coldMs":1,"coldShare":0.3,"overloadForMs":1,"tipMultiple":3},
         "limits":{"attemptsCap":6},"zones":["hall-a","hall-b"],"shapes":["std-8c"]}"#;
     let settings = crate::settings_json::parse(text.as_bytes()).expect("settings");
-    let read = |state: u8, zone: u8, kind: u8| {
+    let decode_with_second_record = |state: u8, zone: u8, machine_type: u8| {
         let mut frame = frame(7, 2, 1..4, 0).split_off(4);
-        let second = HEADER_BYTES + RECORD_BYTES;
-        frame[second + 10..second + 13].copy_from_slice(&[state, zone, kind]);
+        let second_record = HEADER_BYTES + RECORD_BYTES;
+        frame[second_record + 10..second_record + 13].copy_from_slice(&[state, zone, machine_type]);
         let Ok(Frame::Event(event)) = decode(&frame, &settings) else {
             panic!("no event")
         };
@@ -113,19 +113,22 @@
         (states, event.unusable_engines)
     };
     let ready = EngineState::Ready;
-    for (state, zone, kind) in [(3, 0, 0), (255, 0, 0), (0, 2, 0), (0, 0, 1)] {
+    for (state, zone, machine_type) in [(3, 0, 0), (255, 0, 0), (0, 2, 0), (0, 0, 1)] {
         assert_eq!(
-            read(state, zone, kind),
+            decode_with_second_record(state, zone, machine_type),
             (vec![ready; 2], vec![engine_id(2)])
         );
     }
-    assert_eq!(read(0, 1, 0), (vec![ready; 3], Vec::new()));
     assert_eq!(
-        read(1, 9, 9),
+        decode_with_second_record(0, 1, 0),
+        (vec![ready; 3], Vec::new())
+    );
+    assert_eq!(
+        decode_with_second_record(1, 9, 9),
         (vec![ready, EngineState::Draining, ready], Vec::new())
     );
     assert_eq!(
-        read(2, 9, 9),
+        decode_with_second_record(2, 9, 9),
         (vec![ready, EngineState::Removed, ready], Vec::new())
     );
     // A frame that is cut short cannot be decoded at all.
