--- a/src/core/attempt_start.rs
+++ b/src/core/attempt_start.rs
@@ -231,7 +231,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.memory_mb = memory_mb.clamp(0.0, self.limits.grant_mb);
+        request.memory_mb = memory_mb.clamp(0.0, self.limits.memory_grant_mb);
         let priority = priority.min(MAX_PRIORITY);
         let previous = std::mem::replace(&mut request.priority, priority);
         let in_flight = request
--- a/src/engines/connection_load.rs
+++ b/src/engines/connection_load.rs
@@ -127,6 +127,6 @@
 
     /// Whether the last answer is so recent that the connection is assumed to work.
     pub(super) fn answered_recently(&self, now_ms: Millis, limits: &Limits) -> bool {
-        now_ms - self.last_answer_ms() as f64 <= limits.connection_proven_ms
+        now_ms - self.last_answer_ms() as f64 <= limits.recent_answer_ms
     }
 }
--- a/src/engines/line_protocol/connection/attempt_ends.rs
+++ b/src/engines/line_protocol/connection/attempt_ends.rs
@@ -48,7 +48,7 @@
     pub(super) fn return_queued_attempts(&mut self, was_connected: bool) {
         let carried_attempts = !self.sent_attempts.is_empty() || !self.queued_attempts.is_empty();
         let earlier_failures = self.event_sender.count_closed_connection(carried_attempts);
-        let may_return = earlier_failures < self.context.limits.returned_connections;
+        let may_return = earlier_failures < self.context.limits.consecutive_failed_connections;
         if !was_connected || self.admission.is_closed() || !may_return {
             return;
         }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -29,7 +29,7 @@
 
     /// Sets whether a peer process lives, for all clones of these limits; returns what was set before. Relaxed is
     /// enough: the flag publishes nothing else, and a bound that is read a moment late is made up at the next use.
-    pub(crate) fn set_peer_process(&self, lives: bool) -> bool {
-        self.has_peer_process.swap(lives, Ordering::Relaxed)
+    pub(crate) fn set_peer_process(&self, is_running: bool) -> bool {
+        self.has_peer_process.swap(is_running, Ordering::Relaxed)
     }
 }
--- a/src/limits/basis.rs
+++ b/src/limits/basis.rs
@@ -19,16 +19,16 @@
 const PROGRAM_BYTES: usize = 8 << 20;
 
 /// Engines of the endpoint list may take this part of the memory over [`PROGRAM_BYTES`]: one in so many.
-const ENGINES_PART: usize = 8;
+const ENGINES_MEMORY_DIVISOR: usize = 8;
 
 /// Connections to engines may take this part of the memory: one in so many.
-const ENGINE_CONNECTIONS_PART: usize = 9;
+const ENGINE_CONNECTIONS_MEMORY_DIVISOR: usize = 9;
 
 /// Descriptors that no connection may take: standard streams, the runtime, signals, listeners and files.
-const OWN_DESCRIPTORS: usize = 15;
+const PROCESS_DESCRIPTORS: usize = 15;
 
 /// The longest time of the platform's settings that a limit takes over: an hour.
-const LONGEST_MS: f64 = 3_600_000.0;
+const MAX_PLATFORM_TIME_MS: f64 = 3_600_000.0;
 
 /// References that a connection to an engine carries in its life.
 pub(super) const REFERENCES_PER_CONNECTION: usize = 1024;
@@ -53,18 +53,19 @@
 
 impl Basis<'_> {
     /// One part in `parts` of the memory, in bytes.
-    pub(super) fn memory_part(&self, parts: usize) -> usize {
-        (self.memory_mb << 20) / parts
+    pub(super) fn memory_fraction(&self, divisor: usize) -> usize {
+        (self.memory_mb << 20) / divisor
     }
 
     /// Engines that the memory can hold.
     pub(super) fn engines(&self) -> usize {
-        (self.memory_mb << 20).saturating_sub(PROGRAM_BYTES) / ENGINES_PART / ENGINE_BYTES
+        (self.memory_mb << 20).saturating_sub(PROGRAM_BYTES) / ENGINES_MEMORY_DIVISOR / ENGINE_BYTES
     }
 
     /// Connections to engines that the memory can hold.
     pub(super) fn engine_connections(&self) -> usize {
-        self.memory_part(ENGINE_CONNECTIONS_PART) / engine_connection_bytes(PAGE_BYTES)
+        self.memory_fraction(ENGINE_CONNECTIONS_MEMORY_DIVISOR)
+            / engine_connection_bytes(PAGE_BYTES)
     }
 
     /// Connections at the admin address.
@@ -74,15 +75,15 @@
 
     /// Connections of clients: half of the descriptors, less the program's own and those of the admin address.
     pub(super) fn client_connections(&self) -> usize {
-        self.sockets / 2 - OWN_DESCRIPTORS - self.admin_connections()
+        self.sockets / 2 - PROCESS_DESCRIPTORS - self.admin_connections()
     }
 
-    /// A silence of `intervals` intervals of progress reports, in ms, at least `least_ms`; infinite where engines send
+    /// A silence of `intervals` intervals of progress reports, in ms, at least `min_ms`; infinite where engines send
     /// none.
-    pub(super) fn silence_ms(&self, intervals: f64, least_ms: f64) -> f64 {
+    pub(super) fn silence_limit_ms(&self, intervals: f64, min_ms: f64) -> f64 {
         let interval_ms = self.platform.settings.progress_interval_ms;
         if self.progress_reports && interval_ms > 0.0 {
-            (interval_ms * intervals).max(least_ms)
+            (interval_ms * intervals).max(min_ms)
         } else {
             f64::INFINITY
         }
@@ -91,5 +92,5 @@
 
 /// A time of the platform's settings, between 0 and an hour, to the microsecond.
 pub(super) fn duration_of_ms(ms: f64) -> Duration {
-    Duration::from_micros((ms.clamp(0.0, LONGEST_MS) * 1000.0) as u64)
+    Duration::from_micros((ms.clamp(0.0, MAX_PLATFORM_TIME_MS) * 1000.0) as u64)
 }
--- a/src/limits/table.rs
+++ b/src/limits/table.rs
@@ -55,7 +55,7 @@
     /// Largest estimate of work in ms, or of memory in MB, that a client may name.
     max_estimate: f64 = 1e8;
     /// Most memory granted to one query, in MB; from the settings.
-    grant_mb: f64 = basis.platform.max_memory_grant_mb;
+    memory_grant_mb: f64 = basis.platform.max_memory_grant_mb;
     /// Bytes of an idempotency key.
     key_bytes: usize = 256;
     /// Open requests on one client connection.
@@ -65,11 +65,11 @@
     /// Requests open at once; the settings may ask for fewer.
     open_requests: usize = basis.platform.max_open_requests.min(4096);
     /// Bytes of half-read messages of all clients.
-    input_bytes: usize = basis.memory_part(10);
+    input_bytes: usize = basis.memory_fraction(10);
     /// Bytes of answers that all clients have yet to read.
-    output_bytes: usize = basis.memory_part(10);
+    output_bytes: usize = basis.memory_fraction(10);
     /// Bytes of the statements of all open requests.
-    open_statement_bytes: usize = basis.memory_part(10);
+    open_statement_bytes: usize = basis.memory_fraction(10);
     /// A client connection that sends no first call, or stops inside one, is closed after this time.
     client_read_timeout: Duration = Duration::from_millis(2000);
     /// The same while another connection waits for its descriptor.
@@ -86,7 +86,7 @@
     // Results.
 
     /// Bytes of incomplete results, of all engines.
-    partial_result_bytes: usize = basis.memory_part(10);
+    partial_result_bytes: usize = basis.memory_fraction(10);
     /// Bytes of a complete result.
     result_bytes: usize = 48_000;
     /// Bytes of one line of an engine, without its payload.
@@ -112,9 +112,9 @@
     /// Attempts that share a connection while there are descriptors for another.
     shared_attempts_per_connection: usize = 4;
     /// An answer this recent, in ms, proves a connection good for non-idempotent requests.
-    connection_proven_ms: f64 = 40.0;
+    recent_answer_ms: f64 = 40.0;
     /// A connection with attempts in flight that is silent for this long, in ms, gets no new ones.
-    connection_silent_ms: f64 = basis.silence_ms(3.0, 1000.0);
+    connection_silent_ms: f64 = basis.silence_limit_ms(3.0, 1000.0);
     /// Connections to all engines; past it one more is only for an engine that has none.
     engine_connections: usize = (basis.sockets / 4).min(basis.engine_connections() * 2 / 3);
     /// Connections reserved for engines that have none, past the bound of all.
@@ -122,7 +122,7 @@
     /// Attempts that one connection is given in all: it carries no reference twice, and keeps them to know.
     references_per_connection: usize = REFERENCES_PER_CONNECTION;
     /// Connections in a row that may be lost before their first answer and return their unsent attempts.
-    returned_connections: usize = 3;
+    consecutive_failed_connections: usize = 3;
     /// Connections to one engine.
     connections_per_engine: usize = (basis.sockets / 12).clamp(1, 24);
     /// A connection that is not up by then has failed; from the settings.
@@ -145,7 +145,7 @@
     /// A request whose cancellation is not confirmed for this long, in ms, ends.
     cancellation_timeout_ms: f64 = 2000.0;
     /// An idempotent request's attempt whose engine is silent for this long, in ms, is given up.
-    attempt_silence_ms: f64 = basis.silence_ms(6.0, 3000.0);
+    attempt_silence_ms: f64 = basis.silence_limit_ms(6.0, 3000.0);
 
     // The endpoint list and its feed.
 
@@ -173,9 +173,9 @@
     /// Tickets that the front end keeps; past it the oldest are forgotten.
     flight_tickets: usize = 1024;
     /// Bytes of the statements of these tickets; past it the oldest are forgotten.
-    flight_ticket_bytes: usize = basis.memory_part(16);
+    flight_ticket_bytes: usize = basis.memory_fraction(16);
     /// Bytes of one Flight message of an engine.
-    flight_message_bytes: usize = basis.memory_part(16).min(4 * MIB);
+    flight_message_bytes: usize = basis.memory_fraction(16).min(4 * MIB);
     /// Bytes of a Flight result that are buffered to answer it completely; a larger one is streamed.
     flight_buffered_bytes: usize = 64 * KIB;
     /// Chunks of a streamed result between an engine and its client.
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -8,12 +8,12 @@
 use rstest::rstest;
 
 /// Bytes of a record that waits for a slot: an entry of a tree whose nodes may be half full.
-const WAITING_BYTES: usize = 2 * size_of::<(EngineId, EngineRecord)>();
+const WAITING_RECORD_BYTES: usize = 2 * size_of::<(EngineId, EngineRecord)>();
 
 /// The smallest machine holds everything at its bound at once, and so does the smallest table of descriptors, with the
 /// feed's second connection while the feed moves.
 #[rstest]
-fn all_bounds_fit_together(
+fn all_limits_fit_memory_and_descriptors_together(
     #[values(64, 256, 384, 512, 1024)] sockets: usize,
     #[values(32, 192, 256)] memory: usize,
 ) {
@@ -36,7 +36,8 @@
         + limits.client_connections * 4096
         + limits.feed_frame_bytes;
     // As many records may wait for a slot as there are slots.
-    let list = limits.engines * (ENGINE_BYTES + WAITING_BYTES) + 2 * limits.state_bytes as usize;
+    let list =
+        limits.engines * (ENGINE_BYTES + WAITING_RECORD_BYTES) + 2 * limits.state_bytes as usize;
     assert!(
         limits.engines >= 2 * 1024,
         "a list of 1,024 beside as many that drain"
@@ -55,12 +56,12 @@
     assert!(all <= memory << 20, "{all} bytes of {memory} MB");
     // Two processes of an upgrade.
     assert!(!limits.set_peer_process(true) && limits.set_peer_process(true));
-    let each = limits.share(shared)
+    let per_process = limits.share(shared)
         + limits.share(buffers)
         + limits.share(limits.flight_message_bytes)
         + list
         + own;
-    let all = 2 * each + program;
+    let all = 2 * per_process + program;
     assert!(all <= memory << 20, "{all} bytes of {memory} MB for both");
     let all = [
         limits.client_connections,
