--- a/src/node_config.rs
+++ b/src/node_config.rs
@@ -1,8 +1,10 @@
-//! The configuration of one workload manager: the platform's JSON file that `NODE_CONFIG` names.
+//! The configuration of one workload manager. The platform provides it as a JSON file, whose path is
+//! in the environment variable `NODE_CONFIG`.
 //!
-//! [`NodeConfig`] is the checked configuration that the node works with, [`json`] the file's form. The types that
-//! configuration and discovery share are in [`endpoint_list`], the front ends that operators may turn on in
-//! [`front_ends`]. Whatever cannot be used is a [`ConfigError`] with a plain message.
+//! [`NodeConfig`] is the checked configuration, and [`json`] defines the format of the file.
+//! [`endpoint_list`] has the types that configuration and discovery share, and [`front_ends`] the
+//! front ends that operators may turn on. A configuration that cannot be used gives a
+//! [`ConfigError`].
 
 mod endpoint_list;
 mod error;
@@ -25,40 +27,40 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The fewest descriptors that the program works with, whatever the file says.
+/// Minimum number of descriptors. The program uses this value if the file has a lower one.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// The least memory in MB that the program works with, whatever the file says.
+/// Minimum memory in MB. The program uses this value if the file has a lower one.
 const MIN_MEMORY_MB: usize = 32;
 
 /// The complete configuration of one workload manager.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Its name.
+    /// The name of the workload manager.
     pub name: String,
     /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Seed of the random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Descriptors that it may hold.
+    /// Maximum number of open descriptors.
     pub max_descriptors: usize,
-    /// Memory that it may use, in MB.
+    /// Maximum memory use, in MB.
     pub memory_mb: usize,
     /// The admin address, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The descriptor of a listening socket that the platform hands over, if it does.
+    /// The descriptor of a listening socket, if the platform passes one to the process.
     pub listen_fd: Option<i32>,
-    /// The folder that this process shares with its peer in a hot restart, if there is one.
+    /// The folder that this process shares with its peer process in a hot restart, if there is one.
     pub shared_folder: Option<PathBuf>,
     /// The address of the discovery feed.
     pub feed: SocketAddr,
-    /// Number of the last event of the endpoint list that the file knows.
+    /// Number of the last event of the endpoint list that the file includes.
     pub last_known_event: u64,
-    /// The events that the file knows.
+    /// The events of the endpoint list that the file includes.
     pub events: Vec<EndpointListEvent>,
     /// The platform's settings.
     pub settings: PlatformSettings,
-    /// The file as JSON values without its events, to find the keys that another file lacks.
+    /// The file as JSON values without its events. It is used to find keys that a new file lacks.
     pub values: Value,
 }
 
@@ -67,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or see [`NodeConfig::parse`].
+    /// The file cannot be read, or its text is invalid: see [`NodeConfig::parse`].
     pub fn load(path: &Path) -> Result<NodeConfig, ConfigError> {
         let text = std::fs::read(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_owned(),
@@ -76,11 +78,11 @@
         NodeConfig::parse(&text)
     }
 
-    /// Reads a configuration's text.
+    /// Parses the text of a configuration file.
     ///
     /// # Errors
     ///
-    /// The text is not JSON of the expected form, or one of its values cannot be used.
+    /// The text is not JSON of the expected format, or one of its values is invalid.
     pub fn parse(text: &[u8]) -> Result<NodeConfig, ConfigError> {
         let file: ConfigFile<'_> = serde_json::from_slice(text)?;
         let values = values_without_events(text)?;
@@ -104,13 +106,14 @@
         })
     }
 
-    /// The path of a key that the file in force has and this one lacks. Such a file is a part of a configuration only.
+    /// Returns the path of a key that is in `in_force`, the values of the current configuration, but
+    /// not in this one. Without that key, this configuration is incomplete.
     pub fn missing_key(&self, in_force: &Value) -> Option<String> {
         missing_key::find(in_force, &self.values)
     }
 }
 
-/// The file as JSON values. Events are left out, as they differ from file to file.
+/// Returns the file as JSON values, without the known events, because they differ between files.
 fn values_without_events(text: &[u8]) -> Result<Value, serde_json::Error> {
     let mut values: Value = serde_json::from_slice(text)?;
     if let Some(known) = values.get_mut("known") {
@@ -119,7 +122,7 @@
     Ok(values)
 }
 
-/// A seed in hexadecimal; an empty one counts as 0.
+/// Parses a hexadecimal seed. An empty text gives 0.
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
     if text.is_empty() {
         return Ok(0);
@@ -135,7 +138,7 @@
         .into_iter()
         .map(|event| event.into_event(settings))
         .collect::<Result<Vec<_>, _>>()?;
-    // The first event holds the full list, however it is marked.
+    // The first event has the full list, even if its `reset` field is false.
     if let Some(first) = events.first_mut() {
         first.kind = ListUpdateKind::Full;
     }
--- a/src/node_config/front_ends.rs
+++ b/src/node_config/front_ends.rs
@@ -1,4 +1,4 @@
-//! The front ends that operators may turn on.
+//! The configuration of the front ends that operators may turn on.
 
 use super::ConfigError;
 use serde::Deserialize;
@@ -6,34 +6,34 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The front ends that are off unless a file under `deploy/` turns them on.
+/// The configuration of the optional front ends. They are off unless a file turns them on.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OptionalFronts {
-    /// Arrow Flight SQL.
+    /// The Arrow Flight SQL front end.
     pub flight: Option<FlightFrontConfig>,
-    /// The SNMP agent.
+    /// The SNMP agent, which serves the metrics.
     pub snmp: Option<SnmpAgentConfig>,
 }
 
-/// The Flight SQL front.
+/// The Arrow Flight SQL front end.
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "FlightFront")]
 pub struct FlightFrontConfig {
-    /// Where it listens.
+    /// The loopback address and port at which it listens.
     pub listen: String,
-    /// What the engines of the list speak.
+    /// The protocol of the engines in the endpoint list.
     #[serde(default)]
     pub engines: EngineProtocol,
 }
 
-/// What the engines of a list speak.
+/// The protocol of the engines in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, schemars::JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "Speech")]
 pub enum EngineProtocol {
-    /// The platform's lines.
+    /// The platform's line protocol.
     #[default]
     Lines,
     /// Arrow Flight SQL.
@@ -45,18 +45,18 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Agent")]
 pub struct SnmpAgentConfig {
-    /// Where it listens.
+    /// The loopback address and port at which it listens.
     pub listen: String,
-    /// The community that may read.
+    /// The community string that grants read access.
     pub community: String,
 }
 
 impl OptionalFronts {
-    /// Reads the file; where there is none, both are off.
+    /// Reads the configuration file. If it does not exist, both front ends are off.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or is not TOML of this form.
+    /// The file cannot be read, or is not TOML of this format.
     pub fn load(path: &Path) -> Result<OptionalFronts, ConfigError> {
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
@@ -77,11 +77,11 @@
     }
 }
 
-/// The listen address of a front end, which has to be on loopback.
+/// Parses the listen address of a front end, which must be a loopback address.
 ///
 /// # Errors
 ///
-/// The text is no address, or the address is not on loopback.
+/// The text is not an IP address and port, or the address is not a loopback address.
 pub fn parse_loopback_address(
     text: &str,
     front_end: &'static str,
--- a/src/node_config/json.rs
+++ b/src/node_config/json.rs
@@ -1,4 +1,4 @@
-//! The form of the configuration file. Keys that the platform may leave out have defaults.
+//! The JSON format of the configuration file. Keys that the platform may leave out have defaults.
 
 use super::{ConfigError, EndpointListEvent, EngineRecord, parse_engine_id};
 use crate::decision::{EngineEntry, EngineId, EngineState, ListUpdateKind};
@@ -7,13 +7,13 @@
 use serde_json::value::RawValue;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// Descriptors of a machine whose limit is not given.
+/// Maximum number of descriptors if the file gives none.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// Memory in MB of a machine whose limit is not given.
+/// Maximum memory in MB if the file gives none.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 
-/// The file.
+/// The whole file.
 #[derive(Deserialize)]
 pub(super) struct ConfigFile<'a> {
     #[serde(default)]
@@ -32,7 +32,7 @@
     pub(super) settings: &'a RawValue,
 }
 
-/// What the machine grants the process.
+/// The resources of the machine that the process may use.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct MachineLimits {
@@ -50,7 +50,7 @@
     }
 }
 
-/// The endpoint list at the time of the start.
+/// The events of the endpoint list up to the start of the process.
 #[derive(Default, Deserialize)]
 pub(super) struct KnownEvents {
     #[serde(default, rename = "n")]
@@ -59,7 +59,7 @@
     pub(super) events: Vec<KnownEvent>,
 }
 
-/// One event of the list.
+/// One event of the endpoint list.
 #[derive(Deserialize)]
 pub(super) struct KnownEvent {
     #[serde(rename = "n")]
@@ -69,14 +69,14 @@
 
 #[derive(Deserialize)]
 struct Members {
-    /// The event holds the full list.
+    /// Whether the event has the full list. Otherwise it has changes only.
     #[serde(default)]
     reset: bool,
     #[serde(default)]
     instances: Vec<Instance>,
 }
 
-/// One engine.
+/// One engine of the endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Instance {
@@ -101,7 +101,11 @@
 }
 
 impl KnownEvent {
-    /// The event in the core's types. Errors: an engine's id has another form.
+    /// Converts the event to the core's types.
+    ///
+    /// # Errors
+    ///
+    /// An engine id is invalid.
     pub(super) fn into_event(
         self,
         settings: &PlatformSettings,
@@ -134,8 +138,8 @@
             .ok_or_else(|| ConfigError::InvalidEngineId(self.instance_id.clone()))
     }
 
-    /// Its record; none where it names a state that is unknown or, as an engine that takes work, a zone or machine
-    /// type that the settings do not know.
+    /// Converts the engine to a record. Returns `None` if its state is unknown, or if it is ready and
+    /// its zone or machine type is not in the settings.
     fn into_record(self, engine: EngineId, settings: &PlatformSettings) -> Option<EngineRecord> {
         let state = match self.lifecycle.as_str() {
             "active" => EngineState::Ready,
@@ -166,7 +170,8 @@
     }
 }
 
-/// The position of a name in the settings. Where they list no names, every name counts as the first.
+/// Returns the position of a name in the settings' names. If the settings list no names, every name
+/// has position 0.
 fn position(names: &[String], name: &str) -> Option<usize> {
     if names.is_empty() {
         return Some(0);
--- a/src/node_config/missing_key.rs
+++ b/src/node_config/missing_key.rs
@@ -1,9 +1,9 @@
-//! Search for a key that one JSON document has and another lacks.
+//! Finds a key that one JSON document has and another lacks.
 
 use serde_json::Value;
 
-/// The dotted path of a key that `reference` has and `document` lacks. Of the objects in an array, each has to have
-/// the keys that all objects of the reference's array have.
+/// Returns the path, with dots, of a key that `reference` has and `document` lacks. For an array,
+/// each of its elements must have the keys that all objects in the reference's array share.
 pub(super) fn find(reference: &Value, document: &Value) -> Option<String> {
     find_in_value(reference, document).map(|path| path.trim_start_matches('.').to_owned())
 }
