--- a/src/settings_json.rs
+++ b/src/settings_json.rs
@@ -1,7 +1,9 @@
-//! The platform's settings: from their JSON text to the types of the dispatcher and its hosts. The simulator's adapter
-//! and the workload manager share this module, so that both run the dispatcher on the same figures.
+//! Parses the platform's settings from JSON into the types of the dispatcher and of the programs
+//! that run it. The simulator's adapter and the workload manager share this module, so both give
+//! the dispatcher the same values.
 //!
-//! [`json`] is the form of the text, with the platform's names; this module checks and converts it.
+//! [`json`] defines the format of the text, with the platform's names. This module checks the
+//! values and converts them.
 
 mod error;
 mod json;
@@ -12,54 +14,55 @@
 use json::{ClassJson, SettingsJson, SpecificsJson};
 use std::sync::Arc;
 
-/// The largest memory grant, in MB, where the settings tell no engine's memory.
+/// Maximum memory grant, in MB, if the settings give the memory of no machine type.
 const UNLIMITED_MEMORY_GRANT_MB: f64 = 1e6;
 
-/// A class with its name. A request holds it from its arrival to its end, whatever settings come in between.
+/// A class with its name. A request keeps its class until it ends, even if the settings change in
+/// the meantime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedClass {
-    /// The name that clients and engines use.
+    /// The name by which clients and engines refer to the class.
     pub name: String,
-    /// Its settings.
+    /// The settings of the class.
     pub class: Class,
 }
 
-/// The settings of the dispatcher, and what its hosts need besides.
+/// The settings of the dispatcher, and further settings for the programs that run it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
     /// The dispatcher's settings.
     pub settings: Settings,
-    /// Names of the values of a load report, in order.
+    /// Names of the fields of a load report, in order.
     pub load_report_fields: Vec<String>,
-    /// Answers report the work and memory that a query needed.
+    /// Whether engines report in their answers the work and memory that a query needed.
     pub answers_report_work: bool,
-    /// Classes with their names, by position.
+    /// Classes with their names, in the order of the settings.
     pub classes: Vec<Arc<NamedClass>>,
-    /// Tenant names, by position.
+    /// Tenant names, in the order of the settings.
     pub tenants: Vec<String>,
-    /// Zone names, by position.
+    /// Zone names, in the order of the settings.
     pub zones: Vec<String>,
-    /// Names of machine types, by position.
+    /// Names of machine types, in the order of the settings.
     pub machine_types: Vec<String>,
-    /// Longest time to set up a connection, in ms.
+    /// Maximum time to set up a connection to an engine, in ms.
     pub connect_timeout_ms: f64,
-    /// Engines close connections that idle this long, in ms.
+    /// Engines close a connection that has been idle for this time, in ms.
     pub engine_idle_timeout_ms: f64,
-    /// Attempts that one connection carries at once.
+    /// Maximum number of attempts in flight on one engine connection.
     pub attempts_per_connection: usize,
-    /// Most memory that any engine grants one query, in MB.
+    /// Maximum memory that any engine grants one query, in MB.
     pub max_memory_grant_mb: f64,
-    /// Requests that may be open at once.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub parallel_attempts_allowed: bool,
 }
 
-/// Reads a settings text.
+/// Parses the settings from JSON.
 ///
 /// # Errors
 ///
-/// The text is not JSON of the expected form, or one of its values cannot be used.
+/// The text is not JSON of the expected format, or one of its values is invalid.
 pub fn parse(text: &[u8]) -> Result<PlatformSettings, ParseSettingsError> {
     let json: SettingsJson = serde_json::from_slice(text)?;
     check_bounds(&json)?;
@@ -84,7 +87,8 @@
     })
 }
 
-/// Refuses settings under which every request of a class would end at once: no time, or no attempt at all.
+/// Rejects settings under which every request of a class would end at once, because its time is not
+/// above 0 or its maximum number of attempts is below 1.
 fn check_bounds(json: &SettingsJson) -> Result<(), ParseSettingsError> {
     for (class, times) in json.classes.iter().enumerate() {
         for milliseconds in [times.client_timeout_ms, times.latency_objective_ms] {
@@ -140,7 +144,7 @@
     })
 }
 
-/// A class with what the specifics say at its position.
+/// Converts a class, with the values at its position in the lists of `specifics`.
 fn dispatcher_class(
     position: usize,
     class: &ClassJson,
@@ -203,7 +207,7 @@
     }
 }
 
-/// The most memory that any machine type grants one query.
+/// Returns the maximum memory, in MB, that any machine type grants one query.
 fn max_memory_grant_mb(specifics: &SpecificsJson) -> f64 {
     let memories = specifics.machine_type_memory_mb.iter().copied();
     let largest_mb = memories.fold(0.0, f64::max);
--- a/src/settings_json/json.rs
+++ b/src/settings_json/json.rs
@@ -1,9 +1,9 @@
-//! The form of the settings text. Fields have the names of this program and are renamed to the platform's; keys that
-//! the platform may leave out have defaults.
+//! The JSON format of the settings. Fields are named as in this program, and attributes give the
+//! platform's names. Keys that the platform may leave out have defaults.
 
 use serde::Deserialize;
 
-/// The whole text.
+/// The whole settings.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct SettingsJson {
@@ -42,7 +42,7 @@
     pub(super) quota_per_s: f64,
 }
 
-/// What requests cost besides their work.
+/// Costs of requests in addition to their work.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ChargesJson {
@@ -79,7 +79,7 @@
     pub(super) priority_weight: f64,
 }
 
-/// What the platform guarantees.
+/// Values that the platform guarantees, and the retry budget.
 #[derive(Deserialize)]
 pub(super) struct GuaranteesJson {
     #[serde(rename = "coldMs")]
@@ -100,7 +100,7 @@
     pub(super) retry_window_ms: Option<f64>,
 }
 
-/// What the platform allows.
+/// Limits of the platform, and the features that it allows.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct LimitsJson {
@@ -135,7 +135,7 @@
     pub(super) fields: Vec<String>,
 }
 
-/// What is particular to one installation.
+/// Settings that are specific to one installation.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct SpecificsJson {
