--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,9 +1,11 @@
-//! Endpoint discovery: follows the discovery feed, which announces every change of the endpoint list, and passes its
-//! events to the core.
+//! Endpoint discovery: reads the discovery feed, which sends every change of the endpoint list, and
+//! passes the events to the core.
 //!
-//! [`frame`] decodes the feed's wire form, [`session`] reads one connection, and [`start_times`] sees to wall clocks that
-//! are stepped. The actor here owns the connection and reconnects with a backoff whenever it fails. `node` starts it with the address and the number of the last event that
-//! the configuration knows; the core is the only receiver of its events.
+//! [`frame`] decodes the feed's wire format, [`session`] reads frames from one connection, and
+//! [`start_times`] corrects the start times of engines after a wall clock step. The actor here owns
+//! the connection, and reconnects with a backoff when it fails. `node` starts the actor with the
+//! feed's address and the number of the last event in the configuration. Only the core receives the
+//! events.
 
 mod frame;
 mod session;
@@ -20,22 +22,23 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What the follower of the feed works with.
+/// The dependencies of the actor that follows the feed.
 pub struct FollowerContext {
-    /// Receives each event once, in the order of the numbers.
+    /// Receives each event once, in the order of the event numbers.
     pub core: Handle,
-    /// Times and sizes.
+    /// The feed's timeouts, backoff and maximum frame size.
     pub limits: Arc<Limits>,
     /// Counts connections, events and failures.
     pub metrics: Arc<Metrics>,
-    /// Turns true with the first frame.
+    /// Becomes true when the first frame is received.
     pub first_frame_received: watch::Sender<bool>,
-    /// Records are read against the newest settings.
+    /// The settings; records are checked against their current value.
     pub settings: watch::Receiver<Arc<PlatformSettings>>,
 }
 
-/// Follows the feed from the event after `last_event` on. A changed address in `feed` is connected to at once, as event
-/// numbers continue there. Ends once the sender of `feed` is dropped.
+/// Follows the feed, starting with the event after `last_event`. If the address in `feed` changes,
+/// it connects to the new address at once; the event numbers continue there. Returns when the
+/// sender of `feed` is dropped.
 pub async fn follow(
     mut feed: watch::Receiver<SocketAddr>,
     mut last_event: u64,
@@ -46,14 +49,20 @@
     let mut wall_clock_step = WallClockStep::default();
     loop {
         let (last_event_before, address) = (last_event, *feed.borrow_and_update());
-        // A feed that has moved announces nothing further at its old address, although that connection stays open for a
-        // while. The session may be dropped at any point, because `last_event` counts only events passed on.
+        // After a change of address, the feed sends no more events at the old address, although the
+        // old connection may stay open. The session can be dropped at any point, because
+        // `last_event` includes only events that were passed to the core.
         let address_change = tokio::select! {
             biased;
             change = feed.changed() => Some(change),
             result = session::run(address, &mut last_event, &mut wall_clock_step, &context) => {
                 let Err(error) = result;
-                tracing::debug!(feed = %address, last_event, %error, "connection to the feed failed");
+                tracing::debug!(
+                    feed = %address,
+                    last_event,
+                    %error,
+                    "connection to the discovery feed failed; reconnecting"
+                );
                 count_failure(&error, &context.metrics);
                 let made_progress = last_event > last_event_before;
                 backoff = if made_progress { first_backoff } else { (backoff * 2).min(max_backoff) };
@@ -71,7 +80,8 @@
     }
 }
 
-/// A lost connection is ordinary and has no counter of its own: the next connection is counted.
+/// Counts a failure. A lost connection has no counter of its own, because the connection that
+/// replaces it is counted.
 fn count_failure(error: &SessionError, metrics: &Metrics) {
     match error {
         SessionError::ConnectionLost(_) => {}
--- a/src/discovery/frame.rs
+++ b/src/discovery/frame.rs
@@ -1,7 +1,8 @@
-//! The wire form of the discovery feed.
+//! Decodes the wire format of the discovery feed.
 //!
-//! A frame is its length in 4 bytes, then the event's number (8 bytes), the frame's kind (1 byte) and any number of
-//! records of 27 bytes. All numbers are big-endian.
+//! A frame consists of its length (4 bytes), the event number (8 bytes), the kind of frame (1 byte)
+//! and any number of records of 27 bytes each. The length does not include its own 4 bytes. All
+//! numbers are big-endian.
 
 use crate::decision::{EngineEntry, EngineId, EngineState, ListUpdateKind};
 use crate::node_config::{EndpointListEvent, EngineRecord, engine_id};
@@ -10,13 +11,14 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use thiserror::Error;
 
-/// Bytes of a record: id 4, address 4, port 2, state 1, zone 1, machine type 1, cell 2, nominal capacity 4, start 8.
+/// Bytes of a record: id 4, address 4, port 2, state 1, zone 1, machine type 1, cell 2, nominal
+/// capacity 4, start time 8.
 pub(super) const RECORD_BYTES: usize = 27;
 
-/// Bytes of a frame before its records, the length left out.
+/// Bytes of a frame between its length and its records: the event number and the kind.
 pub(super) const HEADER_BYTES: usize = 9;
 
-/// The feed gives an engine's nominal capacity in thousandths.
+/// The feed gives the nominal capacity of an engine in thousandths.
 const CAPACITY_SCALE: f64 = 1000.0;
 
 const KIND_HEARTBEAT: u8 = 0;
@@ -30,35 +32,35 @@
 /// One decoded frame.
 #[derive(Debug)]
 pub(super) enum Frame {
-    /// The feed is alive, and nothing has changed.
+    /// The feed is connected, and the endpoint list has not changed.
     Heartbeat,
-    /// A change of the endpoint list, or the full list.
+    /// The full endpoint list, or changes of it.
     Event(EndpointListEvent),
 }
 
 /// Why a frame cannot be decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum FrameError {
-    /// The length lies outside its bounds.
-    #[error("a frame of {bytes} bytes; {HEADER_BYTES} to {max_bytes} are allowed")]
+    /// The length is out of bounds.
+    #[error("frame of {bytes} bytes; {HEADER_BYTES} to {max_bytes} are allowed")]
     Length {
-        /// The length that the feed names, or that arrived.
+        /// The length that the feed sent, or the number of bytes to decode.
         bytes: usize,
-        /// The largest length that is read.
+        /// The maximum length.
         max_bytes: usize,
     },
-    /// The kind is unknown.
-    #[error("unknown kind {0}")]
+    /// The kind of frame is unknown.
+    #[error("unknown kind of frame {0}")]
     UnknownKind(u8),
     /// A heartbeat has records.
-    #[error("a heartbeat with {0} bytes of records")]
+    #[error("heartbeat with {0} bytes of records")]
     HeartbeatWithRecords(usize),
-    /// The last record is cut short.
+    /// The last record is incomplete.
     #[error("{0} bytes after the last complete record")]
     PartialRecord(usize),
 }
 
-/// What makes a single record unusable. The other records of its frame are used.
+/// Why a single record cannot be used. The other records of its frame are still used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum RecordError {
     #[error("unknown state {0}")]
@@ -67,7 +69,7 @@
     UnknownLocation { zone: u8, machine_type: u8 },
 }
 
-/// Checks a frame's length as the feed names it.
+/// Checks the length of a frame, as the feed sent it.
 pub(super) fn check_length(bytes: usize, max_bytes: usize) -> Result<(), FrameError> {
     if (HEADER_BYTES..=max_bytes).contains(&bytes) {
         Ok(())
@@ -76,12 +78,13 @@
     }
 }
 
-/// Decodes a frame without its length.
+/// Decodes a frame; `frame` starts after the length.
 ///
 /// # Errors
 ///
-/// See [`FrameError`]. A record that cannot be used is no error of the frame: the frame would arrive again with every
-/// connection, and no later event would be received. Its engine is named as unusable instead.
+/// See [`FrameError`]. A record that cannot be used is not an error of the frame, because the feed
+/// would send the same frame again on every connection, and no later event would be received.
+/// Instead, the engine of the record is listed in the event's `unusable_engines`.
 pub(super) fn decode(frame: &[u8], settings: &PlatformSettings) -> Result<Frame, FrameError> {
     let Some((mut header, payload)) = frame.split_at_checked(HEADER_BYTES) else {
         return Err(FrameError::Length {
@@ -117,7 +120,7 @@
     Ok(Frame::Event(event))
 }
 
-/// The fields of a record as they are on the wire.
+/// The fields of a record, with the values of the wire format.
 struct Record {
     engine: EngineId,
     address: SocketAddr,
@@ -127,15 +130,16 @@
     cell: u16,
     /// In thousandths.
     nominal_capacity: u32,
-    /// In Unix ms.
+    /// In ms since the Unix epoch.
     started_at_ms: u64,
 }
 
 impl Record {
-    /// Reads the fields one after the other.
+    /// Decodes the fields in the order of the wire format.
     fn decode(encoded: &[u8; RECORD_BYTES]) -> Record {
         let mut fields = encoded.as_slice();
-        // The fields of a struct expression are evaluated in the order written, which is the order on the wire.
+        // Rust evaluates the fields of a struct expression in the order written, which is their
+        // order on the wire.
         Record {
             engine: engine_id(fields.get_u32()),
             address: SocketAddr::from((Ipv4Addr::from(fields.get_u32()), fields.get_u16())),
@@ -148,8 +152,12 @@
         }
     }
 
-    /// The record in the core's types. Errors: an unknown state; of an engine that takes work also an unknown zone or
-    /// machine type. A draining or removed engine is reported whatever else its record holds.
+    /// Converts the record to the core's types. The zone and machine type of a draining or removed
+    /// engine are not checked, so that its state is always passed on.
+    ///
+    /// # Errors
+    ///
+    /// The state is unknown, or the engine is ready and its zone or machine type is unknown.
     fn to_engine_record(&self, settings: &PlatformSettings) -> Result<EngineRecord, RecordError> {
         let state = match self.state {
             STATE_READY => EngineState::Ready,
@@ -182,7 +190,8 @@
     }
 }
 
-/// Whether this is a position in the list of names; without names every position is known.
+/// Whether `position` is in the list of names. If the settings list no names, every position is
+/// accepted.
 fn is_known_position(names: &[String], position: u8) -> bool {
     names.is_empty() || usize::from(position) < names.len()
 }
--- a/src/discovery/session.rs
+++ b/src/discovery/session.rs
@@ -1,4 +1,5 @@
-//! One connection to the discovery feed: names the last known event, then reads frames until something fails.
+//! One connection to the discovery feed. It sends the number of the last known event, then reads
+//! frames until an error.
 
 use super::FollowerContext;
 use super::frame::{self, Frame, FrameError};
@@ -14,29 +15,32 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// Bytes of buffer that stay allocated between two frames. A full list is much larger than a change, and rare.
+/// Bytes of the read buffer that stay allocated between two frames. A frame with the full list is
+/// much larger than one with changes, and is rare.
 const RETAINED_BUFFER_BYTES: usize = 4096;
 
-/// Why the feed has to be connected to again.
+/// Why a connection to the feed ended, so that a new one is needed.
 #[derive(Debug, Error)]
 pub(super) enum SessionError {
-    /// The connection cannot be made, or it was closed.
+    /// The connection could not be established, or it was closed.
     #[error("connection lost: {0}")]
     ConnectionLost(#[from] io::Error),
-    /// No connection, or no complete frame, within the time limit.
-    #[error("no answer within the time limit")]
+    /// No connection was established, or no complete frame arrived, within the time limit.
+    #[error("no connection or no complete frame within the time limit")]
     TimedOut(#[from] Elapsed),
-    /// A frame that cannot be decoded.
+    /// A frame cannot be decoded.
     #[error("malformed frame: {0}")]
     MalformedFrame(#[from] FrameError),
 }
 
-/// Reads frames and passes their events to the core, raising `last_event` with each. Never ends without an error.
+/// Connects to the feed, reads frames and passes their events to the core. Sets `last_event` to the
+/// number of each event passed on. Returns only with an error.
 ///
 /// # Errors
 ///
-/// See [`SessionError`]. A feed that is silent is left within the time limit, as it may have been cut off while engines
-/// drain, and every event counts as known from the moment that the feed announces it.
+/// See [`SessionError`]. If the feed is silent for longer than the time limit, the connection ends:
+/// it may have been cut off while engines drain, and an event counts as known to this process from
+/// the moment at which the feed sends it.
 pub(super) async fn run(
     feed: SocketAddr,
     last_event: &mut u64,
@@ -47,7 +51,7 @@
     let connected = timeout(limits.feed_connect_timeout, TcpStream::connect(feed)).await??;
     let mut stream = RetryingStream::new(connected);
     context.metrics.feed_connections.increment();
-    tracing::debug!(%feed, last_event = *last_event, "connected to the feed");
+    tracing::debug!(%feed, last_event = *last_event, "connected to the discovery feed");
     let last_event_bytes = last_event.to_be_bytes();
     timeout(
         limits.feed_read_timeout,
@@ -56,11 +60,13 @@
     .await??;
     let mut buffer = Vec::new();
     loop {
-        // The limit is on the complete frame: one that arrives byte by byte is no better than none.
+        // The time limit applies to a complete frame, so a frame that arrives too slowly times out
+        // too.
         let frame_received = receive(&mut stream, &mut buffer, limits.feed_frame_bytes);
         timeout(limits.feed_read_timeout, frame_received).await??;
         let frame = frame::decode(&buffer, &context.settings.borrow())?;
-        // Later events follow without a pause, so that the first frame is also the sign that the list is current.
+        // Later events follow without a pause, so the first frame also shows that the list is
+        // current.
         context.first_frame_received.send_replace(true);
         let Frame::Event(mut event) = frame else {
             continue;
@@ -68,18 +74,18 @@
         wall_clock_step.observe(context.core.wall_clock_step_ms());
         wall_clock_step.adjust(&mut event, context.core.now());
         if event.number <= *last_event {
-            continue; // known from an earlier connection
+            continue; // received on an earlier connection
         }
         let number = event.number;
         context.core.send(CoreMessage::EndpointList(event)).await;
-        // Only now: where this future was dropped before, the event is requested again.
+        // Set only after the send. If this future is dropped earlier, the event is requested again.
         *last_event = number;
         context.metrics.feed_events.increment();
         buffer.shrink_to(RETAINED_BUFFER_BYTES);
     }
 }
 
-/// Reads one frame without its length into the buffer.
+/// Reads one frame into the buffer, without its length.
 async fn receive(
     stream: &mut RetryingStream,
     buffer: &mut Vec<u8>,
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -1,33 +1,41 @@
-//! Start times of engines, which the list gives in the wall clock's time, brought onto the clock of this process.
+//! Converts the start times of engines, which the endpoint list gives in wall clock time, to the
+//! clock of this process.
 //!
-//! The process's clock reads the wall clock once and goes on by monotonic time. When the wall clock is stepped, the list
-//! names later starts by the new time: an hour back, and an engine that has just started would look warm; an hour ahead,
-//! and it would look cold for an hour.
+//! The clock of the process reads the wall clock once, and then advances with monotonic time. After
+//! a wall clock step, the list gives later start times in the new time. Without a conversion, after
+//! a step of one hour back, an engine that has just started would not be treated as warming up.
+//! After a step of one hour ahead, it would be treated as warming up for an hour.
 
 use crate::decision::Millis;
 use crate::node_config::EndpointListEvent;
 
-/// Differences between two readings of the step that are no step: the clocks are read one after the other, and the
-/// wall clock may be slewed.
+/// Maximum difference in ms between two readings that does not count as a wall clock step. Readings
+/// differ because the two clocks are read one after the other, and because the wall clock may be
+/// slewed.
 const READING_TOLERANCE_MS: Millis = 500.0;
 
-/// By how much the wall clock is ahead of the process's clock. A kept reading lasts until the wall clock is stepped
-/// again, so that one start time always gives the same result: a changed one would mean a restart of the engine.
+/// How far the wall clock is ahead of the clock of the process. A reading is kept until the next
+/// wall clock step, so that a start time always converts to the same result. A different result
+/// would be taken as a restart of the engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WallClockStep {
     ahead_ms: Millis,
 }
 
 impl WallClockStep {
-    /// Takes a reading.
+    /// Stores a reading if it differs from the stored one by more than the tolerance.
     pub(super) fn observe(&mut self, ahead_ms: Millis) {
         if (ahead_ms - self.ahead_ms).abs() > READING_TOLERANCE_MS {
-            tracing::debug!(ahead_ms, "the wall clock was stepped");
+            tracing::debug!(
+                ahead_ms,
+                "wall clock step detected; start times of engines are converted"
+            );
             self.ahead_ms = ahead_ms;
         }
     }
 
-    /// Brings the start times of an event onto the process's clock, on which it is `now_ms`.
+    /// Converts the start times in an event to the clock of the process; `now_ms` is that clock's
+    /// current time. Start times that are not above 0 stay.
     pub(super) fn adjust(self, event: &mut EndpointListEvent, now_ms: Millis) {
         if self.ahead_ms == 0.0 {
             return;
@@ -40,8 +48,10 @@
         }
     }
 
-    /// A start may have been before the step or after it. Of both times the later one that has passed is taken, as an
-    /// engine that is thought cold for too long loses little, and one that is thought warm too early collapses.
+    /// Converts a start time. The engine may have started before or after the step, so two times
+    /// are possible. The result is the later one, unless it is in the future. An engine that is
+    /// treated as warming up for too long loses little, but one that gets its full load too early
+    /// collapses.
     fn to_process_clock(self, listed_ms: Millis, now_ms: Millis) -> Millis {
         let after_step_ms = listed_ms - self.ahead_ms;
         let (earlier, later) = if after_step_ms < listed_ms {
--- a/src/discovery/start_times/tests.rs
+++ b/src/discovery/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of this module.
+//! Tests of converting start times after a wall clock step.
 
 use super::WallClockStep;
 use crate::decision::{EngineEntry, ListUpdateKind, Millis};
@@ -24,7 +24,8 @@
     event.records[0].entry.started_at_ms
 }
 
-/// An engine that started a second ago counts as that, whenever the wall clock was stepped, and which way.
+/// The start time of an engine that started one second ago converts to one second ago, whether the
+/// wall clock was stepped back or ahead, and before or after the engine's start.
 #[rstest]
 #[case::no_step(0.0, NOW_MS - 1000.0)]
 #[case::back_before_the_start(-HOUR_MS, NOW_MS - HOUR_MS - 1000.0)]
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the follower on a real connection, and of the frames that it decodes.
+//! Tests of following the feed over a TCP connection, and of decoding frames.
 
 use super::frame::{Frame, FrameError, HEADER_BYTES, RECORD_BYTES, decode};
 use super::*;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A frame with one record for each engine, as the feed writes it.
+/// Returns a frame as the feed sends it, with one record for each engine in `ids`.
 fn frame(number: u64, kind: u8, ids: std::ops::Range<u32>, state: u8) -> Vec<u8> {
     let mut frame = (HEADER_BYTES as u32 + ids.len() as u32 * RECORD_BYTES as u32)
         .to_be_bytes()
@@ -27,15 +27,17 @@
     frame
 }
 
-/// The next connection of the follower, with the number of the last event that it has.
+/// Accepts the next connection, and reads the number of the last known event from it.
 async fn accept(feed: &TcpListener) -> (TcpStream, u64) {
     let mut stream = feed.accept().await.expect("accept").0;
     let last = stream.read_u64().await.expect("number");
     (stream, last)
 }
 
-/// A list of a thousand engines arrives complete. The feed falls silent in the middle of a release, closes inside the
-/// event that lists the new engines, and sends that event again: each event is passed on once, complete and in order.
+/// The feed sends a list of 1,024 engines and then an event with draining engines, and is silent
+/// until the timeout. Its next connection closes in the middle of an event, and the one after that
+/// repeats the known event and the incomplete one. Each event must reach the core once, complete
+/// and in order.
 #[test]
 fn each_event_is_passed_on_once_when_the_feed_fails_during_a_large_release() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -94,8 +96,8 @@
     });
 }
 
-/// One record with unknown values does not cost the other records or later frames. A draining or removed engine is
-/// reported whatever else its record holds.
+/// A record with unknown values must not prevent the use of the other records or of later frames. A
+/// draining or removed engine is passed on whatever its zone and machine type are.
 #[test]
 fn only_the_record_with_unknown_values_is_left_out() {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":1,"giveUpMs":9}],
@@ -131,7 +133,7 @@
         decode_with_second_record(2, 9, 9),
         (vec![ready, EngineState::Removed, ready], Vec::new())
     );
-    // A frame that is cut short cannot be decoded at all.
+    // An incomplete record at the end makes the whole frame invalid.
     let mut short = frame(7, 2, 1..4, 0).split_off(4);
     short.pop();
     let error = decode(&short, &settings).expect_err("cut short");
