--- a/src/node_config.rs
+++ b/src/node_config.rs
@@ -1,5 +1,5 @@
-//! The configuration of one workload manager. The platform provides it as a JSON file, whose path is
-//! in the environment variable `NODE_CONFIG`.
+//! The configuration of one workload manager. The platform provides it as a JSON file, whose path
+//! is in the environment variable `NODE_CONFIG`.
 //!
 //! [`NodeConfig`] is the checked configuration, and [`json`] defines the format of the file.
 //! [`endpoint_list`] has the types that configuration and discovery share, and [`front_ends`] the
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Returns the path of a key that is in `in_force`, the values of the current configuration, but
-    /// not in this one. Without that key, this configuration is incomplete.
+    /// Returns the path of a key that is in `in_force`, the values of the current configuration,
+    /// but not in this one. Without that key, this configuration is incomplete.
     pub fn missing_key(&self, in_force: &Value) -> Option<String> {
         missing_key::find(in_force, &self.values)
     }
--- a/src/node_config/endpoint_list.rs
+++ b/src/node_config/endpoint_list.rs
@@ -32,9 +32,9 @@
     pub unusable_engines: Vec<EngineId>,
 }
 
-/// Converts the number of an engine in the endpoint list to an [`EngineId`]. The engine's address is
-/// not part of the id: a new engine may take the address of an old one, and each workload manager
-/// gets different addresses, but all must agree on which engines have a data set cached.
+/// Converts the number of an engine in the endpoint list to an [`EngineId`]. The engine's address
+/// is not part of the id: a new engine may take the address of an old one, and each workload
+/// manager gets different addresses, but all must agree on which engines have a data set cached.
 pub fn engine_id(id: u32) -> EngineId {
     EngineId {
         addr: id.to_be_bytes(),
--- a/src/node_config/json.rs
+++ b/src/node_config/json.rs
@@ -138,8 +138,8 @@
             .ok_or_else(|| ConfigError::InvalidEngineId(self.instance_id.clone()))
     }
 
-    /// Converts the engine to a record. Returns `None` if its state is unknown, or if it is ready and
-    /// its zone or machine type is not in the settings.
+    /// Converts the engine to a record. Returns `None` if its state is unknown, or if it is ready
+    /// and its zone or machine type is not in the settings.
     fn into_record(self, engine: EngineId, settings: &PlatformSettings) -> Option<EngineRecord> {
         let state = match self.lifecycle.as_str() {
             "active" => EngineState::Ready,
