--- a/benches/scale/churn.rs
+++ b/benches/scale/churn.rs
@@ -1,6 +1,6 @@
 //! Churn of the list: engines that drain, are followed by a successor, and go, at an even rate.
 
-use super::configuration::{FIRST_EVENT, engine};
+use super::configuration::{FIRST_EVENT, engine_at};
 use super::feed::Feed;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{self, RecvTimeoutError, Sender};
@@ -12,41 +12,42 @@
 
 /// An ordinary day's changes, each taken to replace an engine, though restarts and failures of other machines count
 /// among them: changes of primary, failed machines, restarted or replaced machines.
-const ORDINARY_DAY: [u32; 3] = [37, 150, 2_600];
+const REPLACEMENTS_PER_DAY: [u32; 3] = [37, 150, 2_600];
 /// How many ordinary days are played in one.
-const TIMES: u32 = 10;
+const DAYS_IN_ONE: u32 = 10;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// From an engine's drain, when its successor is listed, to its end.
-const DRAINS_FOR: Duration = Duration::from_secs(1);
+const DRAIN_TIME: Duration = Duration::from_secs(1);
 /// Engines that go one after another stand this many places apart in the list.
-const STRIDE: usize = 7_919;
+const INDEX_STRIDE: usize = 7_919;
 
 /// How fast engines are replaced, and how many at most.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Rate {
+pub(super) struct ReplacementRate {
     /// From one replacement to the next.
     pub interval: Duration,
     /// No further ones follow these.
-    pub most: Option<u32>,
+    pub max_replacements: Option<u32>,
 }
 
-impl Rate {
+impl ReplacementRate {
     /// Ten ordinary days in one.
-    pub(super) fn ten_days() -> Rate {
-        let replaced = TIMES * ORDINARY_DAY.iter().sum::<u32>();
-        Rate {
-            interval: Duration::from_secs_f64(SECONDS_PER_DAY / f64::from(replaced)),
-            most: None,
+    pub(super) fn ten_days_in_one() -> ReplacementRate {
+        let replacements = DAYS_IN_ONE * REPLACEMENTS_PER_DAY.iter().sum::<u32>();
+        ReplacementRate {
+            interval: Duration::from_secs_f64(SECONDS_PER_DAY / f64::from(replacements)),
+            max_replacements: None,
         }
     }
 
     /// Engines that would be replaced in a day.
-    pub(super) fn replaced_a_day(self) -> f64 {
+    pub(super) fn replacements_per_day(self) -> f64 {
         SECONDS_PER_DAY / self.interval.as_secs_f64()
     }
 
-    fn allows(self, replaced: u32) -> bool {
-        self.most.is_none_or(|most| replaced < most)
+    fn allows_another(self, replaced: u32) -> bool {
+        self.max_replacements
+            .is_none_or(|max_replacements| replaced < max_replacements)
     }
 }
 
@@ -63,31 +64,31 @@
         feed: &Arc<Mutex<Feed>>,
         listed: &[EngineRecord],
         port: u16,
-        rate: Rate,
+        rate: ReplacementRate,
     ) -> Churn {
         let events = Arc::<AtomicU64>::default();
-        let (stop, stopped) = mpsc::channel::<()>();
-        let (feed, count) = (feed.clone(), events.clone());
-        let mut list = RollingReplacement::new(listed.to_vec(), port);
+        let (stop, stop_signal) = mpsc::channel::<()>();
+        let (feed, event_count) = (feed.clone(), events.clone());
+        let mut replacement = RollingReplacement::new(listed.to_vec(), port);
         let thread = thread::spawn(move || {
             let publish = |event| {
                 feed.lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .publish(&event);
-                count.fetch_add(1, Ordering::SeqCst);
+                event_count.fetch_add(1, Ordering::SeqCst);
             };
-            let goes_on = |until: Instant| {
-                let left = until.saturating_duration_since(Instant::now());
-                stopped.recv_timeout(left) == Err(RecvTimeoutError::Timeout)
+            let wait_until = |deadline: Instant| {
+                let remaining = deadline.saturating_duration_since(Instant::now());
+                stop_signal.recv_timeout(remaining) == Err(RecvTimeoutError::Timeout)
             };
-            let (mut next, mut replaced) = (Instant::now(), 0);
-            while rate.allows(replaced) && goes_on(next) {
-                publish(list.drain());
+            let (mut next_start, mut replaced) = (Instant::now(), 0);
+            while rate.allows_another(replaced) && wait_until(next_start) {
+                publish(replacement.drain_next());
                 // What drains ends, also where the churn is over.
-                goes_on(next + DRAINS_FOR.min(rate.interval / 2));
-                publish(list.end());
+                wait_until(next_start + DRAIN_TIME.min(rate.interval / 2));
+                publish(replacement.remove_drained());
                 replaced += 1;
-                next += rate.interval;
+                next_start += rate.interval;
             }
         });
         Churn {
@@ -126,57 +127,62 @@
 struct RollingReplacement {
     listed: Vec<EngineRecord>,
     port: u16,
-    place: usize,
-    next_engine: u32,
-    event: u64,
-    old: Option<EngineRecord>,
+    next_index: usize,
+    next_engine_index: u32,
+    last_event: u64,
+    draining: Option<EngineRecord>,
 }
 
 impl RollingReplacement {
     fn new(listed: Vec<EngineRecord>, port: u16) -> RollingReplacement {
-        let next_engine = listed.len() as u32;
+        let next_engine_index = listed.len() as u32;
         RollingReplacement {
             listed,
             port,
-            place: 0,
-            next_engine,
-            event: FIRST_EVENT,
-            old: None,
+            next_index: 0,
+            next_engine_index,
+            last_event: FIRST_EVENT,
+            draining: None,
         }
     }
 
     /// The next engine drains, and its successor is ready.
-    fn drain(&mut self) -> EndpointListEvent {
+    fn drain_next(&mut self) -> EndpointListEvent {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let started_ms = now.as_millis() as f64;
-        let mut successor = engine(self.next_engine, EngineState::Ready, started_ms, self.port);
-        self.next_engine += 1;
+        let mut successor = engine_at(
+            self.next_engine_index,
+            EngineState::Ready,
+            started_ms,
+            self.port,
+        );
+        self.next_engine_index += 1;
         let length = self.listed.len();
-        let place = self.place % length;
-        self.place = (place + STRIDE) % length;
-        successor.entry.zone = self.listed[place].entry.zone;
-        let mut old = std::mem::replace(&mut self.listed[place], successor.clone());
+        let index = self.next_index % length;
+        self.next_index = (index + INDEX_STRIDE) % length;
+        successor.entry.zone = self.listed[index].entry.zone;
+        let mut old = std::mem::replace(&mut self.listed[index], successor.clone());
         old.entry.state = EngineState::Draining;
-        self.old = Some(old.clone());
-        self.change(vec![old, successor])
+        self.draining = Some(old.clone());
+        self.delta(vec![old, successor])
     }
 
     /// What drains ends.
-    fn end(&mut self) -> EndpointListEvent {
-        let gone = self.old.take().into_iter().map(|mut old| {
+    fn remove_drained(&mut self) -> EndpointListEvent {
+        let removed = self.draining.take().into_iter().map(|mut old| {
             old.entry.state = EngineState::Removed;
             old
         });
-        let gone = gone.collect();
-        self.change(gone)
+        let removed = removed.collect();
+        self.delta(removed)
     }
 
-    fn change(&mut self, entries: Vec<EngineRecord>) -> EndpointListEvent {
-        self.event += 1;
+    fn delta(&mut self, entries: Vec<EngineRecord>) -> EndpointListEvent {
+        self.last_event += 1;
         EndpointListEvent {
-            number: self.event,
+            number: self.last_event,
             kind: ListUpdateKind::Delta,
             records: entries,
             unusable_engines: Vec::new(),
--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -25,7 +25,7 @@
 
 impl Configuration<'_> {
     /// The file with the usual settings.
-    pub(super) fn value(&self) -> Value {
+    pub(super) fn to_json(&self) -> Value {
         let settings: Value = serde_json::from_str(&fleet::settings_text(self.managers, 0))
             .expect("the settings of the scale tests are JSON");
         json!({
@@ -43,7 +43,7 @@
         if self.listed.is_empty() {
             return Vec::new();
         }
-        let instances: Vec<Value> = self.listed.iter().map(instance).collect();
+        let instances: Vec<Value> = self.listed.iter().map(instance_json).collect();
         vec![json!({
             "n": FIRST_EVENT,
             "members": { "generation": 1, "reset": true, "instances": instances },
@@ -51,28 +51,28 @@
     }
 }
 
-fn instance(line: &EngineRecord) -> Value {
-    let lifecycle = match line.entry.state {
+fn instance_json(record: &EngineRecord) -> Value {
+    let lifecycle = match record.entry.state {
         EngineState::Ready => "active",
         EngineState::Draining => "leaving",
         EngineState::Removed => "left",
     };
     json!({
-        "instanceId": format_engine_id(line.entry.engine),
-        "hostPort": line.address.to_string(),
-        "zone": format!("zone-{}", line.entry.zone),
+        "instanceId": format_engine_id(record.entry.engine),
+        "hostPort": record.address.to_string(),
+        "zone": format!("zone-{}", record.entry.zone),
         "machineType": "std",
-        "cell": line.entry.cell,
+        "cell": record.entry.cell,
         "lifecycle": lifecycle,
-        "weight": line.entry.nominal_capacity,
-        "startedAtMs": line.entry.started_at_ms,
+        "weight": record.entry.nominal_capacity,
+        "startedAtMs": record.entry.started_at_ms,
     })
 }
 
 /// The list of this many ready engines that all listen at this port, each at an address of its own.
-pub(super) fn listed(engines: usize, port: u16) -> Vec<EngineRecord> {
+pub(super) fn ready_engines(engines: usize, port: u16) -> Vec<EngineRecord> {
     (0..engines as u32)
-        .map(|place| engine(place, EngineState::Ready, 0.0, port))
+        .map(|index| engine_at(index, EngineState::Ready, 0.0, port))
         .collect()
 }
 
@@ -87,8 +87,13 @@
 }
 
 /// The engine in this place. Ids start at 1, as the first address of a network may not be connected to.
-pub(super) fn engine(place: u32, state: EngineState, started_ms: f64, port: u16) -> EngineRecord {
-    let mut line = fleet::engine(place + 1, state, started_ms);
-    line.address.set_port(port);
-    line
+pub(super) fn engine_at(
+    index: u32,
+    state: EngineState,
+    started_ms: f64,
+    port: u16,
+) -> EngineRecord {
+    let mut record = fleet::engine_record(index + 1, state, started_ms);
+    record.address.set_port(port);
+    record
 }
--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -20,26 +20,26 @@
 
 const TEST: &str = Test::Decision.name();
 /// Time that an engine takes to serve a statement, in ms.
-const SERVED_AFTER_MS: Millis = 8.0;
+const SERVICE_TIME_MS: Millis = 8.0;
 
 /// How much is played at each size.
-struct Effort {
+struct RunLength {
     rounds: usize,
-    warm_up: u32,
+    warm_up_requests: u32,
     requests: u32,
     /// A round that lasts longer ends with the requests that it has.
     max_duration: Duration,
 }
 
-const FULL: Effort = Effort {
+const FULL_RUN: RunLength = RunLength {
     rounds: 5,
-    warm_up: 500,
+    warm_up_requests: 500,
     requests: 4_000,
     max_duration: Duration::from_secs(15),
 };
-const SMALL: Effort = Effort {
+const SMALL_RUN: RunLength = RunLength {
     rounds: 1,
-    warm_up: 50,
+    warm_up_requests: 50,
     requests: 500,
     max_duration: Duration::from_secs(15),
 };
@@ -71,8 +71,8 @@
 
 /// Plays all sizes, and predicts the largest from the others.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
-    let effort = if options.small { &SMALL } else { &FULL };
-    let sizes = options.listed();
+    let run_length = if options.small { &SMALL_RUN } else { &FULL_RUN };
+    let sizes = options.list_sizes();
     let (mut requests, mut ticks): (Vec<Point>, Vec<Point>) = (Vec::new(), Vec::new());
     let figure = |figure| Figure {
         test: TEST,
@@ -80,20 +80,20 @@
         over: "listed",
     };
     let mut predictions = None;
-    for (at, listed) in sizes.iter().copied().enumerate() {
+    for (index, listed) in sizes.iter().copied().enumerate() {
         let size = listed as f64;
-        if at + 1 == sizes.len() && requests.len() >= 2 {
+        if index + 1 == sizes.len() && requests.len() >= 2 {
             let request = Prediction::write(output, figure("us_request"), &requests, size)?;
             let tick = Prediction::write(output, figure("us_tick"), &ticks, size)?;
             predictions = Some((request, tick));
         }
-        let row = measure(options, effort, listed);
+        let row = measure(options, run_length, listed);
         output.row(&row)?;
         requests.push((size, row.us_request));
         ticks.push((size, row.us_tick));
         if let Some((request, tick)) = &predictions {
-            request.check(output, row.us_request)?;
-            tick.check(output, row.us_tick)?;
+            request.write_error(output, row.us_request)?;
+            tick.write_error(output, row.us_tick)?;
         }
     }
     Ok(())
@@ -101,24 +101,24 @@
 
 /// Processor time of one tick with this many listed engines, in us: one short round.
 pub(super) fn tick_us(options: &Options, listed: usize) -> f64 {
-    let mut bench = TestBench::new(options, listed, 0);
-    bench.play(SMALL.requests, SMALL.max_duration);
-    bench.in_ticks.mean_us()
+    let mut bench = DecisionBench::new(options, listed, 0);
+    bench.play(SMALL_RUN.requests, SMALL_RUN.max_duration);
+    bench.tick_time.mean_us()
 }
 
-fn measure(options: &Options, effort: &Effort, listed: usize) -> DecisionRow {
-    let mut benches: Vec<TestBench> = Vec::new();
-    for round in 0..effort.rounds {
-        let mut bench = TestBench::new(options, listed, round as u64);
-        bench.play(effort.warm_up, effort.max_duration);
-        (bench.in_requests, bench.in_ticks) = Default::default();
-        bench.play(effort.requests, effort.max_duration);
+fn measure(options: &Options, run_length: &RunLength, listed: usize) -> DecisionRow {
+    let mut benches: Vec<DecisionBench> = Vec::new();
+    for round in 0..run_length.rounds {
+        let mut bench = DecisionBench::new(options, listed, round as u64);
+        bench.play(run_length.warm_up_requests, run_length.max_duration);
+        (bench.request_time, bench.tick_time) = Default::default();
+        bench.play(run_length.requests, run_length.max_duration);
         benches.push(bench);
     }
-    let counted =
+    let sum_metric =
         |count: fn(&Metrics) -> u64| benches.iter().map(|bench| count(&bench.metrics)).sum();
-    let request = RoundSummary::of(benches.iter().map(|bench| bench.in_requests.mean_us()));
-    let tick = RoundSummary::of(benches.iter().map(|bench| bench.in_ticks.mean_us()));
+    let request = RoundSummary::of(benches.iter().map(|bench| bench.request_time.mean_us()));
+    let tick = RoundSummary::of(benches.iter().map(|bench| bench.tick_time.mean_us()));
     DecisionRow {
         size: Size::measured(TEST, "decision", listed, options.managers as usize),
         memory_mb: options.memory_mb,
@@ -129,13 +129,13 @@
         us_tick: tick.median,
         us_tick_least: tick.least,
         us_tick_most: tick.most,
-        rounds: effort.rounds,
-        requests: benches.iter().map(|bench| bench.in_requests.count).sum(),
-        ticks: benches.iter().map(|bench| bench.in_ticks.count).sum(),
-        served: counted(|metrics| metrics.requests_served.get()),
-        refused: counted(|metrics| metrics.requests_rejected.get()),
-        failed: counted(|metrics| metrics.requests_failed.get()),
-        guarded: counted(|metrics| metrics.sends_blocked_by_guard.get()),
+        rounds: run_length.rounds,
+        requests: benches.iter().map(|bench| bench.request_time.count).sum(),
+        ticks: benches.iter().map(|bench| bench.tick_time.count).sum(),
+        served: sum_metric(|metrics| metrics.requests_served.get()),
+        refused: sum_metric(|metrics| metrics.requests_rejected.get()),
+        failed: sum_metric(|metrics| metrics.requests_failed.get()),
+        guarded: sum_metric(|metrics| metrics.sends_blocked_by_guard.get()),
     }
 }
 
@@ -175,11 +175,11 @@
 /// An attempt that an engine has not answered yet.
 struct AttemptInFlight {
     attempt: DispatchedAttempt,
-    sent: Millis,
+    sent_ms: Millis,
 }
 
 /// One core on a clock of its own, with statements that come and are served at the fleet's rate.
-struct TestBench {
+struct DecisionBench {
     core: Core<RecordingEngines>,
     engines: RecordingEngines,
     metrics: Arc<Metrics>,
@@ -188,12 +188,12 @@
     in_flight: VecDeque<AttemptInFlight>,
     now: Millis,
     next_id: RequestId,
-    in_requests: ProcessorTime,
-    in_ticks: ProcessorTime,
+    request_time: ProcessorTime,
+    tick_time: ProcessorTime,
 }
 
-impl TestBench {
-    fn new(options: &Options, listed: usize, seed: u64) -> TestBench {
+impl DecisionBench {
+    fn new(options: &Options, listed: usize, seed: u64) -> DecisionBench {
         let parsed = fleet::settings(options.managers, 0);
         let limits = Arc::new(Limits::new(
             fleet::SOCKETS,
@@ -203,17 +203,17 @@
         ));
         let metrics: Arc<Metrics> = Arc::default();
         let engines = RecordingEngines::default();
-        let made = Core::new(
+        let built_core = Core::new(
             parsed.settings.clone(),
             seed,
             engines.clone(),
             limits,
             metrics.clone(),
         );
-        let mut core = made.expect("settings that were parsed");
+        let mut core = built_core.expect("settings that were parsed");
         core.start(0.0);
         core.handle(0.0, CoreMessage::EndpointList(fleet::full_list(1, listed)));
-        TestBench {
+        DecisionBench {
             core,
             engines,
             metrics,
@@ -222,34 +222,34 @@
             in_flight: VecDeque::new(),
             now: 0.0,
             next_id: 1,
-            in_requests: ProcessorTime::default(),
-            in_ticks: ProcessorTime::default(),
+            request_time: ProcessorTime::default(),
+            tick_time: ProcessorTime::default(),
         }
     }
 
     /// Accepts this many statements, or as many as the time allows, serves them, and runs the ticks that come due.
     fn play(&mut self, requests: u32, max_duration: Duration) {
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..requests {
-            if begun.elapsed() > max_duration {
+            if started.elapsed() > max_duration {
                 return;
             }
-            self.now += 1000.0 / fleet::STATEMENTS;
+            self.now += 1000.0 / fleet::STATEMENTS_PER_SECOND;
             self.run_due_tick();
-            let from = usage::thread_time();
+            let time_before = usage::thread_processor_time();
             self.complete_due_attempts();
             self.accept_statement();
-            self.in_requests.count += 1;
-            self.in_requests.time += usage::thread_time() - from;
+            self.request_time.count += 1;
+            self.request_time.time += usage::thread_processor_time() - time_before;
         }
     }
 
     fn run_due_tick(&mut self) {
-        if self.core.next_timer().is_some_and(|at| at <= self.now) {
-            let from = usage::thread_time();
+        if self.core.next_timer().is_some_and(|due| due <= self.now) {
+            let time_before = usage::thread_processor_time();
             self.core.run_due_timers(self.now);
-            self.in_ticks.count += 1;
-            self.in_ticks.time += usage::thread_time() - from;
+            self.tick_time.count += 1;
+            self.tick_time.time += usage::thread_processor_time() - time_before;
         }
     }
 
@@ -268,7 +268,7 @@
         while self
             .in_flight
             .front()
-            .is_some_and(|oldest| oldest.sent + SERVED_AFTER_MS <= self.now)
+            .is_some_and(|oldest| oldest.sent_ms + SERVICE_TIME_MS <= self.now)
         {
             let Some(AttemptInFlight { attempt, .. }) = self.in_flight.pop_front() else {
                 return;
@@ -279,12 +279,12 @@
     }
 
     fn collect_dispatched(&mut self) {
-        let sent = self.now;
+        let sent_ms = self.now;
         self.in_flight.extend(
             self.engines
                 .take_dispatched()
                 .into_iter()
-                .map(|attempt| AttemptInFlight { attempt, sent }),
+                .map(|attempt| AttemptInFlight { attempt, sent_ms }),
         );
     }
 }
--- a/benches/scale/fit.rs
+++ b/benches/scale/fit.rs
@@ -21,15 +21,16 @@
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_figure = points.iter().map(|(_, figure)| figure).sum::<f64>() / count;
-        let spread: f64 = points
+        let squared_deviations: f64 = points
             .iter()
             .map(|(size, _)| (size - mean_size).powi(2))
             .sum();
-        let along: f64 = points
+        let deviation_products: f64 = points
             .iter()
             .map(|(size, figure)| (size - mean_size) * (figure - mean_figure))
             .sum();
-        let slope = (points.len() >= 2 && spread > 0.0).then(|| along / spread)?;
+        let slope = (points.len() >= 2 && squared_deviations > 0.0)
+            .then(|| deviation_products / squared_deviations)?;
         Some(LinearFit {
             intercept: mean_figure - slope * mean_size,
             slope,
@@ -37,7 +38,7 @@
     }
 
     /// The figure at a size.
-    pub(crate) fn at(&self, size: f64) -> f64 {
+    pub(crate) fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
@@ -97,9 +98,9 @@
         points: &[Point],
         size: f64,
     ) -> Result<Prediction, ScaleError> {
-        let broken =
+        let no_line =
             || ScaleError::CheckFailed(format!("no line through the points of {figure:?}"));
-        let line = LinearFit::through(points).ok_or_else(broken)?;
+        let line = LinearFit::through(points).ok_or_else(no_line)?;
         let (slope, intercept) = (line.slope, rounded(line.intercept));
         output.row(&FitRow {
             kind: Kind::Fit,
@@ -111,7 +112,7 @@
         let prediction = Prediction {
             figure,
             size,
-            predicted: rounded(line.at(size)),
+            predicted: rounded(line.value_at(size)),
         };
         output.row(&PredictionRow {
             kind: Kind::Prediction,
@@ -121,7 +122,7 @@
     }
 
     /// Writes the prediction beside the measurement, and its error.
-    pub(crate) fn check(&self, output: &mut Output, measured: f64) -> Result<(), ScaleError> {
+    pub(crate) fn write_error(&self, output: &mut Output, measured: f64) -> Result<(), ScaleError> {
         let error_percent = rounded((self.predicted - measured) / measured * 100.0);
         output.row(&ErrorRow {
             kind: Kind::Error,
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -11,21 +11,21 @@
 /// Descriptors that a manager may hold.
 pub(super) const SOCKETS: usize = 4_096;
 /// Statements a second that clients offer to one manager.
-pub(super) const STATEMENTS: f64 = 4_595.0;
+pub(super) const STATEMENTS_PER_SECOND: f64 = 4_595.0;
 /// Listed engines, up to those of the fleet.
-pub(super) const LISTED: [usize; 4] = [1_024, 4_096, 10_000, 22_000];
+pub(super) const LIST_SIZES: [usize; 4] = [1_024, 4_096, 10_000, 22_000];
 /// The same for the small case.
-pub(super) const LISTED_SMALL: [usize; 4] = [16, 32, 64, 128];
+pub(super) const LIST_SIZES_SMALL: [usize; 4] = [16, 32, 64, 128];
 /// In-process managers of one process at most: all of the fleet.
-pub(super) const IN_PROCESS_MANAGERS: usize = MANAGERS as usize;
+pub(super) const MAX_IN_PROCESS_MANAGERS: usize = MANAGERS as usize;
 /// The same for the small case.
-pub(super) const IN_PROCESS_MANAGERS_SMALL: usize = 12;
+pub(super) const MAX_IN_PROCESS_MANAGERS_SMALL: usize = 12;
 /// Zones of all regions together.
 pub(super) const ZONES: usize = 14;
 /// Data sets that statements name.
 pub(super) const DATA_SETS: u32 = 1_000;
 /// Cores of an engine.
-pub(super) const CORES: f64 = 8.0;
+pub(super) const CORES_PER_ENGINE: f64 = 8.0;
 
 const ENGINE_PORT: u16 = 5_050;
 
@@ -41,7 +41,7 @@
         "guarantees":{{"coldMs":20000,"coldShare":0.3,"overloadForMs":1500,"tipMultiple":3}},
         "limits":{{"attemptsCap":6,"cancel":true}},
         "report":{{"how":"inline","names":["inflight","util"]}},
-        "specifics":{{"bills":true,"classThreads":[1,3],"sizeCores":[{CORES}],"progressMs":500}},
+        "specifics":{{"bills":true,"classThreads":[1,3],"sizeCores":[{CORES_PER_ENGINE}],"progressMs":500}},
         "shapes":["std"],"zones":[{zones}]}}"#,
         az = ordinal as usize % ZONES,
     )
@@ -54,7 +54,7 @@
 }
 
 /// An engine of the list; each has an address of its own.
-pub(super) fn engine(id: u32, state: EngineState, started_ms: f64) -> EngineRecord {
+pub(super) fn engine_record(id: u32, state: EngineState, started_ms: f64) -> EngineRecord {
     let [high, middle, low, last] = id.to_be_bytes();
     let entry = EngineEntry {
         engine: engine_id(id),
@@ -62,7 +62,7 @@
         machine_type: 0,
         cell: (id as usize / ZONES % usize::from(u16::MAX)) as u16,
         state,
-        nominal_capacity: CORES,
+        nominal_capacity: CORES_PER_ENGINE,
         started_at_ms: started_ms,
         sharing: None,
     };
@@ -75,7 +75,7 @@
 /// The full list of this many engines, all ready and started long ago.
 pub(super) fn full_list(number: u64, engines: usize) -> EndpointListEvent {
     let entries = (0..engines as u32)
-        .map(|id| engine(id, EngineState::Ready, 0.0))
+        .map(|id| engine_record(id, EngineState::Ready, 0.0))
         .collect();
     EndpointListEvent {
         number,
@@ -86,18 +86,18 @@
 }
 
 /// Managers of one zone, which a zone's loss starts elsewhere at once.
-pub(super) const MANAGERS_OF_A_ZONE: usize = 264;
+pub(super) const MANAGERS_PER_ZONE: usize = 264;
 
 /// A change: this engine is gone, and its successor, started now, is ready in its place.
 pub(super) fn replacement(
     number: u64,
-    gone: u32,
+    removed: u32,
     successor: u32,
     started_ms: f64,
 ) -> EndpointListEvent {
     let entries = vec![
-        engine(gone, EngineState::Removed, 0.0),
-        engine(successor, EngineState::Ready, started_ms),
+        engine_record(removed, EngineState::Removed, 0.0),
+        engine_record(successor, EngineState::Ready, started_ms),
     ];
     EndpointListEvent {
         number,
--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -165,7 +165,7 @@
             client: Arc::new(NullClient),
             clock,
             ticks: plan.ticks,
-            began: usage::thread_time(),
+            began: usage::thread_processor_time(),
             next_id: 1,
             reports,
         }
@@ -221,7 +221,7 @@
         let sighting = AppliedEvent {
             number,
             at,
-            processor: usage::thread_time().saturating_sub(self.began),
+            processor: usage::thread_processor_time().saturating_sub(self.began),
             ended: count_applied(&state.ended, EngineState::Removed),
             ready: count_applied(&state.ready, EngineState::Ready),
             taken_up: RosterSize::of(&self.core, &self.metrics),
@@ -231,7 +231,7 @@
 
     fn execute(&mut self, command: ManagerCommand) {
         let reports = match command {
-            ManagerCommand::Usage => ManagerReport::Usage(usage::thread_time()),
+            ManagerCommand::Usage => ManagerReport::Usage(usage::thread_processor_time()),
             ManagerCommand::Serve(requests) => self.serve(requests),
         };
         let _ = self.reports.send(reports);
--- a/benches/scale/list_capacity.rs
+++ b/benches/scale/list_capacity.rs
@@ -13,10 +13,10 @@
 /// The test's name in its rows.
 pub(super) const TEST: &str = Test::List.name();
 /// Memory that all in-process managers of this process may take.
-const MEMORY_BYTES: f64 = 9e9;
+const MAX_MEMORY_BYTES: f64 = 9e9;
 /// Cores that their ticks may take; where they would take more, the ticks are left out and the row says so.
-const TICK_CORES: f64 = 2.0;
-const TICK_US: f64 = 50_000.0;
+const MAX_TICK_CORES: f64 = 2.0;
+const TICK_INTERVAL_US: f64 = 50_000.0;
 
 /// Resident memory of an in-process manager, by listed engines.
 #[derive(Clone, Copy, Debug)]
@@ -30,18 +30,18 @@
 
     /// Bytes of this many managers with this many listed engines each.
     pub(super) fn bytes(&self, managers: usize, listed: usize) -> f64 {
-        self.0.at(listed as f64).max(0.0) * managers as f64
+        self.0.value_at(listed as f64).max(0.0) * managers as f64
     }
 }
 
 /// Whether the memory is enough for this many managers with a list of this size; writes a row if it is not.
-pub(super) fn fits(
+pub(super) fn fits_in_memory(
     output: &mut Output,
     memory: MemoryModel,
     (listed, managers): (usize, usize),
 ) -> Result<bool, ScaleError> {
     let bytes = memory.bytes(managers, listed);
-    if bytes <= MEMORY_BYTES {
+    if bytes <= MAX_MEMORY_BYTES {
         return Ok(true);
     }
     let gigabytes = bytes / 1e9;
@@ -55,8 +55,12 @@
 }
 
 /// The largest of these fleets for which the memory is enough; 0 if there is none.
-pub(super) fn largest_fitting(memory: MemoryModel, listed: usize, managers: &[usize]) -> usize {
-    let fits = |managers: &&usize| memory.bytes(**managers, listed) <= MEMORY_BYTES;
+pub(super) fn largest_fleet_in_memory(
+    memory: MemoryModel,
+    listed: usize,
+    managers: &[usize],
+) -> usize {
+    let fits = |managers: &&usize| memory.bytes(**managers, listed) <= MAX_MEMORY_BYTES;
     managers
         .iter()
         .filter(fits)
@@ -69,23 +73,23 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TickLoad {
     us_tick: f64,
-    run: bool,
+    timers_run: bool,
 }
 
 impl TickLoad {
     /// Measures one tick with this many listed engines; timers run if ticks of this many managers take few
     /// cores together.
-    pub(super) fn of(options: &Options, listed: usize, managers: usize) -> TickLoad {
+    pub(super) fn measure(options: &Options, listed: usize, managers: usize) -> TickLoad {
         let us_tick = decision::tick_us(options, listed);
         TickLoad {
             us_tick,
-            run: us_tick * managers as f64 / TICK_US <= TICK_CORES,
+            timers_run: us_tick * managers as f64 / TICK_INTERVAL_US <= MAX_TICK_CORES,
         }
     }
 
     /// The cores that ticks of this many managers take.
     pub(super) fn cores(&self, managers: usize) -> f64 {
-        rounded(self.us_tick * managers as f64 / TICK_US)
+        rounded(self.us_tick * managers as f64 / TICK_INTERVAL_US)
     }
 
     /// A plan that follows this feed.
@@ -95,13 +99,13 @@
             instances,
             memory_mb,
             feed: feed.address,
-            ticks: self.run,
+            ticks: self.timers_run,
         }
     }
 }
 
 /// When the last manager applied the event; now where there is none.
-pub(super) fn latest(applied: &[AppliedEvent]) -> Instant {
+pub(super) fn last_applied_at(applied: &[AppliedEvent]) -> Instant {
     let times = applied.iter().map(|event| event.at);
     times.max().unwrap_or_else(Instant::now)
 }
@@ -131,15 +135,15 @@
     /// Of these; there has to be one.
     pub(super) fn of(mut times: Vec<Duration>) -> LatencySummary {
         times.sort_unstable();
-        let at = |share: f64| {
+        let percentile_ms = |share: f64| {
             let rank = (times.len() as f64 * share).ceil() as usize;
             rounded(times[rank.clamp(1, times.len()) - 1].as_secs_f64() * 1000.0)
         };
         LatencySummary {
-            ms_first: at(0.0),
-            ms_p50: at(0.5),
-            ms_p99: at(0.99),
-            ms_most: at(1.0),
+            ms_first: percentile_ms(0.0),
+            ms_p50: percentile_ms(0.5),
+            ms_p99: percentile_ms(0.99),
+            ms_most: percentile_ms(1.0),
         }
     }
 }
--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -12,22 +12,22 @@
 use std::time::{Duration, Instant};
 
 /// Interval of empty frames while their cost is measured, and how many are waited for.
-const BUSY_IDLE: Duration = Duration::from_millis(5);
-const LONGEST: Duration = Duration::from_secs(30);
+const EMPTY_FRAME_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// How much is played at each size.
-struct Effort {
+struct RunLength {
     rounds: usize,
     changes: u32,
     empty_frames: u64,
 }
 
-const FULL: Effort = Effort {
+const FULL_RUN: RunLength = RunLength {
     rounds: 5,
     changes: 100,
     empty_frames: 400,
 };
-const SMALL: Effort = Effort {
+const SMALL_RUN: RunLength = RunLength {
     rounds: 1,
     changes: 5,
     empty_frames: 5,
@@ -58,19 +58,19 @@
 
 /// What one round at one size came to.
 struct Round {
-    whole_us: f64,
+    full_list_us: f64,
     change_us: f64,
-    empty_us: f64,
+    empty_frame_us: f64,
     bytes_whole: u64,
     bytes_change: u64,
-    whole: AppliedEvent,
+    full_list: AppliedEvent,
 }
 
 /// How to read a figure off a row.
-type Reading = fn(&CostRow) -> f64;
+type FigureReader = fn(&CostRow) -> f64;
 
 /// The figures that are fitted over the size of the list.
-const FIGURES: [(&str, Reading); 5] = [
+const FIGURES: [(&str, FigureReader); 5] = [
     ("us_whole", |row| row.us_whole),
     ("us_change", |row| row.us_change),
     ("bytes_whole", |row| row.bytes_whole as f64),
@@ -80,11 +80,11 @@
 
 /// Plays all sizes, predicts the largest from the others, and returns what memory a manager takes.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<MemoryModel, ScaleError> {
-    let sizes = options.listed();
+    let sizes = options.list_sizes();
     let mut rows: Vec<CostRow> = Vec::new();
     let mut predictions = Vec::new();
-    for (at, listed) in sizes.iter().copied().enumerate() {
-        if at + 1 == sizes.len() && rows.len() >= 2 {
+    for (index, listed) in sizes.iter().copied().enumerate() {
+        if index + 1 == sizes.len() && rows.len() >= 2 {
             for (name, figure) in FIGURES {
                 let points = points(&rows, figure);
                 let prediction = Prediction::write(
@@ -103,52 +103,56 @@
         let row = measure(options, listed)?;
         output.row(&row)?;
         for (prediction, figure) in &predictions {
-            prediction.check(output, figure(&row))?;
+            prediction.write_error(output, figure(&row))?;
         }
         rows.push(row);
     }
-    let broken = || ScaleError::CheckFailed("no line through the measured memory".to_owned());
-    MemoryModel::through(&points(&rows, |row| row.memory_bytes)).ok_or_else(broken)
+    let no_line = || ScaleError::CheckFailed("no line through the measured memory".to_owned());
+    MemoryModel::through(&points(&rows, |row| row.memory_bytes)).ok_or_else(no_line)
 }
 
-fn points(rows: &[CostRow], figure: Reading) -> Vec<Point> {
+fn points(rows: &[CostRow], figure: FigureReader) -> Vec<Point> {
     rows.iter()
         .map(|row| (row.size.listed as f64, figure(row)))
         .collect()
 }
 
 fn measure(options: &Options, listed: usize) -> Result<CostRow, ScaleError> {
-    let effort = if options.small { &SMALL } else { &FULL };
-    let held = memory::of(options, listed)?;
-    let rounds = (0..effort.rounds).map(|_| round(options, effort, listed));
+    let run_length = if options.small { &SMALL_RUN } else { &FULL_RUN };
+    let manager_memory = memory::measure_manager(options, listed)?;
+    let rounds = (0..run_length.rounds).map(|_| measure_round(options, run_length, listed));
     let rounds = rounds.collect::<Result<Vec<Round>, ScaleError>>()?;
     let median = |figure: fn(&Round) -> f64| {
         let mut all: Vec<f64> = rounds.iter().map(figure).collect();
         all.sort_by(f64::total_cmp);
         rounded(all[all.len() / 2])
     };
-    let any = &rounds[0];
+    let first_round = &rounds[0];
     Ok(CostRow {
         size: Size::measured(TEST, "cost", listed, options.managers as usize),
         memory_mb: options.memory_mb,
-        taken_up: any.whole.taken_up,
-        us_whole: median(|round| round.whole_us),
+        taken_up: first_round.full_list.taken_up,
+        us_whole: median(|round| round.full_list_us),
         us_change: median(|round| round.change_us),
-        us_empty_frame: median(|round| round.empty_us),
-        bytes_whole: any.bytes_whole,
-        bytes_change: any.bytes_change,
+        us_empty_frame: median(|round| round.empty_frame_us),
+        bytes_whole: first_round.bytes_whole,
+        bytes_change: first_round.bytes_change,
         bytes_second_at_rest: FRAME_HEAD_BYTES as f64 / IDLE.as_secs_f64(),
-        memory_bytes: held.bytes.round(),
-        memory_managers: held.managers,
-        memory_peak_bytes: held.peak_bytes.round(),
+        memory_bytes: manager_memory.bytes.round(),
+        memory_managers: manager_memory.managers,
+        memory_peak_bytes: manager_memory.peak_bytes.round(),
         rounds: rounds.len(),
     })
 }
 
 /// One manager that gets its full list, then changes one by one, then empty frames.
-fn round(options: &Options, effort: &Effort, listed: usize) -> Result<Round, ScaleError> {
+fn measure_round(
+    options: &Options,
+    run_length: &RunLength,
+    listed: usize,
+) -> Result<Round, ScaleError> {
     let list = fleet::full_list(1, listed);
-    let feed = Feed::start(&list, BUSY_IDLE)?;
+    let feed = Feed::start(&list, EMPTY_FRAME_INTERVAL)?;
     let plan = ManagerPlan {
         instances: options.managers,
         memory_mb: options.memory_mb,
@@ -156,38 +160,45 @@
         ticks: false,
     };
     let group = ManagerGroup::start(&plan, 1)?;
-    let whole = group.await_event(1)?[0];
+    let full_list = group.await_event(1)?[0];
     let before = group.usage()?;
-    for change in 0..effort.changes {
+    for change in 0..run_length.changes {
         let event = fleet::replacement(u64::from(change) + 2, change, listed as u32 + change, 0.0);
         feed.publish(&event);
         group.await_event(event.number)?;
     }
     let in_changes = group.usage()? - before;
-    let empty_us = at_rest(&feed, &group, effort)?;
-    let change_us = in_changes.as_secs_f64() * 1e6 / f64::from(effort.changes);
+    let empty_frame_us = measure_empty_frames(&feed, &group, run_length)?;
+    let change_us = in_changes.as_secs_f64() * 1e6 / f64::from(run_length.changes);
     Ok(Round {
-        whole_us: whole.processor.as_secs_f64() * 1e6,
+        full_list_us: full_list.processor.as_secs_f64() * 1e6,
         change_us,
-        empty_us,
+        empty_frame_us,
         bytes_whole: frame(&list).len() as u64,
         bytes_change: frame(&fleet::replacement(2, 0, listed as u32, 0.0)).len() as u64,
-        whole,
+        full_list,
     })
 }
 
 /// Processor time of the manager for one empty frame, in us.
-fn at_rest(feed: &Feed, group: &ManagerGroup, effort: &Effort) -> Result<f64, ScaleError> {
-    let until = Instant::now() + LONGEST;
-    let (frames, before) = (feed.totals().frames, group.usage()?);
-    while feed.totals().frames < frames + effort.empty_frames {
-        if Instant::now() > until {
+fn measure_empty_frames(
+    feed: &Feed,
+    group: &ManagerGroup,
+    run_length: &RunLength,
+) -> Result<f64, ScaleError> {
+    let deadline = Instant::now() + MAX_WAIT;
+    let (frames_before, time_before) = (feed.totals().frames, group.usage()?);
+    while feed.totals().frames < frames_before + run_length.empty_frames {
+        if Instant::now() > deadline {
             return Err(ScaleError::CheckFailed(
                 "the feed does not write empty frames".to_owned(),
             ));
         }
-        std::thread::sleep(BUSY_IDLE);
+        std::thread::sleep(EMPTY_FRAME_INTERVAL);
     }
-    let (passed, spent) = (feed.totals().frames - frames, group.usage()? - before);
-    Ok(spent.as_secs_f64() * 1e6 / passed as f64)
+    let (frames_passed, spent) = (
+        feed.totals().frames - frames_before,
+        group.usage()? - time_before,
+    );
+    Ok(spent.as_secs_f64() * 1e6 / frames_passed as f64)
 }
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -6,7 +6,8 @@
 use super::fleet;
 use super::in_process_manager::{AppliedEvent, RosterSize};
 use super::list_capacity::{
-    LatencySummary, MemoryModel, TEST, TickLoad, fits, largest_fitting, latest,
+    LatencySummary, MemoryModel, TEST, TickLoad, fits_in_memory, largest_fleet_in_memory,
+    last_applied_at,
 };
 use super::manager_group::{DispatchTotals, ManagerGroup};
 use super::options::Options;
@@ -16,16 +17,16 @@
 use std::time::{Duration, Instant};
 
 /// Statements that each manager serves after the changes, to check that none goes to a removed engine.
-const STATEMENTS: u32 = 5;
+const STATEMENTS_PER_MANAGER: u32 = 5;
 /// A successor's start, in ms of Unix time: any but 0 makes it cold.
-const STARTED_MS: f64 = 1e12;
+const SUCCESSOR_STARTED_MS: f64 = 1e12;
 
 const CHANGES: u32 = 20;
 const CHANGES_SMALL: u32 = 3;
 
 /// Managers of one case of a fleet.
-const MANAGERS: [usize; 4] = [100, 300, 1_000, fleet::IN_PROCESS_MANAGERS];
-const MANAGERS_SMALL: [usize; 4] = [2, 4, 8, fleet::IN_PROCESS_MANAGERS_SMALL];
+const FLEET_SIZES: [usize; 4] = [100, 300, 1_000, fleet::MAX_IN_PROCESS_MANAGERS];
+const FLEET_SIZES_SMALL: [usize; 4] = [2, 4, 8, fleet::MAX_IN_PROCESS_MANAGERS_SMALL];
 
 #[derive(Serialize)]
 struct ChangeRow {
@@ -70,25 +71,35 @@
     output: &mut Output,
     memory: MemoryModel,
 ) -> Result<(), ScaleError> {
-    let (sizes, managers) = (options.listed(), managers(options));
-    let (Some(short), Some(long)) = (sizes.first().copied(), sizes.last().copied()) else {
+    let (sizes, managers) = (options.list_sizes(), fleet_sizes(options));
+    let (Some(shortest), Some(longest)) = (sizes.first().copied(), sizes.last().copied()) else {
         return Ok(());
     };
-    let ticks = TickLoad::of(options, short, largest_fitting(memory, short, &managers));
+    let ticks = TickLoad::measure(
+        options,
+        shortest,
+        largest_fleet_in_memory(memory, shortest, &managers),
+    );
     let mut points: [Vec<Point>; 2] = Default::default();
     let mut predictions = Vec::new();
-    for (at, count) in managers.iter().copied().enumerate() {
-        if at + 1 == managers.len() {
+    for (index, count) in managers.iter().copied().enumerate() {
+        if index + 1 == managers.len() {
             for (name, points) in ["ms_p99", "ms_most"].into_iter().zip(&points) {
-                let of = Figure {
+                let predicted_figure = Figure {
                     test: TEST,
                     figure: name,
                     over: "managers",
                 };
-                predictions.push(Prediction::write(output, of, points, count as f64)?);
+                predictions.push(Prediction::write(
+                    output,
+                    predicted_figure,
+                    points,
+                    count as f64,
+                )?);
             }
         }
-        let Some(row) = changes(options, output, (memory, ticks), (short, count))? else {
+        let Some(row) = measure_changes(options, output, (memory, ticks), (shortest, count))?
+        else {
             continue;
         };
         for (points, figure) in points.iter_mut().zip([row.times.ms_p99, row.times.ms_most]) {
@@ -98,66 +109,70 @@
             .iter()
             .zip([row.times.ms_p99, row.times.ms_most])
         {
-            prediction.check(output, figure)?;
+            prediction.write_error(output, figure)?;
         }
     }
-    let ticks = TickLoad::of(options, long, largest_fitting(memory, long, &managers));
+    let ticks = TickLoad::measure(
+        options,
+        longest,
+        largest_fleet_in_memory(memory, longest, &managers),
+    );
     for count in managers {
-        changes(options, output, (memory, ticks), (long, count))?;
+        measure_changes(options, output, (memory, ticks), (longest, count))?;
     }
-    starts(options, output, memory, long)
+    measure_zone_start(options, output, memory, longest)
 }
 
 /// The numbers of managers, ascending.
-fn managers(options: &Options) -> [usize; 4] {
+fn fleet_sizes(options: &Options) -> [usize; 4] {
     if options.small {
-        MANAGERS_SMALL
+        FLEET_SIZES_SMALL
     } else {
-        MANAGERS
+        FLEET_SIZES
     }
 }
 
-fn changes(
+fn measure_changes(
     options: &Options,
     output: &mut Output,
     (memory, ticks): (MemoryModel, TickLoad),
     (listed, managers): (usize, usize),
 ) -> Result<Option<ChangeRow>, ScaleError> {
-    if !fits(output, memory, (listed, managers))? {
+    if !fits_in_memory(output, memory, (listed, managers))? {
         return Ok(None);
     }
     let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
     let plan = ticks.plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
-    let listing = group.await_event(1)?[0];
+    let full_list = group.await_event(1)?[0];
     let changes = if options.small {
         CHANGES_SMALL
     } else {
         CHANGES
     };
-    let mut seen = ChangeResults::default();
+    let mut results = ChangeResults::default();
     let before = feed.processor(Instant::now())?;
     for change in 0..changes {
-        seen.play(&feed, &group, listed as u32, change)?;
+        results.play(&feed, &group, listed as u32, change)?;
     }
     let in_feed = feed.processor(Instant::now())? - before;
     let DispatchTotals {
         dispatched: asked,
         dispatched_to_ended: asked_of_ended,
-    } = group.serve(STATEMENTS)?;
-    let times = LatencySummary::of(seen.times);
+    } = group.serve(STATEMENTS_PER_MANAGER)?;
+    let times = LatencySummary::of(results.times);
     let row = ChangeRow {
         size: Size::measured(TEST, "change", listed, managers),
         changes,
         times,
-        old_ended: seen.old_ended.unwrap_or_default(),
-        successor_ready: seen.successor_ready.unwrap_or_default(),
+        old_ended: results.old_ended.unwrap_or_default(),
+        successor_ready: results.successor_ready.unwrap_or_default(),
         ticks: plan.ticks,
         tick_cores: ticks.cores(managers),
         feed_ms_change: rounded(in_feed.as_secs_f64() * 1000.0 / f64::from(changes)),
         asked,
         asked_of_ended,
-        taken_up: listing.taken_up,
+        taken_up: full_list.taken_up,
     };
     output.row(&row)?;
     Ok(Some(row))
@@ -180,7 +195,12 @@
         listed: u32,
         change: u32,
     ) -> Result<(), ScaleError> {
-        let event = fleet::replacement(u64::from(change) + 2, change, listed + change, STARTED_MS);
+        let event = fleet::replacement(
+            u64::from(change) + 2,
+            change,
+            listed + change,
+            SUCCESSOR_STARTED_MS,
+        );
         let published = feed.publish(&event);
         let applied = group.await_event(event.number)?;
         self.times.extend(
@@ -199,22 +219,22 @@
 }
 
 /// A zone's managers start at once, each without a list.
-fn starts(
+fn measure_zone_start(
     options: &Options,
     output: &mut Output,
     memory: MemoryModel,
     listed: usize,
 ) -> Result<(), ScaleError> {
-    let managers = fleet::MANAGERS_OF_A_ZONE.min(options.max_managers());
-    if !fits(output, memory, (listed, managers))? {
+    let managers = fleet::MANAGERS_PER_ZONE.min(options.max_managers());
+    if !fits_in_memory(output, memory, (listed, managers))? {
         return Ok(());
     }
     let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
-    let plan = TickLoad::of(options, listed, managers).plan(options, &feed);
+    let plan = TickLoad::measure(options, listed, managers).plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     let applied = group.await_event(1)?;
     let times = LatencySummary::since(group.began, &applied);
-    let over = latest(&applied);
+    let ended = last_applied_at(&applied);
     let totals = feed.totals();
     output.row(&StartRow {
         size: Size::measured(TEST, "start", listed, managers),
@@ -222,6 +242,6 @@
         times,
         feed_connections: totals.connections,
         feed_bytes: totals.bytes,
-        feed_load: feed.load(group.began, over)?,
+        feed_load: feed.load(group.began, ended)?,
     })
 }
--- a/benches/scale/list_reconnect.rs
+++ b/benches/scale/list_reconnect.rs
@@ -3,7 +3,9 @@
 
 use super::feed::{Feed, IDLE};
 use super::fleet;
-use super::list_capacity::{LatencySummary, MemoryModel, TEST, TickLoad, fits, latest};
+use super::list_capacity::{
+    LatencySummary, MemoryModel, TEST, TickLoad, fits_in_memory, last_applied_at,
+};
 use super::manager_group::ManagerGroup;
 use super::options::Options;
 use super::row::{Output, ScaleError, Size, rounded};
@@ -12,12 +14,12 @@
 use std::time::{Duration, Instant};
 
 /// How long the feed is away, and how long its load is watched while nothing happens.
-const AWAY: Duration = Duration::from_secs(3);
-const AT_REST: Duration = Duration::from_secs(5);
-const AWAY_SMALL: Duration = Duration::from_millis(200);
-const AT_REST_SMALL: Duration = Duration::from_millis(200);
+const OUTAGE: Duration = Duration::from_secs(3);
+const IDLE_WATCH: Duration = Duration::from_secs(5);
+const OUTAGE_SMALL: Duration = Duration::from_millis(200);
+const IDLE_WATCH_SMALL: Duration = Duration::from_millis(200);
 /// The number of the event that the managers miss.
-const MISSED: u64 = 2;
+const MISSED_EVENT: u64 = 2;
 
 #[derive(Serialize)]
 struct ReturnRow {
@@ -43,43 +45,43 @@
     output: &mut Output,
     memory: MemoryModel,
 ) -> Result<(), ScaleError> {
-    let Some(listed) = options.listed().first().copied() else {
+    let Some(listed) = options.list_sizes().first().copied() else {
         return Ok(());
     };
     let managers = options.max_managers();
-    if !fits(output, memory, (listed, managers))? {
+    if !fits_in_memory(output, memory, (listed, managers))? {
         return Ok(());
     }
-    let (away, at_rest) = if options.small {
-        (AWAY_SMALL, AT_REST_SMALL)
+    let (outage, idle_watch) = if options.small {
+        (OUTAGE_SMALL, IDLE_WATCH_SMALL)
     } else {
-        (AWAY, AT_REST)
+        (OUTAGE, IDLE_WATCH)
     };
     let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
-    let plan = TickLoad::of(options, listed, managers).plan(options, &feed);
+    let plan = TickLoad::measure(options, listed, managers).plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     group.await_event(1)?;
-    let rested = Instant::now();
-    std::thread::sleep(at_rest);
-    let resting = feed.load(rested, Instant::now())?;
+    let idle_start = Instant::now();
+    std::thread::sleep(idle_watch);
+    let idle_load = feed.load(idle_start, Instant::now())?;
     feed.stop_listening()?;
-    feed.publish(&fleet::replacement(MISSED, 0, listed as u32, 0.0));
-    let before = feed.totals();
-    std::thread::sleep(away);
-    let back = feed.resume_listening()?;
-    let applied = group.await_event(MISSED)?;
-    let times = LatencySummary::since(back, &applied);
-    let load = feed.load(back, latest(&applied))?;
+    feed.publish(&fleet::replacement(MISSED_EVENT, 0, listed as u32, 0.0));
+    let totals_before = feed.totals();
+    std::thread::sleep(outage);
+    let resumed = feed.resume_listening()?;
+    let applied = group.await_event(MISSED_EVENT)?;
+    let times = LatencySummary::since(resumed, &applied);
+    let load = feed.load(resumed, last_applied_at(&applied))?;
     let totals = feed.totals();
     output.row(&ReturnRow {
         size: Size::measured(TEST, "return", listed, managers),
         ticks: plan.ticks,
-        away_ms: rounded(away.as_secs_f64() * 1000.0),
+        away_ms: rounded(outage.as_secs_f64() * 1000.0),
         times,
-        feed_connections: totals.connections - before.connections,
-        feed_bytes: totals.bytes - before.bytes,
-        feed_worst_to_rest: load.worst_against(&resting),
+        feed_connections: totals.connections - totals_before.connections,
+        feed_bytes: totals.bytes - totals_before.bytes,
+        feed_worst_to_rest: load.worst_against(&idle_load),
         feed_load: load,
-        feed_at_rest: resting,
+        feed_at_rest: idle_load,
     })
 }
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -40,19 +40,19 @@
     if let Some(listed) = options.memory_of {
         return memory::report(options, listed, output);
     }
-    if options.runs(Test::Decision) {
+    if options.includes(Test::Decision) {
         decision::run(options, output)?;
     }
-    if options.runs(Test::List) {
+    if options.includes(Test::List) {
         list::run(options, output)?;
     }
-    if options.runs(Test::Reload) {
+    if options.includes(Test::Reload) {
         reload::run(options, output)?;
     }
-    if options.runs(Test::Manager) {
+    if options.includes(Test::Manager) {
         manager::run(options, output)?;
     }
-    if options.runs(Test::Subset) {
+    if options.includes(Test::Subset) {
         subset::run(options, output)?;
     }
     Ok(())
@@ -61,9 +61,9 @@
 fn main() -> ExitCode {
     let mut options = Options::parse();
     options.program = std::env::current_exe().ok();
-    let done =
+    let result =
         Output::new(options.out.as_deref()).and_then(|mut output| run(&options, &mut output));
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("scale: {failure}");
--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -45,7 +45,7 @@
     rest: Duration,
     churn: Duration,
     /// Replaced engines; ten ordinary days in one where none is given.
-    replaced: Option<churn::Rate>,
+    replaced: Option<churn::ReplacementRate>,
     /// While what a core gives is found out; none where the rate is given.
     saturated: Option<Duration>,
     /// One round of statements at one rate.
@@ -79,9 +79,9 @@
 const SMALL: Effort = Effort {
     rest: Duration::from_millis(100),
     churn: Duration::from_millis(200),
-    replaced: Some(churn::Rate {
+    replaced: Some(churn::ReplacementRate {
         interval: Duration::from_millis(100),
-        most: Some(3),
+        max_replacements: Some(3),
     }),
     saturated: None,
     round: Duration::from_millis(100),
@@ -99,7 +99,7 @@
 
 /// Plays all sizes but the largest, predicts that one once it is known how many engines it takes up, and plays it.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
-    let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
+    let sizes = options.list_sizes_or(&LISTED, &LISTED_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
     };
@@ -116,7 +116,7 @@
     let predictions = predict(output, &rows, bench.deployment.known)?;
     let measured = bench.play(output)?;
     for (reading, prediction) in predictions {
-        prediction.check(output, reading(&measured))?;
+        prediction.write_error(output, reading(&measured))?;
     }
     Ok(())
 }
@@ -157,7 +157,9 @@
 
 /// Statements a second that were served, or those of the size where they were more.
 fn most(saturated: &StatementsRow) -> f64 {
-    saturated.served_per_second.min(fleet::STATEMENTS)
+    saturated
+        .served_per_second
+        .min(fleet::STATEMENTS_PER_SECOND)
 }
 
 /// A manager with its list feed and engines.
@@ -174,7 +176,7 @@
 impl ManagerBench {
     fn start(options: &Options, listed: usize, effort: Effort) -> Result<ManagerBench, ScaleError> {
         let engines = Engines::start()?;
-        let list = configuration::listed(listed, engines.port);
+        let list = configuration::ready_engines(listed, engines.port);
         let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
         let configuration = Configuration {
             feed: feed.address,
@@ -183,7 +185,7 @@
             managers: options.managers,
             listed: &list,
         };
-        let manager = ManagerProcess::start(TEST, &configuration.value().to_string())?;
+        let manager = ManagerProcess::start(TEST, &configuration.to_json().to_string())?;
         thread::sleep(effort.settled);
         let counters = manager.counters()?;
         let count = |name| counters.get(name).copied().unwrap_or_default();
@@ -214,7 +216,10 @@
     fn play(&self, output: &mut Output) -> Result<SummaryRow, ScaleError> {
         let mb_before_clients = megabytes(self.manager.memory()?.resident);
         self.control(output, Phase::Rest, None)?;
-        let rate = self.effort.replaced.unwrap_or_else(churn::Rate::ten_days);
+        let rate = self
+            .effort
+            .replaced
+            .unwrap_or_else(churn::ReplacementRate::ten_days_in_one);
         let churn = Churn::start(&self.feed, &self.list, self.engines.port, rate);
         let control = self.control(output, Phase::Churn, Some((&churn, rate)))?;
         self.connections(output)?;
@@ -230,14 +235,14 @@
         &self,
         output: &mut Output,
         phase: Phase,
-        churn: Option<(&Churn, churn::Rate)>,
+        churn: Option<(&Churn, churn::ReplacementRate)>,
     ) -> Result<ControlRow, ScaleError> {
         let lasts = if churn.is_some() {
             self.effort.churn
         } else {
             self.effort.rest
         };
-        let replaced_a_day = churn.map_or(0.0, |(_, rate)| rate.replaced_a_day());
+        let replaced_a_day = churn.map_or(0.0, |(_, rate)| rate.replacements_per_day());
         let ((), cost) = self.measured(churn.map(|(churn, _)| churn), || {
             thread::sleep(lasts);
             Ok(())
@@ -270,7 +275,9 @@
             }
         };
         let (_, measured) = self.idle_connections(output, *largest, before)?;
-        prediction.map_or(Ok(()), |prediction| prediction.check(output, measured))
+        prediction.map_or(Ok(()), |prediction| {
+            prediction.write_error(output, measured)
+        })
     }
 
     fn idle_connections(
@@ -339,7 +346,7 @@
         let of = Round {
             phase: Phase::Saturated,
             connections,
-            rate: fleet::STATEMENTS,
+            rate: fleet::STATEMENTS_PER_SECOND,
         };
         let keep_open = |clients: &mut Clients| clients.keep_open(OPEN_AT_ONCE, lasts);
         Ok(most(row.insert(
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -357,7 +357,9 @@
         mb_before_clients: f64,
     ) -> SummaryRow {
         let cores = |us_statement: f64| {
-            rounded(us_statement * fleet::STATEMENTS / 1e6 + control.percent_core / 100.0)
+            rounded(
+                us_statement * fleet::STATEMENTS_PER_SECOND / 1e6 + control.percent_core / 100.0,
+            )
         };
         let most_per_second = saturated.as_ref().map(|row| row.served_per_second);
         let us_statement_saturated = saturated.as_ref().map(|row| row.us_statement);
@@ -365,7 +367,7 @@
             size: deployment.size(Phase::Summary),
             deployment: *deployment,
             connections: usual.connections,
-            needed_per_second: fleet::STATEMENTS,
+            needed_per_second: fleet::STATEMENTS_PER_SECOND,
             most_per_second,
             us_statement_saturated,
             us_statement_usual: usual.us_statement,
@@ -373,7 +375,7 @@
             mb_before_clients,
             cores_needed: cores(usual.us_statement),
             cores_needed_saturated: us_statement_saturated.map(cores),
-            fits: most_per_second.is_some_and(|most| most >= fleet::STATEMENTS),
+            fits: most_per_second.is_some_and(|most| most >= fleet::STATEMENTS_PER_SECOND),
         }
     }
 }
--- a/benches/scale/memory.rs
+++ b/benches/scale/memory.rs
@@ -12,11 +12,11 @@
 use std::process::{Command, Stdio};
 
 /// Engines that the managers of one measurement hold together, at least: pages of memory are coarse.
-const ENTRIES: usize = 80_000;
+const MIN_LIST_ENTRIES: usize = 80_000;
 
 /// What some managers hold.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(super) struct Held {
+pub(super) struct ManagerMemory {
     /// Managers.
     pub managers: usize,
     /// Resident bytes of each once it has its list, without those of the process before.
@@ -27,35 +27,48 @@
 
 /// Resident bytes of a manager with a list of this size, from several together, and the most of one alone. Each is
 /// measured in a process of its own where the options name the program.
-pub(super) fn of(options: &Options, listed: usize) -> Result<Held, ScaleError> {
-    let together = measured(
+pub(super) fn measure_manager(
+    options: &Options,
+    listed: usize,
+) -> Result<ManagerMemory, ScaleError> {
+    let grouped = measure_group(
         options,
         listed,
-        ENTRIES.div_ceil(listed).min(options.max_managers()),
+        MIN_LIST_ENTRIES
+            .div_ceil(listed)
+            .min(options.max_managers()),
     )?;
-    let alone = measured(options, listed, 1)?;
-    Ok(Held {
-        peak_bytes: alone.peak_bytes,
-        ..together
+    let single = measure_group(options, listed, 1)?;
+    Ok(ManagerMemory {
+        peak_bytes: single.peak_bytes,
+        ..grouped
     })
 }
 
-fn measured(options: &Options, listed: usize, managers: usize) -> Result<Held, ScaleError> {
+fn measure_group(
+    options: &Options,
+    listed: usize,
+    managers: usize,
+) -> Result<ManagerMemory, ScaleError> {
     let Some(program) = &options.program else {
-        return here(options, listed, managers);
+        return measure_in_this_process(options, listed, managers);
     };
-    let child = Command::new(program)
+    let child_output = Command::new(program)
         .args(["--memory-of", &listed.to_string()])
         .args(["--memory-managers", &managers.to_string()])
         .args(["--memory-mb", &options.memory_mb.to_string()])
         .args(["--managers", &options.managers.to_string()])
         .stderr(Stdio::inherit())
         .output()?;
-    Ok(serde_json::from_slice(&child.stdout)?)
+    Ok(serde_json::from_slice(&child_output.stdout)?)
 }
 
 /// Measures in this process, which should hold nothing else.
-fn here(options: &Options, listed: usize, managers: usize) -> Result<Held, ScaleError> {
+fn measure_in_this_process(
+    options: &Options,
+    listed: usize,
+    managers: usize,
+) -> Result<ManagerMemory, ScaleError> {
     let list = fleet::full_list(1, listed);
     let feed = Feed::start(&list, IDLE)?;
     drop(list);
@@ -65,14 +78,14 @@
         feed: feed.address,
         ticks: false,
     };
-    let before = usage::resident_bytes()?;
+    let bytes_before = usage::resident_bytes()?;
     let group = ManagerGroup::start(&plan, managers)?;
     group.await_event(1)?;
-    let each = |bytes: usize| bytes.saturating_sub(before) as f64 / managers as f64;
-    Ok(Held {
+    let per_manager = |bytes: usize| bytes.saturating_sub(bytes_before) as f64 / managers as f64;
+    Ok(ManagerMemory {
         managers,
-        bytes: each(usage::resident_bytes()?),
-        peak_bytes: each(usage::peak_bytes()?),
+        bytes: per_manager(usage::resident_bytes()?),
+        peak_bytes: per_manager(usage::peak_resident_bytes()?),
     })
 }
 
@@ -82,5 +95,9 @@
     listed: usize,
     output: &mut Output,
 ) -> Result<(), ScaleError> {
-    output.row(&here(options, listed, options.memory_managers)?)
+    output.row(&measure_in_this_process(
+        options,
+        listed,
+        options.memory_managers,
+    )?)
 }
--- a/benches/scale/options.rs
+++ b/benches/scale/options.rs
@@ -81,12 +81,12 @@
     }
 
     /// The numbers of listed engines, ascending.
-    pub(crate) fn listed(&self) -> Vec<usize> {
-        self.listed_or(&fleet::LISTED, &fleet::LISTED_SMALL)
+    pub(crate) fn list_sizes(&self) -> Vec<usize> {
+        self.list_sizes_or(&fleet::LIST_SIZES, &fleet::LIST_SIZES_SMALL)
     }
 
     /// The same for a test with sizes of its own, and those of its small case.
-    pub(crate) fn listed_or(&self, full: &[usize], small: &[usize]) -> Vec<usize> {
+    pub(crate) fn list_sizes_or(&self, full: &[usize], small: &[usize]) -> Vec<usize> {
         let mut sizes = match (self.listed.is_empty(), self.small) {
             (false, _) => self.listed.clone(),
             (true, true) => small.to_vec(),
@@ -99,13 +99,13 @@
     /// In-process managers that one process holds at most.
     pub(crate) fn max_managers(&self) -> usize {
         if self.small {
-            fleet::IN_PROCESS_MANAGERS_SMALL
+            fleet::MAX_IN_PROCESS_MANAGERS_SMALL
         } else {
-            fleet::IN_PROCESS_MANAGERS
+            fleet::MAX_IN_PROCESS_MANAGERS
         }
     }
 
-    pub(super) fn runs(&self, test: Test) -> bool {
+    pub(super) fn includes(&self, test: Test) -> bool {
         self.tests.is_empty() || self.tests.contains(&test)
     }
 }
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -16,36 +16,36 @@
 const SOCKETS: usize = 1_024;
 /// Engines that the list names; none of them is connected to.
 const ENGINE_PORT: u16 = 5_050;
-const LISTED: [usize; 5] = [100, 1_000, 4_096, 10_000, 22_000];
-const LISTED_SMALL: [usize; 4] = [10, 20, 40, 80];
+const LIST_SIZES: [usize; 5] = [100, 1_000, 4_096, 10_000, 22_000];
+const LIST_SIZES_SMALL: [usize; 4] = [10, 20, 40, 80];
 /// What a manager may spend on control: of a core, and bytes a second.
-const BUDGET_CORE: f64 = 0.012;
-const BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
+const CONTROL_BUDGET_CORES: f64 = 0.012;
+const CONTROL_BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
 /// Changes of configuration a minute: 33,000 a day.
-const NEEDED_PER_MINUTE: f64 = 33_000.0 / (24.0 * 60.0);
+const NEEDED_RELOADS_PER_MINUTE: f64 = 33_000.0 / (24.0 * 60.0);
 const MEGABYTE: f64 = 1e6;
 
 /// How much is played at each size. ReloadCounters come in blocks, each after a stretch at rest, so that a machine which
 /// becomes slower or faster meanwhile does so in both.
-struct Effort {
+struct RunLength {
     blocks: usize,
     reloads_in_block: usize,
-    rest: Duration,
+    idle_time: Duration,
     /// After a reload, so that the work that it leaves behind is over.
-    pause: Duration,
+    settle_time: Duration,
 }
 
-const FULL: Effort = Effort {
+const FULL_RUN: RunLength = RunLength {
     blocks: 20,
     reloads_in_block: 10,
-    rest: Duration::from_secs(1),
-    pause: Duration::from_millis(20),
+    idle_time: Duration::from_secs(1),
+    settle_time: Duration::from_millis(20),
 };
-const SMALL: Effort = Effort {
+const SMALL_RUN: RunLength = RunLength {
     blocks: 2,
     reloads_in_block: 2,
-    rest: Duration::from_millis(50),
-    pause: Duration::from_millis(10),
+    idle_time: Duration::from_millis(50),
+    settle_time: Duration::from_millis(10),
 };
 
 /// What the file holds.
@@ -110,35 +110,35 @@
 
 /// Plays all sizes but the largest, predicts that one, and plays it.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
-    let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
+    let sizes = options.list_sizes_or(&LIST_SIZES, &LIST_SIZES_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
     };
     let mut rows = Vec::new();
     for listed in smaller {
-        rows.extend(play(options, output, *listed)?);
+        rows.extend(measure_forms(options, output, *listed)?);
     }
     let predictions = predict(output, &rows, *largest)?;
-    let measured = play(options, output, *largest)?;
-    for (form, reading, prediction) in &predictions {
+    let measured = measure_forms(options, output, *largest)?;
+    for (form, read_figure, prediction) in &predictions {
         for row in measured.iter().filter(|row| row.form == *form) {
-            prediction.check(output, reading(row))?;
+            prediction.write_error(output, read_figure(row))?;
         }
     }
     Ok(())
 }
 
 /// How to read a figure off a row.
-type Reading = fn(&ReloadRow) -> f64;
-type Predicted = (ConfigurationForm, Reading, Prediction);
+type FigureReader = fn(&ReloadRow) -> f64;
+type FormPrediction = (ConfigurationForm, FigureReader, Prediction);
 
 /// The figures that are fitted, of each form.
 fn predict(
     output: &mut Output,
     rows: &[ReloadRow],
     size: usize,
-) -> Result<Vec<Predicted>, ScaleError> {
-    let figures: [(ConfigurationForm, &'static str, Reading); 4] = [
+) -> Result<Vec<FormPrediction>, ScaleError> {
+    let figures: [(ConfigurationForm, &'static str, FigureReader); 4] = [
         (ConfigurationForm::Full, "ms_reload_whole", |row| {
             row.ms_reload
         }),
@@ -155,10 +155,10 @@
         ),
     ];
     let mut predictions = Vec::new();
-    for (form, figure, reading) in figures {
+    for (form, figure, read_figure) in figures {
         let of_form = rows.iter().filter(|row| row.form == form);
         let points: Vec<Point> = of_form
-            .map(|row| (row.size.listed as f64, reading(row)))
+            .map(|row| (row.size.listed as f64, read_figure(row)))
             .collect();
         let figure = Figure {
             test: TEST,
@@ -167,7 +167,7 @@
         };
         predictions.push((
             form,
-            reading,
+            read_figure,
             Prediction::write(output, figure, &points, size as f64)?,
         ));
     }
@@ -175,32 +175,32 @@
 }
 
 /// Plays both forms on one process that knows this many engines.
-fn play(
+fn measure_forms(
     options: &Options,
     output: &mut Output,
     listed: usize,
 ) -> Result<Vec<ReloadRow>, ScaleError> {
-    let list = configuration::listed(listed, ENGINE_PORT);
+    let list = configuration::ready_engines(listed, ENGINE_PORT);
     let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
-    let usual = Configuration {
+    let with_list = Configuration {
         feed: feed.address,
         sockets: SOCKETS,
         memory_mb: options.memory_mb,
         managers: options.managers,
         listed: &list,
     };
-    let manager = ManagerProcess::start(TEST, &usual.value().to_string())?;
+    let manager = ManagerProcess::start(TEST, &with_list.to_json().to_string())?;
     let settings_only = Configuration {
         listed: &[],
-        ..usual
+        ..with_list
     };
     let forms = [
-        (ConfigurationForm::SettingsOnly, settings_only.value()),
-        (ConfigurationForm::Full, usual.value()),
+        (ConfigurationForm::SettingsOnly, settings_only.to_json()),
+        (ConfigurationForm::Full, with_list.to_json()),
     ];
     let mut rows = Vec::new();
     for (form, value) in forms {
-        let row = series(options, &manager, listed, form, &value)?;
+        let row = measure_series(options, &manager, listed, form, &value)?;
         output.row(&row)?;
         rows.push(row);
     }
@@ -212,22 +212,26 @@
 
 impl ConfigurationSeries {
     fn new(value: &Value, last_class: &str) -> ConfigurationSeries {
-        let with = |points: u32| {
+        let with_points = |points: u32| {
             let mut value = value.clone();
             value["settings"]["classes"][0]["points"] = points.into();
             value
         };
-        let mut last = with(1);
+        let mut last = with_points(1);
         let mut class = last["settings"]["classes"][0].clone();
         class["name"] = last_class.into();
         if let Some(classes) = last["settings"]["classes"].as_array_mut() {
             classes.push(class);
         }
-        ConfigurationSeries([with(2).to_string(), with(3).to_string(), last.to_string()])
+        ConfigurationSeries([
+            with_points(2).to_string(),
+            with_points(3).to_string(),
+            last.to_string(),
+        ])
     }
 
-    fn nth(&self, n: usize) -> &str {
-        &self.0[n % 2]
+    fn nth(&self, index: usize) -> &str {
+        &self.0[index % 2]
     }
 
     fn last(&self) -> &str {
@@ -235,36 +239,41 @@
     }
 }
 
-fn series(
+fn measure_series(
     options: &Options,
     manager: &ManagerProcess,
     listed: usize,
     form: ConfigurationForm,
     value: &Value,
 ) -> Result<ReloadRow, ScaleError> {
-    let effort = if options.small { SMALL } else { FULL };
+    let run_length = if options.small { SMALL_RUN } else { FULL_RUN };
     let files = ConfigurationSeries::new(value, form.last_class());
-    let counted = reloads(manager)?;
+    let counters_before = read_reload_counters(manager)?;
     manager.reset_peak()?;
     let before = manager.memory()?;
     let mut blocks = Vec::new();
-    for _ in 0..effort.blocks {
-        blocks.push(ReloadBlock::play(manager, &files, &effort)?);
+    for _ in 0..run_length.blocks {
+        blocks.push(ReloadBlock::play(manager, &files, &run_length)?);
     }
     let after = manager.memory()?;
-    let mut in_force: Vec<Duration> = blocks
+    let mut reload_times: Vec<Duration> = blocks
         .iter()
-        .flat_map(|block| block.in_force.clone())
+        .flat_map(|block| block.reload_times.clone())
         .collect();
-    check_in_force(manager, &files, form, (counted, in_force.len()))?;
+    check_in_force(manager, &files, form, (counters_before, reload_times.len()))?;
 
-    let each: Vec<f64> = blocks.iter().map(ReloadBlock::seconds_each).collect();
-    let (seconds_each, error) = mean(&each);
-    let (rest, _) = mean(&blocks.iter().map(|block| block.rest).collect::<Vec<_>>());
+    let block_seconds: Vec<f64> = blocks.iter().map(ReloadBlock::seconds_each).collect();
+    let (seconds_each, standard_error) = mean_and_error(&block_seconds);
+    let (idle_share, _) = mean_and_error(
+        &blocks
+            .iter()
+            .map(|block| block.idle_share)
+            .collect::<Vec<_>>(),
+    );
     let bytes = files.nth(0).len();
-    let by_core = 60.0 * BUDGET_CORE / seconds_each;
-    let by_bytes = 60.0 * BUDGET_BYTES_PER_SECOND / bytes as f64;
-    in_force.sort_unstable();
+    let by_core = 60.0 * CONTROL_BUDGET_CORES / seconds_each;
+    let by_bytes = 60.0 * CONTROL_BUDGET_BYTES_PER_SECOND / bytes as f64;
+    reload_times.sort_unstable();
     let counters = manager.counters()?;
     Ok(ReloadRow {
         size: Size::measured(TEST, form.part(), listed, options.managers as usize),
@@ -272,67 +281,67 @@
         memory_mb: options.memory_mb,
         known: counters.get("engines").copied().unwrap_or_default(),
         waiting: counters.get("engines_waiting").copied().unwrap_or_default(),
-        reloads: in_force.len(),
+        reloads: reload_times.len(),
         bytes,
         ms_reload: rounded(seconds_each * 1000.0),
-        ms_reload_error: rounded(error * 1000.0),
-        ms_in_force: milliseconds(in_force.get(in_force.len() / 2)),
-        ms_in_force_most: milliseconds(in_force.last()),
+        ms_reload_error: rounded(standard_error * 1000.0),
+        ms_in_force: milliseconds(reload_times.get(reload_times.len() / 2)),
+        ms_in_force_most: milliseconds(reload_times.last()),
         mb_before: rounded(before.resident as f64 / MEGABYTE),
         mb_after: rounded(after.resident as f64 / MEGABYTE),
         mb_peak_above: rounded(after.peak.saturating_sub(before.resident) as f64 / MEGABYTE),
-        percent_core_at_rest: rounded(rest * 100.0),
+        percent_core_at_rest: rounded(idle_share * 100.0),
         per_minute_by_core: rounded(by_core),
         per_minute_by_bytes: rounded(by_bytes),
         per_minute: rounded(by_core.min(by_bytes)),
-        needed_per_minute: rounded(NEEDED_PER_MINUTE),
+        needed_per_minute: rounded(NEEDED_RELOADS_PER_MINUTE),
     })
 }
 
 /// A stretch at rest, and the reloads after it.
 struct ReloadBlock {
     /// The share of a core that the process takes by itself.
-    rest: f64,
-    lasted: Duration,
-    processor: Duration,
+    idle_share: f64,
+    block_duration: Duration,
+    processor_time: Duration,
     /// From each signal to the settings in force.
-    in_force: Vec<Duration>,
+    reload_times: Vec<Duration>,
 }
 
 impl ReloadBlock {
     fn play(
         manager: &ManagerProcess,
         files: &ConfigurationSeries,
-        effort: &Effort,
+        run_length: &RunLength,
     ) -> Result<ReloadBlock, ScaleError> {
-        let rest = share_at_rest(manager, effort.rest)?;
-        let (begun, processor) = (Instant::now(), manager.processor_time()?);
-        let mut in_force = Vec::new();
-        for n in 0..effort.reloads_in_block {
+        let idle_share = idle_core_share(manager, run_length.idle_time)?;
+        let (started, processor_time) = (Instant::now(), manager.processor_time()?);
+        let mut reload_times = Vec::new();
+        for n in 0..run_length.reloads_in_block {
             manager.configure(files.nth(n))?;
-            in_force.push(manager.reload()?);
-            thread::sleep(effort.pause);
+            reload_times.push(manager.reload()?);
+            thread::sleep(run_length.settle_time);
         }
-        let processor = manager.processor_time()? - processor;
+        let processor_time = manager.processor_time()? - processor_time;
         Ok(ReloadBlock {
-            rest,
-            lasted: begun.elapsed(),
-            processor,
-            in_force,
+            idle_share,
+            block_duration: started.elapsed(),
+            processor_time,
+            reload_times,
         })
     }
 
     /// Processor time of one reload. While it reloads nothing else runs in the process, so what the process spends at
     /// rest counts for the remaining time alone.
     fn seconds_each(&self) -> f64 {
-        let reloading: Duration = self.in_force.iter().sum();
-        let at_rest = self.rest * self.lasted.saturating_sub(reloading).as_secs_f64();
-        (self.processor.as_secs_f64() - at_rest) / self.in_force.len() as f64
+        let reloading: Duration = self.reload_times.iter().sum();
+        let at_rest = self.idle_share * self.block_duration.saturating_sub(reloading).as_secs_f64();
+        (self.processor_time.as_secs_f64() - at_rest) / self.reload_times.len() as f64
     }
 }
 
 /// The mean of some figures, and its standard error.
-fn mean(figures: &[f64]) -> (f64, f64) {
+fn mean_and_error(figures: &[f64]) -> (f64, f64) {
     let count = figures.len() as f64;
     let mean = figures.iter().sum::<f64>() / count;
     let squares: f64 = figures.iter().map(|figure| (figure - mean).powi(2)).sum();
@@ -346,7 +355,7 @@
     form: ConfigurationForm,
     (before, played): (ReloadCounters, usize),
 ) -> Result<(), ScaleError> {
-    let now = reloads(manager)?;
+    let now = read_reload_counters(manager)?;
     if now.used != before.used + played as u64 || now.rejected != before.rejected {
         return Err(ScaleError::CheckFailed(format!(
             "{TEST}: {played} reloads took {before:?} to {now:?}"
@@ -370,7 +379,7 @@
     rejected: u64,
 }
 
-fn reloads(manager: &ManagerProcess) -> Result<ReloadCounters, ScaleError> {
+fn read_reload_counters(manager: &ManagerProcess) -> Result<ReloadCounters, ScaleError> {
     let counters = manager.counters()?;
     let count = |name| counters.get(name).copied().unwrap_or_default();
     Ok(ReloadCounters {
@@ -380,11 +389,11 @@
 }
 
 /// The share of a core that the process takes by itself.
-fn share_at_rest(manager: &ManagerProcess, lasts: Duration) -> Result<f64, ScaleError> {
-    let (begun, processor) = (Instant::now(), manager.processor_time()?);
-    thread::sleep(lasts);
-    let used = manager.processor_time()? - processor;
-    Ok(used.as_secs_f64() / begun.elapsed().as_secs_f64())
+fn idle_core_share(manager: &ManagerProcess, idle_time: Duration) -> Result<f64, ScaleError> {
+    let (started, processor_time) = (Instant::now(), manager.processor_time()?);
+    thread::sleep(idle_time);
+    let used = manager.processor_time()? - processor_time;
+    Ok(used.as_secs_f64() / started.elapsed().as_secs_f64())
 }
 
 fn milliseconds(time: Option<&Duration>) -> f64 {
--- a/benches/scale/server_load.rs
+++ b/benches/scale/server_load.rs
@@ -111,7 +111,7 @@
         self.0.push(Sample {
             at: Instant::now(),
             totals,
-            processor: usage::thread_time(),
+            processor: usage::thread_processor_time(),
         });
     }
 
--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -18,18 +18,18 @@
 const MAX_COMPLETE_LIST_SMALL: usize = 12;
 const MANAGERS_SMALL: u32 = 60;
 /// Engines that are replaced one after another.
-const REPLACED: usize = 10;
-const REPLACED_SMALL: usize = 3;
+const REPLACED_ENGINES: usize = 10;
+const REPLACED_ENGINES_SMALL: usize = 3;
 /// What a later list lacks, as parts of the whole one: nothing, a zone, a tenth, three and six tenths.
-const LACKS: [f64; 5] = [0.0, 1.0 / fleet::ZONES as f64, 0.1, 0.3, 0.6];
+const MISSING_SHARES: [f64; 5] = [0.0, 1.0 / fleet::ZONES as f64, 0.1, 0.3, 0.6];
 /// Engines whose budget is summed up.
 const SAMPLED_ENGINES: usize = 300;
 /// Managers that may send to a cold engine at once.
-const IN_TURN: u32 = 3;
+const MAX_SENDERS: u32 = 3;
 /// Positions of the rotation that are checked.
-const TURNS: u32 = 128;
+const ROTATION_POSITIONS: u32 = 128;
 /// Ids of engines that start later.
-const SUCCESSORS: u32 = 1 << 30;
+const FIRST_SUCCESSOR_ID: u32 = 1 << 30;
 
 #[derive(Serialize)]
 struct BalanceRow {
@@ -97,16 +97,16 @@
 struct Fleet {
     subset: Subset,
     managers: u32,
-    held: Vec<SubsetEngines>,
+    subsets: Vec<SubsetEngines>,
 }
 
 /// Plays balance and changes at all sizes, churn and lists that differ at the largest.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
-    let sizes = options.listed();
+    let sizes = options.list_sizes();
     let mut points: Vec<Point> = Vec::new();
     let mut prediction = None;
-    for (at, listed) in sizes.iter().copied().enumerate() {
-        if at + 1 == sizes.len() && points.len() >= 2 {
+    for (index, listed) in sizes.iter().copied().enumerate() {
+        if index + 1 == sizes.len() && points.len() >= 2 {
             let figure = Figure {
                 test: TEST,
                 figure: "us_change",
@@ -114,19 +114,19 @@
             };
             prediction = Some(Prediction::write(output, figure, &points, listed as f64)?);
         }
-        let row = balance(options, listed);
+        let row = measure_balance(options, listed);
         output.row(&row)?;
         points.push((listed as f64, row.us_change));
         if let Some(prediction) = &prediction {
-            prediction.check(output, row.us_change)?;
+            prediction.write_error(output, row.us_change)?;
         }
     }
     let Some(listed) = sizes.last().copied() else {
         return Ok(());
     };
-    output.row(&churn(options, listed))?;
-    for lacks in LACKS {
-        output.row(&differing_lists(options, listed, lacks))?;
+    output.row(&measure_churn(options, listed))?;
+    for missing_share in MISSING_SHARES {
+        output.row(&measure_differing_lists(options, listed, missing_share))?;
     }
     Ok(())
 }
@@ -152,27 +152,27 @@
                 ordinal: 0,
             },
         );
-        listed.for_each(|id| subset.set_ready_zone(engine_id(id as u32), Some(zone(id))));
+        listed.for_each(|id| subset.set_ready_zone(engine_id(id as u32), Some(zone_of(id))));
         let mut fleet = Fleet {
             subset,
             managers,
-            held: Vec::new(),
+            subsets: Vec::new(),
         };
-        fleet.held = fleet.members_of_all();
+        fleet.subsets = fleet.all_subsets();
         fleet
     }
 
     /// What each manager holds of the list as it is now.
-    fn members_of_all(&self) -> Vec<SubsetEngines> {
-        let mut own = self.subset.clone();
-        let held = |ordinal| {
-            own.set_membership(Membership {
+    fn all_subsets(&self) -> Vec<SubsetEngines> {
+        let mut manager_subset = self.subset.clone();
+        let subset_of = |ordinal| {
+            manager_subset.set_membership(Membership {
                 instances: self.managers,
                 ordinal,
             });
-            own.engines().unwrap_or_default()
+            manager_subset.engines().unwrap_or_default()
         };
-        (0..self.managers).map(held).collect()
+        (0..self.managers).map(subset_of).collect()
     }
 
     /// The same list with another number of managers.
@@ -180,15 +180,15 @@
         let mut fleet = Fleet {
             subset: self.subset.clone(),
             managers,
-            held: Vec::new(),
+            subsets: Vec::new(),
         };
-        fleet.held = fleet.members_of_all();
+        fleet.subsets = fleet.all_subsets();
         fleet
     }
 
     /// Places moved at the managers that both fleets have.
     fn count_moved_to(&self, other: &Fleet) -> usize {
-        let both = self.held.iter().zip(&other.held);
+        let both = self.subsets.iter().zip(&other.subsets);
         both.map(|(before, after)| count_moved(before, after)).sum()
     }
 
@@ -197,24 +197,24 @@
     }
 }
 
-fn zone(id: usize) -> u8 {
+fn zone_of(id: usize) -> u8 {
     (id % fleet::ZONES) as u8
 }
 
-fn balance(options: &Options, listed: usize) -> BalanceRow {
+fn measure_balance(options: &Options, listed: usize) -> BalanceRow {
     let fleet = Fleet::new(options, 0..listed);
-    let sizes: Vec<usize> = fleet.held.iter().map(SubsetEngines::len).collect();
+    let sizes: Vec<usize> = fleet.subsets.iter().map(SubsetEngines::len).collect();
     let mut holders: HashMap<EngineId, usize> =
         (0..listed as u32).map(|id| (engine_id(id), 0)).collect();
     fleet
-        .held
+        .subsets
         .iter()
         .flat_map(SubsetEngines::keys)
         .for_each(|id| *holders.entry(*id).or_default() += 1);
     let places: usize = sizes.iter().sum();
     let holders_mean = places as f64 / listed as f64;
     let holders_most = holders.values().copied().max().unwrap_or_default();
-    let parts = zone_parts(&fleet.held, listed);
+    let parts = zone_parts(&fleet.subsets, listed);
     BalanceRow {
         size: fleet.size("balance", listed),
         engines_least: sizes.iter().copied().min().unwrap_or_default(),
@@ -237,14 +237,14 @@
 }
 
 /// Every zone's part of every subset against its part of the list, ascending.
-fn zone_parts(held: &[SubsetEngines], listed: usize) -> Vec<f64> {
+fn zone_parts(subsets: &[SubsetEngines], listed: usize) -> Vec<f64> {
     let mut of_list = [0.0; fleet::ZONES];
-    (0..listed).for_each(|id| of_list[usize::from(zone(id))] += 1.0 / listed as f64);
+    (0..listed).for_each(|id| of_list[usize::from(zone_of(id))] += 1.0 / listed as f64);
     let mut parts = Vec::new();
-    for members in held {
+    for members in subsets {
         let mut of_subset = [0.0; fleet::ZONES];
         for engine in members.keys() {
-            of_subset[usize::from(zone(u32::from_be_bytes(engine.addr) as usize))] += 1.0;
+            of_subset[usize::from(zone_of(u32::from_be_bytes(engine.addr) as usize))] += 1.0;
         }
         let zones = of_subset
             .iter()
@@ -259,24 +259,27 @@
 /// Processor time of a change at one manager, in us.
 fn change_us(fleet: &Fleet, listed: usize) -> f64 {
     const CHANGES: u32 = 500;
-    let mut own = fleet.subset.clone();
-    own.engines();
-    let from = usage::thread_time();
+    let mut manager_subset = fleet.subset.clone();
+    manager_subset.engines();
+    let time_before = usage::thread_processor_time();
     for change in 0..CHANGES {
-        let gone = (change as usize * 7919) % listed;
-        own.set_ready_zone(engine_id(gone as u32), None);
-        own.set_ready_zone(engine_id(SUCCESSORS + change), Some(zone(gone)));
-        own.engines();
+        let removed = (change as usize * 7919) % listed;
+        manager_subset.set_ready_zone(engine_id(removed as u32), None);
+        manager_subset.set_ready_zone(
+            engine_id(FIRST_SUCCESSOR_ID + change),
+            Some(zone_of(removed)),
+        );
+        manager_subset.engines();
     }
-    (usage::thread_time() - from).as_secs_f64() * 1e6 / f64::from(CHANGES)
+    (usage::thread_processor_time() - time_before).as_secs_f64() * 1e6 / f64::from(CHANGES)
 }
 
 /// Places that differ: of what a manager gained and lost, the larger number.
 fn count_moved(before: &SubsetEngines, after: &SubsetEngines) -> usize {
-    let lacks = |a: &SubsetEngines, b: &SubsetEngines| {
+    let count_missing = |a: &SubsetEngines, b: &SubsetEngines| {
         a.keys().filter(|engine| !b.contains_key(engine)).count()
     };
-    lacks(before, after).max(lacks(after, before))
+    count_missing(before, after).max(count_missing(after, before))
 }
 
 impl ChurnRow {
@@ -301,22 +304,22 @@
     /// Adds what one replacement moves at one manager.
     fn add(&mut self, replacement: &Replacement, members: &MembersByStep) {
         let held = members.before.contains_key(&replacement.old);
-        let in_gone = count_moved(members.before, members.gone);
-        let in_all = count_moved(members.before, members.after);
+        let moved_on_removal = count_moved(members.before, members.removed);
+        let moved_on_replacement = count_moved(members.before, members.after);
         self.held += usize::from(held);
-        self.gone_moved_most = self.gone_moved_most.max(in_gone);
-        self.replaced_moved_most = self.replaced_moved_most.max(in_all);
+        self.gone_moved_most = self.gone_moved_most.max(moved_on_removal);
+        self.replaced_moved_most = self.replaced_moved_most.max(moved_on_replacement);
         if held {
-            self.gone_moved_holders += in_gone;
+            self.gone_moved_holders += moved_on_removal;
         } else {
-            self.gone_moved_others += in_gone;
+            self.gone_moved_others += moved_on_removal;
         }
-        let whose = match (held, members.after.contains_key(&replacement.new)) {
+        let moved_counter = match (held, members.after.contains_key(&replacement.new)) {
             (true, _) => &mut self.replaced_moved_holders,
             (false, true) => &mut self.replaced_moved_successors,
             (false, false) => &mut self.replaced_moved_others,
         };
-        *whose += in_all;
+        *moved_counter += moved_on_replacement;
     }
 }
 
@@ -329,107 +332,117 @@
 /// The members of one manager before a replacement, without the old engine, and with its successor.
 struct MembersByStep<'a> {
     before: &'a SubsetEngines,
-    gone: &'a SubsetEngines,
+    removed: &'a SubsetEngines,
     after: &'a SubsetEngines,
 }
 
-fn churn(options: &Options, listed: usize) -> ChurnRow {
+fn measure_churn(options: &Options, listed: usize) -> ChurnRow {
     let mut fleet = Fleet::new(options, 0..listed);
     let engines = if options.small {
-        REPLACED_SMALL
+        REPLACED_ENGINES_SMALL
     } else {
-        REPLACED
+        REPLACED_ENGINES
     };
     let mut row = ChurnRow::new(fleet.size("churn", listed), engines);
     for replaced in 0..engines {
         let id = replaced * listed / engines;
         let replacement = Replacement {
             old: engine_id(id as u32),
-            new: engine_id(SUCCESSORS + id as u32),
+            new: engine_id(FIRST_SUCCESSOR_ID + id as u32),
         };
         fleet.subset.set_ready_zone(replacement.old, None);
-        let gone = fleet.members_of_all();
-        fleet.subset.set_ready_zone(replacement.new, Some(zone(id)));
-        let after = fleet.members_of_all();
-        for ((before, gone), after) in fleet.held.iter().zip(&gone).zip(&after) {
+        let removed = fleet.all_subsets();
+        fleet
+            .subset
+            .set_ready_zone(replacement.new, Some(zone_of(id)));
+        let after = fleet.all_subsets();
+        for ((before, removed), after) in fleet.subsets.iter().zip(&removed).zip(&after) {
             let members = MembersByStep {
                 before,
-                gone,
+                removed,
                 after,
             };
             row.add(&replacement, &members);
         }
-        fleet.held = after;
+        fleet.subsets = after;
     }
     let one_more = fleet.with_managers(fleet.managers + 1);
     row.manager_more_moved = fleet.count_moved_to(&one_more);
-    row.manager_more_least = one_more.held.last().map_or(0, SubsetEngines::len);
+    row.manager_more_least = one_more.subsets.last().map_or(0, SubsetEngines::len);
     let one_less = fleet.with_managers(fleet.managers - 1);
     row.manager_less_moved = fleet.count_moved_to(&one_less);
     row
 }
 
-fn differing_lists(options: &Options, listed: usize, lacks: f64) -> DifferingListsRow {
-    let kept = listed - (listed as f64 * lacks) as usize;
+fn measure_differing_lists(
+    options: &Options,
+    listed: usize,
+    missing_share: f64,
+) -> DifferingListsRow {
+    let kept = listed - (listed as f64 * missing_share) as usize;
     // What the later list lacks is spread over zones and positions alike.
     let later = Fleet::new(options, (0..listed).filter(|id| id * 7919 % listed < kept));
     let whole = Fleet::new(options, 0..listed);
     let bound = |fleet: &Fleet| {
-        fleet.held[0]
+        fleet.subsets[0]
             .values()
             .next()
             .map_or(0, |holders| holders.max_managers)
     };
     let mut row = DifferingListsRow {
         size: whole.size("views", listed),
-        lacks: rounded(lacks),
+        lacks: rounded(missing_share),
         bound: bound(&whole),
         bound_later: bound(&later),
         parts_worst: 0.0,
         parts_by_chance: 0.0,
-        in_turn: IN_TURN,
+        in_turn: MAX_SENDERS,
         in_turn_worst: 0,
     };
     let engines = (0..listed).filter(|id| id * 7919 % listed < kept);
-    for (n, id) in engines.step_by((kept / SAMPLED_ENGINES).max(1)).enumerate() {
+    for (sample, id) in engines.step_by((kept / SAMPLED_ENGINES).max(1)).enumerate() {
         let engine = engine_id(id as u32);
-        let managers = whole.held.iter().zip(&later.held);
+        let managers = whole.subsets.iter().zip(&later.subsets);
         let managers: Vec<[Option<&EngineSharing>; 2]> = managers
             .map(|(whole, later)| [whole.get(&engine), later.get(&engine)])
             .collect();
-        let (worst, by_chance, in_turn) = budget_parts(&managers, n);
+        let (worst, by_chance, senders) = budget_shares(&managers, sample);
         row.parts_worst = row.parts_worst.max(rounded(worst));
         row.parts_by_chance = row.parts_by_chance.max(rounded(by_chance));
-        row.in_turn_worst = row.in_turn_worst.max(in_turn);
+        row.in_turn_worst = row.in_turn_worst.max(senders);
     }
     row
 }
 
 /// The sums of parts of one engine's budget, and managers in turn at once, by what each manager has under either list.
-fn budget_parts(managers: &[[Option<&EngineSharing>; 2]], salt: usize) -> (f64, f64, usize) {
-    let part = |holders: &Option<&EngineSharing>| {
+fn budget_shares(managers: &[[Option<&EngineSharing>; 2]], salt: usize) -> (f64, f64, usize) {
+    let share = |holders: &Option<&EngineSharing>| {
         holders.map_or(0.0, |sharing| 1.0 / f64::from(sharing.max_managers))
     };
     let worst = managers
         .iter()
-        .map(|views| part(&views[0]).max(part(&views[1])))
+        .map(|views| share(&views[0]).max(share(&views[1])))
         .sum();
-    let chosen = |at: usize| (at.wrapping_mul(2_654_435_761) >> 7) + salt;
+    let pick = |index: usize| (index.wrapping_mul(2_654_435_761) >> 7) + salt;
     let by_chance = managers
         .iter()
         .enumerate()
-        .map(|(at, views)| part(&views[chosen(at) % 2]))
+        .map(|(index, views)| share(&views[pick(index) % 2]))
         .sum();
-    let in_turn = |turn: u32| {
-        let its = |holders: &EngineSharing| (turn + holders.rank) % holders.max_managers < IN_TURN;
+    let count_senders = |turn: u32| {
+        let may_send =
+            |holders: &EngineSharing| (turn + holders.rank) % holders.max_managers < MAX_SENDERS;
         managers
             .iter()
-            .filter(|views| views.iter().flatten().any(|holders| its(holders)))
+            .filter(|views| views.iter().flatten().any(|holders| may_send(holders)))
             .count()
     };
     (
         worst,
         by_chance,
-        (0..TURNS).map(in_turn).max().unwrap_or_default(),
+        (0..ROTATION_POSITIONS)
+            .map(count_senders)
+            .max()
+            .unwrap_or_default(),
     )
 }
--- a/benches/scale/usage.rs
+++ b/benches/scale/usage.rs
@@ -4,7 +4,7 @@
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-fn clock(id: ClockId) -> Duration {
+fn clock_time(id: ClockId) -> Duration {
     let time = clock_gettime(id);
     Duration::new(
         time.tv_sec.unsigned_abs(),
@@ -13,21 +13,21 @@
 }
 
 /// Processor time of the calling thread. Other processes on the machine do not add to it.
-pub(super) fn thread_time() -> Duration {
-    clock(ClockId::ThreadCPUTime)
+pub(super) fn thread_processor_time() -> Duration {
+    clock_time(ClockId::ThreadCPUTime)
 }
 
 /// Bytes of memory that the process has resident.
 pub(super) fn resident_bytes() -> Result<usize, ScaleError> {
-    status_bytes("VmRSS:")
+    read_status_bytes("VmRSS:")
 }
 
 /// The most that it ever had resident.
-pub(super) fn peak_bytes() -> Result<usize, ScaleError> {
-    status_bytes("VmHWM:")
+pub(super) fn peak_resident_bytes() -> Result<usize, ScaleError> {
+    read_status_bytes("VmHWM:")
 }
 
-fn status_bytes(name: &str) -> Result<usize, ScaleError> {
+fn read_status_bytes(name: &str) -> Result<usize, ScaleError> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     let kilobytes = line
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 /// Rows of the small case of one test.
-fn rows(test: Test) -> Vec<Value> {
+fn small_case_rows(test: Test) -> Vec<Value> {
     let mut output = Output::new(None).expect("output");
     scale::run(&Options::small(&[test]), &mut output).expect("a whole run");
     output
@@ -22,7 +22,7 @@
         .collect()
 }
 
-fn of<'a>(rows: &'a [Value], key: &str, value: &str) -> Vec<&'a Value> {
+fn rows_where<'a>(rows: &'a [Value], key: &str, value: &str) -> Vec<&'a Value> {
     rows.iter().filter(|row| row[key] == value).collect()
 }
 
@@ -36,7 +36,7 @@
         .collect()
 }
 
-fn positive(row: &Value, keys: &[&str]) {
+fn assert_positive(row: &Value, keys: &[&str]) {
     for key in keys {
         assert!(
             row[key].as_f64().is_some_and(|figure| figure > 0.0),
@@ -46,21 +46,21 @@
 }
 
 /// A prediction stands before its measurement, and each is held against it once.
-fn predicted(rows: &[Value], figures: &[&str]) {
-    let at = |kind: &str, figure: &str| {
-        let found = |row: &Value| row["kind"] == kind && row["figure"] == figure;
+fn assert_predictions(rows: &[Value], figures: &[&str]) {
+    let index_of = |kind: &str, figure: &str| {
+        let matches = |row: &Value| row["kind"] == kind && row["figure"] == figure;
         assert_eq!(
-            rows.iter().filter(|row| found(row)).count(),
+            rows.iter().filter(|row| matches(row)).count(),
             1,
             "{kind} of {figure}"
         );
-        rows.iter().position(found).expect("counted")
+        rows.iter().position(matches).expect("counted")
     };
     for figure in figures {
         let (fit, prediction, error) = (
-            at("fit", figure),
-            at("prediction", figure),
-            at("error", figure),
+            index_of("fit", figure),
+            index_of("prediction", figure),
+            index_of("error", figure),
         );
         assert_eq!(rows[fit]["points"], 3, "the largest size is not in the fit");
         assert_eq!(rows[prediction]["predicted"], rows[error]["predicted"]);
@@ -88,7 +88,7 @@
         .to_vec();
     let line = LinearFit::through(&points).expect("a line");
     assert!(
-        (line.slope - 0.25).abs() < 1e-9 && (line.at(22_000.0) - 5_507.0).abs() < 1e-6,
+        (line.slope - 0.25).abs() < 1e-9 && (line.value_at(22_000.0) - 5_507.0).abs() < 1e-6,
         "{line:?}"
     );
     // Errors that cancel leave the slope as it is.
@@ -101,8 +101,8 @@
 /// Every statement is served by an engine that the module hears of, at every size.
 #[test]
 fn decision_test_serves_every_statement_at_each_list_size() {
-    let rows = rows(Test::Decision);
-    let measured = of(&rows, "kind", "measured");
+    let rows = small_case_rows(Test::Decision);
+    let measured = rows_where(&rows, "kind", "measured");
     assert_eq!(numbers(&measured, "listed"), [16, 32, 64, 128]);
     for row in &measured {
         assert_eq!(
@@ -127,14 +127,14 @@
                 .is_some_and(|served| (510..=550).contains(&served)),
             "{row}"
         );
-        positive(row, &["us_request", "us_tick", "ticks"]);
+        assert_positive(row, &["us_request", "us_tick", "ticks"]);
     }
-    predicted(&rows, &["us_request", "us_tick"]);
+    assert_predictions(&rows, &["us_request", "us_tick"]);
 }
 
 /// Each change is applied by every manager, and no statement goes to the removed engine.
 fn check_list_changes(rows: &[Value]) {
-    let changes = of(rows, "part", "change");
+    let changes = rows_where(rows, "part", "change");
     let sizes: Vec<_> = numbers(&changes, "listed")
         .into_iter()
         .zip(numbers(&changes, "managers"))
@@ -156,14 +156,17 @@
             row["managers"].as_u64().map(|managers| 5 * managers),
             "{row}"
         );
-        positive(row, &["ms_first", "ms_p50", "ms_p99", "ms_most"]);
+        assert_positive(row, &["ms_first", "ms_p50", "ms_p99", "ms_most"]);
     }
 }
 
 /// Managers that start or reconnect get the list, or what they missed, and no more.
-fn check_list_starts_and_returns(rows: &[Value]) {
-    let (starts, returns) = (of(rows, "part", "start"), of(rows, "part", "return"));
-    assert_eq!((starts.len(), returns.len()), (1, 1));
+fn check_list_starts_and_reconnects(rows: &[Value]) {
+    let (starts, reconnects) = (
+        rows_where(rows, "part", "start"),
+        rows_where(rows, "part", "return"),
+    );
+    assert_eq!((starts.len(), reconnects.len()), (1, 1));
     assert_eq!(
         (&starts[0]["feed_connections"], &starts[0]["managers"]),
         (&Value::from(12), &Value::from(12))
@@ -175,23 +178,23 @@
     );
     // Each reconnects, and gets what it missed and no full list.
     assert!(
-        returns[0]["feed_connections"].as_u64() >= Some(12),
+        reconnects[0]["feed_connections"].as_u64() >= Some(12),
         "{}",
-        returns[0]
+        reconnects[0]
     );
-    let missed = returns[0]["feed_bytes"].as_u64().expect("bytes");
+    let missed = reconnects[0]["feed_bytes"].as_u64().expect("bytes");
     assert!(
         (12 * 67..12 * (13 + 27 * 16)).contains(&missed),
         "{}",
-        returns[0]
+        reconnects[0]
     );
 }
 
 /// A change reaches every in-process manager: none sends to the engine that is gone, all may send to its successor.
 #[test]
 fn list_test_applies_each_change_at_every_manager() {
-    let rows = rows(Test::List);
-    let costs = of(&rows, "part", "cost");
+    let rows = small_case_rows(Test::List);
+    let costs = rows_where(&rows, "part", "cost");
     assert_eq!(numbers(&costs, "listed"), [16, 32, 64, 128]);
     for row in costs {
         let listed = row["listed"].as_u64().expect("a size");
@@ -203,11 +206,11 @@
             (&row["bytes_change"], &row["bytes_second_at_rest"]),
             (&Value::from(67), &Value::from(13.0))
         );
-        positive(row, &["us_whole", "us_change", "us_empty_frame", "heard"]);
+        assert_positive(row, &["us_whole", "us_change", "us_empty_frame", "heard"]);
     }
     check_list_changes(&rows);
-    check_list_starts_and_returns(&rows);
-    predicted(
+    check_list_starts_and_reconnects(&rows);
+    assert_predictions(
         &rows,
         &[
             "us_whole",
@@ -224,17 +227,18 @@
 /// Both forms of a configuration are used each time, and the last one is in force; without the list it is shorter.
 #[test]
 fn reload_test_applies_every_configuration_of_both_forms() {
-    let rows = rows(Test::Reload);
+    let rows = small_case_rows(Test::Reload);
     let (whole, settings_only) = (
-        of(&rows, "part", "whole"),
-        of(&rows, "part", "settings_only"),
+        rows_where(&rows, "part", "whole"),
+        rows_where(&rows, "part", "settings_only"),
     );
     for form in [&whole, &settings_only] {
         assert_eq!(numbers(form, "listed"), [10, 20, 40, 80]);
         assert_eq!(numbers(form, "known"), [10, 20, 40, 80]);
         assert_eq!(numbers(form, "reloads"), [4; 4]);
-        form.iter()
-            .for_each(|row| positive(row, &["ms_in_force", "mb_before", "per_minute_by_bytes"]));
+        form.iter().for_each(|row| {
+            assert_positive(row, &["ms_in_force", "mb_before", "per_minute_by_bytes"])
+        });
     }
     let bytes = numbers(&settings_only, "bytes");
     assert!(bytes.iter().all(|all| *all == bytes[0]), "{bytes:?}");
@@ -255,7 +259,7 @@
         ),
     ];
     for (figure, measured) in figures {
-        let error = of(&rows, "kind", "error")
+        let error = rows_where(&rows, "kind", "error")
             .into_iter()
             .find(|row| row["figure"] == figure);
         let error = error.unwrap_or_else(|| panic!("no error of {figure}"));
@@ -270,20 +274,20 @@
 /// of the list are replaced.
 #[test]
 fn manager_test_answers_every_offered_statement_once_during_churn() {
-    let rows = rows(Test::Manager);
+    let rows = small_case_rows(Test::Manager);
     for part in ["rest", "churn", "summary"] {
         assert_eq!(
-            numbers(&of(&rows, "part", part), "known"),
+            numbers(&rows_where(&rows, "part", part), "known"),
             [16, 32, 64, 128],
             "{part}"
         );
     }
-    for row in of(&rows, "part", "churn") {
-        positive(row, &["list_events", "replaced_a_day", "mb_resident"]);
+    for row in rows_where(&rows, "part", "churn") {
+        assert_positive(row, &["list_events", "replaced_a_day", "mb_resident"]);
     }
-    let connections = numbers(&of(&rows, "part", "connections"), "connections");
+    let connections = numbers(&rows_where(&rows, "part", "connections"), "connections");
     assert_eq!(connections, [8, 8, 8, 2, 4, 6, 8]);
-    let statements = of(&rows, "part", "statements");
+    let statements = rows_where(&rows, "part", "statements");
     assert_eq!(numbers(&statements, "offered"), [5, 10, 20].repeat(5));
     assert_eq!(
         numbers(&statements, "connections"),
@@ -310,12 +314,12 @@
             count("served") > 0 && count("attempts") >= count("served"),
             "{row}"
         );
-        positive(
+        assert_positive(
             row,
             &["p50_ms", "engine_bytes_in", "engine_bytes_out", "mb_peak"],
         );
     }
-    predicted(
+    assert_predictions(
         &rows,
         &[
             "us_statement_usual",
@@ -329,8 +333,8 @@
 /// more or less nobody else's.
 #[test]
 fn subset_test_gives_every_engine_a_manager_and_moves_only_concerned_places() {
-    let rows = rows(Test::Subset);
-    let balance = of(&rows, "part", "balance");
+    let rows = small_case_rows(Test::Subset);
+    let balance = rows_where(&rows, "part", "balance");
     assert_eq!(numbers(&balance, "listed"), [16, 32, 64, 128]);
     for row in &balance {
         assert_eq!(
@@ -339,7 +343,7 @@
             "{row}"
         );
         assert!(row["engines_most"].as_u64() <= Some(12 + 14), "{row}");
-        positive(
+        assert_positive(
             row,
             &[
                 "holders_least",
@@ -350,7 +354,7 @@
             ],
         );
     }
-    let churn = of(&rows, "part", "churn")[0];
+    let churn = rows_where(&rows, "part", "churn")[0];
     assert_eq!(
         (&churn["engines"], &churn["replaced_moved_others"]),
         (&Value::from(3), &Value::from(0)),
@@ -365,7 +369,7 @@
         churn["replaced_moved_holders"].as_u64() >= churn["held"].as_u64(),
         "{churn}"
     );
-    let views = of(&rows, "part", "views");
+    let views = rows_where(&rows, "part", "views");
     assert_eq!(views.len(), 5);
     for row in views {
         assert!(
@@ -375,5 +379,5 @@
             "{row}"
         );
     }
-    predicted(&rows, &["us_change"]);
+    assert_predictions(&rows, &["us_change"]);
 }
