--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -167,9 +167,9 @@
         feed.publish(&event);
         group.await_event(event.number)?;
     }
-    let in_changes = group.usage()? - before;
+    let changes_time = group.usage()? - before;
     let empty_frame_us = measure_empty_frames(&feed, &group, run_length)?;
-    let change_us = in_changes.as_secs_f64() * 1e6 / f64::from(run_length.changes);
+    let change_us = changes_time.as_secs_f64() * 1e6 / f64::from(run_length.changes);
     Ok(Round {
         full_list_us: full_list.processor.as_secs_f64() * 1e6,
         change_us,
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -155,7 +155,7 @@
     for change in 0..changes {
         results.play(&feed, &group, listed as u32, change)?;
     }
-    let in_feed = feed.processor(Instant::now())? - before;
+    let feed_time = feed.processor(Instant::now())? - before;
     let DispatchTotals {
         dispatched: asked,
         dispatched_to_ended: asked_of_ended,
@@ -169,7 +169,7 @@
         successor_ready: results.successor_ready.unwrap_or_default(),
         ticks: plan.ticks,
         tick_cores: ticks.cores(managers),
-        feed_ms_change: rounded(in_feed.as_secs_f64() * 1000.0 / f64::from(changes)),
+        feed_ms_change: rounded(feed_time.as_secs_f64() * 1000.0 / f64::from(changes)),
         asked,
         asked_of_ended,
         taken_up: full_list.taken_up,
--- a/benches/scale/list_reconnect.rs
+++ b/benches/scale/list_reconnect.rs
@@ -22,7 +22,7 @@
 const MISSED_EVENT: u64 = 2;
 
 #[derive(Serialize)]
-struct ReturnRow {
+struct ReconnectRow {
     #[serde(flatten)]
     size: Size,
     /// From the feed's return until the event that was missed is in force, in ms.
@@ -73,7 +73,7 @@
     let times = LatencySummary::since(resumed, &applied);
     let load = feed.load(resumed, last_applied_at(&applied))?;
     let totals = feed.totals();
-    output.row(&ReturnRow {
+    output.row(&ReconnectRow {
         size: Size::measured(TEST, "return", listed, managers),
         ticks: plan.ticks,
         away_ms: rounded(outage.as_secs_f64() * 1000.0),
