--- a/benches/scale/fit.rs
+++ b/benches/scale/fit.rs
@@ -1,22 +1,23 @@
-//! A straight line by least squares, and the prediction of the largest size from the smaller ones.
+//! Least-squares line fit, and the prediction of a figure at the largest size from the smaller
+//! ones.
 
 use super::row::{Kind, Output, ScaleError, rounded};
 use serde::Serialize;
 
-/// One measured point: the size, and the figure there.
+/// One measured point: a size and the figure at that size.
 pub(crate) type Point = (f64, f64);
 
-/// A straight line.
+/// A straight line fitted to measured points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LinearFit {
     /// The figure at size 0.
     pub intercept: f64,
-    /// Its growth for each unit of size.
+    /// Increase of the figure per unit of size.
     pub slope: f64,
 }
 
 impl LinearFit {
-    /// The line of least squares; none through fewer than two different sizes.
+    /// The least-squares line; `None` if the points have fewer than two different sizes.
     pub(crate) fn through(points: &[Point]) -> Option<LinearFit> {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
@@ -37,24 +38,24 @@
         })
     }
 
-    /// The figure at a size.
+    /// The value of the line at a size.
     pub(crate) fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// Which figure of which test, and over which size.
+/// A figure of a test, and the size that it depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct Figure {
-    /// The test.
+    /// The test's name.
     pub test: &'static str,
-    /// The figure's name in its rows.
+    /// The figure's column in the result rows.
     pub figure: &'static str,
-    /// The size's name there.
+    /// The size's column in the result rows.
     pub over: &'static str,
 }
 
-/// A figure that was predicted, to be held against its measurement.
+/// A predicted figure, to be compared with its measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct Prediction {
     #[serde(flatten)]
@@ -86,20 +87,24 @@
     #[serde(flatten)]
     prediction: Prediction,
     measured: f64,
-    /// Of the measured figure, in percent; positive where the prediction is above it.
+    /// Error in percent of the measured figure; positive if the prediction is too high.
     error_percent: f64,
 }
 
 impl Prediction {
-    /// Fits the line through the smaller sizes, and writes it and what it says of the largest one.
+    /// Fits a line to the points of the smaller sizes, and writes a row with that line and a row
+    /// with the prediction for the largest size.
     pub(crate) fn write(
         output: &mut Output,
         figure: Figure,
         points: &[Point],
         size: f64,
     ) -> Result<Prediction, ScaleError> {
-        let no_line =
-            || ScaleError::CheckFailed(format!("no line through the points of {figure:?}"));
+        let no_line = || {
+            ScaleError::CheckFailed(format!(
+                "cannot fit a line through the points of {figure:?}"
+            ))
+        };
         let line = LinearFit::through(points).ok_or_else(no_line)?;
         let (slope, intercept) = (line.slope, rounded(line.intercept));
         output.row(&FitRow {
@@ -121,7 +126,7 @@
         Ok(prediction)
     }
 
-    /// Writes the prediction beside the measurement, and its error.
+    /// Writes a row with the prediction, the measurement and the error of the prediction.
     pub(crate) fn write_error(&self, output: &mut Output, measured: f64) -> Result<(), ScaleError> {
         let error_percent = rounded((self.predicted - measured) / measured * 100.0);
         output.row(&ErrorRow {
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -1,5 +1,6 @@
-//! Scale tests: what a workload manager and its list feed cost by the size of the fleet. `make scale` plays all of
-//! them; each figure is one line of JSON on standard output, and in a file where `--out` names one.
+//! Scale tests: the cost of a workload manager and of its discovery feed, by the size of the fleet.
+//! `make scale` runs all of them. Each result row is one line of JSON on standard output, and also
+//! in the file given with `--out`.
 
 mod churn;
 mod clients;
@@ -35,7 +36,7 @@
 use row::Output;
 use std::process::ExitCode;
 
-/// Runs the chosen tests one after another; each writes its rows as it goes.
+/// Runs the selected tests one after another. Each test writes a row as soon as it is measured.
 pub(crate) fn run(options: &Options, output: &mut Output) -> Result<(), row::ScaleError> {
     if let Some(listed) = options.memory_of {
         return memory::report(options, listed, output);
--- a/benches/scale/options.rs
+++ b/benches/scale/options.rs
@@ -4,23 +4,25 @@
 use clap::{Parser, ValueEnum};
 use std::path::PathBuf;
 
-/// A scale test by its name.
+/// A scale test that can be selected on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Test {
-    /// Processor time of a request and a tick, by listed engines.
+    /// Processor time of a request and of a timer tick, by the number of listed engines.
     Decision,
-    /// What the list costs, and how soon a change of it is in force everywhere.
+    /// Cost of the endpoint list, and the time until every manager has applied a change of it.
     List,
-    /// What a changed configuration costs a real process, by listed engines.
+    /// Cost of a configuration reload in a real process, by the number of listed engines.
     Reload,
-    /// What statements, control and connections cost a real process, by listed engines.
+    /// Cost of statements, control work and connections in a real process, by the number of listed
+    /// engines.
     Manager,
-    /// Balance, zones, churn and shares of engine subsets over a fleet, by listed engines.
+    /// Balance, zones, churn and budget shares of the fleet's engine subsets, by the number of
+    /// listed engines.
     Subset,
 }
 
 impl Test {
-    /// The test's name on the command line and in its rows.
+    /// The test's name on the command line and in its result rows.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Test::Decision => "decision",
@@ -32,44 +34,44 @@
     }
 }
 
-/// Which tests run, and how large.
+/// Which tests run, and at which sizes.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "scale", about = "Scale tests of magpiechute")]
 pub(crate) struct Options {
-    /// Tests to run; all of them where none is named.
+    /// Tests to run; all of them if none is given.
     #[arg(value_enum)]
     pub tests: Vec<Test>,
-    /// Small sizes that end within seconds; their figures do not predict a full size.
+    /// Uses small sizes that finish within seconds; their figures do not predict the full sizes.
     #[arg(long)]
     pub small: bool,
-    /// Writes the rows to this file too.
+    /// Also writes the result rows to this file.
     #[arg(long, value_name = "FILE")]
     pub out: Option<PathBuf>,
-    /// Listed engines, ascending; the largest is predicted from the others.
+    /// Numbers of listed engines; the figures of the largest are predicted from the others.
     #[arg(long, value_delimiter = ',', value_name = "N,N,...")]
     pub listed: Vec<usize>,
-    /// Managers of the fleet, as the settings say.
+    /// Number of managers in the fleet, as given in the settings.
     #[arg(long, default_value_t = fleet::MANAGERS)]
     pub managers: u32,
-    /// Memory of a manager, in MB: the limits follow it.
+    /// Memory of a manager, in MB; its limits are derived from this.
     #[arg(long, default_value_t = fleet::MEMORY_MB)]
     pub memory_mb: usize,
-    /// Only measures, in this process, the memory of managers with this many listed engines.
+    /// Only measures the memory of managers with this many listed engines, in this process.
     #[arg(long, hide = true)]
     pub(super) memory_of: Option<usize>,
-    /// Number of these managers.
+    /// Number of managers whose memory is measured with `--memory-of`.
     #[arg(long, hide = true, default_value_t = 1)]
     pub(super) memory_managers: usize,
-    /// This program, to measure memory in a process of its own.
+    /// Path of this program, which is started again to measure memory in a separate process.
     #[arg(skip)]
     pub(super) program: Option<PathBuf>,
-    /// Given by `cargo bench`; it changes nothing.
+    /// Passed by `cargo bench`; has no effect.
     #[arg(long, hide = true)]
     bench: bool,
 }
 
 impl Options {
-    /// The small case of these tests.
+    /// Options that run the small case of the given tests.
     #[allow(
         dead_code,
         reason = "called by tests/scale.rs, which includes this module"
@@ -80,12 +82,12 @@
         options
     }
 
-    /// The numbers of listed engines, ascending.
+    /// The numbers of listed engines to measure, ascending.
     pub(crate) fn list_sizes(&self) -> Vec<usize> {
         self.list_sizes_or(&fleet::LIST_SIZES, &fleet::LIST_SIZES_SMALL)
     }
 
-    /// The same for a test with sizes of its own, and those of its small case.
+    /// Like [`Options::list_sizes`], for a test with its own full and small sizes.
     pub(crate) fn list_sizes_or(&self, full: &[usize], small: &[usize]) -> Vec<usize> {
         let mut sizes = match (self.listed.is_empty(), self.small) {
             (false, _) => self.listed.clone(),
@@ -96,7 +98,7 @@
         sizes
     }
 
-    /// In-process managers that one process holds at most.
+    /// Maximum number of in-process managers in one process.
     pub(crate) fn max_managers(&self) -> usize {
         if self.small {
             fleet::MAX_IN_PROCESS_MANAGERS_SMALL
--- a/benches/scale/row.rs
+++ b/benches/scale/row.rs
@@ -1,4 +1,4 @@
-//! Rows of results: one JSON object a line, on standard output and in the file that was asked for.
+//! Result rows: one JSON object per line, on standard output and in the file given with `--out`.
 
 use super::manager_process::ProcessError;
 use serde::Serialize;
@@ -6,53 +6,53 @@
 use std::io::Write;
 use std::path::Path;
 
-/// Why a scale test could not be played, or found something that must not be.
+/// Why a scale test could not run, or which of its checks failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ScaleError {
-    /// A row, a socket or a file could not be read or written.
-    #[error("input or output: {0}")]
+    /// Reading or writing a row, a socket or a file failed.
+    #[error("I/O error: {0}")]
     Io(#[from] std::io::Error),
-    /// A row is not JSON.
-    #[error("row: {0}")]
+    /// A row could not be converted to or from JSON.
+    #[error("cannot convert a row to or from JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// A process under test could not be started, controlled or measured.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// What the test relies on does not hold.
+    /// A condition that the test checks does not hold.
     #[error("{0}")]
     CheckFailed(String),
 }
 
-/// What a row tells.
+/// What a row contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Kind {
-    /// A figure that was measured.
+    /// Measured figures.
     Measured,
-    /// The line fitted on all sizes but the largest.
+    /// The line fitted to the figures of all sizes but the largest.
     Fit,
-    /// What that line says of the largest size, written before it is played.
+    /// The value of that line at the largest size, written before that size is measured.
     Prediction,
-    /// The prediction held against the measurement.
+    /// The difference between the prediction and the measurement.
     Error,
-    /// A size that is not played, and why.
+    /// A size that is not measured, with the reason.
     LeftOut,
 }
 
-/// What a row is about.
+/// The columns that identify a row: its test, part, kind and size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct Size {
     test: &'static str,
     part: &'static str,
     kind: Kind,
-    /// Listed engines.
+    /// Number of listed engines.
     pub listed: usize,
-    /// Managers that are played, or that the settings name where one alone is.
+    /// Number of managers that run; if only one runs, the number given in the settings.
     managers: usize,
 }
 
 impl Size {
-    /// Of a part that is measured.
+    /// The columns for a measured part.
     pub(crate) fn measured(
         test: &'static str,
         part: &'static str,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Of a part that is left out at this size.
+    /// The columns for a part that is not measured at this size.
     pub(crate) fn left_out(
         test: &'static str,
         part: &'static str,
@@ -82,24 +82,25 @@
     }
 }
 
-/// A size that a test leaves out.
+/// A row for a size that a test leaves out.
 #[derive(Debug, Serialize)]
 pub(crate) struct LeftOut<'a> {
-    /// Which.
+    /// The part and size left out.
     #[serde(flatten)]
     pub size: Size,
-    /// Why.
+    /// The reason.
     pub why: &'a str,
 }
 
-/// Where rows go.
+/// Writes result rows.
 pub(crate) struct Output {
     file: Option<File>,
     lines: Vec<String>,
 }
 
 impl Output {
-    /// Standard output, and this file anew where one is named.
+    /// Writes to standard output and, if a path is given, to a new file there, replacing an old
+    /// one.
     pub(crate) fn new(path: Option<&Path>) -> Result<Output, ScaleError> {
         let file = path.map(File::create).transpose()?;
         Ok(Output {
@@ -108,7 +109,8 @@
         })
     }
 
-    /// Writes one row at once, so that a run that is cut off leaves what it measured.
+    /// Writes one row and flushes standard output, so that an interrupted run keeps what it has
+    /// measured.
     pub(crate) fn row(&mut self, row: &impl Serialize) -> Result<(), ScaleError> {
         let line = serde_json::to_string(row)?;
         let mut standard = std::io::stdout().lock();
@@ -121,7 +123,7 @@
         Ok(())
     }
 
-    /// The rows written so far.
+    /// The rows written so far, as JSON text.
     #[allow(
         dead_code,
         reason = "called by tests/scale.rs, which includes this module"
@@ -131,7 +133,7 @@
     }
 }
 
-/// A figure rounded to three decimals, as no clock here tells more.
+/// The figure rounded to three decimals; no clock used here is more precise.
 pub(crate) fn rounded(figure: f64) -> f64 {
     (figure * 1000.0).round() / 1000.0
 }
--- a/benches/scale/usage.rs
+++ b/benches/scale/usage.rs
@@ -1,4 +1,4 @@
-//! What this process has used: processor time and memory, as the kernel counts them.
+//! Processor time and memory used by this process, as counted by the kernel.
 
 use super::row::ScaleError;
 use rustix::time::{ClockId, clock_gettime};
@@ -12,17 +12,17 @@
     )
 }
 
-/// Processor time of the calling thread. Other processes on the machine do not add to it.
+/// Processor time of the calling thread. Other processes on the machine do not count towards it.
 pub(super) fn thread_processor_time() -> Duration {
     clock_time(ClockId::ThreadCPUTime)
 }
 
-/// Bytes of memory that the process has resident.
+/// Resident memory of the process, in bytes.
 pub(super) fn resident_bytes() -> Result<usize, ScaleError> {
     read_status_bytes("VmRSS:")
 }
 
-/// The most that it ever had resident.
+/// Peak resident memory since the process started, in bytes.
 pub(super) fn peak_resident_bytes() -> Result<usize, ScaleError> {
     read_status_bytes("VmHWM:")
 }
@@ -35,5 +35,5 @@
         .and_then(|n| n.parse::<usize>().ok());
     kilobytes
         .map(|n| n * 1024)
-        .ok_or_else(|| ScaleError::CheckFailed("/proc/self/status names no memory".to_owned()))
+        .ok_or_else(|| ScaleError::CheckFailed("no memory figure in /proc/self/status".to_owned()))
 }
