--- a/benches/scale/churn.rs
+++ b/benches/scale/churn.rs
@@ -1,4 +1,5 @@
-//! Churn of the list: engines that drain, are followed by a successor, and go, at an even rate.
+//! Churn of the endpoint list: at a constant rate, an engine drains, its successor is listed, and
+//! the old engine is removed.
 
 use super::configuration::{FIRST_EVENT, engine_at};
 use super::feed::Feed;
@@ -10,28 +11,29 @@
 use workload_manager::node_config::{EndpointListEvent, EngineRecord};
 use workload_manager::{EngineState, ListUpdateKind};
 
-/// An ordinary day's changes, each taken to replace an engine, though restarts and failures of other machines count
-/// among them: changes of primary, failed machines, restarted or replaced machines.
+/// Changes on an ordinary day: changes of primary, failed machines, and machines restarted or
+/// replaced. Each is counted as the replacement of an engine, though restarts and failures of other
+/// machines are among them.
 const REPLACEMENTS_PER_DAY: [u32; 3] = [37, 150, 2_600];
-/// How many ordinary days are played in one.
+/// The changes of this many ordinary days are spread over one day.
 const DAYS_IN_ONE: u32 = 10;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// From an engine's drain, when its successor is listed, to its end.
+/// Time from the start of an engine's draining, when its successor is listed, to its removal.
 const DRAIN_TIME: Duration = Duration::from_secs(1);
-/// Engines that go one after another stand this many places apart in the list.
+/// Distance in the list between two engines that are replaced one after the other.
 const INDEX_STRIDE: usize = 7_919;
 
-/// How fast engines are replaced, and how many at most.
+/// How often engines are replaced, and how many at most.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplacementRate {
-    /// From one replacement to the next.
+    /// Time from the start of one replacement to the start of the next.
     pub interval: Duration,
-    /// No further ones follow these.
+    /// Maximum number of replacements; `None` for no limit.
     pub max_replacements: Option<u32>,
 }
 
 impl ReplacementRate {
-    /// Ten ordinary days in one.
+    /// The rate that spreads the changes of ten ordinary days over one day.
     pub(super) fn ten_days_in_one() -> ReplacementRate {
         let replacements = DAYS_IN_ONE * REPLACEMENTS_PER_DAY.iter().sum::<u32>();
         ReplacementRate {
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Engines that would be replaced in a day.
+    /// Number of engines that this rate replaces per day, without the maximum.
     pub(super) fn replacements_per_day(self) -> f64 {
         SECONDS_PER_DAY / self.interval.as_secs_f64()
     }
@@ -51,7 +53,7 @@
     }
 }
 
-/// Replacements, published for as long as this value lives.
+/// Replaces engines and publishes the events, until it is dropped or finished.
 pub(super) struct Churn {
     events: Arc<AtomicU64>,
     stop: Option<Sender<()>>,
@@ -59,7 +61,7 @@
 }
 
 impl Churn {
-    /// Tells a replacement at once and then one each interval.
+    /// Starts a thread that begins a replacement at once and another one after each interval.
     pub(super) fn start(
         feed: &Arc<Mutex<Feed>>,
         listed: &[EngineRecord],
@@ -84,7 +86,7 @@
             let (mut next_start, mut replaced) = (Instant::now(), 0);
             while rate.allows_another(replaced) && wait_until(next_start) {
                 publish(replacement.drain_next());
-                // What drains ends, also where the churn is over.
+                // A draining engine is removed even if the churn is being stopped.
                 wait_until(next_start + DRAIN_TIME.min(rate.interval / 2));
                 publish(replacement.remove_drained());
                 replaced += 1;
@@ -98,12 +100,12 @@
         }
     }
 
-    /// Events published so far: two for each engine replaced.
+    /// Number of events published so far, two for each replaced engine.
     pub(super) fn events(&self) -> u64 {
         self.events.load(Ordering::SeqCst)
     }
 
-    /// Ends it, with no engine left halfway; returns the number of published events.
+    /// Stops after the current replacement is complete, and returns the number of published events.
     pub(super) fn finish(mut self) -> u64 {
         self.stop();
         self.events()
@@ -123,7 +125,7 @@
     }
 }
 
-/// The list as it is published, and the numbers of its events.
+/// The endpoint list as last published, and the number of its last event.
 struct RollingReplacement {
     listed: Vec<EngineRecord>,
     port: u16,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// The next engine drains, and its successor is ready.
+    /// Marks the next engine as draining, and adds its successor as ready.
     fn drain_next(&mut self) -> EndpointListEvent {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -169,7 +171,7 @@
         self.delta(vec![old, successor])
     }
 
-    /// What drains ends.
+    /// Removes the draining engine.
     fn remove_drained(&mut self) -> EndpointListEvent {
         let removed = self.draining.take().into_iter().map(|mut old| {
             old.entry.state = EngineState::Removed;
--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file of one real workload manager, as the platform writes it.
+//! The platform's configuration file for one real workload manager.
 
 use super::fleet;
 use serde_json::{Value, json};
@@ -6,25 +6,25 @@
 use workload_manager::node_config::{EndpointListEvent, EngineRecord, format_engine_id};
 use workload_manager::{EngineState, ListUpdateKind};
 
-/// The number of the event that holds the full list.
+/// Number of the event with the full list.
 pub(super) const FIRST_EVENT: u64 = 1;
 
-/// What a configuration file is made of.
+/// The values that vary between configuration files.
 pub(super) struct Configuration<'a> {
-    /// Where the list feed listens.
+    /// Address of the discovery feed.
     pub feed: SocketAddr,
-    /// Descriptors that the manager may hold.
+    /// Maximum number of open file descriptors of the manager.
     pub sockets: usize,
-    /// Memory that it may use, in MB.
+    /// Memory that the manager may use, in MB.
     pub memory_mb: usize,
-    /// Managers of the fleet.
+    /// Number of managers in the fleet.
     pub managers: u32,
-    /// The engines that the file lists; none leaves `known` without an event.
+    /// The engines listed in the file. If empty, `known` contains no event.
     pub listed: &'a [EngineRecord],
 }
 
 impl Configuration<'_> {
-    /// The file with the usual settings.
+    /// The content of the file, with the settings that all scale tests use.
     pub(super) fn to_json(&self) -> Value {
         let settings: Value = serde_json::from_str(&fleet::settings_text(self.managers, 0))
             .expect("the settings of the scale tests are JSON");
@@ -69,14 +69,14 @@
     })
 }
 
-/// The list of this many ready engines that all listen at this port, each at an address of its own.
+/// The records of this many ready engines, each with its own IP address and all with this port.
 pub(super) fn ready_engines(engines: usize, port: u16) -> Vec<EngineRecord> {
     (0..engines as u32)
         .map(|index| engine_at(index, EngineState::Ready, 0.0, port))
         .collect()
 }
 
-/// The event that holds this list.
+/// The full-list event with these engines.
 pub(super) fn first_event(listed: &[EngineRecord]) -> EndpointListEvent {
     EndpointListEvent {
         number: FIRST_EVENT,
@@ -86,7 +86,8 @@
     }
 }
 
-/// The engine in this place. Ids start at 1, as the first address of a network may not be connected to.
+/// The record of the engine with this index. Ids start at 1, as connecting to the first address of
+/// a network may fail.
 pub(super) fn engine_at(
     index: u32,
     state: EngineState,
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -1,35 +1,35 @@
-//! The fleet at its size: settings of a manager, and lists of engines spread over zones.
+//! Size of the fleet, the settings of a manager, and lists of engines spread over zones.
 
 use workload_manager::node_config::{EndpointListEvent, EngineRecord, engine_id, socket_address};
 use workload_manager::settings_json::{self, PlatformSettings};
 use workload_manager::{EngineEntry, EngineState, ListUpdateKind};
 
-/// Managers of the fleet.
+/// Number of managers in the fleet.
 pub(super) const MANAGERS: u32 = 3_700;
 /// Memory that a manager may use, in MB.
 pub(super) const MEMORY_MB: usize = 256;
-/// Descriptors that a manager may hold.
+/// Maximum number of open file descriptors of a manager.
 pub(super) const SOCKETS: usize = 4_096;
-/// Statements a second that clients offer to one manager.
+/// Statements per second that clients send to one manager.
 pub(super) const STATEMENTS_PER_SECOND: f64 = 4_595.0;
-/// Listed engines, up to those of the fleet.
+/// Numbers of listed engines; the largest is that of the whole fleet.
 pub(super) const LIST_SIZES: [usize; 4] = [1_024, 4_096, 10_000, 22_000];
 /// The same for the small case.
 pub(super) const LIST_SIZES_SMALL: [usize; 4] = [16, 32, 64, 128];
-/// In-process managers of one process at most: all of the fleet.
+/// Maximum number of in-process managers in one process: all managers of the fleet.
 pub(super) const MAX_IN_PROCESS_MANAGERS: usize = MANAGERS as usize;
 /// The same for the small case.
 pub(super) const MAX_IN_PROCESS_MANAGERS_SMALL: usize = 12;
-/// Zones of all regions together.
+/// Number of zones over all regions.
 pub(super) const ZONES: usize = 14;
-/// Data sets that statements name.
+/// Number of data sets that the statements use.
 pub(super) const DATA_SETS: u32 = 1_000;
-/// Cores of an engine.
+/// Cores per engine.
 pub(super) const CORES_PER_ENGINE: f64 = 8.0;
 
 const ENGINE_PORT: u16 = 5_050;
 
-/// The settings of one manager as text, as a configuration holds them.
+/// The settings of one manager as JSON text, as in the configuration file.
 pub(super) fn settings_text(managers: u32, ordinal: u32) -> String {
     let zones: Vec<String> = (0..ZONES).map(|zone| format!("\"zone-{zone}\"")).collect();
     let zones = zones.join(",");
@@ -50,10 +50,10 @@
 /// The settings of one manager.
 pub(super) fn settings(managers: u32, ordinal: u32) -> PlatformSettings {
     settings_json::parse(settings_text(managers, ordinal).as_bytes())
-        .expect("settings of the scale tests")
+        .expect("the settings of the scale tests are valid")
 }
 
-/// An engine of the list; each has an address of its own.
+/// The list record of an engine. Each engine has its own address.
 pub(super) fn engine_record(id: u32, state: EngineState, started_ms: f64) -> EngineRecord {
     let [high, middle, low, last] = id.to_be_bytes();
     let entry = EngineEntry {
@@ -72,7 +72,7 @@
     }
 }
 
-/// The full list of this many engines, all ready and started long ago.
+/// A full list of this many engines, all of them ready and started long ago.
 pub(super) fn full_list(number: u64, engines: usize) -> EndpointListEvent {
     let entries = (0..engines as u32)
         .map(|id| engine_record(id, EngineState::Ready, 0.0))
@@ -85,10 +85,10 @@
     }
 }
 
-/// Managers of one zone, which a zone's loss starts elsewhere at once.
+/// Number of managers per zone. After the loss of a zone, that many start elsewhere at once.
 pub(super) const MANAGERS_PER_ZONE: usize = 264;
 
-/// A change: this engine is gone, and its successor, started now, is ready in its place.
+/// A delta that removes one engine and adds its successor, ready and started at `started_ms`.
 pub(super) fn replacement(
     number: u64,
     removed: u32,
--- a/benches/scale/memory.rs
+++ b/benches/scale/memory.rs
@@ -1,5 +1,5 @@
-//! Memory by listed engine. A process of its own holds some in-process managers, so that nothing freed earlier hides what
-//! they take.
+//! Memory of a manager, by the number of listed engines. In-process managers are measured in a
+//! separate process, because memory that was freed earlier would be reused and hide what they take.
 
 use super::feed::{Feed, IDLE};
 use super::fleet;
@@ -11,22 +11,24 @@
 use serde::{Deserialize, Serialize};
 use std::process::{Command, Stdio};
 
-/// Engines that the managers of one measurement hold together, at least: pages of memory are coarse.
+/// Minimum number of list entries over all managers of one measurement. Memory is counted in whole
+/// pages, which is too coarse for a few entries.
 const MIN_LIST_ENTRIES: usize = 80_000;
 
-/// What some managers hold.
+/// Memory per manager, measured over one or more managers.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct ManagerMemory {
-    /// Managers.
+    /// Number of managers measured together.
     pub managers: usize,
-    /// Resident bytes of each once it has its list, without those of the process before.
+    /// Resident bytes per manager once it has its list, without what the process used before.
     pub bytes: f64,
-    /// The most that were resident for each, as it took its list in.
+    /// Peak resident bytes per manager while it takes up its list.
     pub peak_bytes: f64,
 }
 
-/// Resident bytes of a manager with a list of this size, from several together, and the most of one alone. Each is
-/// measured in a process of its own where the options name the program.
+/// Measures a manager with a list of this size: its resident bytes as the mean over several
+/// managers, and the peak of a single one. Each measurement runs in a separate process if the
+/// options contain the program's path.
 pub(super) fn measure_manager(
     options: &Options,
     listed: usize,
@@ -63,7 +65,7 @@
     Ok(serde_json::from_slice(&child_output.stdout)?)
 }
 
-/// Measures in this process, which should hold nothing else.
+/// Measures in this process, which should hold nothing else in memory.
 fn measure_in_this_process(
     options: &Options,
     listed: usize,
@@ -89,7 +91,7 @@
     })
 }
 
-/// What the process of its own does: one line, for its parent.
+/// Measures in the separate process, and writes one row for the parent process to read.
 pub(super) fn report(
     options: &Options,
     listed: usize,
