--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -1,5 +1,6 @@
-//! `decision`: processor time of a request and of a tick, through roster and decision module as the program joins
-//! them. No socket is opened: the engine port records the attempts, and this test completes them.
+//! `decision`: processor time of a request and of a timer tick, through the roster and the
+//! dispatcher, connected as in the program. No socket is opened: the engine port records the
+//! attempts, and this test completes them.
 
 use super::fit::{Figure, Point, Prediction};
 use super::fleet;
@@ -22,12 +23,12 @@
 /// Time that an engine takes to serve a statement, in ms.
 const SERVICE_TIME_MS: Millis = 8.0;
 
-/// How much is played at each size.
+/// How much is measured at each size.
 struct RunLength {
     rounds: usize,
     warm_up_requests: u32,
     requests: u32,
-    /// A round that lasts longer ends with the requests that it has.
+    /// A round that reaches this time ends with fewer requests.
     max_duration: Duration,
 }
 
@@ -51,7 +52,7 @@
     memory_mb: usize,
     #[serde(flatten)]
     taken_up: RosterSize,
-    /// Median of the rounds' means, and their least and most.
+    /// Median, minimum and maximum of the rounds' means, in microseconds.
     us_request: f64,
     us_request_least: f64,
     us_request_most: f64,
@@ -59,17 +60,17 @@
     us_tick_least: f64,
     us_tick_most: f64,
     rounds: usize,
-    /// Of all rounds.
+    /// Totals over all rounds.
     requests: u64,
     ticks: u64,
     served: u64,
     refused: u64,
     failed: u64,
-    /// Sends that a guard of the core stopped.
+    /// Sends that a guard of the core blocked.
     guarded: u64,
 }
 
-/// Plays all sizes, and predicts the largest from the others.
+/// Measures all sizes, and predicts the figures of the largest from the others.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let run_length = if options.small { &SMALL_RUN } else { &FULL_RUN };
     let sizes = options.list_sizes();
@@ -99,7 +100,8 @@
     Ok(())
 }
 
-/// Processor time of one tick with this many listed engines, in us: one short round.
+/// Mean processor time of one tick with this many listed engines, in microseconds, over one short
+/// round.
 pub(super) fn tick_us(options: &Options, listed: usize) -> f64 {
     let mut bench = DecisionBench::new(options, listed, 0);
     bench.play(SMALL_RUN.requests, SMALL_RUN.max_duration);
@@ -139,7 +141,7 @@
     }
 }
 
-/// Median, least and most of the rounds.
+/// Median, minimum and maximum over the rounds.
 struct RoundSummary {
     median: f64,
     least: f64,
@@ -159,7 +161,7 @@
     }
 }
 
-/// Processor time spent in one kind of call.
+/// Number of calls of one kind, and the processor time that they took.
 #[derive(Default)]
 struct ProcessorTime {
     count: u64,
@@ -172,13 +174,14 @@
     }
 }
 
-/// An attempt that an engine has not answered yet.
+/// An attempt that no engine has answered yet, and when it was sent.
 struct AttemptInFlight {
     attempt: DispatchedAttempt,
     sent_ms: Millis,
 }
 
-/// One core on a clock of its own, with statements that come and are served at the fleet's rate.
+/// One core on a simulated clock, with statements that arrive at the fleet's rate and are served
+/// after a fixed time.
 struct DecisionBench {
     core: Core<RecordingEngines>,
     engines: RecordingEngines,
@@ -210,7 +213,7 @@
             limits,
             metrics.clone(),
         );
-        let mut core = built_core.expect("settings that were parsed");
+        let mut core = built_core.expect("the parsed settings are valid");
         core.start(0.0);
         core.handle(0.0, CoreMessage::EndpointList(fleet::full_list(1, listed)));
         DecisionBench {
@@ -227,7 +230,8 @@
         }
     }
 
-    /// Accepts this many statements, or as many as the time allows, serves them, and runs the ticks that come due.
+    /// Accepts up to this many statements within `max_duration`, completes the attempts that are
+    /// due, and runs the ticks that are due.
     fn play(&mut self, requests: u32, max_duration: Duration) {
         let started = Instant::now();
         for _ in 0..requests {
@@ -263,7 +267,7 @@
         self.collect_dispatched();
     }
 
-    /// Completes the attempts whose service time is over.
+    /// Completes the attempts whose service time has passed.
     fn complete_due_attempts(&mut self) {
         while self
             .in_flight
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -1,5 +1,6 @@
-//! `reload`: what a changed configuration costs one real workload manager, by the engines that it knows. The file is
-//! replaced and SIGHUP sent, with the list in the file's `known` (whole) and without it (settings only).
+//! `reload`: cost of a configuration reload in one real workload manager, by the number of listed
+//! engines. The file is replaced and SIGHUP is sent, once with the full list in `known` (`whole`)
+//! and once without it (`settings_only`).
 
 use super::configuration::{self, Configuration};
 use super::feed::{Feed, IDLE};
@@ -14,24 +15,25 @@
 
 const TEST: &str = Test::Reload.name();
 const SOCKETS: usize = 1_024;
-/// Engines that the list names; none of them is connected to.
+/// Port of the listed engines. The manager connects to none of them.
 const ENGINE_PORT: u16 = 5_050;
 const LIST_SIZES: [usize; 5] = [100, 1_000, 4_096, 10_000, 22_000];
 const LIST_SIZES_SMALL: [usize; 4] = [10, 20, 40, 80];
-/// What a manager may spend on control: of a core, and bytes a second.
+/// Limits on the manager's control work: cores, and bytes per second.
 const CONTROL_BUDGET_CORES: f64 = 0.012;
 const CONTROL_BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
-/// Changes of configuration a minute: 33,000 a day.
+/// Configuration changes per minute: 33,000 a day.
 const NEEDED_RELOADS_PER_MINUTE: f64 = 33_000.0 / (24.0 * 60.0);
 const MEGABYTE: f64 = 1e6;
 
-/// How much is played at each size. ReloadCounters come in blocks, each after a stretch at rest, so that a machine which
-/// becomes slower or faster meanwhile does so in both.
+/// How much is measured at each size. Reloads run in blocks, and the idle process is measured
+/// before each block, so that a machine that becomes slower or faster during the run affects both
+/// alike.
 struct RunLength {
     blocks: usize,
     reloads_in_block: usize,
     idle_time: Duration,
-    /// After a reload, so that the work that it leaves behind is over.
+    /// Pause after a reload, so that the work that it causes afterwards is complete.
     settle_time: Duration,
 }
 
@@ -48,17 +50,17 @@
     settle_time: Duration::from_millis(10),
 };
 
-/// What the file holds.
+/// The form of the configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConfigurationForm {
-    /// The settings, and in `known` the full list.
+    /// The settings, with the full list in `known`.
     Full,
-    /// The settings, and no event in `known`.
+    /// The settings, without an event in `known`.
     SettingsOnly,
 }
 
 impl ConfigurationForm {
-    /// The part of the test in its rows.
+    /// Name of the test's part in the result rows.
     fn part(self) -> &'static str {
         match self {
             ConfigurationForm::Full => "whole",
@@ -66,7 +68,7 @@
         }
     }
 
-    /// A class that only the last configuration of this form's series has.
+    /// Name of a class that only the last configuration of this form's series contains.
     fn last_class(self) -> &'static str {
         match self {
             ConfigurationForm::Full => "audit-whole",
@@ -82,33 +84,33 @@
     #[serde(skip)]
     form: ConfigurationForm,
     memory_mb: usize,
-    /// Engines that the roster has taken up, and those that wait for a place.
+    /// Number of engines that the roster has taken up, and of those waiting for a place in it.
     known: u64,
     waiting: u64,
     reloads: usize,
-    /// Bytes of one file.
+    /// Size of one configuration file, in bytes.
     bytes: usize,
-    /// Processor time of one reload, without what the process spends at rest, and the standard error of that mean
-    /// over the blocks.
+    /// Processor time of one reload in ms, without what the idle process spends: the mean over the
+    /// blocks, and its standard error.
     ms_reload: f64,
     ms_reload_error: f64,
-    /// From SIGHUP to the settings in force: the median and the most.
+    /// Time from SIGHUP until the settings are in force, in ms: median and maximum.
     ms_in_force: f64,
     ms_in_force_most: f64,
-    /// Resident before the series and after it, and how far the peak rose above the first.
+    /// Resident memory in MB before and after the series, and the peak above the first value.
     mb_before: f64,
     mb_after: f64,
     mb_peak_above: f64,
-    /// Of a core, at rest, in percent.
+    /// Processor time of the idle process, in percent of a core.
     percent_core_at_rest: f64,
-    /// ReloadCounters a minute within 1.2% of a core, within 8,000 bytes a second, and within both.
+    /// Reloads per minute that fit in 1.2% of a core, in 8,000 bytes per second, and in both.
     per_minute_by_core: f64,
     per_minute_by_bytes: f64,
     per_minute: f64,
     needed_per_minute: f64,
 }
 
-/// Plays all sizes but the largest, predicts that one, and plays it.
+/// Measures all sizes but the largest, predicts the largest, and measures it.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let sizes = options.list_sizes_or(&LIST_SIZES, &LIST_SIZES_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
@@ -128,11 +130,11 @@
     Ok(())
 }
 
-/// How to read a figure off a row.
+/// Reads a figure from a row.
 type FigureReader = fn(&ReloadRow) -> f64;
 type FormPrediction = (ConfigurationForm, FigureReader, Prediction);
 
-/// The figures that are fitted, of each form.
+/// Predicts the fitted figures of each form at this size.
 fn predict(
     output: &mut Output,
     rows: &[ReloadRow],
@@ -174,7 +176,7 @@
     Ok(predictions)
 }
 
-/// Plays both forms on one process that knows this many engines.
+/// Measures both forms in one process with this many listed engines.
 fn measure_forms(
     options: &Options,
     output: &mut Output,
@@ -207,7 +209,8 @@
     Ok(rows)
 }
 
-/// The files of a series: each differs from the one before, and the last one has a further class.
+/// The configuration files of a series. Each differs from the one before, and the last one contains
+/// an additional class.
 struct ConfigurationSeries([String; 3]);
 
 impl ConfigurationSeries {
@@ -298,13 +301,13 @@
     })
 }
 
-/// A stretch at rest, and the reloads after it.
+/// Measurements of a block: the idle process, then the reloads.
 struct ReloadBlock {
-    /// The share of a core that the process takes by itself.
+    /// Share of a core that the process uses while idle.
     idle_share: f64,
     block_duration: Duration,
     processor_time: Duration,
-    /// From each signal to the settings in force.
+    /// For each reload, the time from the signal until the settings are in force.
     reload_times: Vec<Duration>,
 }
 
@@ -331,8 +334,8 @@
         })
     }
 
-    /// Processor time of one reload. While it reloads nothing else runs in the process, so what the process spends at
-    /// rest counts for the remaining time alone.
+    /// Processor time of one reload, in seconds. Nothing else runs in the process during a reload,
+    /// so the idle share is subtracted only for the rest of the block.
     fn seconds_each(&self) -> f64 {
         let reloading: Duration = self.reload_times.iter().sum();
         let at_rest = self.idle_share * self.block_duration.saturating_sub(reloading).as_secs_f64();
@@ -340,7 +343,7 @@
     }
 }
 
-/// The mean of some figures, and its standard error.
+/// The mean of the figures, and its standard error.
 fn mean_and_error(figures: &[f64]) -> (f64, f64) {
     let count = figures.len() as f64;
     let mean = figures.iter().sum::<f64>() / count;
@@ -348,7 +351,8 @@
     (mean, (squares / (count - 1.0) / count).sqrt())
 }
 
-/// Each file of the series was used, and one more that names a further class is in force after it.
+/// Checks that each file of the series was used, and that a last file with an additional class is
+/// in force once it is loaded.
 fn check_in_force(
     manager: &ManagerProcess,
     files: &ConfigurationSeries,
@@ -358,7 +362,7 @@
     let now = read_reload_counters(manager)?;
     if now.used != before.used + played as u64 || now.rejected != before.rejected {
         return Err(ScaleError::CheckFailed(format!(
-            "{TEST}: {played} reloads took {before:?} to {now:?}"
+            "{TEST}: {played} reloads changed the counters from {before:?} to {now:?}"
         )));
     }
     let known_before = manager.knows_class(form.last_class())?;
@@ -372,7 +376,7 @@
     Ok(())
 }
 
-/// Configurations that were read anew.
+/// Counters of the process: configurations reloaded and rejected.
 #[derive(Clone, Copy, Debug)]
 struct ReloadCounters {
     used: u64,
@@ -388,7 +392,7 @@
     })
 }
 
-/// The share of a core that the process takes by itself.
+/// Share of a core that the process uses while idle.
 fn idle_core_share(manager: &ManagerProcess, idle_time: Duration) -> Result<f64, ScaleError> {
     let (started, processor_time) = (Instant::now(), manager.processor_time()?);
     thread::sleep(idle_time);
--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -1,6 +1,7 @@
-//! `subset`: what engine subsets come to over a fleet: managers of an engine, zones of a subset, what a change
-//! moves, and the parts of a cold engine's budget that managers take while their lists differ. No module or socket
-//! takes part: the subsets of all managers are computed in this process.
+//! `subset`: properties of the engine subsets over a whole fleet: how many managers use an engine,
+//! how subsets are spread over zones, how many subset members a change replaces, and which shares
+//! of the budget of an engine that is warming up the managers take while their lists differ. The
+//! subsets of all managers are computed in this process, without a dispatcher or a socket.
 
 use super::fit::{Figure, Point, Prediction};
 use super::options::{Options, Test};
@@ -14,42 +15,45 @@
 use workload_manager::{EngineId, EngineSharing};
 
 const TEST: &str = Test::Subset.name();
-/// Longest list of which all engines are taken up in the small case.
+/// In the small case, a manager uses the whole list up to this number of engines.
 const MAX_COMPLETE_LIST_SMALL: usize = 12;
 const MANAGERS_SMALL: u32 = 60;
-/// Engines that are replaced one after another.
+/// Number of engines that are replaced one after another.
 const REPLACED_ENGINES: usize = 10;
 const REPLACED_ENGINES_SMALL: usize = 3;
-/// What a later list lacks, as parts of the whole one: nothing, a zone, a tenth, three and six tenths.
+/// Shares of the whole list that are missing from the later list: nothing, one zone, 10%, 30% and
+/// 60%.
 const MISSING_SHARES: [f64; 5] = [0.0, 1.0 / fleet::ZONES as f64, 0.1, 0.3, 0.6];
-/// Engines whose budget is summed up.
+/// Approximate number of engines whose budget shares are summed.
 const SAMPLED_ENGINES: usize = 300;
-/// Managers that may send to a cold engine at once.
+/// Maximum number of managers that may send at the same time to an engine that is warming up.
 const MAX_SENDERS: u32 = 3;
-/// Positions of the rotation that are checked.
+/// Number of positions of the managers' rotation that are checked.
 const ROTATION_POSITIONS: u32 = 128;
-/// Ids of engines that start later.
+/// Lowest id of the engines that start later.
 const FIRST_SUCCESSOR_ID: u32 = 1 << 30;
 
 #[derive(Serialize)]
 struct BalanceRow {
     #[serde(flatten)]
     size: Size,
-    /// Engines of one manager's subset.
+    /// Size of one manager's subset: minimum, mean and maximum.
     engines_least: usize,
     engines_mean: f64,
     engines_most: usize,
-    /// Managers that hold one engine.
+    /// Number of managers whose subset contains an engine: minimum, mean and maximum.
     holders_least: usize,
     holders_mean: f64,
     holders_most: usize,
     most_to_mean: f64,
-    /// Engines that nobody holds.
+    /// Engines that are in no manager's subset.
     without: usize,
-    /// A zone's part of a subset against its part of the list, over all managers and zones.
+    /// A zone's share of a subset divided by its share of the list: 99th percentile and maximum
+    /// over all managers and zones.
     zone_part_p99: f64,
     zone_part_most: f64,
-    /// Processor time of a change of the list at one manager: an engine goes, and another one comes.
+    /// Processor time of a change of the list at one manager, in microseconds: one engine is
+    /// removed and another one added.
     us_change: f64,
 }
 
@@ -57,20 +61,24 @@
 struct ChurnRow {
     #[serde(flatten)]
     size: Size,
-    /// Engines gone, and each replaced later, with managers that held them.
+    /// Number of engines that were removed and then replaced, and the number of subsets that
+    /// contained them.
     engines: usize,
     held: usize,
-    /// Places moved as they were gone, in managers that held them and in others; at most in one manager.
+    /// Subset members that changed after the removal: in the managers that held the engine, in the
+    /// other managers, and the maximum in one manager.
     gone_moved_holders: usize,
     gone_moved_others: usize,
     gone_moved_most: usize,
-    /// The same between the lists before and after the replacement: in managers that held the engine, in those that hold its
-    /// successor, and in others.
+    /// The same between the lists before the removal and after the replacement: in the managers
+    /// that held the engine, in those that hold only its successor, in the other managers, and the
+    /// maximum in one manager.
     replaced_moved_holders: usize,
     replaced_moved_successors: usize,
     replaced_moved_others: usize,
     replaced_moved_most: usize,
-    /// One manager more, and one less: places moved in all others, and those of that manager, the least possible.
+    /// One manager more and one less: subset members that changed in all other managers, and the
+    /// size of the additional manager's subset, which is the smallest possible change.
     manager_more_moved: usize,
     manager_more_least: usize,
     manager_less_moved: usize,
@@ -80,27 +88,29 @@
 struct DifferingListsRow {
     #[serde(flatten)]
     size: Size,
-    /// The share of the list that the later one lacks.
+    /// Share of the whole list that is missing from the later list.
     lacks: f64,
-    /// The bounds on holders under both lists.
+    /// Upper bound on the managers of an engine, by the whole list and by the later one.
     bound: u32,
     bound_later: u32,
-    /// The largest sum of parts of one engine's budget: each manager by the list that gives it more, and by either.
+    /// Largest sum of all managers' shares of one engine's budget: each manager with the list that
+    /// gives it more, and each with a pseudo-random one of the two lists.
     parts_worst: f64,
     parts_by_chance: f64,
-    /// Managers that may send to a cold engine at once: the bound, and the most under any mix of the lists.
+    /// Managers that may send at the same time to an engine that is warming up: the bound, and the
+    /// maximum under any mix of the lists.
     in_turn: u32,
     in_turn_worst: usize,
 }
 
-/// A fleet with a list, and what each manager holds of it.
+/// A fleet with its list, and the subset of each manager.
 struct Fleet {
     subset: Subset,
     managers: u32,
     subsets: Vec<SubsetEngines>,
 }
 
-/// Plays balance and changes at all sizes, churn and lists that differ at the largest.
+/// Measures balance and changes at all sizes, and churn and differing lists at the largest size.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let sizes = options.list_sizes();
     let mut points: Vec<Point> = Vec::new();
@@ -162,7 +172,7 @@
         fleet
     }
 
-    /// What each manager holds of the list as it is now.
+    /// The subset of each manager, from the current list.
     fn all_subsets(&self) -> Vec<SubsetEngines> {
         let mut manager_subset = self.subset.clone();
         let subset_of = |ordinal| {
@@ -175,7 +185,7 @@
         (0..self.managers).map(subset_of).collect()
     }
 
-    /// The same list with another number of managers.
+    /// A fleet with the same list and another number of managers.
     fn with_managers(&self, managers: u32) -> Fleet {
         let mut fleet = Fleet {
             subset: self.subset.clone(),
@@ -186,7 +196,7 @@
         fleet
     }
 
-    /// Places moved at the managers that both fleets have.
+    /// Subset members that differ, summed over the managers that both fleets have.
     fn count_moved_to(&self, other: &Fleet) -> usize {
         let both = self.subsets.iter().zip(&other.subsets);
         both.map(|(before, after)| count_moved(before, after)).sum()
@@ -236,7 +246,8 @@
     }
 }
 
-/// Every zone's part of every subset against its part of the list, ascending.
+/// For every zone and every subset, the zone's share of the subset divided by its share of the
+/// list, ascending.
 fn zone_parts(subsets: &[SubsetEngines], listed: usize) -> Vec<f64> {
     let mut of_list = [0.0; fleet::ZONES];
     (0..listed).for_each(|id| of_list[usize::from(zone_of(id))] += 1.0 / listed as f64);
@@ -256,7 +267,7 @@
     parts
 }
 
-/// Processor time of a change at one manager, in us.
+/// Processor time of a change of the list at one manager, in microseconds.
 fn change_us(fleet: &Fleet, listed: usize) -> f64 {
     const CHANGES: u32 = 500;
     let mut manager_subset = fleet.subset.clone();
@@ -274,7 +285,7 @@
     (usage::thread_processor_time() - time_before).as_secs_f64() * 1e6 / f64::from(CHANGES)
 }
 
-/// Places that differ: of what a manager gained and lost, the larger number.
+/// Subset members that differ: the larger of the numbers of engines gained and lost.
 fn count_moved(before: &SubsetEngines, after: &SubsetEngines) -> usize {
     let count_missing = |a: &SubsetEngines, b: &SubsetEngines| {
         a.keys().filter(|engine| !b.contains_key(engine)).count()
@@ -301,7 +312,7 @@
         }
     }
 
-    /// Adds what one replacement moves at one manager.
+    /// Adds the changes that one replacement causes in one manager's subset.
     fn add(&mut self, replacement: &Replacement, members: &MembersByStep) {
         let held = members.before.contains_key(&replacement.old);
         let moved_on_removal = count_moved(members.before, members.removed);
@@ -329,7 +340,8 @@
     new: EngineId,
 }
 
-/// The members of one manager before a replacement, without the old engine, and with its successor.
+/// The subset of one manager before a replacement, after the old engine's removal, and with its
+/// successor.
 struct MembersByStep<'a> {
     before: &'a SubsetEngines,
     removed: &'a SubsetEngines,
@@ -380,7 +392,7 @@
     missing_share: f64,
 ) -> DifferingListsRow {
     let kept = listed - (listed as f64 * missing_share) as usize;
-    // What the later list lacks is spread over zones and positions alike.
+    // The engines missing from the later list are spread evenly over zones and positions.
     let later = Fleet::new(options, (0..listed).filter(|id| id * 7919 % listed < kept));
     let whole = Fleet::new(options, 0..listed);
     let bound = |fleet: &Fleet| {
@@ -414,7 +426,9 @@
     row
 }
 
-/// The sums of parts of one engine's budget, and managers in turn at once, by what each manager has under either list.
+/// The worst and the pseudo-random sum of the managers' shares of one engine's budget, and the
+/// maximum number of managers that may send to it at the same time. Each manager has one entry per
+/// list.
 fn budget_shares(managers: &[[Option<&EngineSharing>; 2]], salt: usize) -> (f64, f64, usize) {
     let share = |holders: &Option<&EngineSharing>| {
         holders.map_or(0.0, |sharing| 1.0 / f64::from(sharing.max_managers))
