--- a/benches/scale/list.rs
+++ b/benches/scale/list.rs
@@ -1,12 +1,13 @@
-//! `list`: what the list of engines costs a manager and the feed, and how soon a change of it is in force at all
-//! managers. The protocol has no record of a primary: that an engine is gone and its successor is ready stands for
-//! a change of primary.
+//! `list`: cost of the endpoint list at a manager and at the feed, and the time until all managers
+//! have applied a change of it. The protocol has no record of a primary, so a change of primary is
+//! represented by the removal of an engine together with its ready successor.
 
 use super::options::Options;
 use super::row::{Output, ScaleError};
 use super::{list_cost, list_propagation, list_reconnect};
 
-/// Plays all parts. What one manager costs comes first, as its memory tells which sizes fit this machine.
+/// Runs all parts. The cost of one manager is measured first, as its memory determines which fleets
+/// fit on this machine.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let memory = list_cost::run(options, output)?;
     list_propagation::run(options, output, memory)?;
--- a/benches/scale/list_capacity.rs
+++ b/benches/scale/list_capacity.rs
@@ -1,5 +1,5 @@
-//! What the parts of the `list` test share: which fleets of in-process managers this machine can hold, and summaries of
-//! latencies.
+//! Shared by the parts of the `list` test: which fleets of in-process managers fit on this machine,
+//! and summaries of latencies.
 
 use super::decision;
 use super::feed::Feed;
@@ -10,31 +10,32 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// The test's name in its rows.
+/// The test's name in the result rows.
 pub(super) const TEST: &str = Test::List.name();
-/// Memory that all in-process managers of this process may take.
+/// Maximum memory of all in-process managers of this process, in bytes.
 const MAX_MEMORY_BYTES: f64 = 9e9;
-/// Cores that their ticks may take; where they would take more, the ticks are left out and the row says so.
+/// Maximum number of cores for the managers' ticks. Above it the managers run no timers, and the
+/// row shows this in `ticks`.
 const MAX_TICK_CORES: f64 = 2.0;
 const TICK_INTERVAL_US: f64 = 50_000.0;
 
-/// Resident memory of an in-process manager, by listed engines.
+/// Resident memory of an in-process manager, by the number of listed engines.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MemoryModel(LinearFit);
 
 impl MemoryModel {
-    /// The line through measured sizes; none through fewer than two different ones.
+    /// Fits a line to measured sizes; `None` for fewer than two different sizes.
     pub(super) fn through(points: &[Point]) -> Option<MemoryModel> {
         LinearFit::through(points).map(MemoryModel)
     }
 
-    /// Bytes of this many managers with this many listed engines each.
+    /// Bytes of this many managers, each with this many listed engines.
     pub(super) fn bytes(&self, managers: usize, listed: usize) -> f64 {
         self.0.value_at(listed as f64).max(0.0) * managers as f64
     }
 }
 
-/// Whether the memory is enough for this many managers with a list of this size; writes a row if it is not.
+/// Whether this many managers with a list of this size fit in memory. Writes a row if they do not.
 pub(super) fn fits_in_memory(
     output: &mut Output,
     memory: MemoryModel,
@@ -46,7 +47,7 @@
     }
     let gigabytes = bytes / 1e9;
     let why =
-        format!("takes {gigabytes:.1} GB by the measured memory of a manager; this test has 9");
+        format!("needs {gigabytes:.1} GB by the measured memory of a manager; the limit is 9 GB");
     output.row(&LeftOut {
         size: Size::left_out(TEST, "change", listed, managers),
         why: &why,
@@ -54,7 +55,7 @@
     Ok(false)
 }
 
-/// The largest of these fleets for which the memory is enough; 0 if there is none.
+/// The largest of these numbers of managers that fits in memory; 0 if none does.
 pub(super) fn largest_fleet_in_memory(
     memory: MemoryModel,
     listed: usize,
@@ -69,7 +70,7 @@
         .unwrap_or_default()
 }
 
-/// The cost of ticks with one list, and whether the managers run their timers in this test.
+/// Processor time of a tick with one list, and whether the managers run their timers in this test.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TickLoad {
     us_tick: f64,
@@ -77,8 +78,8 @@
 }
 
 impl TickLoad {
-    /// Measures one tick with this many listed engines; timers run if ticks of this many managers take few
-    /// cores together.
+    /// Measures one tick with this many listed engines. The timers run if the ticks of this many
+    /// managers stay within [`MAX_TICK_CORES`].
     pub(super) fn measure(options: &Options, listed: usize, managers: usize) -> TickLoad {
         let us_tick = decision::tick_us(options, listed);
         TickLoad {
@@ -87,12 +88,12 @@
         }
     }
 
-    /// The cores that ticks of this many managers take.
+    /// Cores used by the ticks of this many managers.
     pub(super) fn cores(&self, managers: usize) -> f64 {
         rounded(self.us_tick * managers as f64 / TICK_INTERVAL_US)
     }
 
-    /// A plan that follows this feed.
+    /// A plan for managers that follow this feed.
     pub(super) fn plan(&self, options: &Options, feed: &Feed) -> ManagerPlan {
         let (instances, memory_mb) = (options.managers, options.memory_mb);
         ManagerPlan {
@@ -104,27 +105,27 @@
     }
 }
 
-/// When the last manager applied the event; now where there is none.
+/// When the last manager applied the event; the current time if none did.
 pub(super) fn last_applied_at(applied: &[AppliedEvent]) -> Instant {
     let times = applied.iter().map(|event| event.at);
     times.max().unwrap_or_else(Instant::now)
 }
 
-/// First, middle, late and last of some times, in ms.
+/// Minimum, median, 99th percentile and maximum of latencies, in ms.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct LatencySummary {
-    /// The least.
+    /// Minimum.
     ms_first: f64,
-    /// The one that half do not pass.
+    /// Median.
     ms_p50: f64,
-    /// The one that 99 in 100 do not pass.
+    /// 99th percentile.
     pub ms_p99: f64,
-    /// The last.
+    /// Maximum.
     pub ms_most: f64,
 }
 
 impl LatencySummary {
-    /// Of the times from `start` until each manager applied the event.
+    /// Summarizes the times from `start` until each manager applied the event.
     pub(super) fn since(start: Instant, applied: &[AppliedEvent]) -> LatencySummary {
         let times = applied
             .iter()
@@ -132,7 +133,7 @@
         LatencySummary::of(times.collect())
     }
 
-    /// Of these; there has to be one.
+    /// Summarizes these times, of which there must be at least one.
     pub(super) fn of(mut times: Vec<Duration>) -> LatencySummary {
         times.sort_unstable();
         let percentile_ms = |share: f64| {
--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -1,4 +1,5 @@
-//! What one manager pays for a full list, a change and the feed at rest, by listed engines.
+//! Cost of a full list, of a change and of an idle feed at one manager, by the number of listed
+//! engines.
 
 use super::feed::{FRAME_HEAD_BYTES, Feed, IDLE, frame};
 use super::fit::{Figure, Point, Prediction};
@@ -11,11 +12,11 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Interval of empty frames while their cost is measured, and how many are waited for.
+/// Interval of empty frames while their cost is measured, and the maximum time to wait for them.
 const EMPTY_FRAME_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// How much is played at each size.
+/// How much is measured at each size.
 struct RunLength {
     rounds: usize,
     changes: u32,
@@ -40,23 +41,24 @@
     memory_mb: usize,
     #[serde(flatten)]
     taken_up: RosterSize,
-    /// Processor time of the manager: reader, roster and module. Medians of the rounds.
+    /// Processor time of the manager (feed reader, roster and dispatcher) in microseconds, as
+    /// medians over the rounds.
     us_whole: f64,
     us_change: f64,
     us_empty_frame: f64,
     bytes_whole: u64,
     bytes_change: u64,
-    /// Of one manager while nothing changes.
+    /// Bytes per second that one manager receives while nothing changes.
     bytes_second_at_rest: f64,
-    /// Resident memory of one in-process manager with its list, the managers that were measured together for that, and the
-    /// most that one alone took as its list came.
+    /// Resident memory of one in-process manager with its list, the number of managers measured
+    /// together for that, and the peak of a single manager while it took up its list.
     memory_bytes: f64,
     memory_managers: usize,
     memory_peak_bytes: f64,
     rounds: usize,
 }
 
-/// What one round at one size came to.
+/// Results of one round at one size.
 struct Round {
     full_list_us: f64,
     change_us: f64,
@@ -66,10 +68,10 @@
     full_list: AppliedEvent,
 }
 
-/// How to read a figure off a row.
+/// Reads a figure from a row.
 type FigureReader = fn(&CostRow) -> f64;
 
-/// The figures that are fitted over the size of the list.
+/// Figures that are fitted by the size of the list.
 const FIGURES: [(&str, FigureReader); 5] = [
     ("us_whole", |row| row.us_whole),
     ("us_change", |row| row.us_change),
@@ -78,7 +80,8 @@
     ("memory_peak_bytes", |row| row.memory_peak_bytes),
 ];
 
-/// Plays all sizes, predicts the largest from the others, and returns what memory a manager takes.
+/// Measures all sizes, predicts the largest from the others, and returns the memory of a manager by
+/// list size.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<MemoryModel, ScaleError> {
     let sizes = options.list_sizes();
     let mut rows: Vec<CostRow> = Vec::new();
@@ -107,7 +110,8 @@
         }
         rows.push(row);
     }
-    let no_line = || ScaleError::CheckFailed("no line through the measured memory".to_owned());
+    let no_line =
+        || ScaleError::CheckFailed("cannot fit a line through the measured memory".to_owned());
     MemoryModel::through(&points(&rows, |row| row.memory_bytes)).ok_or_else(no_line)
 }
 
@@ -145,7 +149,7 @@
     })
 }
 
-/// One manager that gets its full list, then changes one by one, then empty frames.
+/// Measures one manager that receives a full list, then changes one by one, then empty frames.
 fn measure_round(
     options: &Options,
     run_length: &RunLength,
@@ -180,7 +184,7 @@
     })
 }
 
-/// Processor time of the manager for one empty frame, in us.
+/// Processor time of the manager for one empty frame, in microseconds.
 fn measure_empty_frames(
     feed: &Feed,
     group: &ManagerGroup,
@@ -191,7 +195,7 @@
     while feed.totals().frames < frames_before + run_length.empty_frames {
         if Instant::now() > deadline {
             return Err(ScaleError::CheckFailed(
-                "the feed does not write empty frames".to_owned(),
+                "the feed did not write enough empty frames in time".to_owned(),
             ));
         }
         std::thread::sleep(EMPTY_FRAME_INTERVAL);
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -1,5 +1,5 @@
-//! How soon a change is in force at all managers of a fleet, and how soon a zone's managers that start at once have
-//! their list.
+//! Time until all managers of a fleet have applied a change, and until the managers of a zone that
+//! start at the same time have their list.
 
 use super::feed::{Feed, IDLE};
 use super::fit::{Figure, Point, Prediction};
@@ -16,15 +16,16 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Statements that each manager serves after the changes, to check that none goes to a removed engine.
+/// Statements that each manager serves after the changes, to check that none is sent to a removed
+/// engine.
 const STATEMENTS_PER_MANAGER: u32 = 5;
-/// A successor's start, in ms of Unix time: any but 0 makes it cold.
+/// Start time of a successor, in ms of Unix time. With any value but 0 the engine is warming up.
 const SUCCESSOR_STARTED_MS: f64 = 1e12;
 
 const CHANGES: u32 = 20;
 const CHANGES_SMALL: u32 = 3;
 
-/// Managers of one case of a fleet.
+/// Numbers of managers that are measured, ascending.
 const FLEET_SIZES: [usize; 4] = [100, 300, 1_000, fleet::MAX_IN_PROCESS_MANAGERS];
 const FLEET_SIZES_SMALL: [usize; 4] = [2, 4, 8, fleet::MAX_IN_PROCESS_MANAGERS_SMALL];
 
@@ -32,19 +33,23 @@
 struct ChangeRow {
     #[serde(flatten)]
     size: Size,
-    /// ChangeResults played one after another; times are over all managers and changes, in ms from the publication.
+    /// Number of changes, made one after another. The times are over all managers and changes, in
+    /// ms from the publication.
     changes: u32,
     #[serde(flatten)]
     times: LatencySummary,
-    /// Least over the changes of managers that send nothing to the engine that is gone, and may send to the successor.
+    /// Managers that no longer send to the removed engine, and managers that may send to the
+    /// successor: minimum over the changes.
     old_ended: usize,
     successor_ready: usize,
-    /// Whether the module's timer ran at each manager, and the cores that it takes by a measured tick.
+    /// Whether the dispatcher's timer ran in each manager, and the cores that the ticks use,
+    /// computed from one measured tick.
     ticks: bool,
     tick_cores: f64,
-    /// Processor time of the feed for a change, in ms.
+    /// Processor time of the feed per change, in ms.
     feed_ms_change: f64,
-    /// Attempts of statements after the changes, and those among them whose engine was gone.
+    /// Attempts of the statements after the changes, and those among them that were sent to a
+    /// removed engine.
     asked: usize,
     asked_of_ended: usize,
     #[serde(flatten)]
@@ -55,17 +60,17 @@
 struct StartRow {
     #[serde(flatten)]
     size: Size,
-    /// From the start of the first until the full list is in force, in ms.
+    /// Time from the start of the first manager until a manager has applied the full list, in ms.
     #[serde(flatten)]
     times: LatencySummary,
     ticks: bool,
     feed_connections: u64,
     feed_bytes: u64,
-    /// The feed's load over that time.
+    /// Load of the feed until the last manager has applied the full list.
     feed_load: Load,
 }
 
-/// Plays the fleets that fit the memory; a row names each that does not.
+/// Measures the fleets that fit in memory, and writes a row for each one that does not.
 pub(super) fn run(
     options: &Options,
     output: &mut Output,
@@ -123,7 +128,7 @@
     measure_zone_start(options, output, memory, longest)
 }
 
-/// The numbers of managers, ascending.
+/// The numbers of managers to measure, ascending.
 fn fleet_sizes(options: &Options) -> [usize; 4] {
     if options.small {
         FLEET_SIZES_SMALL
@@ -178,7 +183,7 @@
     Ok(Some(row))
 }
 
-/// What some changes came to.
+/// Results of the changes made so far.
 #[derive(Default)]
 struct ChangeResults {
     times: Vec<Duration>,
@@ -187,7 +192,7 @@
 }
 
 impl ChangeResults {
-    /// Replaces one engine; returns once all managers have applied that.
+    /// Replaces one engine and waits until all managers have applied the change.
     fn play(
         &mut self,
         feed: &Feed,
@@ -218,7 +223,7 @@
     }
 }
 
-/// A zone's managers start at once, each without a list.
+/// Measures the managers of a zone that start at the same time, each without a list.
 fn measure_zone_start(
     options: &Options,
     output: &mut Output,
--- a/benches/scale/list_reconnect.rs
+++ b/benches/scale/list_reconnect.rs
@@ -1,5 +1,5 @@
-//! The feed goes away for a while: how soon all managers are back and have what they missed, and the feed's worst
-//! 100 ms against its mean.
+//! An outage of the feed: the time until all managers have reconnected and applied the event that
+//! they missed, and the feed's worst 100 ms against its mean while idle.
 
 use super::feed::{Feed, IDLE};
 use super::fleet;
@@ -13,33 +13,34 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// How long the feed is away, and how long its load is watched while nothing happens.
+/// Length of the feed's outage, and of the measurement of its load while idle.
 const OUTAGE: Duration = Duration::from_secs(3);
 const IDLE_WATCH: Duration = Duration::from_secs(5);
 const OUTAGE_SMALL: Duration = Duration::from_millis(200);
 const IDLE_WATCH_SMALL: Duration = Duration::from_millis(200);
-/// The number of the event that the managers miss.
+/// Number of the event that the managers miss.
 const MISSED_EVENT: u64 = 2;
 
 #[derive(Serialize)]
 struct ReconnectRow {
     #[serde(flatten)]
     size: Size,
-    /// From the feed's return until the event that was missed is in force, in ms.
+    /// Time from the end of the outage until a manager has applied the missed event, in ms.
     #[serde(flatten)]
     times: LatencySummary,
     ticks: bool,
     away_ms: f64,
     feed_connections: u64,
     feed_bytes: u64,
-    /// The feed's load from its return until the last manager is back; before it went, at rest; and the worst 100 ms of
-    /// the return against the mean at rest.
+    /// Load of the feed from the end of the outage until the last manager has applied the missed
+    /// event, its load while idle before the outage, and the worst 100 ms of the former against the
+    /// mean of the latter.
     feed_load: Load,
     feed_at_rest: Load,
     feed_worst_to_rest: LoadWindow,
 }
 
-/// All managers with the short list come back after the feed was away.
+/// Measures how all managers, with the shortest list, reconnect after an outage of the feed.
 pub(super) fn run(
     options: &Options,
     output: &mut Output,
