--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The small case of each scale test. What is asserted holds on any machine at any speed: rows, counts and bytes, no
-//! time.
+//! Runs the small case of each scale test. The assertions hold on a machine of any speed: they
+//! check rows, counts and bytes, but no times.
 
 #[allow(dead_code, reason = "the main function is called by the bench alone")]
 #[path = "../benches/scale/main.rs"]
@@ -11,10 +11,10 @@
 
 use serde_json::Value;
 
-/// Rows of the small case of one test.
+/// The result rows of the small case of one test.
 fn small_case_rows(test: Test) -> Vec<Value> {
-    let mut output = Output::new(None).expect("output");
-    scale::run(&Options::small(&[test]), &mut output).expect("a whole run");
+    let mut output = Output::new(None).expect("an output without a file");
+    scale::run(&Options::small(&[test]), &mut output).expect("the test runs to its end");
     output
         .lines()
         .iter()
@@ -45,7 +45,8 @@
     }
 }
 
-/// A prediction stands before its measurement, and each is held against it once.
+/// Checks that each figure has one fit, one prediction and one error row, in this order, and that
+/// the prediction comes before the measurement.
 fn assert_predictions(rows: &[Value], figures: &[&str]) {
     let index_of = |kind: &str, figure: &str| {
         let matches = |row: &Value| row["kind"] == kind && row["figure"] == figure;
@@ -54,7 +55,9 @@
             1,
             "{kind} of {figure}"
         );
-        rows.iter().position(matches).expect("counted")
+        rows.iter()
+            .position(matches)
+            .expect("a row that was counted")
     };
     for figure in figures {
         let (fit, prediction, error) = (
@@ -65,7 +68,9 @@
         assert_eq!(rows[fit]["points"], 3, "the largest size is not in the fit");
         assert_eq!(rows[prediction]["predicted"], rows[error]["predicted"]);
         let size = rows[prediction]["size"].as_f64().expect("a size") as u64;
-        let over = rows[prediction]["over"].as_str().expect("a key");
+        let over = rows[prediction]["over"]
+            .as_str()
+            .expect("the size's column");
         let largest =
             |row: &Value| row["kind"] == "measured" && row[over] == size && !row[figure].is_null();
         let measured = rows.iter().position(largest).expect("the largest size");
@@ -91,14 +96,14 @@
         (line.slope - 0.25).abs() < 1e-9 && (line.value_at(22_000.0) - 5_507.0).abs() < 1e-6,
         "{line:?}"
     );
-    // Errors that cancel leave the slope as it is.
+    // Deviations from the line that cancel out do not change the slope.
     let noisy = [(0.0, 1.0), (1.0, 1.0), (2.0, 5.0), (3.0, 5.0)];
     assert!((LinearFit::through(&noisy).expect("a line").slope - 1.6).abs() < 1e-9);
     assert_eq!(LinearFit::through(&[(5.0, 1.0), (5.0, 2.0)]), None);
     assert_eq!(LinearFit::through(&[(5.0, 1.0)]), None);
 }
 
-/// Every statement is served by an engine that the module hears of, at every size.
+/// Every statement is served by an engine that the dispatcher has, at every list size.
 #[test]
 fn decision_test_serves_every_statement_at_each_list_size() {
     let rows = small_case_rows(Test::Decision);
@@ -120,7 +125,8 @@
             "{row}"
         );
         assert_eq!(row["requests"], 500);
-        // All but those that are in hand as it ends: some 37 at 4,595 a second and 8 ms.
+        // Of the 550 statements, some are in flight at the end: about 37 at 4,595 per second and 8
+        // ms each.
         assert!(
             row["served"]
                 .as_u64()
@@ -132,7 +138,8 @@
     assert_predictions(&rows, &["us_request", "us_tick"]);
 }
 
-/// Each change is applied by every manager, and no statement goes to the removed engine.
+/// Checks that every manager applies each change, and that no statement is sent to a removed
+/// engine.
 fn check_list_changes(rows: &[Value]) {
     let changes = rows_where(rows, "part", "change");
     let sizes: Vec<_> = numbers(&changes, "listed")
@@ -160,7 +167,8 @@
     }
 }
 
-/// Managers that start or reconnect get the list, or what they missed, and no more.
+/// Checks that managers that start receive the full list, and that managers that reconnect receive
+/// only what they missed.
 fn check_list_starts_and_reconnects(rows: &[Value]) {
     let (starts, reconnects) = (
         rows_where(rows, "part", "start"),
@@ -176,7 +184,7 @@
         "{}",
         starts[0]
     );
-    // Each reconnects, and gets what it missed and no full list.
+    // Each manager reconnects and receives the event that it missed, but no full list.
     assert!(
         reconnects[0]["feed_connections"].as_u64() >= Some(12),
         "{}",
@@ -190,7 +198,8 @@
     );
 }
 
-/// A change reaches every in-process manager: none sends to the engine that is gone, all may send to its successor.
+/// Every in-process manager applies each change: none sends to the removed engine, and all may send
+/// to its successor.
 #[test]
 fn list_test_applies_each_change_at_every_manager() {
     let rows = small_case_rows(Test::List);
@@ -224,7 +233,8 @@
     );
 }
 
-/// Both forms of a configuration are used each time, and the last one is in force; without the list it is shorter.
+/// Every configuration of both forms is used, and the last one is in force. The form without the
+/// list is shorter, and its size does not depend on the number of engines.
 #[test]
 fn reload_test_applies_every_configuration_of_both_forms() {
     let rows = small_case_rows(Test::Reload);
@@ -242,7 +252,7 @@
     }
     let bytes = numbers(&settings_only, "bytes");
     assert!(bytes.iter().all(|all| *all == bytes[0]), "{bytes:?}");
-    // Each engine takes the bytes of its entry.
+    // Each engine adds the size of its entry to the file.
     for row in &whole {
         let listed = row["listed"].as_u64().expect("a size");
         let entries = row["bytes"].as_u64().expect("bytes") - bytes[0];
@@ -262,7 +272,7 @@
         let error = rows_where(&rows, "kind", "error")
             .into_iter()
             .find(|row| row["figure"] == figure);
-        let error = error.unwrap_or_else(|| panic!("no error of {figure}"));
+        let error = error.unwrap_or_else(|| panic!("no error row of {figure}"));
         assert_eq!(
             (error["measured"].as_f64(), error["size"].as_f64()),
             (measured.as_f64(), Some(80.0))
@@ -270,8 +280,8 @@
     }
 }
 
-/// Every statement that is offered is taken and answered once, at each rate and number of connections, while engines
-/// of the list are replaced.
+/// Every offered statement is accepted and answered exactly once, at each rate and number of
+/// connections, while engines of the list are replaced.
 #[test]
 fn manager_test_answers_every_offered_statement_once_during_churn() {
     let rows = small_case_rows(Test::Manager);
@@ -329,8 +339,9 @@
     );
 }
 
-/// Every engine has a manager and none many more than others; a change moves places of those that it concerns, and a manager
-/// more or less nobody else's.
+/// Every engine is in the subset of some manager, and no subset exceeds its bound. A replaced
+/// engine changes only the subsets that contain it or its successor, and adding or removing a
+/// manager changes no other manager's subset.
 #[test]
 fn subset_test_gives_every_engine_a_manager_and_moves_only_concerned_places() {
     let rows = small_case_rows(Test::Subset);
