--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -104,7 +104,7 @@
 /// round.
 pub(super) fn tick_us(options: &Options, listed: usize) -> f64 {
     let mut bench = DecisionBench::new(options, listed, 0);
-    bench.play(SMALL_RUN.requests, SMALL_RUN.max_duration);
+    bench.run_requests(SMALL_RUN.requests, SMALL_RUN.max_duration);
     bench.tick_time.mean_us()
 }
 
@@ -112,9 +112,9 @@
     let mut benches: Vec<DecisionBench> = Vec::new();
     for round in 0..run_length.rounds {
         let mut bench = DecisionBench::new(options, listed, round as u64);
-        bench.play(run_length.warm_up_requests, run_length.max_duration);
+        bench.run_requests(run_length.warm_up_requests, run_length.max_duration);
         (bench.request_time, bench.tick_time) = Default::default();
-        bench.play(run_length.requests, run_length.max_duration);
+        bench.run_requests(run_length.requests, run_length.max_duration);
         benches.push(bench);
     }
     let sum_metric =
@@ -232,7 +232,7 @@
 
     /// Accepts up to this many statements within `max_duration`, completes the attempts that are
     /// due, and runs the ticks that are due.
-    fn play(&mut self, requests: u32, max_duration: Duration) {
+    fn run_requests(&mut self, requests: u32, max_duration: Duration) {
         let started = Instant::now();
         for _ in 0..requests {
             if started.elapsed() > max_duration {
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -156,11 +156,11 @@
         CHANGES
     };
     let mut results = ChangeResults::default();
-    let before = feed.processor(Instant::now())?;
+    let time_before = feed.processor(Instant::now())?;
     for change in 0..changes {
-        results.play(&feed, &group, listed as u32, change)?;
+        results.apply_change(&feed, &group, listed as u32, change)?;
     }
-    let feed_time = feed.processor(Instant::now())? - before;
+    let feed_time = feed.processor(Instant::now())? - time_before;
     let DispatchTotals {
         dispatched: asked,
         dispatched_to_ended: asked_of_ended,
@@ -193,7 +193,7 @@
 
 impl ChangeResults {
     /// Replaces one engine and waits until all managers have applied the change.
-    fn play(
+    fn apply_change(
         &mut self,
         feed: &Feed,
         group: &ManagerGroup,
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -253,20 +253,20 @@
     let files = ConfigurationSeries::new(value, form.last_class());
     let counters_before = read_reload_counters(manager)?;
     manager.reset_peak()?;
-    let before = manager.memory()?;
+    let memory_before = manager.memory()?;
     let mut blocks = Vec::new();
     for _ in 0..run_length.blocks {
-        blocks.push(ReloadBlock::play(manager, &files, &run_length)?);
+        blocks.push(ReloadBlock::measure(manager, &files, &run_length)?);
     }
-    let after = manager.memory()?;
+    let memory_after = manager.memory()?;
     let mut reload_times: Vec<Duration> = blocks
         .iter()
         .flat_map(|block| block.reload_times.clone())
         .collect();
     check_in_force(manager, &files, form, (counters_before, reload_times.len()))?;
 
-    let block_seconds: Vec<f64> = blocks.iter().map(ReloadBlock::seconds_each).collect();
-    let (seconds_each, standard_error) = mean_and_error(&block_seconds);
+    let block_seconds: Vec<f64> = blocks.iter().map(ReloadBlock::seconds_per_reload).collect();
+    let (seconds_per_reload, standard_error) = mean_and_error(&block_seconds);
     let (idle_share, _) = mean_and_error(
         &blocks
             .iter()
@@ -274,7 +274,7 @@
             .collect::<Vec<_>>(),
     );
     let bytes = files.nth(0).len();
-    let by_core = 60.0 * CONTROL_BUDGET_CORES / seconds_each;
+    let by_core = 60.0 * CONTROL_BUDGET_CORES / seconds_per_reload;
     let by_bytes = 60.0 * CONTROL_BUDGET_BYTES_PER_SECOND / bytes as f64;
     reload_times.sort_unstable();
     let counters = manager.counters()?;
@@ -286,13 +286,15 @@
         waiting: counters.get("engines_waiting").copied().unwrap_or_default(),
         reloads: reload_times.len(),
         bytes,
-        ms_reload: rounded(seconds_each * 1000.0),
+        ms_reload: rounded(seconds_per_reload * 1000.0),
         ms_reload_error: rounded(standard_error * 1000.0),
         ms_in_force: milliseconds(reload_times.get(reload_times.len() / 2)),
         ms_in_force_most: milliseconds(reload_times.last()),
-        mb_before: rounded(before.resident as f64 / MEGABYTE),
-        mb_after: rounded(after.resident as f64 / MEGABYTE),
-        mb_peak_above: rounded(after.peak.saturating_sub(before.resident) as f64 / MEGABYTE),
+        mb_before: rounded(memory_before.resident as f64 / MEGABYTE),
+        mb_after: rounded(memory_after.resident as f64 / MEGABYTE),
+        mb_peak_above: rounded(
+            memory_after.peak.saturating_sub(memory_before.resident) as f64 / MEGABYTE,
+        ),
         percent_core_at_rest: rounded(idle_share * 100.0),
         per_minute_by_core: rounded(by_core),
         per_minute_by_bytes: rounded(by_bytes),
@@ -312,7 +314,7 @@
 }
 
 impl ReloadBlock {
-    fn play(
+    fn measure(
         manager: &ManagerProcess,
         files: &ConfigurationSeries,
         run_length: &RunLength,
@@ -336,10 +338,11 @@
 
     /// Processor time of one reload, in seconds. Nothing else runs in the process during a reload,
     /// so the idle share is subtracted only for the rest of the block.
-    fn seconds_each(&self) -> f64 {
+    fn seconds_per_reload(&self) -> f64 {
         let reloading: Duration = self.reload_times.iter().sum();
-        let at_rest = self.idle_share * self.block_duration.saturating_sub(reloading).as_secs_f64();
-        (self.processor_time.as_secs_f64() - at_rest) / self.reload_times.len() as f64
+        let idle_seconds =
+            self.idle_share * self.block_duration.saturating_sub(reloading).as_secs_f64();
+        (self.processor_time.as_secs_f64() - idle_seconds) / self.reload_times.len() as f64
     }
 }
 
--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -197,9 +197,10 @@
     }
 
     /// Subset members that differ, summed over the managers that both fleets have.
-    fn count_moved_to(&self, other: &Fleet) -> usize {
+    fn count_changed_in(&self, other: &Fleet) -> usize {
         let both = self.subsets.iter().zip(&other.subsets);
-        both.map(|(before, after)| count_moved(before, after)).sum()
+        both.map(|(before, after)| count_changed(before, after))
+            .sum()
     }
 
     fn size(&self, part: &'static str, listed: usize) -> Size {
@@ -286,7 +287,7 @@
 }
 
 /// Subset members that differ: the larger of the numbers of engines gained and lost.
-fn count_moved(before: &SubsetEngines, after: &SubsetEngines) -> usize {
+fn count_changed(before: &SubsetEngines, after: &SubsetEngines) -> usize {
     let count_missing = |a: &SubsetEngines, b: &SubsetEngines| {
         a.keys().filter(|engine| !b.contains_key(engine)).count()
     };
@@ -315,22 +316,22 @@
     /// Adds the changes that one replacement causes in one manager's subset.
     fn add(&mut self, replacement: &Replacement, members: &MembersByStep) {
         let held = members.before.contains_key(&replacement.old);
-        let moved_on_removal = count_moved(members.before, members.removed);
-        let moved_on_replacement = count_moved(members.before, members.after);
+        let changed_on_removal = count_changed(members.before, members.removed);
+        let changed_on_replacement = count_changed(members.before, members.after);
         self.held += usize::from(held);
-        self.gone_moved_most = self.gone_moved_most.max(moved_on_removal);
-        self.replaced_moved_most = self.replaced_moved_most.max(moved_on_replacement);
+        self.gone_moved_most = self.gone_moved_most.max(changed_on_removal);
+        self.replaced_moved_most = self.replaced_moved_most.max(changed_on_replacement);
         if held {
-            self.gone_moved_holders += moved_on_removal;
+            self.gone_moved_holders += changed_on_removal;
         } else {
-            self.gone_moved_others += moved_on_removal;
+            self.gone_moved_others += changed_on_removal;
         }
         let moved_counter = match (held, members.after.contains_key(&replacement.new)) {
             (true, _) => &mut self.replaced_moved_holders,
             (false, true) => &mut self.replaced_moved_successors,
             (false, false) => &mut self.replaced_moved_others,
         };
-        *moved_counter += moved_on_replacement;
+        *moved_counter += changed_on_replacement;
     }
 }
 
@@ -379,10 +380,10 @@
         fleet.subsets = after;
     }
     let one_more = fleet.with_managers(fleet.managers + 1);
-    row.manager_more_moved = fleet.count_moved_to(&one_more);
+    row.manager_more_moved = fleet.count_changed_in(&one_more);
     row.manager_more_least = one_more.subsets.last().map_or(0, SubsetEngines::len);
     let one_less = fleet.with_managers(fleet.managers - 1);
-    row.manager_less_moved = fleet.count_moved_to(&one_less);
+    row.manager_less_moved = fleet.count_changed_in(&one_less);
     row
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -343,7 +343,7 @@
 /// engine changes only the subsets that contain it or its successor, and adding or removing a
 /// manager changes no other manager's subset.
 #[test]
-fn subset_test_gives_every_engine_a_manager_and_moves_only_concerned_places() {
+fn subset_test_gives_every_engine_a_manager_and_changes_only_affected_subsets() {
     let rows = small_case_rows(Test::Subset);
     let balance = rows_where(&rows, "part", "balance");
     assert_eq!(numbers(&balance, "listed"), [16, 32, 64, 128]);
