--- a/tests/order_keys.rs
+++ b/tests/order_keys.rs
@@ -38,7 +38,7 @@
     c3 expect 1 served third\\n
 "
 )]
-#[case::every_class_that_keeps_order_shares_the_keys(
+#[case::all_classes_that_keep_order_share_the_keys(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
@@ -53,7 +53,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::a_key_of_zeros_is_a_key(
+#[case::an_all_zero_key_is_a_valid_key(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=0000000000000000
@@ -79,7 +79,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::an_absent_or_unusable_key_is_rejected(
+#[case::a_missing_or_malformed_key_is_rejected(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check
@@ -99,7 +99,7 @@
     f1 expect 1 InvalidArgument
 "
 )]
-#[case::a_retry_keeps_the_turn_of_its_key(
+#[case::a_retry_keeps_its_place_in_the_order_of_its_key(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
@@ -116,7 +116,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::a_key_rests_after_a_reset(
+#[case::a_key_is_paused_after_a_reset(
     "
     n send settings fifoByKey=true
     c1 send 1 log-load lookup=7f3a9c21e0b4d655
@@ -132,7 +132,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::a_key_rests_after_a_cancel(
+#[case::a_key_is_paused_after_a_cancellation(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
@@ -148,7 +148,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::a_key_rests_after_a_timeout(
+#[case::a_key_is_paused_after_a_timeout(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655 allow=400
@@ -183,7 +183,7 @@
     c2 expect 1 served b\\n
 "
 )]
-#[case::turns_survive_new_settings(
+#[case::the_order_of_a_key_survives_new_settings(
     "
     n send settings fifoByKey=true
     c1 send 1 seat-check lookup=7f3a9c21e0b4d655
--- a/tests/order_keys_hot_restart.rs
+++ b/tests/order_keys_hot_restart.rs
@@ -18,16 +18,16 @@
 use workload_manager::node_config::EngineProtocol;
 
 /// `orderPauseMs` of the configuration.
-const REST: Duration = Duration::from_millis(300);
+const KEY_PAUSE: Duration = Duration::from_millis(300);
 
-/// How long a client waits unless a test await_line otherwise.
-const ALLOW: &str = "allow=9000";
+/// How long a client waits unless a test says otherwise.
+const CLIENT_TIMEOUT: &str = "allow=9000";
 
 /// It may run once only, so that no attempt is called off for another one while the test holds it.
-const CLASS: &str = "log-load";
+const NON_IDEMPOTENT_CLASS: &str = "log-load";
 
-const KEY: &str = "lookup=7f3a9c21e0b4d655";
-const OTHER_KEY: &str = "lookup=00000000000000aa";
+const ORDER_KEY: &str = "lookup=7f3a9c21e0b4d655";
+const OTHER_ORDER_KEY: &str = "lookup=00000000000000aa";
 
 /// Both processes, with engines that hold their answers.
 struct HotRestart {
@@ -39,7 +39,7 @@
 
 impl HotRestart {
     /// The old process has a request of the key out, `c1.1`; then the successor comes up.
-    async fn begin(name: &str, allow: &str) -> (HotRestart, Client) {
+    async fn start_with_first_request(name: &str, timeout_field: &str) -> (HotRestart, Client) {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("order-{name}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("folder");
@@ -48,8 +48,13 @@
         let text = configuration(fleet.feed.address, &fleet.first_list_event());
         std::fs::write(&config, apply_changes(&text, &["fifoByKey=true"])).expect("file");
         let mut old = ManagerProcess::start(&config, &folder).await;
-        let mut first = Client::new("c1", old.address).await;
-        first.step("send", &["1", CLASS, KEY, allow]).await;
+        let mut first_client = Client::new("c1", old.address).await;
+        first_client
+            .step(
+                "send",
+                &["1", NON_IDEMPOTENT_CLASS, ORDER_KEY, timeout_field],
+            )
+            .await;
         within_timeout("ASK c1.1", fleet.step("e", "expect", &["ASK", "c1.1"])).await;
         let new = ManagerProcess::start(&config, &folder).await;
         old.await_line("peer process started").await;
@@ -60,18 +65,20 @@
                 new,
                 folder,
             },
-            first,
+            first_client,
         )
     }
 
-    async fn engines(&mut self, verb: &str, rest: &[&str]) {
+    async fn engine_step(&mut self, verb: &str, rest: &[&str]) {
         within_timeout(&rest.join(" "), self.fleet.step("e", verb, rest)).await;
     }
 
     /// The successor takes a request of the key, `c2.1`, and sends nothing; what has another key goes at once.
-    async fn expect_second_waits(&mut self) -> Client {
-        let mut second = Client::new("c2", self.new.address).await;
-        second.step("send", &["1", CLASS, KEY]).await;
+    async fn expect_second_request_waits(&mut self) -> Client {
+        let mut second_client = Client::new("c2", self.new.address).await;
+        second_client
+            .step("send", &["1", NON_IDEMPOTENT_CLASS, ORDER_KEY])
+            .await;
         // The core sends in the turn in which it takes.
         let counters = self.new.await_counter("requests_accepted=1").await;
         assert!(
@@ -79,37 +86,47 @@
                 && has_counter(&counters, "requests_held_for_order_key=1"),
             "two requests of one key are out at once: {counters}"
         );
-        let mut third = Client::new("c3", self.new.address).await;
-        third.step("send", &["1", CLASS, OTHER_KEY]).await;
-        self.engines("expect", &["ASK", "c3.1"]).await;
-        self.engines("send", &["c3.1", "served", "batches=1", "other\\n"])
+        let mut third_client = Client::new("c3", self.new.address).await;
+        third_client
+            .step("send", &["1", NON_IDEMPOTENT_CLASS, OTHER_ORDER_KEY])
+            .await;
+        self.engine_step("expect", &["ASK", "c3.1"]).await;
+        self.engine_step("send", &["c3.1", "served", "batches=1", "other\\n"])
             .await;
-        within_timeout("c3.1", third.step("expect", &["1", "served", "other\\n"])).await;
+        within_timeout(
+            "c3.1",
+            third_client.step("expect", &["1", "served", "other\\n"]),
+        )
+        .await;
         let counters = self.new.await_counter("requests_accepted=2").await;
         assert!(
             has_counter(&counters, "attempts_started=1"),
             "two requests of one key are out at once: {counters}"
         );
-        second
+        second_client
     }
 
-    async fn expect_second_sent(&mut self) {
-        self.engines("expect", &["ASK", "c2.1"]).await;
+    async fn expect_second_attempt(&mut self) {
+        self.engine_step("expect", &["ASK", "c2.1"]).await;
     }
 
-    async fn serve_second(&mut self, second: &mut Client) {
-        self.engines("send", &["c2.1", "served", "batches=1", "second\\n"])
+    async fn serve_second_request(&mut self, second_client: &mut Client) {
+        self.engine_step("send", &["c2.1", "served", "batches=1", "second\\n"])
             .await;
-        within_timeout("c2.1", second.step("expect", &["1", "served", "second\\n"])).await;
+        within_timeout(
+            "c2.1",
+            second_client.step("expect", &["1", "served", "second\\n"]),
+        )
+        .await;
     }
 
-    fn end(mut self) {
+    fn finish(mut self) {
         self.fleet.check_at_end();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn block_on(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -119,21 +136,27 @@
 /// The first one is served: the second goes then.
 #[test]
 fn a_successor_process_waits_for_the_request_of_the_old_process() {
-    run(async {
-        let (mut both, mut first) = HotRestart::begin("served", ALLOW).await;
-        let mut second = both.expect_second_waits().await;
-        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
+    block_on(async {
+        let (mut processes, mut first_client) =
+            HotRestart::start_with_first_request("served", CLIENT_TIMEOUT).await;
+        let mut second_client = processes.expect_second_request_waits().await;
+        processes
+            .engine_step("send", &["c1.1", "served", "batches=1", "first\\n"])
             .await;
-        within_timeout("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
-        both.expect_second_sent().await;
-        both.serve_second(&mut second).await;
-        both.end();
+        within_timeout(
+            "c1.1",
+            first_client.step("expect", &["1", "served", "first\\n"]),
+        )
+        .await;
+        processes.expect_second_attempt().await;
+        processes.serve_second_request(&mut second_client).await;
+        processes.finish();
     });
 }
 
 /// How the first one ends although it may still run.
 #[derive(Clone, Copy)]
-enum End {
+enum UnconfirmedEnd {
     /// After 6 s, of which the answer may take up to 0.1 s.
     TimedOut,
     Cancelled,
@@ -144,51 +167,56 @@
 
 /// What may still run makes the key rest, over both processes.
 #[rstest]
-#[case::time_out("timed-out", End::TimedOut)]
-#[case::cancel("cancelled", End::Cancelled)]
-#[case::reset("reset", End::Reset)]
-#[case::kill("killed", End::Killed)]
-fn a_key_rests_in_the_successor_process_after_an_unconfirmed_end(
+#[case::timeout("timed-out", UnconfirmedEnd::TimedOut)]
+#[case::cancellation("cancelled", UnconfirmedEnd::Cancelled)]
+#[case::reset("reset", UnconfirmedEnd::Reset)]
+#[case::kill("killed", UnconfirmedEnd::Killed)]
+fn a_key_is_paused_in_the_successor_process_after_an_unconfirmed_end(
     #[case] name: &str,
-    #[case] end: End,
+    #[case] end: UnconfirmedEnd,
 ) {
-    run(async {
-        let begun = Instant::now();
-        let allow = if matches!(end, End::TimedOut) {
+    block_on(async {
+        let started_at = Instant::now();
+        let timeout_field = if matches!(end, UnconfirmedEnd::TimedOut) {
             "allow=6000"
         } else {
-            ALLOW
+            CLIENT_TIMEOUT
         };
-        let (mut both, mut first) = HotRestart::begin(name, allow).await;
-        let mut second = both.expect_second_waits().await;
-        let mut since = Instant::now();
+        let (mut processes, mut first_client) =
+            HotRestart::start_with_first_request(name, timeout_field).await;
+        let mut second_client = processes.expect_second_request_waits().await;
+        let mut ended_at = Instant::now();
         match end {
-            End::TimedOut => {
-                within_timeout("c1.1", first.step("expect", &["1", "DeadlineExceeded"])).await;
-                both.engines("expect", &["QUIT", "c1.1"]).await;
-                since = begun + Duration::from_millis(5900);
+            UnconfirmedEnd::TimedOut => {
+                within_timeout(
+                    "c1.1",
+                    first_client.step("expect", &["1", "DeadlineExceeded"]),
+                )
+                .await;
+                processes.engine_step("expect", &["QUIT", "c1.1"]).await;
+                ended_at = started_at + Duration::from_millis(5900);
             }
-            End::Cancelled => {
-                first.step("send", &["cancel", "1"]).await;
-                both.engines("expect", &["QUIT", "c1.1"]).await;
+            UnconfirmedEnd::Cancelled => {
+                first_client.step("send", &["cancel", "1"]).await;
+                processes.engine_step("expect", &["QUIT", "c1.1"]).await;
             }
-            End::Reset => {
-                both.engines("close", &["c1.1"]).await;
-                within_timeout("c1.1", first.step("expect", &["1", "Internal"])).await;
+            UnconfirmedEnd::Reset => {
+                processes.engine_step("close", &["c1.1"]).await;
+                within_timeout("c1.1", first_client.step("expect", &["1", "Internal"])).await;
             }
-            End::Killed => {
-                both.old.child.kill().expect("kill");
-                both.old.child.wait().expect("end");
+            UnconfirmedEnd::Killed => {
+                processes.old.child.kill().expect("kill");
+                processes.old.child.wait().expect("end");
             }
         }
-        both.expect_second_sent().await;
+        processes.expect_second_attempt().await;
         assert!(
-            since.elapsed() >= REST,
+            ended_at.elapsed() >= KEY_PAUSE,
             "the key did not rest: {:?}",
-            since.elapsed()
+            ended_at.elapsed()
         );
-        both.serve_second(&mut second).await;
-        both.end();
+        processes.serve_second_request(&mut second_client).await;
+        processes.finish();
     });
 }
 
@@ -196,39 +224,57 @@
 /// it at its deadline without an attempt.
 #[test]
 fn the_old_process_waits_for_the_request_of_its_successor() {
-    run(async {
-        let (mut both, mut first) = HotRestart::begin("turned", ALLOW).await;
-        let mut second = both.expect_second_waits().await;
-        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
+    block_on(async {
+        let (mut processes, mut first_client) =
+            HotRestart::start_with_first_request("turned", CLIENT_TIMEOUT).await;
+        let mut second_client = processes.expect_second_request_waits().await;
+        processes
+            .engine_step("send", &["c1.1", "served", "batches=1", "first\\n"])
+            .await;
+        within_timeout(
+            "c1.1",
+            first_client.step("expect", &["1", "served", "first\\n"]),
+        )
+        .await;
+        processes.expect_second_attempt().await;
+        let mut late_client = Client::new("c4", processes.old.address).await;
+        late_client
+            .step("send", &["1", NON_IDEMPOTENT_CLASS, ORDER_KEY, "allow=400"])
             .await;
-        within_timeout("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
-        both.expect_second_sent().await;
-        let mut late = Client::new("c4", both.old.address).await;
-        late.step("send", &["1", CLASS, KEY, "allow=400"]).await;
-        within_timeout("c4.1", late.step("expect", &["1", "DeadlineExceeded"])).await;
-        let counters = both.old.await_counter("requests_failed=1").await;
+        within_timeout(
+            "c4.1",
+            late_client.step("expect", &["1", "DeadlineExceeded"]),
+        )
+        .await;
+        let counters = processes.old.await_counter("requests_failed=1").await;
         assert!(
             has_counter(&counters, "attempts_started=1"),
             "two requests of one key are out at once: {counters}"
         );
-        both.serve_second(&mut second).await;
-        both.end();
+        processes.serve_second_request(&mut second_client).await;
+        processes.finish();
     });
 }
 
 /// The old process, while it shuts down, serves what it accepted; its request of the key goes first.
 #[test]
 fn graceful_shutdown_hands_the_key_over() {
-    run(async {
-        let (mut both, mut first) = HotRestart::begin("planned", ALLOW).await;
-        both.old.signal("TERM");
-        let mut second = both.expect_second_waits().await;
-        both.engines("send", &["c1.1", "served", "batches=1", "first\\n"])
+    block_on(async {
+        let (mut processes, mut first_client) =
+            HotRestart::start_with_first_request("planned", CLIENT_TIMEOUT).await;
+        processes.old.signal("TERM");
+        let mut second_client = processes.expect_second_request_waits().await;
+        processes
+            .engine_step("send", &["c1.1", "served", "batches=1", "first\\n"])
             .await;
-        within_timeout("c1.1", first.step("expect", &["1", "served", "first\\n"])).await;
-        both.expect_second_sent().await;
-        both.serve_second(&mut second).await;
-        assert!(both.old.child.wait().expect("end").success());
-        both.end();
+        within_timeout(
+            "c1.1",
+            first_client.step("expect", &["1", "served", "first\\n"]),
+        )
+        .await;
+        processes.expect_second_attempt().await;
+        processes.serve_second_request(&mut second_client).await;
+        assert!(processes.old.child.wait().expect("end").success());
+        processes.finish();
     });
 }
--- a/tests/scenarios/admin_address.rs
+++ b/tests/scenarios/admin_address.rs
@@ -5,7 +5,7 @@
 use workload_manager::node_config::EngineProtocol;
 
 #[rstest]
-#[case::ready_and_stats_answer_the_counters(
+#[case::ready_is_answered_and_stats_returns_the_admin_figures(
     "
     o1 send READY
     o1 expect 200
@@ -51,7 +51,7 @@
     wait admin_bad_calls=4
 "
 )]
-#[case::a_manually_ejected_engine_gets_nothing_new(
+#[case::a_manually_ejected_engine_gets_no_new_attempts(
     "
     feed expect 1
     c1 send 1 seat-check
@@ -93,7 +93,7 @@
     o1 expect lines node.skipped_engines=0
 "
 )]
-#[case::a_drain_closes_clients_and_loses_no_request(
+#[case::draining_closes_client_connections_and_loses_no_request(
     "
     c1 send 1 seat-check
     c2 send 1 seat-check
@@ -143,7 +143,7 @@
     wait client_connections_open=1
 "
 )]
-#[case::unknown_engines_are_rejected_or_remembered(
+#[case::unknown_engines_and_malformed_engine_ids_are_rejected(
     "
     o1 send DISABLE s-000000ff
     o1 expect 400
--- a/tests/scenarios/attempts.rs
+++ b/tests/scenarios/attempts.rs
@@ -5,7 +5,7 @@
 use workload_manager::node_config::EngineProtocol;
 
 #[rstest]
-#[case::a_result_in_pages_is_answered_in_order(
+#[case::pages_of_a_result_are_returned_in_order(
     "
     c1 send health 1
     c1 expect 1 true
@@ -19,7 +19,7 @@
     c1 expect 2 served a\\tb\\tc\\nd\\te\\tf\\ng\\th\\ti\\n
 "
 )]
-#[case::answers_may_come_in_any_order(
+#[case::requests_are_answered_in_the_order_of_their_completion(
     "
     c1 send 1 seat-check
     c1 send 2 seat-check
@@ -162,7 +162,7 @@
     e expect FREE c1.1
 "
 )]
-#[case::a_draining_engine_gets_nothing_new(
+#[case::a_draining_engine_gets_no_new_attempts(
     "
     feed expect 1
     feed send draining e1
@@ -196,7 +196,7 @@
     c1 expect 1 served a\\nb\\n
 "
 )]
-#[case::an_attempt_unknown_to_its_engine_never_ran(
+#[case::an_attempt_unknown_to_its_engine_counts_as_not_run(
     "
     c1 send 1 log-load
     e expect ASK c1.1
--- a/tests/scenarios/configuration.rs
+++ b/tests/scenarios/configuration.rs
@@ -16,7 +16,7 @@
     wait feed_events=2
 "
 )]
-#[case::a_new_configuration_moves_the_feed_and_nothing_else(
+#[case::a_new_feed_address_is_used_and_nothing_else_changes(
     "
     feed expect 1
     c1 send 1 seat-check
@@ -71,7 +71,7 @@
     f1 expect 1 InvalidArgument
 "
 )]
-#[case::a_lower_number_of_attempts_binds_the_next_one(
+#[case::a_lowered_limit_of_attempts_applies_to_the_next_attempt(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -84,7 +84,7 @@
     e expect none ASK c1.1
 "
 )]
-#[case::incomplete_settings_change_nothing(
+#[case::unusable_settings_are_rejected_and_change_nothing(
     "
     n send settings attemptsCap=0
     n send settings attemptsCap=\"6\"
@@ -114,7 +114,7 @@
     c1 expect 1 served a\\n
 "
 )]
-#[case::the_feed_breaks_off_inside_an_event_and_repeats_another(
+#[case::a_truncated_event_reconnects_the_feed_and_a_repeated_event_is_ignored(
     "
     feed expect 1
     feed send active e1
@@ -166,7 +166,7 @@
     wait feed_malformed=2
 "
 )]
-#[case::a_record_of_unknown_values_is_skipped_alone(
+#[case::only_the_record_with_unknown_values_is_skipped(
     "
     feed expect 1
     feed send raw 0000003f000000000000000202000000017f00000100070700000000000003e80000000000000000000000027f00000100070100000000000003e80000000000000000
--- a/tests/scenarios/connections.rs
+++ b/tests/scenarios/connections.rs
@@ -5,21 +5,22 @@
 
 /// Clients that ask once and keep their connection for good take no place from others, nor do silent ones.
 #[test]
-fn idle_connections_are_closed_for_newcomers() {
-    let (mut script, mut served) = (String::new(), 0);
-    let mut ask = |who: String, n: u32| {
-        served += 1;
+fn idle_connections_are_evicted_for_new_clients() {
+    let (mut script, mut requests_served) = (String::new(), 0);
+    let mut served_request = |name: String, number: u32| {
+        requests_served += 1;
         format!(
-            "{who} send {n} seat-check\ne expect ASK {who}.{n}\n\
-             e send {who}.{n} served batches=1 a\\n\n{who} expect {n} served a\\n\nwait requests_served={served}\n"
+            "{name} send {number} seat-check\ne expect ASK {name}.{number}\n\
+             e send {name}.{number} served batches=1 a\\n\n{name} expect {number} served a\\n\n\
+             wait requests_served={requests_served}\n"
         )
     };
     for client in 1..=100 {
-        script += &ask(format!("c{client}"), 1);
+        script += &served_request(format!("c{client}"), 1);
         // Silent ones among them make room for each other, and for these.
         script += &format!("c{} send raw 94\n", 1000 + client);
     }
-    script += &ask("c100".to_owned(), 2);
+    script += &served_request("c100".to_owned(), 2);
     run_script(
         2,
         EngineProtocol::Lines,
@@ -43,23 +44,27 @@
 /// A connection that idles may be reset by what comes next, so a load takes a new one unless this one has just
 /// answered; a query that may be sent again does not. (What takes the time here is the close of a silent client.)
 #[test]
-fn a_bulk_load_takes_a_new_connection_if_the_old_one_was_idle() {
-    let served = |n: u32| {
+fn a_bulk_load_gets_a_new_connection_if_the_existing_one_was_idle() {
+    let served_attempt = |number: u32| {
         format!(
-            "e expect ASK c1.{n}\ne send c1.{n} served batches=1 a\\n\nc1 expect {n} served a\\n\n"
+            "e expect ASK c1.{number}\ne send c1.{number} served batches=1 a\\n\n\
+             c1 expect {number} served a\\n\n"
         )
     };
-    let mut script = format!("c1 send 1 seat-check\n{}c2 expect closed\n", served(1));
+    let mut script = format!(
+        "c1 send 1 seat-check\n{}c2 expect closed\n",
+        served_attempt(1)
+    );
     script += &format!(
         "c1 send 2 seat-check\n{}wait engine_connections=1\nc3 expect closed\n",
-        served(2)
+        served_attempt(2)
     );
     run_script(
         1,
         EngineProtocol::Lines,
         &format!(
             "{script}c1 send 3 log-load\n{}wait engine_connections=2\n",
-            served(3)
+            served_attempt(3)
         ),
     );
 }
@@ -81,10 +86,10 @@
     let open: String = (1..=32)
         .map(|n| format!("c1 send {n} seat-check\n"))
         .collect();
-    let first = "c1 send 33 seat-check\nc1 expect 33 Overloaded\nwait client_over_limit=1\n";
+    let rejected = "c1 send 33 seat-check\nc1 expect 33 Overloaded\nwait client_over_limit=1\n";
     run_script(
         4,
         EngineProtocol::Lines,
-        &format!("{open}{first}c1 send cancel 1\nwait client_disconnects=1\n"),
+        &format!("{open}{rejected}c1 send cancel 1\nwait client_disconnects=1\n"),
     );
 }
--- a/tests/scenarios/faulty_peers.rs
+++ b/tests/scenarios/faulty_peers.rs
@@ -37,7 +37,7 @@
     wait engine_malformed=0
 "
 )]
-#[case::a_malformed_answer_ends_its_connection_and_no_bulk_load(
+#[case::a_malformed_answer_closes_its_connection_and_fails_no_bulk_load(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
@@ -99,7 +99,7 @@
     c1 expect 2 served b\\n
 "
 )]
-#[case::a_request_that_every_engine_fails_is_failed(
+#[case::a_request_whose_every_attempt_fails_is_answered_with_an_error(
     "
     c1 send 1 usage-report
     e expect ASK c1.1
@@ -204,7 +204,7 @@
     wait client_disconnects=1
 "
 )]
-#[case::graceful_shutdown_answers_all_before_the_kill(
+#[case::graceful_shutdown_answers_every_request_before_the_process_is_killed(
     "
     c1 send 1 log-load allow=15000
     e expect ASK c1.1
@@ -215,7 +215,7 @@
     n expect closed
 "
 )]
-#[case::graceful_shutdown_waits_for_half_a_request(
+#[case::graceful_shutdown_waits_for_a_partial_request(
     "
     c1 send health 1
     c1 expect 1 true
@@ -246,7 +246,7 @@
     n expect closed
 "
 )]
-#[case::a_silent_engine_is_left_if_the_request_is_idempotent(
+#[case::an_idempotent_request_on_a_silent_engine_is_retried(
     "
     c1 send 1 log-load
     c1 send 2 usage-report
@@ -261,7 +261,7 @@
     c1 expect 1 served b\\n
 "
 )]
-#[case::a_hanging_attempt_is_cancelled_and_retried(
+#[case::a_hung_attempt_is_cancelled_and_retried(
     "
     c1 send 1 seat-check
     e expect ASK c1.1
--- a/tests/scenarios/flight_sql.rs
+++ b/tests/scenarios/flight_sql.rs
@@ -19,7 +19,7 @@
     f1 expect 2 served 42
 "
 )]
-#[case::a_result_cut_while_it_is_buffered_is_retried(
+#[case::a_result_truncated_while_it_is_buffered_is_retried(
     "
     f1 send 1 usage-report
     e expect ASK f1.1
@@ -30,7 +30,7 @@
     f1 expect 1 served d\\te\\tf\\n
 "
 )]
-#[case::a_result_cut_while_it_streams_ends_in_an_error(
+#[case::a_result_truncated_while_it_is_streamed_ends_in_an_error(
     "
     f1 send 1 usage-report
     e expect ASK f1.1
@@ -95,7 +95,7 @@
     f1 expect 2 InvalidArgument
 "
 )]
-#[case::a_hanging_attempt_is_cancelled_and_retried(
+#[case::a_hung_attempt_is_cancelled_and_retried(
     "
     f1 send 1 seat-check
     e expect ASK f1.1
@@ -127,7 +127,7 @@
     e expect none ASK f1.1
 "
 )]
-#[case::a_draining_engine_gets_nothing_new_and_requests_without_one_are_rejected(
+#[case::a_draining_engine_gets_no_new_attempts_and_requests_without_an_engine_are_rejected(
     "
     feed expect 1
     feed send draining e1
@@ -173,7 +173,7 @@
     f1 expect 2 served a\\tb\\tc\\n
 "
 )]
-#[case::silent_connections_make_room_for_a_call(
+#[case::silent_connections_are_evicted_for_a_new_client(
     "
     x1 send raw 50
     x2 send raw 50
--- a/tests/scenarios/front_end_combinations.rs
+++ b/tests/scenarios/front_end_combinations.rs
@@ -46,12 +46,12 @@
 #[rstest]
 #[case(EngineProtocol::Lines)]
 #[case(EngineProtocol::Flight)]
-fn the_same_client_is_served_on_both_protocols(#[case] protocol: EngineProtocol) {
-    let body = |n: u32| match protocol {
-        EngineProtocol::Lines => format!("batches=1 r{n}\\tb\\tc\\n"),
-        EngineProtocol::Flight => format!("r{n}\\tb\\tc\\n"),
+fn requests_on_both_client_protocols_at_once_are_served(#[case] protocol: EngineProtocol) {
+    let result = |number: u32| match protocol {
+        EngineProtocol::Lines => format!("batches=1 r{number}\\tb\\tc\\n"),
+        EngineProtocol::Flight => format!("r{number}\\tb\\tc\\n"),
     };
-    let load = if protocol == EngineProtocol::Lines {
+    let load_result = if protocol == EngineProtocol::Lines {
         "batches=1 7\\t\\t\\n"
     } else {
         "7"
@@ -60,38 +60,49 @@
     for round in 0..12 {
         // Eight open on each protocol at once, in two groups of four.
         let groups: Vec<Vec<u32>> = (0..2)
-            .map(|g| (1..=4).map(|n| round * 8 + g * 4 + n).collect())
+            .map(|group| (1..=4).map(|n| round * 8 + group * 4 + n).collect())
             .collect();
-        let mut line = |text: String| script += &format!("{text}\n");
+        let mut add_step = |step: String| script += &format!("{step}\n");
         for numbers in &groups {
-            for (n, class) in
+            for (number, class) in
                 numbers
                     .iter()
                     .zip(["seat-check", "usage-report", "log-load", "log-load"])
             {
-                line(format!("c1 send {n} {class}"));
-                line(format!("f1 send {n} {class}"));
+                add_step(format!("c1 send {number} {class}"));
+                add_step(format!("f1 send {number} {class}"));
             }
         }
-        for (who, numbers) in ["c1", "f1"]
+        for (client, numbers) in ["c1", "f1"]
             .iter()
-            .flat_map(|who| groups.iter().map(move |g| (*who, g)))
+            .flat_map(|client| groups.iter().map(move |group| (*client, group)))
         {
             numbers
                 .iter()
-                .for_each(|n| line(format!("e expect ASK {who}.{n}")));
+                .for_each(|n| add_step(format!("e expect ASK {client}.{n}")));
             // One load is turned away and goes again; the other fails and does not.
-            line(format!("e send {who}.{} overload", numbers[3]));
-            line(format!("e expect ASK {who}.{}", numbers[3]));
-            for n in &numbers[..2] {
-                line(format!("e send {who}.{n} served {}", body(*n)));
-                line(format!("{who} expect {n} served r{n}\\tb\\tc\\n"));
+            add_step(format!("e send {client}.{} overload", numbers[3]));
+            add_step(format!("e expect ASK {client}.{}", numbers[3]));
+            for number in &numbers[..2] {
+                add_step(format!(
+                    "e send {client}.{number} served {}",
+                    result(*number)
+                ));
+                add_step(format!(
+                    "{client} expect {number} served r{number}\\tb\\tc\\n"
+                ));
             }
-            line(format!("e send {who}.{} crashed", numbers[2]));
-            line(format!("{who} expect {} Internal", numbers[2]));
-            line(format!("e send {who}.{} served {load}", numbers[3]));
-            let served = if who == "c1" { "7\\t\\t\\n" } else { "7" };
-            line(format!("{who} expect {} served {served}", numbers[3]));
+            add_step(format!("e send {client}.{} crashed", numbers[2]));
+            add_step(format!("{client} expect {} Internal", numbers[2]));
+            add_step(format!(
+                "e send {client}.{} served {load_result}",
+                numbers[3]
+            ));
+            let load_answer = if client == "c1" { "7\\t\\t\\n" } else { "7" };
+            add_step(format!(
+                "{client} expect {} served {load_answer}",
+                numbers[3]
+            ));
         }
     }
     run_script(
--- a/tests/scenarios/process_lifecycle.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -16,7 +16,7 @@
 /// The interval and number of polls until a process has a figure: 4 s in all.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// See [`POLL_INTERVAL`].
-const POLLS: usize = 400;
+const MAX_POLLS: usize = 400;
 
 /// A workload manager whose processes share a listening socket and a folder.
 struct HotRestart {
@@ -39,19 +39,19 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("folder");
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-        let member = |n: u32| {
+        let engine_json = |number: u32| {
             format!(
-                r#"{{"instanceId":"s-{n:08x}","hostPort":"127.0.0.1:1","zone":"hall-a","machineType":"std-8c"}}"#
+                r#"{{"instanceId":"s-{number:08x}","hostPort":"127.0.0.1:1","zone":"hall-a","machineType":"std-8c"}}"#
             )
         };
-        let known = format!(
+        let first_event = format!(
             r#"{{"n":1,"members":{{"reset":true,"instances":[{},{}]}}}}"#,
-            member(1),
-            member(2)
+            engine_json(1),
+            engine_json(2)
         );
         let config = folder.join("config.json");
         let feed = "127.0.0.1:1".parse().expect("address");
-        std::fs::write(&config, configuration(feed, &known)).expect("file");
+        std::fs::write(&config, configuration(feed, &first_event)).expect("file");
         HotRestart {
             listener,
             folder,
@@ -89,16 +89,16 @@
     }
 
     /// Whether the process comes to skip this many engines.
-    fn comes_to_skip(&self, engines: usize) -> bool {
-        let wanted = format!("node.skipped_engines={engines}\n");
-        (0..POLLS).any(|_| {
+    fn reaches_skipped_engines(&self, count: usize) -> bool {
+        let wanted = format!("node.skipped_engines={count}\n");
+        (0..MAX_POLLS).any(|_| {
             std::thread::sleep(POLL_INTERVAL);
             admin_call(self.admin, "STATS").contains(&wanted)
         })
     }
 
     /// Sends SIGTERM; the process has to exit with 0.
-    fn end(mut self) {
+    fn terminate(mut self) {
         signal(&self.child, "TERM");
         assert!(self.child.wait().expect("end").success());
     }
@@ -123,29 +123,38 @@
     assert!(old.accepts("READY"));
     assert!(old.accepts("DISABLE s-00000001"));
     // No other process runs, so the old one accepts this connection.
-    let mut kept = manager.connect();
-    assert!(is_healthy(&mut kept));
+    let mut old_connection = manager.connect();
+    assert!(is_healthy(&mut old_connection));
     let mut new = manager.start();
     wait_for_line(&mut old.stderr, "peer process started");
     assert!(new.accepts("READY"));
-    assert!(new.comes_to_skip(1), "an ejection before its start");
+    assert!(
+        new.reaches_skipped_engines(1),
+        "an ejection before its start"
+    );
     assert!(old.accepts("DISABLE s-00000002"));
-    assert!(new.comes_to_skip(2), "an ejection at the old process");
+    assert!(
+        new.reaches_skipped_engines(2),
+        "an ejection at the old process"
+    );
     assert!(new.accepts("ENABLE s-00000001"));
-    assert!(old.comes_to_skip(1), "a return at the new process");
-    old.end();
-    let read = kept.read(&mut [0; 9]).expect("the end");
-    assert_eq!(read, 0, "a kept connection is closed");
+    assert!(
+        old.reaches_skipped_engines(1),
+        "a return at the new process"
+    );
+    old.terminate();
+    let read_bytes = old_connection.read(&mut [0; 9]).expect("the end");
+    assert_eq!(read_bytes, 0, "a kept connection is closed");
     wait_for_line(&mut new.stderr, "peer process ended");
     assert!(is_healthy(&mut manager.connect()));
-    new.end();
+    new.terminate();
     // A state file that cannot be read does not prevent a start.
     let state = std::fs::read_to_string(manager.state_file()).expect("state");
     assert!(state.contains("s-00000002"));
     std::fs::write(manager.state_file(), "{\"version\":1,").expect("file");
     let last = manager.start();
-    assert!(last.accepts("READY") && last.comes_to_skip(0));
-    last.end();
+    assert!(last.accepts("READY") && last.reaches_skipped_engines(0));
+    last.terminate();
 }
 
 fn usable_configuration() -> String {
@@ -171,17 +180,20 @@
 fn an_unusable_configuration_ends_the_program_with_a_message(
     #[case] name: &str,
     #[case] config: &str,
-    #[case] fronts: &str,
-    #[case] says: &str,
+    #[case] operators_file: &str,
+    #[case] expected: &str,
 ) {
-    let done = start_program(name, config, fronts)
+    let output = start_program(name, config, operators_file)
         .wait_with_output()
         .expect("end");
-    let said = String::from_utf8_lossy(&done.stderr);
-    assert!(!done.status.success() && said.contains(says), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(
+        !output.status.success() && stderr.contains(expected),
+        "{stderr}"
+    );
     assert!(
-        said.starts_with("workload-manager: ") && !said.contains("panicked"),
-        "{said}"
+        stderr.starts_with("workload-manager: ") && !stderr.contains("panicked"),
+        "{stderr}"
     );
 }
 
@@ -189,17 +201,17 @@
 #[test]
 fn signals_print_counters_reload_and_end_the_program() {
     let mut child = KillOnDrop(start_program("signals", &usable_configuration(), ""));
-    let mut said = BufReader::new(child.stderr.take().expect("stderr"));
+    let mut stderr = BufReader::new(child.stderr.take().expect("stderr"));
     let mut line = String::new();
-    let signal = |name: &str| signal(&child, name);
-    said.read_line(&mut line).expect("line");
+    let send_signal = |name: &str| signal(&child, name);
+    stderr.read_line(&mut line).expect("line");
     assert!(line.contains("n1 serves on 127.0.0.1:"), "{line}");
-    signal("USR1");
-    said.read_line(&mut line).expect("line");
+    send_signal("USR1");
+    stderr.read_line(&mut line).expect("line");
     assert!(line.contains("counters requests_accepted=0"), "{line}");
     // SIGHUP reads the file anew: one that cannot be used changes nothing, and ends nothing.
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("signals.json");
-    for (text, says) in [
+    for (text, expected) in [
         (
             "{".to_owned(),
             "reload refused, the old configuration stays in force error=configuration: EOF",
@@ -210,36 +222,38 @@
         ),
     ] {
         std::fs::write(&path, text).expect("file");
-        signal("HUP");
+        send_signal("HUP");
         line.clear();
-        said.read_line(&mut line).expect("line");
-        assert!(line.contains(says), "{line}");
+        stderr.read_line(&mut line).expect("line");
+        assert!(line.contains(expected), "{line}");
     }
-    signal("TERM");
+    send_signal("TERM");
     let mut rest = String::new();
-    said.read_to_string(&mut rest).expect("rest");
+    stderr.read_to_string(&mut rest).expect("rest");
     assert!(rest.contains("counters requests_accepted=0"), "{rest}");
     assert!(child.wait().expect("end").success());
 }
 
 /// A client's connection to a program that says where it serves, with a buffer of about so many bytes for answers.
-fn client_of(said: &mut impl BufRead, buffer: u32) -> TcpStream {
-    let serves = wait_for_line(said, "serves on");
-    let at = serves
+fn connect_client(stderr: &mut impl BufRead, receive_buffer_bytes: u32) -> TcpStream {
+    let log_line = wait_for_line(stderr, "serves on");
+    let address_text = log_line
         .split("serves on ")
         .nth(1)
         .and_then(|rest| rest.split(',').next())
         .expect("address");
-    let at: SocketAddr = at.parse().expect("address");
+    let address: SocketAddr = address_text.parse().expect("address");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("runtime");
     let stream = runtime.block_on(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("socket");
-        socket.set_recv_buffer_size(buffer).expect("option");
         socket
-            .connect(at)
+            .set_recv_buffer_size(receive_buffer_bytes)
+            .expect("option");
+        socket
+            .connect(address)
             .await
             .expect("connect")
             .into_std()
@@ -253,8 +267,8 @@
 #[test]
 fn a_client_that_reads_nothing_does_not_block_the_shutdown() {
     let mut child = KillOnDrop(start_program("reads_nothing", &usable_configuration(), ""));
-    let mut said = BufReader::new(child.stderr.take().expect("stderr"));
-    let mut client = client_of(&mut said, 2048);
+    let mut stderr = BufReader::new(child.stderr.take().expect("stderr"));
+    let mut client = connect_client(&mut stderr, 2048);
     client
         .set_write_timeout(Some(Duration::from_millis(500)))
         .expect("option");
@@ -267,38 +281,38 @@
         ]
         .concat()
     };
-    let calls = |n: u32| {
-        (n * 4096..(n + 1) * 4096)
+    let batch_of_calls = |batch: u32| {
+        (batch * 4096..(batch + 1) * 4096)
             .flat_map(call)
             .collect::<Vec<u8>>()
     };
     assert!(
         (1u32..)
-            .map(calls)
+            .map(batch_of_calls)
             .any(|calls| client.write_all(&calls).is_err())
     );
     signal(&child, "TERM");
-    let since = std::time::Instant::now();
-    let ended = loop {
-        if let Some(ended) = child.try_wait().expect("end") {
-            break ended;
+    let signalled_at = std::time::Instant::now();
+    let exit_status = loop {
+        if let Some(exit_status) = child.try_wait().expect("end") {
+            break exit_status;
         }
         assert!(
-            since.elapsed().as_secs() < 15,
+            signalled_at.elapsed().as_secs() < 15,
             "the shutdown waits for a client that reads nothing"
         );
         std::thread::sleep(Duration::from_millis(10));
     };
-    assert!(ended.success());
+    assert!(exit_status.success());
 }
 
 /// A graceful shutdown reads a new configuration, as open requests follow the list until they are over. A client keeps half a
 /// request open, so that the program has not ended when the file is read.
 #[test]
-fn a_reload_during_shutdown_moves_the_feed() {
+fn a_reload_during_shutdown_changes_the_feed_address() {
     let mut child = KillOnDrop(start_program("feed_moves", &usable_configuration(), ""));
-    let mut said = BufReader::new(child.stderr.take().expect("stderr"));
-    let mut client = client_of(&mut said, 65_536);
+    let mut stderr = BufReader::new(child.stderr.take().expect("stderr"));
+    let mut client = connect_client(&mut stderr, 65_536);
     client
         .write_all(b"\x94\x00\x01\xa6health\x91\x80")
         .expect("write");
@@ -315,21 +329,21 @@
     ["TERM", "HUP"]
         .into_iter()
         .for_each(|name| signal(&child, name));
-    wait_for_line(&mut said, &format!("reload complete feed={address}"));
-    let mut last = [0; 8];
+    wait_for_line(&mut stderr, &format!("reload complete feed={address}"));
+    let mut last_event = [0; 8];
     feed.accept()
         .expect("accept")
         .0
-        .read_exact(&mut last)
+        .read_exact(&mut last_event)
         .expect("the last event");
-    assert_eq!(u64::from_be_bytes(last), 1);
+    assert_eq!(u64::from_be_bytes(last_event), 1);
     assert!(child.wait().expect("end").success());
 }
 
 /// The file that shows how to turn the further fronts on can be used as it is.
 #[test]
-fn the_example_file_of_optional_fronts_loads() {
+fn the_example_file_of_optional_front_ends_loads() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/fronts.example.toml");
-    let fronts = OptionalFronts::load(&path).expect("file");
-    assert!(fronts.flight.is_some() && fronts.snmp.is_some());
+    let front_ends = OptionalFronts::load(&path).expect("file");
+    assert!(front_ends.flight.is_some() && front_ends.snmp.is_some());
 }
--- a/tests/scenarios/snmp_agent.rs
+++ b/tests/scenarios/snmp_agent.rs
@@ -34,7 +34,7 @@
     s expect $.100.1.5.3=EndOfMibView
 "
 )]
-#[case::get_bulk_returns_repetitions(
+#[case::get_bulk_returns_non_repeaters_and_repetitions(
     "
     s send bulk 1 2 $ $.3
     s expect $.1.0=0 $.3.0=0 $.4.0=0
@@ -50,7 +50,7 @@
     s expect error 17
 "
 )]
-#[case::malformed_and_foreign_requests_get_no_answer(
+#[case::malformed_requests_other_communities_and_other_versions_get_no_answer(
     "
     s send get@other $.1.0
     wait snmp_dropped=1
