--- a/tests/order_keys.rs
+++ b/tests/order_keys.rs
@@ -1,7 +1,9 @@
-//! Requests that keep order: on real connections those of one key run one at a time, in the order in which they were
-//! taken, and the key rests after an attempt that may still run.
+//! Requests with order keys, on loopback connections. Requests of one key run one at a time, in the
+//! order of their admission, and the key is paused after an attempt that may still run.
 //!
-//! `wait attempts_started=N` fails where more than N attempts have left the core, which sends in the turn in which it takes.
+//! The step `wait attempts_started=N` fails if more than N attempts were started. The core starts
+//! an attempt that need not wait in the same turn of its loop in which it admits the request, so an
+//! attempt that is too early is counted as soon as its request is.
 
 #[allow(dead_code, reason = "each test target uses a part of the scene")]
 mod scene;
--- a/tests/order_keys_hot_restart.rs
+++ b/tests/order_keys_hot_restart.rs
@@ -1,11 +1,12 @@
-//! Requests that keep order in an upgrade: two real processes of one workload manager side by side, which meet only in
-//! the folder of `TMPDIR`. Requests of one key run one at a time over both.
+//! Requests with order keys during a hot restart. Two processes of one workload manager run at the
+//! same time and share only the folder in `TMPDIR`. Requests of one key run one at a time over both
+//! processes.
 //!
-//! Each process gets a listening socket of its own, so that the test chooses which one takes a request; the platform
-//! hands both the same one. The rest of a key is checked by the time that has passed at least: a slow machine only
-//! makes it longer.
+//! Each process has a listening socket of its own, so that the test chooses which process gets a
+//! request; the platform passes the same socket to both. The tests check only a lower bound of a
+//! key's pause, because a slow machine makes it longer.
 
-#[allow(dead_code)] // the clients and engines of the scenes, without the scenes
+#[allow(dead_code)] // uses the clients, engines and processes of the scene, not its scripts
 mod scene;
 
 use rstest::rstest;
@@ -17,19 +18,20 @@
 use std::time::{Duration, Instant};
 use workload_manager::node_config::EngineProtocol;
 
-/// `orderPauseMs` of the configuration.
+/// How long a key is paused: `orderPauseMs` of the configuration.
 const KEY_PAUSE: Duration = Duration::from_millis(300);
 
-/// How long a client waits unless a test says otherwise.
+/// The client timeout, in ms, unless a test sets another one.
 const CLIENT_TIMEOUT: &str = "allow=9000";
 
-/// It may run once only, so that no attempt is called off for another one while the test holds it.
+/// A request class that is not idempotent, so that no attempt is cancelled and retried while the
+/// test withholds its answer.
 const NON_IDEMPOTENT_CLASS: &str = "log-load";
 
 const ORDER_KEY: &str = "lookup=7f3a9c21e0b4d655";
 const OTHER_ORDER_KEY: &str = "lookup=00000000000000aa";
 
-/// Both processes, with engines that hold their answers.
+/// Both processes, with engines that answer only when a test step says so.
 struct HotRestart {
     fleet: Fleet,
     old: ManagerProcess,
@@ -38,7 +40,8 @@
 }
 
 impl HotRestart {
-    /// The old process has a request of the key out, `c1.1`; then the successor comes up.
+    /// Starts the old process, which sends a request with the key, `c1.1`, to an engine; then
+    /// starts the successor process.
     async fn start_with_first_request(name: &str, timeout_field: &str) -> (HotRestart, Client) {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("order-{name}"));
         let _ = std::fs::remove_dir_all(&folder);
@@ -69,22 +72,25 @@
         )
     }
 
+    /// Runs one step of the engines.
     async fn engine_step(&mut self, verb: &str, rest: &[&str]) {
         within_timeout(&rest.join(" "), self.fleet.step("e", verb, rest)).await;
     }
 
-    /// The successor takes a request of the key, `c2.1`, and sends nothing; what has another key goes at once.
+    /// Checks that the successor process accepts a request of the key, `c2.1`, without starting an
+    /// attempt, and that a request with another key is sent at once.
     async fn expect_second_request_waits(&mut self) -> Client {
         let mut second_client = Client::new("c2", self.new.address).await;
         second_client
             .step("send", &["1", NON_IDEMPOTENT_CLASS, ORDER_KEY])
             .await;
-        // The core sends in the turn in which it takes.
+        // The core starts an attempt that need not wait in the same turn of its loop in which it
+        // admits the request.
         let counters = self.new.await_counter("requests_accepted=1").await;
         assert!(
             has_counter(&counters, "attempts_started=0")
                 && has_counter(&counters, "requests_held_for_order_key=1"),
-            "two requests of one key are out at once: {counters}"
+            "two requests of one key are in flight at the same time: {counters}"
         );
         let mut third_client = Client::new("c3", self.new.address).await;
         third_client
@@ -101,7 +107,7 @@
         let counters = self.new.await_counter("requests_accepted=2").await;
         assert!(
             has_counter(&counters, "attempts_started=1"),
-            "two requests of one key are out at once: {counters}"
+            "two requests of one key are in flight at the same time: {counters}"
         );
         second_client
     }
@@ -133,7 +139,7 @@
     runtime.expect("runtime").block_on(test);
 }
 
-/// The first one is served: the second goes then.
+/// The request at the successor process is sent as soon as the one at the old process is served.
 #[test]
 fn a_successor_process_waits_for_the_request_of_the_old_process() {
     block_on(async {
@@ -154,18 +160,18 @@
     });
 }
 
-/// How the first one ends although it may still run.
+/// How the first request ends although its attempt may still run.
 #[derive(Clone, Copy)]
 enum UnconfirmedEnd {
-    /// After 6 s, of which the answer may take up to 0.1 s.
+    /// At its deadline of 6 s; the answer may come up to 0.1 s earlier.
     TimedOut,
     Cancelled,
     Reset,
-    /// Its process is killed.
+    /// The old process is killed.
     Killed,
 }
 
-/// What may still run makes the key rest, over both processes.
+/// An attempt that may still run pauses the key in both processes.
 #[rstest]
 #[case::timeout("timed-out", UnconfirmedEnd::TimedOut)]
 #[case::cancellation("cancelled", UnconfirmedEnd::Cancelled)]
@@ -206,13 +212,13 @@
             }
             UnconfirmedEnd::Killed => {
                 processes.old.child.kill().expect("kill");
-                processes.old.child.wait().expect("end");
+                processes.old.child.wait().expect("exit status");
             }
         }
         processes.expect_second_attempt().await;
         assert!(
             ended_at.elapsed() >= KEY_PAUSE,
-            "the key did not rest: {:?}",
+            "the key was paused for too short a time: {:?}",
             ended_at.elapsed()
         );
         processes.serve_second_request(&mut second_client).await;
@@ -220,8 +226,8 @@
     });
 }
 
-/// The other way round: the old process holds its request of the key back while the successor has one out, and answers
-/// it at its deadline without an attempt.
+/// In the other direction: the old process holds back its request of the key while one of the
+/// successor process is in flight, and answers it at its deadline without an attempt.
 #[test]
 fn the_old_process_waits_for_the_request_of_its_successor() {
     block_on(async {
@@ -249,14 +255,15 @@
         let counters = processes.old.await_counter("requests_failed=1").await;
         assert!(
             has_counter(&counters, "attempts_started=1"),
-            "two requests of one key are out at once: {counters}"
+            "two requests of one key are in flight at the same time: {counters}"
         );
         processes.serve_second_request(&mut second_client).await;
         processes.finish();
     });
 }
 
-/// The old process, while it shuts down, serves what it accepted; its request of the key goes first.
+/// The old process serves its accepted requests during its graceful shutdown. The request of the
+/// key at the successor process waits until the one at the old process is served.
 #[test]
 fn graceful_shutdown_hands_the_key_over() {
     block_on(async {
@@ -274,7 +281,7 @@
         .await;
         processes.expect_second_attempt().await;
         processes.serve_second_request(&mut second_client).await;
-        assert!(processes.old.child.wait().expect("end").success());
+        assert!(processes.old.child.wait().expect("exit status").success());
         processes.finish();
     });
 }
