--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -1,4 +1,5 @@
-//! Scenarios on loopback sockets; `scene` says how they read.
+//! Scenarios that run a complete workload manager on loopback sockets. The module `scene` describes
+//! the steps of their scripts.
 
 #[path = "../scene/mod.rs"]
 #[allow(dead_code, reason = "each test target uses a part of the scene")]
--- a/tests/scenarios/process_lifecycle.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The program as a process: start, signals, hot restart and shutdown.
+//! The program as a process: its start, signals, hot restart and graceful shutdown.
 
 use crate::scene::child_process::{
     KillOnDrop, addresses, admin_call, signal, start_program, start_with_listener, stderr_of,
@@ -13,19 +13,19 @@
 use std::time::Duration;
 use workload_manager::node_config::OptionalFronts;
 
-/// The interval and number of polls until a process has a figure: 4 s in all.
+/// Interval between two polls of the admin figures of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// See [`POLL_INTERVAL`].
+/// Polls before a check fails: 4 s in all.
 const MAX_POLLS: usize = 400;
 
-/// A workload manager whose processes share a listening socket and a folder.
+/// A workload manager whose processes share a listening socket, a configuration and a folder.
 struct HotRestart {
     listener: TcpListener,
     folder: PathBuf,
     config: PathBuf,
 }
 
-/// One process of it.
+/// One process of the workload manager.
 struct Process {
     child: Child,
     stderr: BufReader<ChildStderr>,
@@ -33,7 +33,7 @@
 }
 
 impl HotRestart {
-    /// An empty folder, and a configuration with two engines.
+    /// Creates an empty folder, a listening socket and a configuration with two engines.
     fn new() -> HotRestart {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("upgrade");
         let _ = std::fs::remove_dir_all(&folder);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Starts a process, and waits until it prints its admin address.
+    /// Starts a process and waits until it prints its admin address.
     fn start(&self) -> Process {
         let mut child = start_with_listener(&self.listener, &self.config, &self.folder);
         let mut stderr = stderr_of(&mut child);
@@ -76,19 +76,19 @@
         TcpStream::connect(address).expect("connect")
     }
 
-    /// The file in which the processes keep manual ejections.
+    /// The file in which the processes store manual ejections.
     fn state_file(&self) -> PathBuf {
         self.folder.join("magpiechute-n1.state")
     }
 }
 
 impl Process {
-    /// Whether the process accepts a command.
+    /// Whether the process answers an admin command with status 200.
     fn accepts(&self, command: &str) -> bool {
         admin_call(self.admin, command).starts_with("200")
     }
 
-    /// Whether the process comes to skip this many engines.
+    /// Waits until the process skips this many engines; false if it does not within 4 s.
     fn reaches_skipped_engines(&self, count: usize) -> bool {
         let wanted = format!("node.skipped_engines={count}\n");
         (0..MAX_POLLS).any(|_| {
@@ -97,10 +97,10 @@
         })
     }
 
-    /// Sends SIGTERM; the process has to exit with 0.
+    /// Sends SIGTERM and checks that the process exits with code 0.
     fn terminate(mut self) {
         signal(&self.child, "TERM");
-        assert!(self.child.wait().expect("end").success());
+        assert!(self.child.wait().expect("exit status").success());
     }
 }
 
@@ -114,15 +114,16 @@
     answer[5] == 0xc3
 }
 
-/// Two processes are one workload manager: a manual ejection at one holds in both and in the next. The old one leaves the
-/// socket to its successor, serves what it accepted and ends.
+/// Two processes serve as one workload manager: a manual ejection at one of them applies in both
+/// and in the next process. The old process leaves the socket to its successor, serves the
+/// connections that it has accepted, and ends.
 #[test]
 fn hot_restart_shares_manual_ejections_and_hands_the_socket_over() {
     let manager = HotRestart::new();
     let mut old = manager.start();
     assert!(old.accepts("READY"));
     assert!(old.accepts("DISABLE s-00000001"));
-    // No other process runs, so the old one accepts this connection.
+    // No other process runs yet, so the old process accepts this connection.
     let mut old_connection = manager.connect();
     assert!(is_healthy(&mut old_connection));
     let mut new = manager.start();
@@ -130,25 +131,27 @@
     assert!(new.accepts("READY"));
     assert!(
         new.reaches_skipped_engines(1),
-        "an ejection before its start"
+        "the new process does not skip an engine ejected before its start"
     );
     assert!(old.accepts("DISABLE s-00000002"));
     assert!(
         new.reaches_skipped_engines(2),
-        "an ejection at the old process"
+        "the new process does not skip an engine ejected at the old one"
     );
     assert!(new.accepts("ENABLE s-00000001"));
     assert!(
         old.reaches_skipped_engines(1),
-        "a return at the new process"
+        "the old process still skips an engine returned to service at the new one"
     );
     old.terminate();
-    let read_bytes = old_connection.read(&mut [0; 9]).expect("the end");
-    assert_eq!(read_bytes, 0, "a kept connection is closed");
+    let read_bytes = old_connection
+        .read(&mut [0; 9])
+        .expect("end of the connection");
+    assert_eq!(read_bytes, 0, "the old process closes its connections");
     wait_for_line(&mut new.stderr, "peer process ended");
     assert!(is_healthy(&mut manager.connect()));
     new.terminate();
-    // A state file that cannot be read does not prevent a start.
+    // A state file that cannot be parsed does not prevent a start.
     let state = std::fs::read_to_string(manager.state_file()).expect("state");
     assert!(state.contains("s-00000002"));
     std::fs::write(manager.state_file(), "{\"version\":1,").expect("file");
@@ -164,7 +167,8 @@
     )
 }
 
-/// An unusable configuration gives a plain message and a non-zero exit code.
+/// The program ends with an error message and a non-zero exit code if its configuration or the
+/// operators' file is unusable. It does not panic.
 #[rstest]
 #[case::not_json("not_json", "{", "", "configuration: EOF")]
 #[case::no_class("no_class", &usable_configuration().replace("\"classes\":[", "\"classes\":[],\"was\":["), "", "no request class")]
@@ -185,7 +189,7 @@
 ) {
     let output = start_program(name, config, operators_file)
         .wait_with_output()
-        .expect("end");
+        .expect("output");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
         !output.status.success() && stderr.contains(expected),
@@ -197,7 +201,8 @@
     );
 }
 
-/// A graceful shutdown prints the counters and exits 0; so does SIGUSR1 in between.
+/// SIGUSR1 prints the counters, SIGHUP reloads the configuration, and SIGTERM starts a graceful
+/// shutdown, which prints the counters and exits with code 0.
 #[test]
 fn signals_print_counters_reload_and_end_the_program() {
     let mut child = KillOnDrop(start_program("signals", &usable_configuration(), ""));
@@ -209,7 +214,8 @@
     send_signal("USR1");
     stderr.read_line(&mut line).expect("line");
     assert!(line.contains("counters requests_accepted=0"), "{line}");
-    // SIGHUP reads the file anew: one that cannot be used changes nothing, and ends nothing.
+    // SIGHUP reads the configuration again. An unusable one is rejected, and the process continues
+    // with the current one.
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("signals.json");
     for (text, expected) in [
         (
@@ -231,10 +237,11 @@
     let mut rest = String::new();
     stderr.read_to_string(&mut rest).expect("rest");
     assert!(rest.contains("counters requests_accepted=0"), "{rest}");
-    assert!(child.wait().expect("end").success());
+    assert!(child.wait().expect("exit status").success());
 }
 
-/// A client's connection to a program that says where it serves, with a buffer of about so many bytes for answers.
+/// Connects a client to the address that the program prints, with a receive buffer of about this
+/// size.
 fn connect_client(stderr: &mut impl BufRead, receive_buffer_bytes: u32) -> TcpStream {
     let log_line = wait_for_line(stderr, "serves on");
     let address_text = log_line
@@ -263,7 +270,7 @@
     stream
 }
 
-/// A client that takes none of its answers does not block the shutdown.
+/// A client that reads none of its answers does not block the shutdown.
 #[test]
 fn a_client_that_reads_nothing_does_not_block_the_shutdown() {
     let mut child = KillOnDrop(start_program("reads_nothing", &usable_configuration(), ""));
@@ -272,7 +279,7 @@
     client
         .set_write_timeout(Some(Duration::from_millis(500)))
         .expect("option");
-    // Until the buffers of both sides are full.
+    // A write fails when the buffers of both sides are full.
     let call = |id: u32| {
         [
             b"\x94\x00\xce",
@@ -294,7 +301,7 @@
     signal(&child, "TERM");
     let signalled_at = std::time::Instant::now();
     let exit_status = loop {
-        if let Some(exit_status) = child.try_wait().expect("end") {
+        if let Some(exit_status) = child.try_wait().expect("exit status") {
             break exit_status;
         }
         assert!(
@@ -306,8 +313,9 @@
     assert!(exit_status.success());
 }
 
-/// A graceful shutdown reads a new configuration, as open requests follow the list until they are over. A client keeps half a
-/// request open, so that the program has not ended when the file is read.
+/// A reload applies during a graceful shutdown too, because open requests use the endpoint list
+/// until they end. A client has sent only a part of a request, so that the program still runs when
+/// it reads the file.
 #[test]
 fn a_reload_during_shutdown_changes_the_feed_address() {
     let mut child = KillOnDrop(start_program("feed_moves", &usable_configuration(), ""));
@@ -335,12 +343,12 @@
         .expect("accept")
         .0
         .read_exact(&mut last_event)
-        .expect("the last event");
+        .expect("the number of the last event");
     assert_eq!(u64::from_be_bytes(last_event), 1);
-    assert!(child.wait().expect("end").success());
+    assert!(child.wait().expect("exit status").success());
 }
 
-/// The file that shows how to turn the further fronts on can be used as it is.
+/// The example file that enables the optional front ends is valid as it is.
 #[test]
 fn the_example_file_of_optional_front_ends_loads() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/fronts.example.toml");
