--- a/tests/scenarios/admin_address.rs
+++ b/tests/scenarios/admin_address.rs
@@ -1,4 +1,4 @@
-//! Commands at the admin address.
+//! Commands at the admin address: readiness, figures, manual ejection and draining.
 
 use crate::scene::run_script;
 use rstest::rstest;
--- a/tests/scenarios/attempts.rs
+++ b/tests/scenarios/attempts.rs
@@ -1,4 +1,5 @@
-//! What becomes of a request: its attempts, their ends, and what may follow them.
+//! The attempts of a request: how they end, and whether a retry, an error or a cancellation
+//! follows.
 
 use crate::scene::run_script;
 use rstest::rstest;
--- a/tests/scenarios/configuration.rs
+++ b/tests/scenarios/configuration.rs
@@ -1,4 +1,4 @@
-//! The control feed and the list, and configurations that are read anew.
+//! The discovery feed, the endpoint list and reloads of the configuration.
 
 use crate::scene::run_script;
 use rstest::rstest;
--- a/tests/scenarios/connections.rs
+++ b/tests/scenarios/connections.rs
@@ -1,9 +1,10 @@
-//! Connections of clients and to engines: who gets one, and who shares it.
+//! Client connections and engine connections: which are opened, shared, evicted and closed.
 
 use crate::scene::run_script;
 use workload_manager::node_config::EngineProtocol;
 
-/// Clients that ask once and keep their connection for good take no place from others, nor do silent ones.
+/// Connections of clients that have sent one request, and connections of clients that have sent
+/// only a part of a message, do not keep other clients out: they are evicted for new connections.
 #[test]
 fn idle_connections_are_evicted_for_new_clients() {
     let (mut script, mut requests_served) = (String::new(), 0);
@@ -17,7 +18,8 @@
     };
     for client in 1..=100 {
         script += &served_request(format!("c{client}"), 1);
-        // Silent ones among them make room for each other, and for these.
+        // The clients that send only a part of a message are evicted for one another and for the
+        // clients that send requests.
         script += &format!("c{} send raw 94\n", 1000 + client);
     }
     script += &served_request("c100".to_owned(), 2);
@@ -28,7 +30,8 @@
     );
 }
 
-/// A client that goes on with what is no use as fast as it is turned away is closed, once it was answered often.
+/// A client that keeps sending invalid calls as fast as they are rejected gets an error for each of
+/// the first 64; at the next one its connection is closed.
 #[test]
 fn repeated_malformed_calls_close_the_connection() {
     let calls: String = (1..=65)
@@ -41,8 +44,9 @@
     );
 }
 
-/// A connection that idles may be reset by what comes next, so a load takes a new one unless this one has just
-/// answered; a query that may be sent again does not. (What takes the time here is the close of a silent client.)
+/// The engine may reset an idle connection just as the next request is written. So a bulk load gets
+/// a new connection unless an existing one answered just before it; an idempotent query uses an
+/// idle connection. The idle times of the script are the times until a silent client is closed.
 #[test]
 fn a_bulk_load_gets_a_new_connection_if_the_existing_one_was_idle() {
     let served_attempt = |number: u32| {
@@ -69,18 +73,20 @@
     );
 }
 
-/// A machine that vanished leaves its connections open and silent: what is new tries another one. (What takes the
-/// time here is the close of a silent client.)
+/// If the machine of an engine fails, its connections stay open and silent. New attempts therefore
+/// get another connection. The time of silence in the script is the time until a silent client is
+/// closed.
 #[test]
 fn a_silent_connection_gets_no_new_attempts() {
-    // Of an effort that lets it wait on for longer than this.
+    // The estimated work is so large that the attempt does not count as hung within this time.
     let script = "c1 send 1 usage-report effort=9000.0\ne expect ASK c1.1\nc2 expect closed\nc1 send 2 seat-check\n\
                   e expect ASK c1.2\ne send c1.2 served batches=1 a\\n\nc1 expect 2 served a\\n\n\
                   wait engine_connections=2\nc1 send cancel 1\ne expect QUIT c1.1\n";
     run_script(1, EngineProtocol::Lines, script);
 }
 
-/// Over 32 open on one connection: refused on the spot, while those open go on.
+/// A client connection may have 32 open requests. A further one is rejected at once, and the open
+/// ones continue.
 #[test]
 fn the_thirty_third_open_request_is_rejected() {
     let open: String = (1..=32)
--- a/tests/scenarios/faulty_peers.rs
+++ b/tests/scenarios/faulty_peers.rs
@@ -1,4 +1,5 @@
-//! Clients and engines that do what they should not, or leave; and the planned end.
+//! Clients and engines that break the protocol, stay silent or disconnect, and the graceful
+//! shutdown of the workload manager.
 
 use crate::scene::run_script;
 use rstest::rstest;
--- a/tests/scenarios/flight_sql.rs
+++ b/tests/scenarios/flight_sql.rs
@@ -1,10 +1,9 @@
-//! Flight SQL clients and engines.
+//! Flight SQL clients with Flight SQL engines.
 
 use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
-/// Flight SQL clients and engines.
 #[rstest]
 #[case::a_result_and_an_update_count_are_answered(
     "
--- a/tests/scenarios/front_end_combinations.rs
+++ b/tests/scenarios/front_end_combinations.rs
@@ -1,10 +1,10 @@
-//! Both fronts, each on engines of the other protocol, and together.
+//! Both front ends: each with engines of the other protocol, and both at the same time.
 
 use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
-/// Each front serves from engines of the other protocol.
+/// Each front end serves its clients from engines of the other protocol.
 #[rstest]
 #[case::flight_client_with_line_engines_is_served(
     EngineProtocol::Lines,
@@ -42,7 +42,8 @@
     run_script(2, protocol, script);
 }
 
-/// A Monday rush: one client on both protocols at once, round after round, with every kind of end among them.
+/// One tenant sends requests on both client protocols at the same time, in twelve rounds. In each
+/// round some requests are served, some fail, and some are retried after a rejection.
 #[rstest]
 #[case(EngineProtocol::Lines)]
 #[case(EngineProtocol::Flight)]
@@ -58,7 +59,7 @@
     };
     let mut script = String::new();
     for round in 0..12 {
-        // Eight open on each protocol at once, in two groups of four.
+        // Eight requests are open on each protocol at the same time, in two groups of four.
         let groups: Vec<Vec<u32>> = (0..2)
             .map(|group| (1..=4).map(|n| round * 8 + group * 4 + n).collect())
             .collect();
@@ -80,7 +81,7 @@
             numbers
                 .iter()
                 .for_each(|n| add_step(format!("e expect ASK {client}.{n}")));
-            // One load is turned away and goes again; the other fails and does not.
+            // One bulk load is rejected by its engine and retried; the other fails and is not.
             add_step(format!("e send {client}.{} overload", numbers[3]));
             add_step(format!("e expect ASK {client}.{}", numbers[3]));
             for number in &numbers[..2] {
--- a/tests/scenarios/snmp_agent.rs
+++ b/tests/scenarios/snmp_agent.rs
@@ -1,10 +1,9 @@
-//! The SNMP agent.
+//! The SNMP agent: which requests it answers, and with which values.
 
 use crate::scene::run_script;
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
-/// The SNMP agent.
 #[rstest]
 #[case::get_returns_the_counter(
     "
