--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -27,9 +27,9 @@
 struct EngineCounters {
     connections: AtomicU64,
     statements: AtomicU64,
-    received: AtomicU64,
-    sent: AtomicU64,
-    used: Mutex<HashSet<IpAddr>>,
+    bytes_received: AtomicU64,
+    bytes_sent: AtomicU64,
+    engines_used: Mutex<HashSet<IpAddr>>,
 }
 
 /// Figures of the engines together.
@@ -40,11 +40,11 @@
     /// Statements received.
     pub statements: u64,
     /// Bytes received, without cancellations.
-    pub received: u64,
+    pub bytes_received: u64,
     /// Bytes sent.
-    pub sent: u64,
+    pub bytes_sent: u64,
     /// Engines that received a statement.
-    pub used: usize,
+    pub engines_used: usize,
 }
 
 /// All engines of a list; they end with this value.
@@ -91,11 +91,11 @@
         EngineTotals {
             connections: read(&self.counters.connections),
             statements: read(&self.counters.statements),
-            received: read(&self.counters.received),
-            sent: read(&self.counters.sent),
-            used: self
+            bytes_received: read(&self.counters.bytes_received),
+            bytes_sent: read(&self.counters.bytes_sent),
+            engines_used: self
                 .counters
-                .used
+                .engines_used
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .len(),
@@ -139,7 +139,7 @@
             return;
         }
         counters
-            .received
+            .bytes_received
             .fetch_add(line.len() as u64, Ordering::Relaxed);
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
@@ -156,12 +156,12 @@
                     return;
                 }
                 counters
-                    .received
+                    .bytes_received
                     .fetch_add(statement.len() as u64, Ordering::Relaxed);
                 counters.statements.fetch_add(1, Ordering::Relaxed);
                 if let Ok(engine) = engine {
                     counters
-                        .used
+                        .engines_used
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .insert(engine);
@@ -190,7 +190,7 @@
             return;
         }
         counters
-            .sent
+            .bytes_sent
             .fetch_add(text.len() as u64, Ordering::Relaxed);
     }
 }
--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -28,74 +28,74 @@
 const LISTED: [usize; 5] = [80, 1_024, 4_096, 10_000, 22_000];
 const LISTED_SMALL: [usize; 4] = [16, 32, 64, 128];
 /// The rates of the rounds, as parts of what a core gives.
-const RATES: [f64; 3] = [USUAL_RATE, 0.5, 1.0];
+const RATE_FRACTIONS: [f64; 3] = [USUAL_RATE_FRACTION, 0.5, 1.0];
 /// The rate whose cost stands for a statement's: the process is not overloaded by it, though a statement alone costs
 /// more than one among many that are open.
-const USUAL_RATE: f64 = 0.25;
+const USUAL_RATE_FRACTION: f64 = 0.25;
 /// Statements open at once while it is found out what a core gives.
-const OPEN_AT_ONCE: u64 = 128;
+const SATURATED_OPEN_STATEMENTS: u64 = 128;
 /// What a manager writes to the list feed for each connection, and nothing else.
 const CONNECT_BYTES: u64 = 8;
 /// What the list and connections leave behind is over by then.
-const SETTLED: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// How much is played at one size.
 #[derive(Clone, Copy)]
-struct Effort {
-    rest: Duration,
-    churn: Duration,
+struct RunPlan {
+    rest_duration: Duration,
+    churn_duration: Duration,
     /// Replaced engines; ten ordinary days in one where none is given.
-    replaced: Option<churn::Rate>,
+    replacement_rate: Option<churn::Rate>,
     /// While what a core gives is found out; none where the rate is given.
-    saturated: Option<Duration>,
+    saturated_duration: Option<Duration>,
     /// One round of statements at one rate.
-    round: Duration,
+    round_duration: Duration,
     /// Rounds are played with each of these numbers of connections.
-    rounds_at: &'static [usize],
+    round_connections: &'static [usize],
     /// Memory is taken with each of these.
-    connections: &'static [usize],
-    settled: Duration,
+    idle_connections: &'static [usize],
+    settle_time: Duration,
 }
 
-const LARGEST: Effort = Effort {
-    rest: Duration::from_secs(60),
-    churn: Duration::from_secs(60),
-    replaced: None,
-    saturated: Some(Duration::from_secs(10)),
-    round: Duration::from_secs(60),
-    rounds_at: &[100, 2_351],
-    connections: &[100, 500, 1_000, 2_351],
-    settled: SETTLED,
+const LARGEST: RunPlan = RunPlan {
+    rest_duration: Duration::from_secs(60),
+    churn_duration: Duration::from_secs(60),
+    replacement_rate: None,
+    saturated_duration: Some(Duration::from_secs(10)),
+    round_duration: Duration::from_secs(60),
+    round_connections: &[100, 2_351],
+    idle_connections: &[100, 500, 1_000, 2_351],
+    settle_time: SETTLE_TIME,
 };
-const SMALLER: Effort = Effort {
-    rest: Duration::from_secs(10),
-    churn: Duration::from_secs(10),
-    saturated: Some(Duration::from_secs(5)),
-    round: Duration::from_secs(10),
-    rounds_at: &[2_351],
-    connections: &[2_351],
+const SMALLER: RunPlan = RunPlan {
+    rest_duration: Duration::from_secs(10),
+    churn_duration: Duration::from_secs(10),
+    saturated_duration: Some(Duration::from_secs(5)),
+    round_duration: Duration::from_secs(10),
+    round_connections: &[2_351],
+    idle_connections: &[2_351],
     ..LARGEST
 };
-const SMALL: Effort = Effort {
-    rest: Duration::from_millis(100),
-    churn: Duration::from_millis(200),
-    replaced: Some(churn::Rate {
+const SMALL: RunPlan = RunPlan {
+    rest_duration: Duration::from_millis(100),
+    churn_duration: Duration::from_millis(200),
+    replacement_rate: Some(churn::Rate {
         interval: Duration::from_millis(100),
         most: Some(3),
     }),
-    saturated: None,
-    round: Duration::from_millis(100),
-    rounds_at: &[8],
-    connections: &[8],
-    settled: Duration::from_millis(10),
+    saturated_duration: None,
+    round_duration: Duration::from_millis(100),
+    round_connections: &[8],
+    idle_connections: &[8],
+    settle_time: Duration::from_millis(10),
 };
-const SMALL_LARGEST: Effort = Effort {
-    rounds_at: &[2, 8],
-    connections: &[2, 4, 6, 8],
+const SMALL_LARGEST: RunPlan = RunPlan {
+    round_connections: &[2, 8],
+    idle_connections: &[2, 4, 6, 8],
     ..SMALL
 };
 /// What a core is taken to give in the small case, where it is not found out.
-const SMALL_RATE: f64 = 200.0;
+const SMALL_STATEMENTS_PER_SECOND: f64 = 200.0;
 
 /// Plays all sizes but the largest, predicts that one once it is known how many engines it takes up, and plays it.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
@@ -103,29 +103,29 @@
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
     };
-    let (of_smaller, of_largest) = if options.small {
+    let (smaller_plan, largest_plan) = if options.small {
         (SMALL, SMALL_LARGEST)
     } else {
         (SMALLER, LARGEST)
     };
     let mut rows = Vec::new();
     for listed in smaller {
-        rows.push(ManagerBench::start(options, *listed, of_smaller)?.play(output)?);
+        rows.push(ManagerBench::start(options, *listed, smaller_plan)?.run_phases(output)?);
     }
-    let bench = ManagerBench::start(options, *largest, of_largest)?;
+    let bench = ManagerBench::start(options, *largest, largest_plan)?;
     let predictions = predict(output, &rows, bench.deployment.known)?;
-    let measured = bench.play(output)?;
-    for (reading, prediction) in predictions {
-        prediction.check(output, reading(&measured))?;
+    let measured = bench.run_phases(output)?;
+    for (read_figure, prediction) in predictions {
+        prediction.check(output, read_figure(&measured))?;
     }
     Ok(())
 }
 
 /// How to read a figure off what a size came to.
-type Reading = fn(&SummaryRow) -> f64;
+type FigureReader = fn(&SummaryRow) -> f64;
 
 /// The figures that are fitted over the engines taken up.
-const FIGURES: [(&str, Reading); 3] = [
+const FITTED_FIGURES: [(&str, FigureReader); 3] = [
     ("us_statement_usual", |row| row.us_statement_usual),
     ("percent_core_control", |row| row.percent_core_control),
     ("mb_before_clients", |row| row.mb_before_clients),
@@ -135,12 +135,12 @@
     output: &mut Output,
     rows: &[SummaryRow],
     known: u64,
-) -> Result<Vec<(Reading, Prediction)>, ScaleError> {
+) -> Result<Vec<(FigureReader, Prediction)>, ScaleError> {
     let mut predictions = Vec::new();
-    for (figure, reading) in FIGURES {
+    for (figure, read_figure) in FITTED_FIGURES {
         let points: Vec<Point> = rows
             .iter()
-            .map(|row| (row.known() as f64, reading(row)))
+            .map(|row| (row.known() as f64, read_figure(row)))
             .collect();
         let figure = Figure {
             test: TEST,
@@ -148,7 +148,7 @@
             over: "known",
         };
         predictions.push((
-            reading,
+            read_figure,
             Prediction::write(output, figure, &points, known as f64)?,
         ));
     }
@@ -156,7 +156,7 @@
 }
 
 /// Statements a second that were served, or those of the size where they were more.
-fn most(saturated: &StatementsRow) -> f64 {
+fn attainable_rate(saturated: &StatementsRow) -> f64 {
     saturated.served_per_second.min(fleet::STATEMENTS)
 }
 
@@ -168,11 +168,11 @@
     engines: Engines,
     list: Vec<EngineRecord>,
     deployment: Deployment,
-    effort: Effort,
+    plan: RunPlan,
 }
 
 impl ManagerBench {
-    fn start(options: &Options, listed: usize, effort: Effort) -> Result<ManagerBench, ScaleError> {
+    fn start(options: &Options, listed: usize, plan: RunPlan) -> Result<ManagerBench, ScaleError> {
         let engines = Engines::start()?;
         let list = configuration::listed(listed, engines.port);
         let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
@@ -184,7 +184,7 @@
             listed: &list,
         };
         let manager = ManagerProcess::start(TEST, &configuration.value().to_string())?;
-        thread::sleep(effort.settled);
+        thread::sleep(plan.settle_time);
         let counters = manager.counters()?;
         let count = |name| counters.get(name).copied().unwrap_or_default();
         let deployment = Deployment {
@@ -206,19 +206,22 @@
             engines,
             list,
             deployment,
-            effort,
+            plan,
         })
     }
 
     /// All phases, those of control first.
-    fn play(&self, output: &mut Output) -> Result<SummaryRow, ScaleError> {
+    fn run_phases(&self, output: &mut Output) -> Result<SummaryRow, ScaleError> {
         let mb_before_clients = megabytes(self.manager.memory()?.resident);
-        self.control(output, Phase::Rest, None)?;
-        let rate = self.effort.replaced.unwrap_or_else(churn::Rate::ten_days);
+        self.measure_control(output, Phase::Rest, None)?;
+        let rate = self
+            .plan
+            .replacement_rate
+            .unwrap_or_else(churn::Rate::ten_days);
         let churn = Churn::start(&self.feed, &self.list, self.engines.port, rate);
-        let control = self.control(output, Phase::Churn, Some((&churn, rate)))?;
-        self.connections(output)?;
-        let rounds = self.rounds(output, &churn, control.percent_core / 100.0)?;
+        let control = self.measure_control(output, Phase::Churn, Some((&churn, rate)))?;
+        self.measure_connections(output)?;
+        let rounds = self.run_rounds(output, &churn, control.percent_core / 100.0)?;
         self.check_list(churn.finish())?;
         let summary = SummaryRow::new(&self.deployment, &rounds, &control, mb_before_clients);
         output.row(&summary)?;
@@ -226,20 +229,20 @@
     }
 
     /// The process without clients.
-    fn control(
+    fn measure_control(
         &self,
         output: &mut Output,
         phase: Phase,
         churn: Option<(&Churn, churn::Rate)>,
     ) -> Result<ControlRow, ScaleError> {
-        let lasts = if churn.is_some() {
-            self.effort.churn
+        let duration = if churn.is_some() {
+            self.plan.churn_duration
         } else {
-            self.effort.rest
+            self.plan.rest_duration
         };
         let replaced_a_day = churn.map_or(0.0, |(_, rate)| rate.replaced_a_day());
-        let ((), cost) = self.measured(churn.map(|(churn, _)| churn), || {
-            thread::sleep(lasts);
+        let ((), cost) = self.measure_cost(churn.map(|(churn, _)| churn), || {
+            thread::sleep(duration);
             Ok(())
         })?;
         let resident = self.manager.memory()?.resident;
@@ -249,14 +252,14 @@
     }
 
     /// Memory by idle connections; fitted on all numbers but the largest.
-    fn connections(&self, output: &mut Output) -> Result<(), ScaleError> {
-        let before = self.manager.memory()?.resident;
-        let Some((largest, smaller)) = self.effort.connections.split_last() else {
+    fn measure_connections(&self, output: &mut Output) -> Result<(), ScaleError> {
+        let resident_before = self.manager.memory()?.resident;
+        let Some((largest, smaller)) = self.plan.idle_connections.split_last() else {
             return Ok(());
         };
         let mut points: Vec<Point> = Vec::new();
         for connections in smaller {
-            points.push(self.idle_connections(output, *connections, before)?);
+            points.push(self.measure_idle_connections(output, *connections, resident_before)?);
         }
         let prediction = match points.len() {
             0 => None,
@@ -269,25 +272,25 @@
                 Some(Prediction::write(output, figure, &points, *largest as f64)?)
             }
         };
-        let (_, measured) = self.idle_connections(output, *largest, before)?;
+        let (_, measured) = self.measure_idle_connections(output, *largest, resident_before)?;
         prediction.map_or(Ok(()), |prediction| prediction.check(output, measured))
     }
 
-    fn idle_connections(
+    fn measure_idle_connections(
         &self,
         output: &mut Output,
         count: usize,
-        before: u64,
+        resident_before: u64,
     ) -> Result<Point, ScaleError> {
         let clients = Clients::connect(self.manager.listen, count)?;
         self.manager
             .await_counter("client_connections_open", count as u64)?;
-        thread::sleep(self.effort.settled);
+        thread::sleep(self.plan.settle_time);
         let resident = self.manager.memory()?.resident;
         output.row(&ConnectionsRow::new(
             &self.deployment,
             count,
-            (before, resident),
+            (resident_before, resident),
         ))?;
         drop(clients);
         self.manager.await_counter("client_connections_open", 0)?;
@@ -295,29 +298,39 @@
     }
 
     /// Three rates with each number of connections.
-    fn rounds(
+    fn run_rounds(
         &self,
         output: &mut Output,
         churn: &Churn,
-        control: f64,
+        control_core: f64,
     ) -> Result<Rounds, ScaleError> {
         let (mut usual, mut saturated) = (None, None);
-        for connections in self.effort.rounds_at {
-            let most = match &saturated {
-                None => self.saturated(output, *connections, churn, control, &mut saturated)?,
-                Some(row) => most(row),
+        for connections in self.plan.round_connections {
+            let attainable_rate = match &saturated {
+                None => self.measure_saturated(
+                    output,
+                    *connections,
+                    churn,
+                    control_core,
+                    &mut saturated,
+                )?,
+                Some(row) => attainable_rate(row),
             };
-            for part in RATES {
-                let (rate, lasts) = (part * most, self.effort.round);
-                let of = Round {
+            for rate_fraction in RATE_FRACTIONS {
+                let (rate, duration) = (rate_fraction * attainable_rate, self.plan.round_duration);
+                let round = Round {
                     phase: Phase::Statements,
                     connections: *connections,
                     rate,
                 };
-                let row = self.round(output, churn, of, control, |clients| {
-                    clients.offer(rate, lasts)
+                let row = self.run_round(output, churn, round, control_core, |clients| {
+                    clients.offer(rate, duration)
                 })?;
-                usual = if part == USUAL_RATE { Some(row) } else { usual };
+                usual = if rate_fraction == USUAL_RATE_FRACTION {
+                    Some(row)
+                } else {
+                    usual
+                };
             }
         }
         let usual = usual.ok_or_else(|| ScaleError::CheckFailed(format!("{TEST}: no rounds")))?;
@@ -325,55 +338,60 @@
     }
 
     /// The statements a second that a core gives, or those of the size where it gives more.
-    fn saturated(
+    fn measure_saturated(
         &self,
         output: &mut Output,
         connections: usize,
         churn: &Churn,
-        control: f64,
+        control_core: f64,
         row: &mut Option<StatementsRow>,
     ) -> Result<f64, ScaleError> {
-        let Some(lasts) = self.effort.saturated else {
-            return Ok(SMALL_RATE);
+        let Some(duration) = self.plan.saturated_duration else {
+            return Ok(SMALL_STATEMENTS_PER_SECOND);
         };
-        let of = Round {
+        let round = Round {
             phase: Phase::Saturated,
             connections,
             rate: fleet::STATEMENTS,
         };
-        let keep_open = |clients: &mut Clients| clients.keep_open(OPEN_AT_ONCE, lasts);
-        Ok(most(row.insert(
-            self.round(output, churn, of, control, keep_open)?,
-        )))
+        let keep_open =
+            |clients: &mut Clients| clients.keep_open(SATURATED_OPEN_STATEMENTS, duration);
+        Ok(attainable_rate(row.insert(self.run_round(
+            output,
+            churn,
+            round,
+            control_core,
+            keep_open,
+        )?)))
     }
 
     /// One round of statements, over connections of its own.
-    fn round(
+    fn run_round(
         &self,
         output: &mut Output,
         churn: &Churn,
-        of: Round,
-        control: f64,
+        round: Round,
+        control_core: f64,
         offer: impl FnOnce(&mut Clients) -> Result<OfferedStatements, ScaleError>,
     ) -> Result<StatementsRow, ScaleError> {
-        let mut clients = Clients::connect(self.manager.listen, of.connections)?;
+        let mut clients = Clients::connect(self.manager.listen, round.connections)?;
         self.manager
-            .await_counter("client_connections_open", of.connections as u64)?;
+            .await_counter("client_connections_open", round.connections as u64)?;
         self.manager.reset_peak()?;
-        let (engines, taken) = (self.engines.totals(), self.accepted_requests()?);
-        let (offered, cost) = self.measured(Some(churn), || offer(&mut clients))?;
-        let (now, memory) = (self.engines.totals(), self.manager.memory()?);
+        let (engines_before, taken) = (self.engines.totals(), self.accepted_requests()?);
+        let (offered, cost) = self.measure_cost(Some(churn), || offer(&mut clients))?;
+        let (engines_after, memory) = (self.engines.totals(), self.manager.memory()?);
         let taken = self.accepted_requests()? - taken;
         drop(clients);
         // What was open has no client any more, so the next round begins with nothing open.
         self.manager.await_counter("client_connections_open", 0)?;
         self.manager.await_counter("requests_open", 0)?;
-        let seen = RoundTotals {
-            attempts: now.statements - engines.statements,
-            engine_connections: now.connections - engines.connections,
-            engines_used: now.used,
-            engine_bytes_in: now.sent - engines.sent,
-            engine_bytes_out: now.received - engines.received,
+        let totals = RoundTotals {
+            attempts: engines_after.statements - engines_before.statements,
+            engine_connections: engines_after.connections - engines_before.connections,
+            engines_used: engines_after.engines_used,
+            engine_bytes_in: engines_after.bytes_sent - engines_before.bytes_sent,
+            engine_bytes_out: engines_after.bytes_received - engines_before.bytes_received,
             resident: memory.resident,
             peak: memory.peak,
         };
@@ -381,9 +399,9 @@
             taken,
             offered,
             cost,
-            seen,
+            totals,
         };
-        let row = StatementsRow::new(&self.deployment, of, measured, control);
+        let row = StatementsRow::new(&self.deployment, round, measured, control_core);
         output.row(&row)?;
         match row.offered.stray {
             0 => Ok(row),
@@ -394,24 +412,28 @@
     }
 
     /// What a stretch of time costs the process.
-    fn measured<T>(
+    fn measure_cost<T>(
         &self,
         churn: Option<&Churn>,
-        stretch: impl FnOnce() -> Result<T, ScaleError>,
+        action: impl FnOnce() -> Result<T, ScaleError>,
     ) -> Result<(T, Cost), ScaleError> {
         let events = || churn.map_or(0, Churn::events);
-        let (begun, feed_before, events_before) = (Instant::now(), self.feed_totals(), events());
-        let (processor, waited) = (self.manager.processor_time()?, self.manager.waited());
-        let done = stretch()?;
-        let processor = self.manager.processor_time()? - processor;
-        let waited = self.manager.waited() - waited;
-        let (lasted, now) = (begun.elapsed(), self.feed_totals());
+        let (started_at, feed_before, events_before) =
+            (Instant::now(), self.feed_totals(), events());
+        let (processor_time, processor_wait) = (
+            self.manager.processor_time()?,
+            self.manager.processor_wait(),
+        );
+        let done = action()?;
+        let processor_time = self.manager.processor_time()? - processor_time;
+        let processor_wait = self.manager.processor_wait() - processor_wait;
+        let (duration, feed_after) = (started_at.elapsed(), self.feed_totals());
         let cost = Cost {
-            lasted,
-            processor,
-            waited,
-            feed_sent: now.bytes - feed_before.bytes,
-            feed_received: (now.connections - feed_before.connections) * CONNECT_BYTES,
+            duration,
+            processor_time,
+            processor_wait,
+            feed_sent: feed_after.bytes - feed_before.bytes,
+            feed_received: (feed_after.connections - feed_before.connections) * CONNECT_BYTES,
             list_events: events() - events_before,
         };
         Ok((done, cost))
--- a/benches/scale/manager_process.rs
+++ b/benches/scale/manager_process.rs
@@ -13,9 +13,9 @@
 /// The program under test, built with this one.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_workload-manager");
 /// What the program prints before its address once it serves.
-const SERVES: &str = " serves on ";
+const SERVES_MARKER: &str = " serves on ";
 /// What a line of counters begins with.
-const COUNTERS: &str = "workload-manager: counters ";
+const COUNTERS_PREFIX: &str = "workload-manager: counters ";
 /// No step of a process takes this long unless it fails.
 const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Between two looks at the counters.
@@ -34,7 +34,7 @@
     NotPrinted(&'static str),
     /// A file of `/proc` without the figure.
     #[error("/proc holds no {0}")]
-    NoFigure(&'static str),
+    MissingFigure(&'static str),
     /// A signal was not delivered.
     #[error("SIG{0} could not be sent")]
     Signal(&'static str),
@@ -76,34 +76,34 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(|e| ProcessError::Io("start the program", e))?;
-        let watchdog = match watch(&child) {
+        let watchdog = match start_watchdog(&child) {
             Ok(watchdog) => watchdog,
-            Err(problem) => {
+            Err(error) => {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(ProcessError::Io("start a watchdog", problem));
+                return Err(ProcessError::Io("start a watchdog", error));
             }
         };
         let lines = match child.stderr.take() {
-            Some(from) => read_lines(from),
+            Some(stderr) => read_lines(stderr),
             None => mpsc::channel().1,
         };
-        let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unknown_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut manager = ManagerProcess {
             child,
             watchdog,
             folder,
             lines,
-            listen: unknown,
+            listen: unknown_address,
         };
         manager.listen = manager.await_serving()?;
         Ok(manager)
     }
 
     fn await_serving(&self) -> Result<SocketAddr, ProcessError> {
-        let line = self.await_line("serves", |line| line.contains(SERVES))?;
+        let line = self.await_line("serves", |line| line.contains(SERVES_MARKER))?;
         let address = line
-            .split(SERVES)
+            .split(SERVES_MARKER)
             .nth(1)
             .and_then(|rest| rest.split([',', ' ']).next());
         let address = address.and_then(|text| text.parse().ok());
@@ -117,19 +117,19 @@
 
     /// Sends SIGHUP and waits until the configuration is in force; returns the time that took.
     pub(super) fn reload(&self) -> Result<Duration, ProcessError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.signal("HUP")?;
-        let over = |line: &str| {
+        let is_reload_end = |line: &str| {
             line.contains("reload complete feed=") || line.contains("reload refused, the old")
         };
-        self.await_line("a reload's end", over)?;
-        Ok(begun.elapsed())
+        self.await_line("a reload's end", is_reload_end)?;
+        Ok(started_at.elapsed())
     }
 
     /// Its counters, as SIGUSR1 prints them.
     pub(super) fn counters(&self) -> Result<HashMap<String, u64>, ProcessError> {
         let line = self.print_counters()?;
-        let pairs = line[COUNTERS.len()..]
+        let pairs = line[COUNTERS_PREFIX.len()..]
             .split_whitespace()
             .filter_map(|word| word.split_once('='));
         Ok(pairs
@@ -138,7 +138,7 @@
     }
 
     /// Whether its counters name this class of requests.
-    pub(super) fn knows_class(&self, name: &str) -> Result<bool, ProcessError> {
+    pub(super) fn has_class_counter(&self, name: &str) -> Result<bool, ProcessError> {
         let line = self.print_counters()?;
         Ok(line
             .split_whitespace()
@@ -147,14 +147,14 @@
 
     fn print_counters(&self) -> Result<String, ProcessError> {
         self.signal("USR1")?;
-        self.await_line("counters", |line| line.starts_with(COUNTERS))
+        self.await_line("counters", |line| line.starts_with(COUNTERS_PREFIX))
     }
 
     /// Waits until a counter has this value.
     pub(super) fn await_counter(&self, name: &'static str, value: u64) -> Result<(), ProcessError> {
-        let until = Instant::now() + STEP_TIMEOUT;
+        let deadline = Instant::now() + STEP_TIMEOUT;
         while self.counters()?.get(name) != Some(&value) {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(ProcessError::NotPrinted(name));
             }
             thread::sleep(POLL_INTERVAL);
@@ -164,34 +164,37 @@
 
     /// Processor time used so far by all its threads.
     pub(super) fn processor_time(&self) -> Result<Duration, ProcessError> {
-        match self.scheduled() {
+        match self.scheduler_times() {
             Some((time, _)) => Ok(time),
-            None => self.accounted(),
+            None => self.stat_processor_time(),
         }
     }
 
     /// Time so far in which its threads could run and had no processor; zero where the kernel keeps no such figure.
-    pub(super) fn waited(&self) -> Duration {
-        self.scheduled()
-            .map_or(Duration::ZERO, |(_, waited)| waited)
+    pub(super) fn processor_wait(&self) -> Duration {
+        self.scheduler_times()
+            .map_or(Duration::ZERO, |(_, processor_wait)| processor_wait)
     }
 
     /// The scheduler's figures, to the nanosecond: time on a processor, and time in wait of one.
-    fn scheduled(&self) -> Option<(Duration, Duration)> {
-        let tasks = std::fs::read_dir(self.proc("task")).ok()?;
-        let (mut ran, mut waited) = (0, 0);
+    fn scheduler_times(&self) -> Option<(Duration, Duration)> {
+        let tasks = std::fs::read_dir(self.proc_path("task")).ok()?;
+        let (mut processor_time, mut processor_wait) = (0, 0);
         for task in tasks {
             let text = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
             let mut fields = text.split_whitespace();
-            ran += fields.next()?.parse::<u64>().ok()?;
-            waited += fields.next()?.parse::<u64>().ok()?;
+            processor_time += fields.next()?.parse::<u64>().ok()?;
+            processor_wait += fields.next()?.parse::<u64>().ok()?;
         }
-        (ran > 0).then_some((Duration::from_nanos(ran), Duration::from_nanos(waited)))
+        (processor_time > 0).then_some((
+            Duration::from_nanos(processor_time),
+            Duration::from_nanos(processor_wait),
+        ))
     }
 
     /// User and system time of `stat`, to a clock tick.
-    fn accounted(&self) -> Result<Duration, ProcessError> {
-        let text = self.read("stat")?;
+    fn stat_processor_time(&self) -> Result<Duration, ProcessError> {
+        let text = self.read_proc("stat")?;
         // The name of the program stands in parentheses and may hold spaces.
         let fields = text.rsplit(')').next().unwrap_or_default();
         let ticks: Vec<f64> = fields
@@ -202,14 +205,14 @@
             .collect();
         match ticks[..] {
             [user, system] => Ok(Duration::from_secs_f64((user + system) / TICKS_PER_SECOND)),
-            _ => Err(ProcessError::NoFigure("processor time")),
+            _ => Err(ProcessError::MissingFigure("processor time")),
         }
     }
 
     /// Its resident memory, now and at most.
     pub(super) fn memory(&self) -> Result<Memory, ProcessError> {
-        let text = self.read("status")?;
-        let figure = |name: &str| {
+        let text = self.read_proc("status")?;
+        let figure_bytes = |name: &str| {
             let line = text.lines().find(|line| line.starts_with(name))?;
             line.split_whitespace()
                 .nth(1)?
@@ -217,9 +220,9 @@
                 .ok()
                 .map(|kilobytes| kilobytes * 1024)
         };
-        match (figure("VmRSS:"), figure("VmHWM:")) {
+        match (figure_bytes("VmRSS:"), figure_bytes("VmHWM:")) {
             (Some(resident), Some(peak)) => Ok(Memory { resident, peak }),
-            _ => Err(ProcessError::NoFigure("memory")),
+            _ => Err(ProcessError::MissingFigure("memory")),
         }
     }
 
@@ -227,15 +230,15 @@
     pub(super) fn reset_peak(&self) -> Result<(), ProcessError> {
         /// What `/proc/PID/clear_refs` takes for that.
         const RESET_PEAK: &str = "5";
-        std::fs::write(self.proc("clear_refs"), RESET_PEAK)
+        std::fs::write(self.proc_path("clear_refs"), RESET_PEAK)
             .map_err(|e| ProcessError::Io("reset the peak", e))
     }
 
-    fn read(&self, file: &str) -> Result<String, ProcessError> {
-        std::fs::read_to_string(self.proc(file)).map_err(|e| ProcessError::Io("read /proc", e))
+    fn read_proc(&self, file: &str) -> Result<String, ProcessError> {
+        std::fs::read_to_string(self.proc_path(file)).map_err(|e| ProcessError::Io("read /proc", e))
     }
 
-    fn proc(&self, file: &str) -> PathBuf {
+    fn proc_path(&self, file: &str) -> PathBuf {
         Path::new("/proc")
             .join(self.child.id().to_string())
             .join(file)
@@ -255,13 +258,13 @@
     fn await_line(
         &self,
         what: &'static str,
-        wanted: impl Fn(&str) -> bool,
+        is_wanted: impl Fn(&str) -> bool,
     ) -> Result<String, ProcessError> {
-        let until = Instant::now() + STEP_TIMEOUT;
+        let deadline = Instant::now() + STEP_TIMEOUT;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            match self.lines.recv_timeout(left) {
-                Ok(line) if wanted(&line) => return Ok(line),
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.lines.recv_timeout(remaining) {
+                Ok(line) if is_wanted(&line) => return Ok(line),
                 Ok(_) => {}
                 Err(_) => return Err(ProcessError::NotPrinted(what)),
             }
@@ -282,7 +285,7 @@
 }
 
 /// Ends the process where the test is killed, which closes the pipe that the watchdog reads.
-fn watch(child: &Child) -> std::io::Result<Child> {
+fn start_watchdog(child: &Child) -> std::io::Result<Child> {
     let process = child.id().to_string();
     let mut watchdog = Command::new("sh");
     watchdog.args(["-c", "read end; kill -KILL \"$1\"", "watchdog", &process]);
@@ -305,12 +308,12 @@
 }
 
 /// Reads the lines of a process for as long as it writes any, so that it never waits for the test.
-fn read_lines(from: impl std::io::Read + Send + 'static) -> Receiver<String> {
-    let (tell, lines) = mpsc::channel();
+fn read_lines(stderr: impl std::io::Read + Send + 'static) -> Receiver<String> {
+    let (sender, lines) = mpsc::channel();
     thread::spawn(move || {
-        for line in BufReader::new(from).lines() {
+        for line in BufReader::new(stderr).lines() {
             let Ok(line) = line else { return };
-            if tell.send(line).is_err() {
+            if sender.send(line).is_err() {
                 return;
             }
         }
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -10,10 +10,10 @@
 /// The test's name in its rows.
 pub(super) const TEST: &str = Test::Manager.name();
 /// Of a core, that a manager may spend on control.
-const BUDGET_CORE: f64 = 0.012;
+const CONTROL_BUDGET_CORES: f64 = 0.012;
 /// Bytes a second, in and out, that a manager may spend on control.
-const BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
-const MEGABYTE: f64 = 1e6;
+const CONTROL_BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
 
 /// What all rows of a size have in common.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -73,11 +73,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cost {
     /// How long it was.
-    pub lasted: Duration,
+    pub duration: Duration,
     /// Processor time of the process.
-    pub processor: Duration,
+    pub processor_time: Duration,
     /// Time in which the process could run and had no processor, as others ran.
-    pub waited: Duration,
+    pub processor_wait: Duration,
     /// Bytes of the list feed.
     pub feed_sent: u64,
     /// See `feed_sent`.
@@ -88,16 +88,16 @@
 
 impl Cost {
     /// The share of a core.
-    pub(super) fn core(&self) -> f64 {
-        self.processor.as_secs_f64() / self.lasted.as_secs_f64()
+    pub(super) fn core_share(&self) -> f64 {
+        self.processor_time.as_secs_f64() / self.duration.as_secs_f64()
     }
 
     fn percent_waited(&self) -> f64 {
-        rounded(self.waited.as_secs_f64() / self.lasted.as_secs_f64() * 100.0)
+        rounded(self.processor_wait.as_secs_f64() / self.duration.as_secs_f64() * 100.0)
     }
 
     fn per_second(&self, count: u64) -> f64 {
-        rounded(count as f64 / self.lasted.as_secs_f64())
+        rounded(count as f64 / self.duration.as_secs_f64())
     }
 }
 
@@ -133,21 +133,21 @@
         (replaced_a_day, resident): (f64, u64),
     ) -> ControlRow {
         let bytes = cost.per_second(cost.feed_sent) + cost.per_second(cost.feed_received);
-        let fits = cost.core() <= BUDGET_CORE
-            && bytes <= BUDGET_BYTES_PER_SECOND
-            && resident as f64 <= deployment.memory_mb as f64 * MEGABYTE;
+        let fits = cost.core_share() <= CONTROL_BUDGET_CORES
+            && bytes <= CONTROL_BUDGET_BYTES_PER_SECOND
+            && resident as f64 <= deployment.memory_mb as f64 * BYTES_PER_MEGABYTE;
         ControlRow {
             size: deployment.size(phase),
             deployment: *deployment,
-            seconds: rounded(cost.lasted.as_secs_f64()),
+            seconds: rounded(cost.duration.as_secs_f64()),
             replaced_a_day: rounded(replaced_a_day),
             list_events: cost.list_events,
-            percent_core: rounded(cost.core() * 100.0),
+            percent_core: rounded(cost.core_share() * 100.0),
             percent_waited: cost.percent_waited(),
-            budget_percent_core: BUDGET_CORE * 100.0,
+            budget_percent_core: CONTROL_BUDGET_CORES * 100.0,
             bytes_in_per_second: cost.per_second(cost.feed_sent),
             bytes_out_per_second: cost.per_second(cost.feed_received),
-            budget_bytes_per_second: BUDGET_BYTES_PER_SECOND,
+            budget_bytes_per_second: CONTROL_BUDGET_BYTES_PER_SECOND,
             mb_resident: megabytes(resident),
             fits,
         }
@@ -177,14 +177,14 @@
         connections: usize,
         (before, resident): (u64, u64),
     ) -> ConnectionsRow {
-        let each = resident.saturating_sub(before) as f64 / connections as f64;
+        let bytes_per_connection = resident.saturating_sub(before) as f64 / connections as f64;
         ConnectionsRow {
             size: deployment.size(Phase::Connections),
             deployment: *deployment,
             connections,
             mb_before: megabytes(before),
             mb_with_clients: megabytes(resident),
-            kb_connection: rounded(each / 1000.0),
+            kb_connection: rounded(bytes_per_connection / 1000.0),
         }
     }
 }
@@ -263,7 +263,7 @@
     /// What it cost.
     pub cost: Cost,
     /// Traffic of the engines and memory.
-    pub seen: RoundTotals,
+    pub totals: RoundTotals,
 }
 
 impl StatementsRow {
@@ -279,13 +279,13 @@
             taken,
             offered,
             cost,
-            seen,
+            totals,
         }: RoundResult,
         control_core: f64,
     ) -> StatementsRow {
-        let control = control_core * cost.lasted.as_secs_f64();
-        let statements = (cost.processor.as_secs_f64() - control).max(0.0);
-        let us_statement = statements * 1e6 / offered.answered().max(1) as f64;
+        let control_seconds = control_core * cost.duration.as_secs_f64();
+        let statement_seconds = (cost.processor_time.as_secs_f64() - control_seconds).max(0.0);
+        let us_statement = statement_seconds * 1e6 / offered.answered().max(1) as f64;
         StatementsRow {
             size: deployment.size(phase),
             deployment: *deployment,
@@ -295,16 +295,16 @@
             served_per_second: cost.per_second(offered.served),
             offered,
             list_events: cost.list_events,
-            percent_core: rounded(cost.core() * 100.0),
+            percent_core: rounded(cost.core_share() * 100.0),
             percent_waited: cost.percent_waited(),
             us_statement: rounded(us_statement),
-            attempts: seen.attempts,
-            engine_connections: seen.engine_connections,
-            engines_used: seen.engines_used,
-            engine_bytes_in: seen.engine_bytes_in,
-            engine_bytes_out: seen.engine_bytes_out,
-            mb_resident: megabytes(seen.resident),
-            mb_peak: megabytes(seen.peak),
+            attempts: totals.attempts,
+            engine_connections: totals.engine_connections,
+            engines_used: totals.engines_used,
+            engine_bytes_in: totals.engine_bytes_in,
+            engine_bytes_out: totals.engine_bytes_out,
+            mb_resident: megabytes(totals.resident),
+            mb_peak: megabytes(totals.peak),
         }
     }
 }
@@ -356,7 +356,7 @@
         control: &ControlRow,
         mb_before_clients: f64,
     ) -> SummaryRow {
-        let cores = |us_statement: f64| {
+        let cores_at = |us_statement: f64| {
             rounded(us_statement * fleet::STATEMENTS / 1e6 + control.percent_core / 100.0)
         };
         let most_per_second = saturated.as_ref().map(|row| row.served_per_second);
@@ -371,14 +371,14 @@
             us_statement_usual: usual.us_statement,
             percent_core_control: control.percent_core,
             mb_before_clients,
-            cores_needed: cores(usual.us_statement),
-            cores_needed_saturated: us_statement_saturated.map(cores),
-            fits: most_per_second.is_some_and(|most| most >= fleet::STATEMENTS),
+            cores_needed: cores_at(usual.us_statement),
+            cores_needed_saturated: us_statement_saturated.map(cores_at),
+            fits: most_per_second.is_some_and(|rate| rate >= fleet::STATEMENTS),
         }
     }
 }
 
 /// Megabytes of 1,000,000 bytes.
 pub(super) fn megabytes(bytes: u64) -> f64 {
-    rounded(bytes as f64 / MEGABYTE)
+    rounded(bytes as f64 / BYTES_PER_MEGABYTE)
 }
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -352,10 +352,10 @@
             "{TEST}: {played} reloads took {before:?} to {now:?}"
         )));
     }
-    let known_before = manager.knows_class(form.last_class())?;
+    let known_before = manager.has_class_counter(form.last_class())?;
     manager.configure(files.last())?;
     manager.reload()?;
-    if known_before || !manager.knows_class(form.last_class())? {
+    if known_before || !manager.has_class_counter(form.last_class())? {
         return Err(ScaleError::CheckFailed(format!(
             "{TEST}: the last configuration of {form:?} is not in force"
         )));
