--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -5,7 +5,9 @@
 use super::fleet;
 use super::in_process_manager::RosterSize;
 use super::options::{Options, Test};
-use super::recording_ports::{DispatchedAttempt, NullClient, RecordingEngines, served, statement};
+use super::recording_ports::{
+    DispatchedAttempt, NullClient, RecordingEngines, completion_message, request_message,
+};
 use super::row::{Output, ScaleError, Size, rounded};
 use super::usage;
 use serde::Serialize;
@@ -258,7 +260,7 @@
         self.next_id += 1;
         self.core.handle(
             self.now,
-            statement(id, self.now, &self.parsed.classes[0], &self.client),
+            request_message(id, self.now, &self.parsed.classes[0], &self.client),
         );
         self.collect_dispatched();
     }
@@ -273,7 +275,7 @@
             let Some(AttemptInFlight { attempt, .. }) = self.in_flight.pop_front() else {
                 return;
             };
-            self.core.handle(self.now, served(attempt));
+            self.core.handle(self.now, completion_message(attempt));
             self.collect_dispatched();
         }
     }
--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -2,7 +2,7 @@
 //! clients and engines.
 
 use super::fleet;
-use super::recording_ports::{NullClient, RecordingEngines, served, statement};
+use super::recording_ports::{NullClient, RecordingEngines, completion_message, request_message};
 use super::usage;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 use workload_manager::{EngineId, EngineState, ListUpdateKind, Millis, RequestId};
 
 /// Delay until the next look while no timer is set, in ms.
-const NO_TIMER_MS: Millis = 1000.0;
+const NO_TIMER_DELAY_MS: Millis = 1000.0;
 
 /// What an in-process manager is made of.
 #[derive(Clone, Debug)]
@@ -65,9 +65,9 @@
     /// The event's number.
     pub number: u64,
     /// When.
-    pub at: Instant,
+    pub applied_at: Instant,
     /// Processor time of the manager's thread since it began to follow the feed.
-    pub processor: Duration,
+    pub processor_time: Duration,
     /// Engines that the event removes: they get no attempts any more.
     pub ended: usize,
     /// Engines that the event makes ready: they may get attempts.
@@ -105,7 +105,7 @@
     clock: Clock,
     ticks: bool,
     /// Processor time of its thread when it began.
-    began: Duration,
+    processor_time_at_start: Duration,
     next_id: RequestId,
     reports: mpsc::Sender<ManagerReport>,
 }
@@ -122,7 +122,7 @@
         let limits = Arc::new(Limits::new(fleet::SOCKETS, plan.memory_mb, true, &parsed));
         let metrics: Arc<Metrics> = Arc::default();
         let clock = Clock::new();
-        let (handle, mut inputs) = Handle::new(limits.mailbox_messages, clock);
+        let (handle, mut mailbox) = Handle::new(limits.mailbox_messages, clock);
         let mut manager =
             Manager::new(&plan, ordinal, &parsed, (&limits, &metrics), clock, reports);
         let (_feed, address) = watch::channel(plan.feed);
@@ -136,7 +136,7 @@
             settings,
         };
         let reader = tokio::spawn(discovery::follow(address, 0, context));
-        manager.run_until_closed(&mut inputs, &mut commands).await;
+        manager.run_until_closed(&mut mailbox, &mut commands).await;
         reader.abort();
     }
 
@@ -165,7 +165,7 @@
             client: Arc::new(NullClient),
             clock,
             ticks: plan.ticks,
-            began: usage::thread_time(),
+            processor_time_at_start: usage::thread_time(),
             next_id: 1,
             reports,
         }
@@ -173,7 +173,7 @@
 
     async fn run_until_closed(
         &mut self,
-        inputs: &mut Mailbox,
+        mailbox: &mut Mailbox,
         commands: &mut async_mpsc::UnboundedReceiver<ManagerCommand>,
     ) {
         if self.ticks {
@@ -181,36 +181,36 @@
         }
         loop {
             let now = self.clock.now();
-            let due = self
+            let delay_ms = self
                 .core
                 .next_timer()
-                .map_or(NO_TIMER_MS, |at| (at - now).max(0.0));
+                .map_or(NO_TIMER_DELAY_MS, |at| (at - now).max(0.0));
             tokio::select! {
                 biased;
                 command = commands.recv() => match command {
                     Some(command) => self.execute(command),
                     None => return,
                 },
-                input = inputs.next_message() => match input {
-                    Some(input) => self.handle(input),
+                message = mailbox.next_message() => match message {
+                    Some(message) => self.handle(message),
                     None => return,
                 },
-                () = tokio::time::sleep(Duration::from_secs_f64(due / 1000.0)), if self.ticks => {
+                () = tokio::time::sleep(Duration::from_secs_f64(delay_ms / 1000.0)), if self.ticks => {
                     self.core.run_due_timers(self.clock.now());
                 }
             }
         }
     }
 
-    fn handle(&mut self, input: CoreMessage) {
-        let CoreMessage::EndpointList(event) = input else {
-            return self.core.handle(self.clock.now(), input);
+    fn handle(&mut self, message: CoreMessage) {
+        let CoreMessage::EndpointList(event) = message else {
+            return self.core.handle(self.clock.now(), message);
         };
         let (number, changed) = (event.number, changed_engines(&event));
         self.engines.state().ready.clear();
         self.core
             .handle(self.clock.now(), CoreMessage::EndpointList(event));
-        let at = Instant::now();
+        let applied_at = Instant::now();
         let state = self.engines.state();
         let count_applied = |of: &BTreeSet<EngineId>, wanted: EngineState| {
             changed
@@ -218,35 +218,35 @@
                 .filter(|(engine, listed)| *listed == wanted && of.contains(engine))
                 .count()
         };
-        let sighting = AppliedEvent {
+        let applied = AppliedEvent {
             number,
-            at,
-            processor: usage::thread_time().saturating_sub(self.began),
+            applied_at,
+            processor_time: usage::thread_time().saturating_sub(self.processor_time_at_start),
             ended: count_applied(&state.ended, EngineState::Removed),
             ready: count_applied(&state.ready, EngineState::Ready),
             taken_up: RosterSize::of(&self.core, &self.metrics),
         };
-        let _ = self.reports.send(ManagerReport::Event(sighting));
+        let _ = self.reports.send(ManagerReport::Event(applied));
     }
 
     fn execute(&mut self, command: ManagerCommand) {
-        let reports = match command {
+        let report = match command {
             ManagerCommand::Usage => ManagerReport::Usage(usage::thread_time()),
-            ManagerCommand::Serve(requests) => self.serve(requests),
+            ManagerCommand::Serve(statements) => self.serve(statements),
         };
-        let _ = self.reports.send(reports);
+        let _ = self.reports.send(report);
     }
 
-    fn serve(&mut self, requests: u32) -> ManagerReport {
+    fn serve(&mut self, statements: u32) -> ManagerReport {
         let mut dispatched = 0;
-        for _ in 0..requests {
+        for _ in 0..statements {
             let (id, now) = (self.next_id, self.clock.now());
             self.next_id += 1;
             self.core
-                .handle(now, statement(id, now, &self.class, &self.client));
+                .handle(now, request_message(id, now, &self.class, &self.client));
             for attempt in self.engines.take_dispatched() {
                 dispatched += 1;
-                self.core.handle(now, served(attempt));
+                self.core.handle(now, completion_message(attempt));
             }
         }
         ManagerReport::Served {
--- a/benches/scale/list_capacity.rs
+++ b/benches/scale/list_capacity.rs
@@ -102,7 +102,7 @@
 
 /// When the last manager applied the event; now where there is none.
 pub(super) fn latest(applied: &[AppliedEvent]) -> Instant {
-    let times = applied.iter().map(|event| event.at);
+    let times = applied.iter().map(|event| event.applied_at);
     times.max().unwrap_or_else(Instant::now)
 }
 
@@ -124,7 +124,7 @@
     pub(super) fn since(start: Instant, applied: &[AppliedEvent]) -> LatencySummary {
         let times = applied
             .iter()
-            .map(|event| event.at.saturating_duration_since(start));
+            .map(|event| event.applied_at.saturating_duration_since(start));
         LatencySummary::of(times.collect())
     }
 
--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -167,7 +167,7 @@
     let empty_us = at_rest(&feed, &group, effort)?;
     let change_us = in_changes.as_secs_f64() * 1e6 / f64::from(effort.changes);
     Ok(Round {
-        whole_us: whole.processor.as_secs_f64() * 1e6,
+        whole_us: whole.processor_time.as_secs_f64() * 1e6,
         change_us,
         empty_us,
         bytes_whole: frame(&list).len() as u64,
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -186,7 +186,7 @@
         self.times.extend(
             applied
                 .iter()
-                .map(|event| event.at.saturating_duration_since(published)),
+                .map(|event| event.applied_at.saturating_duration_since(published)),
         );
         let least = |of: fn(&AppliedEvent) -> usize, so_far: Option<usize>| {
             let now = applied.iter().map(of).sum::<usize>();
@@ -213,7 +213,7 @@
     let plan = TickLoad::of(options, listed, managers).plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     let applied = group.await_event(1)?;
-    let times = LatencySummary::since(group.began, &applied);
+    let times = LatencySummary::since(group.started_at, &applied);
     let over = latest(&applied);
     let totals = feed.totals();
     output.row(&StartRow {
@@ -222,6 +222,6 @@
         times,
         feed_connections: totals.connections,
         feed_bytes: totals.bytes,
-        feed_load: feed.load(group.began, over)?,
+        feed_load: feed.load(group.started_at, over)?,
     })
 }
--- a/benches/scale/manager_group.rs
+++ b/benches/scale/manager_group.rs
@@ -21,7 +21,7 @@
     reports: mpsc::Receiver<ManagerReport>,
     threads: Vec<JoinHandle<()>>,
     /// When the first of them was started.
-    pub began: Instant,
+    pub started_at: Instant,
 }
 
 /// Attempts that all managers dispatched.
@@ -36,7 +36,7 @@
 impl ManagerGroup {
     /// Starts this many managers at once, each without a list.
     pub(super) fn start(plan: &ManagerPlan, managers: usize) -> Result<ManagerGroup, ScaleError> {
-        let (report, reports) = mpsc::channel();
+        let (report_sender, reports) = mpsc::channel();
         let mut senders = Vec::new();
         let mut shares: Vec<Vec<_>> = (0..THREADS.min(managers)).map(|_| Vec::new()).collect();
         for ordinal in 0..managers {
@@ -44,13 +44,13 @@
             senders.push(sender);
             shares[ordinal % THREADS].push((ordinal as u32, receiver));
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut threads = Vec::new();
         for share in shares {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()?;
-            let (plan, report) = (plan.clone(), report.clone());
+            let (plan, report_sender) = (plan.clone(), report_sender.clone());
             threads.push(
                 std::thread::Builder::new()
                     .name("managers".to_owned())
@@ -61,7 +61,7 @@
                                 running.spawn(Manager::run(
                                     plan.clone(),
                                     ordinal,
-                                    report.clone(),
+                                    report_sender.clone(),
                                     commands,
                                 ));
                             }
@@ -74,7 +74,7 @@
             commands: senders,
             reports,
             threads,
-            began,
+            started_at,
         })
     }
 
@@ -85,16 +85,16 @@
 
     /// Waits until all managers have applied an event. Reports of earlier events are ignored.
     pub(super) fn await_event(&self, number: u64) -> Result<Vec<AppliedEvent>, ScaleError> {
-        self.collect(|reports| match reports {
-            ManagerReport::Event(sighting) if sighting.number == number => Some(sighting),
+        self.collect_reports(|report| match report {
+            ManagerReport::Event(applied) if applied.number == number => Some(applied),
             _ => None,
         })
     }
 
     /// Makes each manager serve this many statements.
     pub(super) fn serve(&self, requests: u32) -> Result<DispatchTotals, ScaleError> {
-        self.command(ManagerCommand::Serve(requests));
-        let all = self.collect(|reports| match reports {
+        self.send_command(ManagerCommand::Serve(requests));
+        let all = self.collect_reports(|report| match report {
             ManagerReport::Served {
                 dispatched,
                 dispatched_to_ended,
@@ -104,7 +104,7 @@
             }),
             _ => None,
         })?;
-        let sum = |of: fn(&DispatchTotals) -> usize| all.iter().map(of).sum();
+        let sum = |field: fn(&DispatchTotals) -> usize| all.iter().map(field).sum();
         Ok(DispatchTotals {
             dispatched: sum(|totals| totals.dispatched),
             dispatched_to_ended: sum(|totals| totals.dispatched_to_ended),
@@ -113,38 +113,38 @@
 
     /// Processor time of the thread of the first manager.
     pub(super) fn usage(&self) -> Result<Duration, ScaleError> {
-        self.command(ManagerCommand::Usage);
-        let all = self.collect(|reports| match reports {
+        self.send_command(ManagerCommand::Usage);
+        let all = self.collect_reports(|report| match report {
             ManagerReport::Usage(processor) => Some(processor),
             _ => None,
         })?;
         Ok(all.into_iter().max().unwrap_or_default())
     }
 
-    fn command(&self, command: ManagerCommand) {
+    fn send_command(&self, command: ManagerCommand) {
         for commands in &self.commands {
             let _ = commands.send(command);
         }
     }
 
     /// One piece of reports from each.
-    fn collect<T>(
+    fn collect_reports<T>(
         &self,
         wanted: impl Fn(ManagerReport) -> Option<T>,
     ) -> Result<Vec<T>, ScaleError> {
-        let until = Instant::now() + REPORT_TIMEOUT;
+        let deadline = Instant::now() + REPORT_TIMEOUT;
         let mut all = Vec::with_capacity(self.size());
         while all.len() < self.size() {
-            let left = until.saturating_duration_since(Instant::now());
-            let late = |_| {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let timed_out = |_| {
                 ScaleError::CheckFailed(format!(
                     "{} of {} managers reported in time",
                     all.len(),
                     self.size()
                 ))
             };
-            let reports = self.reports.recv_timeout(left).map_err(late)?;
-            all.extend(wanted(reports));
+            let report = self.reports.recv_timeout(remaining).map_err(timed_out)?;
+            all.extend(wanted(report));
         }
         Ok(all)
     }
--- a/benches/scale/recording_ports.rs
+++ b/benches/scale/recording_ports.rs
@@ -17,8 +17,8 @@
 /// Work that a statement is estimated at, and billed, in ms.
 pub(super) const WORK_MS: f64 = 5.0;
 /// Statements of other managers in flight at each engine, and the share of its cores that is busy.
-const OTHERS_IN_FLIGHT: f64 = 4.0;
-const BUSY: f64 = 0.5;
+const OTHER_MANAGERS_IN_FLIGHT: f64 = 4.0;
+const CPU_BUSY_SHARE: f64 = 0.5;
 
 /// An attempt that the core sent to an engine.
 #[derive(Clone, Copy, Debug)]
@@ -99,7 +99,7 @@
 }
 
 /// A statement of this class.
-pub(super) fn statement(
+pub(super) fn request_message(
     id: RequestId,
     now: Millis,
     class: &Arc<NamedClass>,
@@ -124,7 +124,7 @@
 }
 
 /// The completion of an attempt, with the load report of its engine.
-pub(super) fn served(
+pub(super) fn completion_message(
     DispatchedAttempt {
         engine,
         id,
@@ -132,8 +132,8 @@
     }: DispatchedAttempt,
 ) -> CoreMessage {
     let report = LoadReport {
-        inflight: Some(OTHERS_IN_FLIGHT),
-        cpu_busy: Some(BUSY),
+        inflight: Some(OTHER_MANAGERS_IN_FLIGHT),
+        cpu_busy: Some(CPU_BUSY_SHARE),
         ..LoadReport::default()
     };
     let event = AttemptEvent::Ended {
