--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -49,7 +49,7 @@
 /// The handle of one connection's task.
 struct Connection {
     calls: mpsc::UnboundedSender<()>,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
 }
 
 impl Clients {
@@ -61,7 +61,7 @@
         let counters = Arc::new(StatementCounters::new()?);
         let mut connections = Vec::with_capacity(count);
         for _ in 0..count {
-            connections.push(runtime.block_on(open(manager, counters.clone()))?);
+            connections.push(runtime.block_on(open_connection(manager, counters.clone()))?);
         }
         Ok(Clients {
             runtime,
@@ -77,7 +77,7 @@
         rate: f64,
         duration: Duration,
     ) -> Result<OfferedStatements, ScaleError> {
-        self.round(duration, |elapsed, sent, _| (rate * elapsed) as u64 - sent)
+        self.run_round(duration, |elapsed, sent, _| (rate * elapsed) as u64 - sent)
     }
 
     /// Keeps this many statements open for this long, and waits for their answers.
@@ -86,11 +86,13 @@
         statements: u64,
         duration: Duration,
     ) -> Result<OfferedStatements, ScaleError> {
-        self.round(duration, |_, _, open| statements.saturating_sub(open))
+        self.run_round(duration, |_, _, open_count| {
+            statements.saturating_sub(open_count)
+        })
     }
 
     /// Offers what is due by the seconds elapsed, the statements due before and those open.
-    fn round(
+    fn run_round(
         &mut self,
         duration: Duration,
         due: impl Fn(f64, u64, u64) -> u64,
@@ -102,17 +104,17 @@
             next_connection,
         } = self;
         counters.clear();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let (mut due_statements, mut held_back) = (0_u64, 0_u64);
         runtime.block_on(async {
             loop {
-                let elapsed = begun.elapsed().min(duration);
-                let open = (due_statements - held_back).saturating_sub(counters.finished());
-                for _ in 0..due(elapsed.as_secs_f64(), due_statements, open) {
+                let elapsed = started_at.elapsed().min(duration);
+                let open_count = (due_statements - held_back).saturating_sub(counters.finished());
+                for _ in 0..due(elapsed.as_secs_f64(), due_statements, open_count) {
                     due_statements += 1;
-                    let full =
+                    let limit_reached =
                         (due_statements - held_back).saturating_sub(counters.finished()) > MAX_OPEN;
-                    if full || !assign_statement(connections, next_connection) {
+                    if limit_reached || !assign_statement(connections, next_connection) {
                         held_back += 1;
                     }
                 }
@@ -131,7 +133,7 @@
             let _ = timeout(ANSWER_TIMEOUT, answered).await;
         });
         let mut offered = counters.offered();
-        offered.seconds = rounded(begun.elapsed().as_secs_f64());
+        offered.seconds = rounded(started_at.elapsed().as_secs_f64());
         offered.held_back = held_back;
         offered.unanswered = (due_statements - held_back).saturating_sub(offered.answered());
         Ok(offered)
@@ -143,10 +145,10 @@
     for _ in 0..connections.len() {
         let connection = &connections[*next_connection % connections.len()];
         *next_connection = (*next_connection + 1) % connections.len();
-        if connection.open.load(Ordering::Relaxed) < MAX_OPEN_ON_CONNECTION
+        if connection.open_count.load(Ordering::Relaxed) < MAX_OPEN_ON_CONNECTION
             && connection.calls.send(()).is_ok()
         {
-            connection.open.fetch_add(1, Ordering::Relaxed);
+            connection.open_count.fetch_add(1, Ordering::Relaxed);
             return true;
         }
     }
@@ -161,25 +163,25 @@
 }
 
 /// Opens a connection whose first call is answered, and starts its task.
-async fn open(
+async fn open_connection(
     manager: SocketAddr,
     counters: Arc<StatementCounters>,
 ) -> Result<Connection, ScaleError> {
-    let late =
+    let timed_out =
         |_| ScaleError::CheckFailed("a client connection was not answered in time".to_owned());
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(manager))
         .await
-        .map_err(late)??;
+        .map_err(timed_out)??;
     stream.set_nodelay(true)?;
-    let open = Arc::<AtomicUsize>::default();
-    let mut session = Session::new(stream, open.clone(), counters);
+    let open_count = Arc::<AtomicUsize>::default();
+    let mut session = Session::new(stream, open_count.clone(), counters);
     session.send_health_call().await?;
     timeout(CONNECT_TIMEOUT, session.read_answers())
         .await
-        .map_err(late)??;
-    let (calls, called) = mpsc::unbounded_channel();
-    tokio::spawn(session.run(called));
-    Ok(Connection { calls, open })
+        .map_err(timed_out)??;
+    let (calls, call_receiver) = mpsc::unbounded_channel();
+    tokio::spawn(session.run(call_receiver));
+    Ok(Connection { calls, open_count })
 }
 
 /// One connection's task.
@@ -192,12 +194,16 @@
     statements_open: HashMap<u64, Instant>,
     /// The same for calls of `health`.
     health_calls_open: HashMap<u64, Instant>,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
     counters: Arc<StatementCounters>,
 }
 
 impl Session {
-    fn new(stream: TcpStream, open: Arc<AtomicUsize>, counters: Arc<StatementCounters>) -> Session {
+    fn new(
+        stream: TcpStream,
+        open_count: Arc<AtomicUsize>,
+        counters: Arc<StatementCounters>,
+    ) -> Session {
         let (statements_open, health_calls_open) = Default::default();
         let (input, last_written_at) = (BytesMut::new(), Instant::now());
         Session {
@@ -207,29 +213,29 @@
             last_written_at,
             statements_open,
             health_calls_open,
-            open,
+            open_count,
             counters,
         }
     }
 
-    async fn run(mut self, mut called: mpsc::UnboundedReceiver<()>) {
+    async fn run(mut self, mut call_receiver: mpsc::UnboundedReceiver<()>) {
         loop {
-            let quiet = self.last_written_at + KEEP_ALIVE_INTERVAL;
-            let done = tokio::select! {
-                call = called.recv() => match call {
+            let keep_alive_at = self.last_written_at + KEEP_ALIVE_INTERVAL;
+            let result = tokio::select! {
+                call = call_receiver.recv() => match call {
                     Some(()) => self.send_statement().await,
                     None => return,
                 },
                 read = self.read_answers() => read,
-                () = sleep_until(quiet.into()) => self.send_health_call().await,
+                () = sleep_until(keep_alive_at.into()) => self.send_health_call().await,
             };
-            if done.is_err() {
+            if result.is_err() {
                 break;
             }
         }
         // Statements that are open or arrive from now on get no answer.
-        called.close();
-        while called.recv().await.is_some() {
+        call_receiver.close();
+        while call_receiver.recv().await.is_some() {
             self.counters.lost.fetch_add(1, Ordering::Relaxed);
         }
         self.counters
@@ -249,7 +255,7 @@
         let mut fields = vec![("ref", reference.as_str())];
         fields.extend(FIELDS);
         self.last_message_id += 1;
-        let text = messages::call(
+        let message = messages::encode_call(
             self.last_message_id,
             CLASS,
             &fields,
@@ -258,23 +264,23 @@
         self.statements_open
             .insert(self.last_message_id, Instant::now());
         self.counters.sent.fetch_add(1, Ordering::Relaxed);
-        self.write(&text).await
+        self.write(&message).await
     }
 
     async fn send_health_call(&mut self) -> Result<(), ScaleError> {
         self.last_message_id += 1;
         self.health_calls_open
             .insert(self.last_message_id, Instant::now());
-        let text = messages::call(self.last_message_id, "health", &[], None);
-        self.write(&text).await
+        let message = messages::encode_call(self.last_message_id, "health", &[], None);
+        self.write(&message).await
     }
 
-    async fn write(&mut self, text: &[u8]) -> Result<(), ScaleError> {
+    async fn write(&mut self, message: &[u8]) -> Result<(), ScaleError> {
         self.last_written_at = Instant::now();
-        self.stream.write_all(text).await?;
+        self.stream.write_all(message).await?;
         self.counters
             .bytes_sent
-            .fetch_add(text.len() as u64, Ordering::Relaxed);
+            .fetch_add(message.len() as u64, Ordering::Relaxed);
         Ok(())
     }
 
@@ -290,7 +296,7 @@
             .bytes_received
             .fetch_add(length as u64, Ordering::Relaxed);
         loop {
-            match messages::answer(&self.input) {
+            match messages::parse_answer(&self.input) {
                 Ok((answer, length)) => {
                     let _ = self.input.split_to(length);
                     self.handle_answer(answer);
@@ -313,9 +319,9 @@
             &mut self.statements_open
         };
         match open_calls.remove(&answer.id) {
-            Some(_) if health => _ = self.counters.health.fetch_add(1, Ordering::Relaxed),
+            Some(_) if health => _ = self.counters.health_answers.fetch_add(1, Ordering::Relaxed),
             Some(written_at) => {
-                self.open.fetch_sub(1, Ordering::Relaxed);
+                self.open_count.fetch_sub(1, Ordering::Relaxed);
                 self.counters.record(answer.kind, written_at.elapsed());
             }
             None => _ = self.counters.stray.fetch_add(1, Ordering::Relaxed),
--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -13,11 +13,12 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Time that an engine takes to serve a statement.
-pub(super) const SERVED_AFTER: Duration = Duration::from_millis(10);
+pub(super) const SERVICE_TIME: Duration = Duration::from_millis(10);
 /// What follows the name of a statement that was served: the work and memory that it needed, a load report, one row.
-const SERVED: &str = " served batches=1,cpu=10,used=8,l=inflight:4;util:0.5 6\r\na\tb\tc\n\r\n";
+const SERVED_ANSWER: &str =
+    " served batches=1,cpu=10,used=8,l=inflight:4;util:0.5 6\r\na\tb\tc\n\r\n";
 /// The interface that the listener is bound to, so that nothing outside of this machine reaches it.
-const LOOPBACK: &[u8] = b"lo";
+const LOOPBACK_INTERFACE: &[u8] = b"lo";
 const BACKLOG: u32 = 4_096;
 /// A statement of the tests is far shorter.
 const MAX_STATEMENT_BYTES: usize = 64 * 1024;
@@ -68,13 +69,13 @@
         };
         let port = listener.local_addr()?.port();
         let counters = Arc::<EngineCounters>::default();
-        let (running, ended) = oneshot::channel::<()>();
+        let (running, stopped) = oneshot::channel::<()>();
         let engines = counters.clone();
         thread::spawn(move || {
             runtime.block_on(async {
                 tokio::select! {
-                    () = accept(listener, engines) => {}
-                    _ = ended => {}
+                    () = accept_connections(listener, engines) => {}
+                    _ = stopped => {}
                 }
             });
         });
@@ -106,31 +107,31 @@
 /// One socket for every loopback address.
 fn listen() -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
-    socket.bind_device(Some(LOOPBACK))?;
+    socket.bind_device(Some(LOOPBACK_INTERFACE))?;
     socket.bind(([0, 0, 0, 0], 0).into())?;
     socket.listen(BACKLOG)
 }
 
-async fn accept(listener: TcpListener, counters: Arc<EngineCounters>) {
+async fn accept_connections(listener: TcpListener, counters: Arc<EngineCounters>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 counters.connections.fetch_add(1, Ordering::Relaxed);
-                tokio::spawn(serve(stream, counters.clone()));
+                tokio::spawn(serve_connection(stream, counters.clone()));
             }
             // Out of descriptors: what is open goes on.
-            Err(_) => tokio::time::sleep(SERVED_AFTER).await,
+            Err(_) => tokio::time::sleep(SERVICE_TIME).await,
         }
     }
 }
 
 /// Serves one connection until the manager closes it.
-async fn serve(stream: TcpStream, counters: Arc<EngineCounters>) {
+async fn serve_connection(stream: TcpStream, counters: Arc<EngineCounters>) {
     let _ = stream.set_nodelay(true);
     let engine = stream.local_addr().map(|address| address.ip());
     let (read, write) = stream.into_split();
-    let (answers, answered) = mpsc::unbounded_channel();
-    tokio::spawn(answer(write, answered, counters.clone()));
+    let (answer_sender, answer_receiver) = mpsc::unbounded_channel();
+    tokio::spawn(write_answers(write, answer_receiver, counters.clone()));
     let mut read = BufReader::new(read);
     let mut line = String::new();
     loop {
@@ -166,26 +167,27 @@
                         .unwrap_or_else(PoisonError::into_inner)
                         .insert(engine);
                 }
-                let (answers, text) = (answers.clone(), format!("{name}{SERVED}"));
+                let (answer_sender, text) =
+                    (answer_sender.clone(), format!("{name}{SERVED_ANSWER}"));
                 tokio::spawn(async move {
-                    tokio::time::sleep(SERVED_AFTER).await;
+                    tokio::time::sleep(SERVICE_TIME).await;
                     // The connection may be closed by then.
-                    let _ = answers.send(text);
+                    let _ = answer_sender.send(text);
                 });
             }
-            ["NOOP", tag] => _ = answers.send(format!("{tag} green - 0\r\n\r\n")),
+            ["NOOP", tag] => _ = answer_sender.send(format!("{tag} green - 0\r\n\r\n")),
             // Notes, priorities and statements that are given up need no answer.
             _ => {}
         }
     }
 }
 
-async fn answer(
+async fn write_answers(
     mut write: OwnedWriteHalf,
-    mut answered: mpsc::UnboundedReceiver<String>,
+    mut answer_receiver: mpsc::UnboundedReceiver<String>,
     counters: Arc<EngineCounters>,
 ) {
-    while let Some(text) = answered.recv().await {
+    while let Some(text) = answer_receiver.recv().await {
         if write.write_all(text.as_bytes()).await.is_err() {
             return;
         }
--- a/benches/scale/messages.rs
+++ b/benches/scale/messages.rs
@@ -5,12 +5,12 @@
 use std::io::Cursor;
 
 /// MessagePack markers that distinguish answers.
-const NIL: u8 = 0xc0;
-const FALSE: u8 = 0xc2;
-const TRUE: u8 = 0xc3;
+const NIL_MARKER: u8 = 0xc0;
+const FALSE_MARKER: u8 = 0xc2;
+const TRUE_MARKER: u8 = 0xc3;
 /// The kinds of messages.
-const CALL: u8 = 0;
-const ANSWER: u8 = 1;
+const CALL_KIND: u8 = 0;
+const ANSWER_KIND: u8 = 1;
 
 /// The kind of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,88 +44,95 @@
 }
 
 /// A call of a method with its fields, and a body where there is one.
-pub(super) fn call(id: u64, method: &str, fields: &[(&str, &str)], body: Option<&[u8]>) -> Vec<u8> {
-    const WRITES: &str = "a vector takes every write";
-    let mut text = Vec::with_capacity(256);
-    encode::write_array_len(&mut text, 4).expect(WRITES);
-    encode::write_uint(&mut text, u64::from(CALL)).expect(WRITES);
-    encode::write_uint(&mut text, id).expect(WRITES);
-    encode::write_str(&mut text, method).expect(WRITES);
-    encode::write_array_len(&mut text, 1 + u32::from(body.is_some())).expect(WRITES);
-    encode::write_map_len(&mut text, fields.len() as u32).expect(WRITES);
+pub(super) fn encode_call(
+    id: u64,
+    method: &str,
+    fields: &[(&str, &str)],
+    body: Option<&[u8]>,
+) -> Vec<u8> {
+    const INFALLIBLE_WRITE: &str = "a vector takes every write";
+    let mut message = Vec::with_capacity(256);
+    encode::write_array_len(&mut message, 4).expect(INFALLIBLE_WRITE);
+    encode::write_uint(&mut message, u64::from(CALL_KIND)).expect(INFALLIBLE_WRITE);
+    encode::write_uint(&mut message, id).expect(INFALLIBLE_WRITE);
+    encode::write_str(&mut message, method).expect(INFALLIBLE_WRITE);
+    encode::write_array_len(&mut message, 1 + u32::from(body.is_some())).expect(INFALLIBLE_WRITE);
+    encode::write_map_len(&mut message, fields.len() as u32).expect(INFALLIBLE_WRITE);
     for (name, value) in fields {
-        encode::write_str(&mut text, name).expect(WRITES);
-        encode::write_str(&mut text, value).expect(WRITES);
+        encode::write_str(&mut message, name).expect(INFALLIBLE_WRITE);
+        encode::write_str(&mut message, value).expect(INFALLIBLE_WRITE);
     }
     if let Some(body) = body {
-        encode::write_bin(&mut text, body).expect(WRITES);
+        encode::write_bin(&mut message, body).expect(INFALLIBLE_WRITE);
     }
-    text
+    message
 }
 
 /// The first answer of these bytes and its length.
-pub(super) fn answer(bytes: &[u8]) -> Result<(Answer, usize), ParseError> {
+pub(super) fn parse_answer(bytes: &[u8]) -> Result<(Answer, usize), ParseError> {
     let mut input = Cursor::new(bytes);
     let head = (
-        complete(decode::read_array_len(&mut input))?,
-        complete(decode::read_int::<u8, _>(&mut input))?,
+        or_parse_error(decode::read_array_len(&mut input))?,
+        or_parse_error(decode::read_int::<u8, _>(&mut input))?,
     );
-    if head != (4, ANSWER) {
+    if head != (4, ANSWER_KIND) {
         return Err(ParseError::Malformed);
     }
-    let id = complete(decode::read_int::<u64, _>(&mut input))?;
-    let served = peek(&input)? == NIL;
+    let id = or_parse_error(decode::read_int::<u64, _>(&mut input))?;
+    let served = peek_marker(&input)? == NIL_MARKER;
     let kind = if served {
-        complete(decode::read_nil(&mut input))?;
-        complete(decode::read_array_len(&mut input))?;
-        result(&mut input)?
+        or_parse_error(decode::read_nil(&mut input))?;
+        or_parse_error(decode::read_array_len(&mut input))?;
+        parse_result(&mut input)?
     } else {
-        complete(decode::read_array_len(&mut input))?;
-        if text(&mut input)? == b"Overloaded" {
+        or_parse_error(decode::read_array_len(&mut input))?;
+        if read_text(&mut input)? == b"Overloaded" {
             AnswerKind::Rejected
         } else {
             AnswerKind::Failed
         }
     };
-    for _ in 0..complete(decode::read_map_len(&mut input))? {
-        text(&mut input)?;
-        text(&mut input)?;
+    for _ in 0..or_parse_error(decode::read_map_len(&mut input))? {
+        read_text(&mut input)?;
+        read_text(&mut input)?;
     }
     if !served {
-        complete(decode::read_nil(&mut input))?;
+        or_parse_error(decode::read_nil(&mut input))?;
     }
     Ok((Answer { id, kind }, input.position() as usize))
 }
 
-fn result(input: &mut Cursor<&[u8]>) -> Result<AnswerKind, ParseError> {
-    match peek(input)? {
-        FALSE | TRUE => Ok(AnswerKind::Health(complete(decode::read_bool(input))?)),
+fn parse_result(input: &mut Cursor<&[u8]>) -> Result<AnswerKind, ParseError> {
+    match peek_marker(input)? {
+        FALSE_MARKER | TRUE_MARKER => Ok(AnswerKind::Health(or_parse_error(decode::read_bool(
+            input,
+        ))?)),
         _ => {
-            let length = complete(decode::read_bin_len(input))?;
-            take(input, length as usize)?;
+            let length = or_parse_error(decode::read_bin_len(input))?;
+            read_bytes(input, length as usize)?;
             Ok(AnswerKind::Served)
         }
     }
 }
 
-fn text(input: &mut Cursor<&[u8]>) -> Result<Vec<u8>, ParseError> {
-    let length = complete(decode::read_str_len(input))?;
-    take(input, length as usize)
+fn read_text(input: &mut Cursor<&[u8]>) -> Result<Vec<u8>, ParseError> {
+    let length = or_parse_error(decode::read_str_len(input))?;
+    read_bytes(input, length as usize)
 }
 
-fn take(input: &mut Cursor<&[u8]>, length: usize) -> Result<Vec<u8>, ParseError> {
-    let left = input.get_ref().len() - input.position() as usize;
-    if left < length {
+fn read_bytes(input: &mut Cursor<&[u8]>, length: usize) -> Result<Vec<u8>, ParseError> {
+    let remaining = input.get_ref().len() - input.position() as usize;
+    if remaining < length {
         return Err(ParseError::Incomplete);
     }
-    let mut taken = vec![0; length];
+    let mut bytes = vec![0; length];
     input
-        .read_exact_buf(&mut taken)
+        .read_exact_buf(&mut bytes)
         .map_err(|_| ParseError::Incomplete)?;
-    Ok(taken)
+    Ok(bytes)
 }
 
-fn peek(input: &Cursor<&[u8]>) -> Result<u8, ParseError> {
+fn peek_marker(input: &Cursor<&[u8]>) -> Result<u8, ParseError> {
     input
         .get_ref()
         .get(input.position() as usize)
@@ -134,7 +141,7 @@
 }
 
 /// Distinguishes input that ends early from malformed input.
-fn complete<T, E: MayBeEndOfInput>(read: Result<T, E>) -> Result<T, ParseError> {
+fn or_parse_error<T, E: MayBeEndOfInput>(read: Result<T, E>) -> Result<T, ParseError> {
     read.map_err(|error| {
         if error.is_end_of_input() {
             ParseError::Incomplete
--- a/benches/scale/statement_counters.rs
+++ b/benches/scale/statement_counters.rs
@@ -24,7 +24,7 @@
     failed: AtomicU64,
     pub lost: AtomicU64,
     pub stray: AtomicU64,
-    pub health: AtomicU64,
+    pub health_answers: AtomicU64,
     pub bytes_sent: AtomicU64,
     pub bytes_received: AtomicU64,
     latencies: Mutex<Histogram<u64>>,
@@ -82,14 +82,14 @@
             failed: count(),
             lost: count(),
             stray: count(),
-            health: count(),
+            health_answers: count(),
             bytes_sent: count(),
             bytes_received: count(),
             latencies: Mutex::new(latencies),
         })
     }
 
-    fn all(&self) -> [&AtomicU64; 9] {
+    fn counters(&self) -> [&AtomicU64; 9] {
         let StatementCounters {
             sent,
             served,
@@ -97,7 +97,7 @@
             failed,
             lost,
             stray,
-            health,
+            health_answers,
             bytes_sent,
             bytes_received,
             ..
@@ -109,7 +109,7 @@
             failed,
             lost,
             stray,
-            health,
+            health_answers,
             bytes_sent,
             bytes_received,
         ]
@@ -117,7 +117,7 @@
 
     /// Sets all figures to zero.
     pub(super) fn clear(&self) {
-        self.all()
+        self.counters()
             .iter()
             .for_each(|count| count.store(0, Ordering::Relaxed));
         self.latencies
@@ -158,26 +158,26 @@
             failed,
             _,
             stray,
-            health,
+            health_answers,
             bytes_sent,
             bytes_received,
-        ] = self.all().map(|count| count.load(Ordering::Relaxed));
+        ] = self.counters().map(|count| count.load(Ordering::Relaxed));
         let latencies = self
             .latencies
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let within_ms = |share: f64| latencies.value_at_quantile(share) as f64 / 1000.0;
+        let quantile_ms = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1000.0;
         OfferedStatements {
             offered: sent,
             served,
             refused,
             failed,
             stray,
-            health_calls: health,
+            health_calls: health_answers,
             bytes_sent,
             bytes_received,
-            p50_ms: rounded(within_ms(0.5)),
-            p99_ms: rounded(within_ms(0.99)),
+            p50_ms: rounded(quantile_ms(0.5)),
+            p99_ms: rounded(quantile_ms(0.99)),
             ..OfferedStatements::default()
         }
     }
