--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -19,7 +19,7 @@
 
 const CLASS: &str = "read";
 /// Fields of a statement, besides its reference.
-const FIELDS: [(&str, &str); 4] = [
+const STATEMENT_FIELDS: [(&str, &str); 4] = [
     ("allow", "2000"),
     ("project", "acme"),
     ("effort", "10.0"),
@@ -30,7 +30,7 @@
 /// Open statements on one connection at most: the bound of the protocol.
 const MAX_OPEN_ON_CONNECTION: usize = 32;
 /// Open statements at most; beyond that none are offered.
-const MAX_OPEN: u64 = 2_000;
+const MAX_OPEN_STATEMENTS: u64 = 2_000;
 /// Time for the last answers after a round.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for a connection to open and answer `health`.
@@ -112,8 +112,9 @@
                 let open_count = (due_statements - held_back).saturating_sub(counters.finished());
                 for _ in 0..due(elapsed.as_secs_f64(), due_statements, open_count) {
                     due_statements += 1;
-                    let limit_reached =
-                        (due_statements - held_back).saturating_sub(counters.finished()) > MAX_OPEN;
+                    let limit_reached = (due_statements - held_back)
+                        .saturating_sub(counters.finished())
+                        > MAX_OPEN_STATEMENTS;
                     if limit_reached || !assign_statement(connections, next_connection) {
                         held_back += 1;
                     }
@@ -253,7 +254,7 @@
             data_set(number)
         );
         let mut fields = vec![("ref", reference.as_str())];
-        fields.extend(FIELDS);
+        fields.extend(STATEMENT_FIELDS);
         self.last_message_id += 1;
         let message = messages::encode_call(
             self.last_message_id,
--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -22,8 +22,8 @@
 /// Bytes of a frame before its records: length, number and kind.
 pub(super) const FRAME_HEAD_BYTES: usize = 13;
 /// Interval of the empty frames that keep an idle connection alive.
-pub(super) const IDLE: Duration = Duration::from_secs(1);
-const KIND_EMPTY: u8 = 0;
+pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+const KIND_HEARTBEAT: u8 = 0;
 const KIND_FULL: u8 = 1;
 const KIND_CHANGES: u8 = 2;
 /// Connections that wait to be accepted.
@@ -31,7 +31,7 @@
 /// Longest wait for its thread to respond.
 const THREAD_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval at which its load is sampled.
-const SAMPLE: Duration = Duration::from_millis(10);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// One event as a frame: its length, number, kind and records.
 pub(super) fn frame(event: &EndpointListEvent) -> Bytes {
@@ -43,11 +43,11 @@
     event
         .records
         .iter()
-        .for_each(|line| encode_record(line, &mut payload));
-    frame_of(event.number, kind, &payload)
+        .for_each(|record| encode_record(record, &mut payload));
+    encode_frame(event.number, kind, &payload)
 }
 
-fn frame_of(number: u64, kind: u8, payload: &[u8]) -> Bytes {
+fn encode_frame(number: u64, kind: u8, payload: &[u8]) -> Bytes {
     let length = FRAME_HEAD_BYTES - size_of::<u32>() + payload.len();
     let mut frame = (length as u32).to_be_bytes().to_vec();
     frame.extend(number.to_be_bytes());
@@ -56,62 +56,62 @@
     frame.into()
 }
 
-fn encode_record(line: &EngineRecord, into: &mut Vec<u8>) {
-    let SocketAddr::V4(address) = line.address else {
+fn encode_record(record: &EngineRecord, payload: &mut Vec<u8>) {
+    let SocketAddr::V4(address) = record.address else {
         return;
     };
-    let entry = &line.entry;
-    into.extend(entry.engine.addr);
-    into.extend(address.ip().octets());
-    into.extend(address.port().to_be_bytes());
-    into.push(match entry.state {
+    let entry = &record.entry;
+    payload.extend(entry.engine.addr);
+    payload.extend(address.ip().octets());
+    payload.extend(address.port().to_be_bytes());
+    payload.push(match entry.state {
         EngineState::Ready => 0,
         EngineState::Draining => 1,
         EngineState::Removed => 2,
     });
-    into.push(entry.zone);
-    into.push(entry.machine_type as u8);
-    into.extend(entry.cell.to_be_bytes());
-    into.extend(((entry.nominal_capacity * 1000.0) as u32).to_be_bytes());
-    into.extend((entry.started_at_ms as u64).to_be_bytes());
+    payload.push(entry.zone);
+    payload.push(entry.machine_type as u8);
+    payload.extend(entry.cell.to_be_bytes());
+    payload.extend(((entry.nominal_capacity * 1000.0) as u32).to_be_bytes());
+    payload.extend((entry.started_at_ms as u64).to_be_bytes());
 }
 
 /// Whether the feed can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Presence {
+enum ListenerState {
     Listening,
-    Away,
+    NotListening,
     Ended,
 }
 
 #[derive(Default)]
-struct Counted {
+struct FeedCounters {
     connections: AtomicU64,
     frames: AtomicU64,
     bytes: AtomicU64,
 }
 
 struct Shared {
-    idle: Duration,
+    heartbeat_interval: Duration,
     /// The events in order, with their numbers.
     log: Mutex<Vec<(u64, Bytes)>>,
     /// How many there are.
     published: watch::Sender<usize>,
-    counted: Counted,
+    counters: FeedCounters,
     timeline: Mutex<Timeline>,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Shared {
     fn totals(&self) -> ServerTotals {
-        let Counted {
+        let FeedCounters {
             connections,
             frames,
             bytes,
-        } = &self.counted;
+        } = &self.counters;
         let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
         ServerTotals {
             connections: get(connections),
@@ -120,15 +120,15 @@
         }
     }
 
-    fn wrote(&self, bytes: usize) {
-        self.counted.frames.fetch_add(1, Ordering::Relaxed);
-        self.counted
+    fn record_frame(&self, bytes: usize) {
+        self.counters.frames.fetch_add(1, Ordering::Relaxed);
+        self.counters
             .bytes
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// The frames behind the first `sent` ones.
-    fn since(&self, sent: usize) -> Vec<Bytes> {
+    fn frames_after(&self, sent: usize) -> Vec<Bytes> {
         lock(&self.log)
             .iter()
             .skip(sent)
@@ -142,25 +142,28 @@
     /// Where it listens, when it is not away.
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    presence: watch::Sender<Presence>,
-    settled: mpsc::Receiver<Presence>,
+    state: watch::Sender<ListenerState>,
+    confirmations: mpsc::Receiver<ListenerState>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Feed {
     /// A feed whose first event is this full list. `idle` is the interval of its empty frames.
-    pub(super) fn start(list: &EndpointListEvent, idle: Duration) -> Result<Feed, ScaleError> {
+    pub(super) fn start(
+        list: &EndpointListEvent,
+        heartbeat_interval: Duration,
+    ) -> Result<Feed, ScaleError> {
         let shared = Arc::new(Shared {
-            idle,
+            heartbeat_interval,
             log: Mutex::new(vec![(list.number, frame(list))]),
             published: watch::Sender::new(1),
-            counted: Counted::default(),
+            counters: FeedCounters::default(),
             timeline: Mutex::default(),
         });
-        let (presence, present) = watch::channel(Presence::Listening);
-        let (settle, settled) = mpsc::channel();
-        let (bound, address) = mpsc::channel();
-        let serving = shared.clone();
+        let (state, state_receiver) = watch::channel(ListenerState::Listening);
+        let (confirmation_sender, confirmations) = mpsc::channel();
+        let (address_sender, address) = mpsc::channel();
+        let thread_shared = shared.clone();
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -168,20 +171,27 @@
             .name("feed".to_owned())
             .spawn(move || {
                 runtime.block_on(async {
-                    let sampler = tokio::spawn(sample(serving.clone()));
-                    if let Err(e) = serve(serving, present, bound, settle).await {
+                    let sampler = tokio::spawn(sample(thread_shared.clone()));
+                    if let Err(e) = serve(
+                        thread_shared,
+                        state_receiver,
+                        address_sender,
+                        confirmation_sender,
+                    )
+                    .await
+                    {
                         eprintln!("scale: feed: {e}");
                     }
                     sampler.abort();
                 });
             })?;
-        let gone = |_| ScaleError::CheckFailed("the feed did not start".to_owned());
-        let address = address.recv().map_err(gone)?;
+        let not_started = |_| ScaleError::CheckFailed("the feed did not start".to_owned());
+        let address = address.recv().map_err(not_started)?;
         Ok(Feed {
             address,
             shared,
-            presence,
-            settled,
+            state,
+            confirmations,
             thread: Some(thread),
         })
     }
@@ -189,33 +199,34 @@
     /// Publishes one more event to present and later followers; returns the time of publication.
     pub(super) fn publish(&self, event: &EndpointListEvent) -> Instant {
         let frame = frame(event);
-        let at = Instant::now();
+        let published_at = Instant::now();
         let mut log = lock(&self.shared.log);
         log.push((event.number, frame));
         self.shared.published.send_replace(log.len());
-        at
+        published_at
     }
 
     /// Closes the listener and all connections.
     pub(super) fn stop_listening(&self) -> Result<(), ScaleError> {
-        self.set_presence(Presence::Away)
+        self.set_state(ListenerState::NotListening)
     }
 
     /// Listens again at the same address; returns when it did.
     pub(super) fn resume_listening(&self) -> Result<Instant, ScaleError> {
-        self.set_presence(Presence::Listening)
+        self.set_state(ListenerState::Listening)
             .map(|()| Instant::now())
     }
 
-    fn set_presence(&self, presence: Presence) -> Result<(), ScaleError> {
-        self.presence.send_replace(presence);
-        let settled = self.settled.recv_timeout(THREAD_TIMEOUT);
-        let broken = || ScaleError::CheckFailed(format!("the feed did not become {presence:?}"));
-        settled
+    fn set_state(&self, state: ListenerState) -> Result<(), ScaleError> {
+        self.state.send_replace(state);
+        let confirmation = self.confirmations.recv_timeout(THREAD_TIMEOUT);
+        let not_confirmed =
+            || ScaleError::CheckFailed(format!("the feed did not become {state:?}"));
+        confirmation
             .ok()
-            .filter(|now| *now == presence)
+            .filter(|now| *now == state)
             .map(|_| ())
-            .ok_or_else(broken)
+            .ok_or_else(not_confirmed)
     }
 
     /// What it has done so far.
@@ -225,26 +236,26 @@
 
     /// Its load over a time. It waits for the sample that ends the time.
     pub(super) fn load(&self, from: Instant, until: Instant) -> Result<Load, ScaleError> {
-        self.sampled(until)?;
+        self.await_sample(until)?;
         let load = lock(&self.shared.timeline).load(from, until);
         load.ok_or_else(|| ScaleError::CheckFailed("no two samples of the feed's load".to_owned()))
     }
 
     /// Processor time of its thread by the first sample after this time.
-    pub(super) fn processor(&self, at: Instant) -> Result<Duration, ScaleError> {
-        self.sampled(at)?;
-        Ok(lock(&self.shared.timeline).processor())
+    pub(super) fn processor_time(&self, not_before: Instant) -> Result<Duration, ScaleError> {
+        self.await_sample(not_before)?;
+        Ok(lock(&self.shared.timeline).processor_time())
     }
 
-    fn sampled(&self, at: Instant) -> Result<(), ScaleError> {
-        let patience = Instant::now() + THREAD_TIMEOUT;
-        while !lock(&self.shared.timeline).reaches(at) {
-            if Instant::now() > patience {
+    fn await_sample(&self, not_before: Instant) -> Result<(), ScaleError> {
+        let deadline = Instant::now() + THREAD_TIMEOUT;
+        while !lock(&self.shared.timeline).has_sample_since(not_before) {
+            if Instant::now() > deadline {
                 return Err(ScaleError::CheckFailed(
                     "the feed's load is not sampled".to_owned(),
                 ));
             }
-            std::thread::sleep(SAMPLE);
+            std::thread::sleep(SAMPLE_INTERVAL);
         }
         Ok(())
     }
@@ -252,49 +263,49 @@
 
 impl Drop for Feed {
     fn drop(&mut self) {
-        self.presence.send_replace(Presence::Ended);
+        self.state.send_replace(ListenerState::Ended);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
+fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
 async fn serve(
     shared: Arc<Shared>,
-    mut presence: watch::Receiver<Presence>,
-    bound: mpsc::Sender<SocketAddr>,
-    settle: mpsc::Sender<Presence>,
+    mut state: watch::Receiver<ListenerState>,
+    address_sender: mpsc::Sender<SocketAddr>,
+    confirmation_sender: mpsc::Sender<ListenerState>,
 ) -> std::io::Result<()> {
     let mut listener = listen((Ipv4Addr::LOCALHOST, 0).into())?;
     let address = listener.local_addr()?;
-    let _ = bound.send(address);
+    let _ = address_sender.send(address);
     loop {
-        accept_all(&listener, &shared, &mut presence).await?;
+        accept_all(&listener, &shared, &mut state).await?;
         drop(listener);
-        let now = *presence.borrow_and_update();
-        let _ = settle.send(now);
-        if now == Presence::Ended {
+        let current_state = *state.borrow_and_update();
+        let _ = confirmation_sender.send(current_state);
+        if current_state == ListenerState::Ended {
             return Ok(());
         }
-        let Ok(back) = presence
-            .wait_for(|now| *now != Presence::Away)
+        let Ok(next_state) = state
+            .wait_for(|now| *now != ListenerState::NotListening)
             .await
             .map(|now| *now)
         else {
             return Ok(());
         };
-        if back == Presence::Ended {
+        if next_state == ListenerState::Ended {
             return Ok(());
         }
         listener = listen(address)?;
-        let _ = settle.send(Presence::Listening);
+        let _ = confirmation_sender.send(ListenerState::Listening);
     }
 }
 
@@ -302,14 +313,14 @@
 async fn accept_all(
     listener: &TcpListener,
     shared: &Arc<Shared>,
-    presence: &mut watch::Receiver<Presence>,
+    state: &mut watch::Receiver<ListenerState>,
 ) -> std::io::Result<()> {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
-            _ = presence.wait_for(|now| *now != Presence::Listening) => return Ok(()),
+            _ = state.wait_for(|now| *now != ListenerState::Listening) => return Ok(()),
             accepted = listener.accept() => {
-                shared.counted.connections.fetch_add(1, Ordering::Relaxed);
+                shared.counters.connections.fetch_add(1, Ordering::Relaxed);
                 connections.spawn(serve_follower(accepted?.0, shared.clone()));
             }
             Some(_) = connections.join_next() => {}
@@ -323,28 +334,31 @@
     let mut published = shared.published.subscribe();
     let last = stream.read_u64().await?;
     let mut sent = lock(&shared.log).partition_point(|(number, _)| *number <= last);
-    let mut idle = interval_at(TokioInstant::now() + shared.idle, shared.idle);
+    let mut heartbeats = interval_at(
+        TokioInstant::now() + shared.heartbeat_interval,
+        shared.heartbeat_interval,
+    );
     loop {
-        for frame in shared.since(sent) {
+        for frame in shared.frames_after(sent) {
             stream.write_all(&frame).await?;
-            shared.wrote(frame.len());
+            shared.record_frame(frame.len());
             sent += 1;
         }
         tokio::select! {
             changed = published.changed() => if changed.is_err() { return Ok(()) },
-            _ = idle.tick() => {
-                let empty = frame_of(sent as u64, KIND_EMPTY, &[]);
-                stream.write_all(&empty).await?;
-                shared.wrote(empty.len());
+            _ = heartbeats.tick() => {
+                let heartbeat = encode_frame(sent as u64, KIND_HEARTBEAT, &[]);
+                stream.write_all(&heartbeat).await?;
+                shared.record_frame(heartbeat.len());
             }
         }
     }
 }
 
 async fn sample(shared: Arc<Shared>) {
-    let mut due = interval(SAMPLE);
+    let mut ticker = interval(SAMPLE_INTERVAL);
     loop {
-        due.tick().await;
+        ticker.tick().await;
         let totals = shared.totals();
         lock(&shared.timeline).record(totals);
     }
--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -69,9 +69,9 @@
     /// Processor time of the manager's thread since it began to follow the feed.
     pub processor_time: Duration,
     /// Engines that the event removes: they get no attempts any more.
-    pub ended: usize,
+    pub removed_count: usize,
     /// Engines that the event makes ready: they may get attempts.
-    pub ready: usize,
+    pub ready_count: usize,
     /// Engines that the manager has taken up.
     pub taken_up: RosterSize,
 }
@@ -222,8 +222,8 @@
             number,
             applied_at,
             processor_time: usage::thread_time().saturating_sub(self.processor_time_at_start),
-            ended: count_applied(&state.ended, EngineState::Removed),
-            ready: count_applied(&state.ready, EngineState::Ready),
+            removed_count: count_applied(&state.ended, EngineState::Removed),
+            ready_count: count_applied(&state.ready, EngineState::Ready),
             taken_up: RosterSize::of(&self.core, &self.metrics),
         };
         let _ = self.reports.send(ManagerReport::Event(applied));
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -1,7 +1,7 @@
 //! How soon a change is in force at all managers of a fleet, and how soon a zone's managers that start at once have
 //! their list.
 
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fit::{Figure, Point, Prediction};
 use super::fleet;
 use super::in_process_manager::{AppliedEvent, RosterSize};
@@ -126,7 +126,7 @@
     if !fits(output, memory, (listed, managers))? {
         return Ok(None);
     }
-    let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
+    let feed = Feed::start(&fleet::full_list(1, listed), HEARTBEAT_INTERVAL)?;
     let plan = ticks.plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     let listing = group.await_event(1)?[0];
@@ -136,11 +136,11 @@
         CHANGES
     };
     let mut seen = ChangeResults::default();
-    let before = feed.processor(Instant::now())?;
+    let before = feed.processor_time(Instant::now())?;
     for change in 0..changes {
         seen.play(&feed, &group, listed as u32, change)?;
     }
-    let in_feed = feed.processor(Instant::now())? - before;
+    let in_feed = feed.processor_time(Instant::now())? - before;
     let DispatchTotals {
         dispatched: asked,
         dispatched_to_ended: asked_of_ended,
@@ -192,8 +192,8 @@
             let now = applied.iter().map(of).sum::<usize>();
             Some(so_far.map_or(now, |so_far| so_far.min(now)))
         };
-        self.old_ended = least(|event| event.ended, self.old_ended);
-        self.successor_ready = least(|event| event.ready, self.successor_ready);
+        self.old_ended = least(|event| event.removed_count, self.old_ended);
+        self.successor_ready = least(|event| event.ready_count, self.successor_ready);
         Ok(())
     }
 }
@@ -209,7 +209,7 @@
     if !fits(output, memory, (listed, managers))? {
         return Ok(());
     }
-    let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
+    let feed = Feed::start(&fleet::full_list(1, listed), HEARTBEAT_INTERVAL)?;
     let plan = TickLoad::of(options, listed, managers).plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     let applied = group.await_event(1)?;
--- a/benches/scale/list_reconnect.rs
+++ b/benches/scale/list_reconnect.rs
@@ -1,7 +1,7 @@
 //! The feed goes away for a while: how soon all managers are back and have what they missed, and the feed's worst
 //! 100 ms against its mean.
 
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fleet;
 use super::list_capacity::{LatencySummary, MemoryModel, TEST, TickLoad, fits, latest};
 use super::manager_group::ManagerGroup;
@@ -55,7 +55,7 @@
     } else {
         (AWAY, AT_REST)
     };
-    let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
+    let feed = Feed::start(&fleet::full_list(1, listed), HEARTBEAT_INTERVAL)?;
     let plan = TickLoad::of(options, listed, managers).plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     group.await_event(1)?;
@@ -78,7 +78,7 @@
         times,
         feed_connections: totals.connections - before.connections,
         feed_bytes: totals.bytes - before.bytes,
-        feed_worst_to_rest: load.worst_against(&resting),
+        feed_worst_to_rest: load.worst_ratio_to(&resting),
         feed_load: load,
         feed_at_rest: resting,
     })
--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -5,7 +5,7 @@
 use super::clients::Clients;
 use super::configuration::{self, Configuration};
 use super::engines::Engines;
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fit::{Figure, Point, Prediction};
 use super::fleet;
 use super::manager_process::ManagerProcess;
@@ -175,7 +175,7 @@
     fn start(options: &Options, listed: usize, plan: RunPlan) -> Result<ManagerBench, ScaleError> {
         let engines = Engines::start()?;
         let list = configuration::listed(listed, engines.port);
-        let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
+        let feed = Feed::start(&configuration::first_event(&list), HEARTBEAT_INTERVAL)?;
         let configuration = Configuration {
             feed: feed.address,
             sockets: SOCKETS,
--- a/benches/scale/memory.rs
+++ b/benches/scale/memory.rs
@@ -1,7 +1,7 @@
 //! Memory by listed engine. A process of its own holds some in-process managers, so that nothing freed earlier hides what
 //! they take.
 
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fleet;
 use super::in_process_manager::ManagerPlan;
 use super::manager_group::ManagerGroup;
@@ -57,7 +57,7 @@
 /// Measures in this process, which should hold nothing else.
 fn here(options: &Options, listed: usize, managers: usize) -> Result<Held, ScaleError> {
     let list = fleet::full_list(1, listed);
-    let feed = Feed::start(&list, IDLE)?;
+    let feed = Feed::start(&list, HEARTBEAT_INTERVAL)?;
     drop(list);
     let plan = ManagerPlan {
         instances: options.managers,
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -2,7 +2,7 @@
 //! replaced and SIGHUP sent, with the list in the file's `known` (whole) and without it (settings only).
 
 use super::configuration::{self, Configuration};
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fit::{Figure, Point, Prediction};
 use super::manager_process::ManagerProcess;
 use super::options::{Options, Test};
@@ -181,7 +181,7 @@
     listed: usize,
 ) -> Result<Vec<ReloadRow>, ScaleError> {
     let list = configuration::listed(listed, ENGINE_PORT);
-    let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
+    let feed = Feed::start(&configuration::first_event(&list), HEARTBEAT_INTERVAL)?;
     let usual = Configuration {
         feed: feed.address,
         sockets: SOCKETS,
--- a/benches/scale/server_load.rs
+++ b/benches/scale/server_load.rs
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sample {
     /// When.
-    pub at: Instant,
+    pub sampled_at: Instant,
     /// What had been done by then.
     pub totals: ServerTotals,
     /// Processor time used by then.
-    pub processor: Duration,
+    pub processor_time: Duration,
 }
 
 /// What was done in one stretch, scaled to the length [`WINDOW`].
@@ -43,33 +43,36 @@
 
 impl LoadWindow {
     fn between(from: &Sample, to: &Sample) -> LoadWindow {
-        let part = WINDOW.as_secs_f64() / (to.at - from.at).as_secs_f64().max(1e-9);
-        let done = |from: u64, to: u64| rounded((to - from) as f64 * part);
+        let scale =
+            WINDOW.as_secs_f64() / (to.sampled_at - from.sampled_at).as_secs_f64().max(1e-9);
+        let scaled_difference = |from: u64, to: u64| rounded((to - from) as f64 * scale);
         LoadWindow {
-            connections: done(from.totals.connections, to.totals.connections),
-            bytes: done(from.totals.bytes, to.totals.bytes),
-            processor_ms: rounded((to.processor - from.processor).as_secs_f64() * 1000.0 * part),
+            connections: scaled_difference(from.totals.connections, to.totals.connections),
+            bytes: scaled_difference(from.totals.bytes, to.totals.bytes),
+            processor_ms: rounded(
+                (to.processor_time - from.processor_time).as_secs_f64() * 1000.0 * scale,
+            ),
         }
     }
 
     /// How many times each figure is the other's; 0 where that is 0.
-    fn against(&self, other: &LoadWindow) -> LoadWindow {
-        let times = |of: f64, other: f64| {
+    fn ratio_to(&self, other: &LoadWindow) -> LoadWindow {
+        let ratio = |figure: f64, other: f64| {
             if other > 0.0 {
-                rounded(of / other)
+                rounded(figure / other)
             } else {
                 0.0
             }
         };
         LoadWindow {
-            connections: times(self.connections, other.connections),
-            bytes: times(self.bytes, other.bytes),
-            processor_ms: times(self.processor_ms, other.processor_ms),
+            connections: ratio(self.connections, other.connections),
+            bytes: ratio(self.bytes, other.bytes),
+            processor_ms: ratio(self.processor_ms, other.processor_ms),
         }
     }
 
     /// The larger of each figure.
-    fn or(self, other: LoadWindow) -> LoadWindow {
+    fn larger_of_each(self, other: LoadWindow) -> LoadWindow {
         LoadWindow {
             connections: self.connections.max(other.connections),
             bytes: self.bytes.max(other.bytes),
@@ -91,13 +94,13 @@
         Load {
             mean,
             worst,
-            worst_to_mean: worst.against(&mean),
+            worst_to_mean: worst.ratio_to(&mean),
         }
     }
 
     /// Its worst stretch against the mean of another time.
-    pub(super) fn worst_against(&self, other: &Load) -> LoadWindow {
-        self.worst.against(&other.mean)
+    pub(super) fn worst_ratio_to(&self, other: &Load) -> LoadWindow {
+        self.worst.ratio_to(&other.mean)
     }
 }
 
@@ -109,46 +112,49 @@
     /// Samples now, on the thread whose processor time counts.
     pub(super) fn record(&mut self, totals: ServerTotals) {
         self.0.push(Sample {
-            at: Instant::now(),
+            sampled_at: Instant::now(),
             totals,
-            processor: usage::thread_time(),
+            processor_time: usage::thread_time(),
         });
     }
 
     /// Whether a sample is this late.
-    pub(super) fn reaches(&self, at: Instant) -> bool {
-        self.0.last().is_some_and(|sample| sample.at >= at)
+    pub(super) fn has_sample_since(&self, not_before: Instant) -> bool {
+        self.0
+            .last()
+            .is_some_and(|sample| sample.sampled_at >= not_before)
     }
 
     /// Processor time by the last sample.
-    pub(super) fn processor(&self) -> Duration {
+    pub(super) fn processor_time(&self) -> Duration {
         self.0
             .last()
-            .map_or(Duration::ZERO, |sample| sample.processor)
+            .map_or(Duration::ZERO, |sample| sample.processor_time)
     }
 
     /// The load from the last sample before `from` to the first one after `until`; none where there are no two samples.
     pub(super) fn load(&self, from: Instant, until: Instant) -> Option<Load> {
         let first = self
             .0
-            .partition_point(|sample| sample.at <= from)
+            .partition_point(|sample| sample.sampled_at <= from)
             .saturating_sub(1);
-        let end = (self.0.partition_point(|sample| sample.at < until) + 1).min(self.0.len());
+        let end =
+            (self.0.partition_point(|sample| sample.sampled_at < until) + 1).min(self.0.len());
         let samples = self.0.get(first..end)?;
         let (oldest, newest) = (samples.first()?, samples.last()?);
-        if newest.at <= oldest.at {
+        if newest.sampled_at <= oldest.sampled_at {
             return None;
         }
         let mut worst = LoadWindow::default();
-        for (at, start) in samples.iter().enumerate() {
-            let later = samples[at..]
+        for (index, start) in samples.iter().enumerate() {
+            let later = samples[index..]
                 .iter()
-                .find(|sample| sample.at - start.at >= WINDOW);
+                .find(|sample| sample.sampled_at - start.sampled_at >= WINDOW);
             let Some(later) = later else { break };
-            worst = worst.or(LoadWindow::between(start, later));
+            worst = worst.larger_of_each(LoadWindow::between(start, later));
         }
         let mean = LoadWindow::between(oldest, newest);
         // What lasts no longer than one stretch is its own worst one.
-        Some(Load::new(mean, worst.or(mean)))
+        Some(Load::new(mean, worst.larger_of_each(mean)))
     }
 }
--- a/benches/scale/statement_counters.rs
+++ b/benches/scale/statement_counters.rs
@@ -74,17 +74,17 @@
         let latencies =
             Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
                 .map_err(|e| ScaleError::CheckFailed(format!("latencies: {e}")))?;
-        let count = AtomicU64::default;
+        let zero = AtomicU64::default;
         Ok(StatementCounters {
-            sent: count(),
-            served: count(),
-            refused: count(),
-            failed: count(),
-            lost: count(),
-            stray: count(),
-            health_answers: count(),
-            bytes_sent: count(),
-            bytes_received: count(),
+            sent: zero(),
+            served: zero(),
+            refused: zero(),
+            failed: zero(),
+            lost: zero(),
+            stray: zero(),
+            health_answers: zero(),
+            bytes_sent: zero(),
+            bytes_received: zero(),
             latencies: Mutex::new(latencies),
         })
     }
@@ -130,7 +130,7 @@
     pub(super) fn finished(&self) -> u64 {
         [&self.served, &self.refused, &self.failed, &self.lost]
             .iter()
-            .map(|c| c.load(Ordering::Relaxed))
+            .map(|count| count.load(Ordering::Relaxed))
             .sum()
     }
 
