--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -1,5 +1,7 @@
-//! `manager`: one real workload manager before a long list, with churn of the list and clients that offer statements:
-//! processor time by statement and for control, memory by connection, bytes of the list feed.
+//! The `manager` test: one real workload manager process with a long endpoint list, churn of that
+//! list, and clients that send statements. It measures the processor time per statement and the
+//! processor time without clients (control), the memory per client connection, and the bytes of the
+//! list feed.
 
 use super::churn::{self, Churn};
 use super::clients::Clients;
@@ -22,37 +24,40 @@
 use std::time::{Duration, Instant};
 use workload_manager::node_config::EngineRecord;
 
-/// Half of the descriptors, less those kept for other ends, are for clients, and an eighth of these for connections that
-/// are about to leave: 2,351 find room.
+/// File descriptors of the manager. Half of them, less those reserved for other uses, are for
+/// clients, and an eighth of these is reserved for connections that are about to close. That leaves
+/// 2,351 client connections.
 const SOCKETS: usize = 5_632;
 const LISTED: [usize; 5] = [80, 1_024, 4_096, 10_000, 22_000];
 const LISTED_SMALL: [usize; 4] = [16, 32, 64, 128];
-/// The rates of the rounds, as parts of what a core gives.
+/// Rates of the rounds, as fractions of the rate that one core can serve.
 const RATE_FRACTIONS: [f64; 3] = [USUAL_RATE_FRACTION, 0.5, 1.0];
-/// The rate whose cost stands for a statement's: the process is not overloaded by it, though a statement alone costs
-/// more than one among many that are open.
+/// The cost of a statement is taken from the round at this fraction. It does not overload the
+/// process, although a single statement costs more than one of many that are open together.
 const USUAL_RATE_FRACTION: f64 = 0.25;
-/// Statements open at once while it is found out what a core gives.
+/// Statements that are kept open while the rate that one core can serve is measured.
 const SATURATED_OPEN_STATEMENTS: u64 = 128;
-/// What a manager writes to the list feed for each connection, and nothing else.
+/// Bytes that a manager writes to the list feed for each connection. It writes nothing else.
 const CONNECT_BYTES: u64 = 8;
-/// What the list and connections leave behind is over by then.
+/// Wait after which the effects of a new list or of new connections have ended.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// How much is played at one size.
+/// Durations and numbers of connections for one size of the list.
 #[derive(Clone, Copy)]
 struct RunPlan {
     rest_duration: Duration,
     churn_duration: Duration,
-    /// Replaced engines; ten ordinary days in one where none is given.
+    /// Rate at which engines are replaced. Without a value, ten ordinary days' replacements are
+    /// spread over one day.
     replacement_rate: Option<churn::Rate>,
-    /// While what a core gives is found out; none where the rate is given.
+    /// Duration of the saturated round, which measures the rate that one core can serve. Without a
+    /// value, `SMALL_STATEMENTS_PER_SECOND` is used.
     saturated_duration: Option<Duration>,
-    /// One round of statements at one rate.
+    /// Duration of one round of statements at one rate.
     round_duration: Duration,
-    /// Rounds are played with each of these numbers of connections.
+    /// Numbers of client connections; a round at each rate runs with each of them.
     round_connections: &'static [usize],
-    /// Memory is taken with each of these.
+    /// Numbers of idle client connections; memory is measured with each of them.
     idle_connections: &'static [usize],
     settle_time: Duration,
 }
@@ -94,10 +99,11 @@
     idle_connections: &[2, 4, 6, 8],
     ..SMALL
 };
-/// What a core is taken to give in the small case, where it is not found out.
+/// Rate that one core is assumed to serve in the small case, which does not measure it.
 const SMALL_STATEMENTS_PER_SECOND: f64 = 200.0;
 
-/// Plays all sizes but the largest, predicts that one once it is known how many engines it takes up, and plays it.
+/// Runs all sizes but the largest. The figures of the largest size are predicted as soon as its
+/// manager reports how many engines it has taken up, and then measured.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
     let sizes = options.listed_or(&LISTED, &LISTED_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
@@ -121,10 +127,10 @@
     Ok(())
 }
 
-/// How to read a figure off what a size came to.
+/// Reads one figure from the summary of a size.
 type FigureReader = fn(&SummaryRow) -> f64;
 
-/// The figures that are fitted over the engines taken up.
+/// Figures that are fitted as a function of the number of engines taken up.
 const FITTED_FIGURES: [(&str, FigureReader); 3] = [
     ("us_statement_usual", |row| row.us_statement_usual),
     ("percent_core_control", |row| row.percent_core_control),
@@ -155,14 +161,16 @@
     Ok(predictions)
 }
 
-/// Statements a second that were served, or those of the size where they were more.
+/// Statements served per second, limited to the rate that clients offer to one manager of the
+/// fleet.
 fn attainable_rate(saturated: &StatementsRow) -> f64 {
     saturated.served_per_second.min(fleet::STATEMENTS)
 }
 
-/// A manager with its list feed and engines.
+/// A manager process with its list feed and engines.
 struct ManagerBench {
-    // Ends before what it is connected to.
+    // Fields are dropped in order: the manager ends before the feed and the engines that it is
+    // connected to.
     manager: ManagerProcess,
     feed: Arc<Mutex<Feed>>,
     engines: Engines,
@@ -196,7 +204,7 @@
         };
         if deployment.known + deployment.waiting != listed as u64 {
             return Err(ScaleError::CheckFailed(format!(
-                "{TEST}: of {listed} engines it knows {deployment:?}"
+                "{TEST}: the manager does not count all {listed} listed engines: {deployment:?}"
             )));
         }
         let feed = Arc::new(Mutex::new(feed));
@@ -210,7 +218,7 @@
         })
     }
 
-    /// All phases, those of control first.
+    /// Runs all phases; those without clients come first.
     fn run_phases(&self, output: &mut Output) -> Result<SummaryRow, ScaleError> {
         let mb_before_clients = megabytes(self.manager.memory()?.resident);
         self.measure_control(output, Phase::Rest, None)?;
@@ -228,7 +236,7 @@
         Ok(summary)
     }
 
-    /// The process without clients.
+    /// Measures the process without clients, for the duration of the phase.
     fn measure_control(
         &self,
         output: &mut Output,
@@ -251,7 +259,8 @@
         Ok(row)
     }
 
-    /// Memory by idle connections; fitted on all numbers but the largest.
+    /// Measures the memory with each number of idle connections. The line is fitted to all numbers
+    /// but the largest, which it predicts.
     fn measure_connections(&self, output: &mut Output) -> Result<(), ScaleError> {
         let resident_before = self.manager.memory()?.resident;
         let Some((largest, smaller)) = self.plan.idle_connections.split_last() else {
@@ -297,7 +306,7 @@
         Ok((count as f64, megabytes(resident)))
     }
 
-    /// Three rates with each number of connections.
+    /// Runs a round at each rate in `RATE_FRACTIONS`, with each number of connections.
     fn run_rounds(
         &self,
         output: &mut Output,
@@ -333,11 +342,14 @@
                 };
             }
         }
-        let usual = usual.ok_or_else(|| ScaleError::CheckFailed(format!("{TEST}: no rounds")))?;
+        let usual = usual.ok_or_else(|| {
+            ScaleError::CheckFailed(format!("{TEST}: no round ran at the usual rate"))
+        })?;
         Ok(Rounds { usual, saturated })
     }
 
-    /// The statements a second that a core gives, or those of the size where it gives more.
+    /// Measures how many statements per second one core serves, limited to the rate that clients
+    /// offer to one manager of the fleet.
     fn measure_saturated(
         &self,
         output: &mut Output,
@@ -365,7 +377,7 @@
         )?)))
     }
 
-    /// One round of statements, over connections of its own.
+    /// Runs one round of statements over connections that are opened for it.
     fn run_round(
         &self,
         output: &mut Output,
@@ -383,7 +395,8 @@
         let (engines_after, memory) = (self.engines.totals(), self.manager.memory()?);
         let taken = self.accepted_requests()? - taken;
         drop(clients);
-        // What was open has no client any more, so the next round begins with nothing open.
+        // The clients of the open requests are gone. Waiting for their end lets the next round
+        // start with no open requests.
         self.manager.await_counter("client_connections_open", 0)?;
         self.manager.await_counter("requests_open", 0)?;
         let totals = RoundTotals {
@@ -406,12 +419,12 @@
         match row.offered.stray {
             0 => Ok(row),
             stray => Err(ScaleError::CheckFailed(format!(
-                "{TEST}: {stray} answers to what was not asked, or again"
+                "{TEST}: {stray} answers to unknown or already answered messages"
             ))),
         }
     }
 
-    /// What a stretch of time costs the process.
+    /// Runs an action and measures what its time costs the manager process.
     fn measure_cost<T>(
         &self,
         churn: Option<&Churn>,
@@ -455,7 +468,8 @@
             .unwrap_or_default())
     }
 
-    /// Every event was applied once, and as many engines are listed as at the start.
+    /// Checks that every event was applied once, and that as many engines are listed as at the
+    /// start.
     fn check_list(&self, events: u64) -> Result<(), ScaleError> {
         self.manager.await_counter("feed_events", events)?;
         self.manager
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -1,4 +1,5 @@
-//! The rows of `manager`, and the budget that they are held against.
+//! Rows of the `manager` test, and the budget that they are compared with. Control is the manager's
+//! work without clients.
 
 use super::fleet;
 use super::options::Test;
@@ -9,26 +10,26 @@
 
 /// The test's name in its rows.
 pub(super) const TEST: &str = Test::Manager.name();
-/// Of a core, that a manager may spend on control.
+/// Cores that a manager may spend on control.
 const CONTROL_BUDGET_CORES: f64 = 0.012;
-/// Bytes a second, in and out, that a manager may spend on control.
+/// Bytes per second, received and sent together, that a manager may spend on control.
 const CONTROL_BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// What all rows of a size have in common.
+/// Fields that all rows of a size have in common.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Deployment {
     /// Engines in the list.
     #[serde(skip)]
     pub listed: usize,
-    /// Engines that the roster has taken up, and those that wait for a place.
+    /// Engines that the roster has taken up.
     pub known: u64,
-    /// See `known`.
+    /// Listed engines that wait for a place in the roster.
     pub waiting: u64,
-    /// Managers of the fleet, as the settings say.
+    /// Managers of the fleet, as given in the settings.
     #[serde(skip)]
     pub managers: u32,
-    /// Memory of the manager, in MB.
+    /// Memory that the manager may use, in MB.
     pub memory_mb: usize,
 }
 
@@ -41,22 +42,23 @@
 /// Phases of the test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The list at rest, no clients.
+    /// No changes of the list, no clients.
     Rest,
     /// Churn of the list, no clients.
     Churn,
-    /// Connections of clients, idle.
+    /// Idle client connections.
     Connections,
-    /// Statements.
+    /// Statements at a given rate.
     Statements,
-    /// Statements, a bounded number open at once, to find out what a core gives.
+    /// A fixed number of statements is kept open, to measure the rate that one core can serve.
     Saturated,
-    /// What all phases come to, and what is missing to the statements of the size.
+    /// Summary of all phases, compared with the rate that clients offer to one manager of the
+    /// fleet.
     Summary,
 }
 
 impl Phase {
-    /// The part of the test in its rows.
+    /// Name of the phase in the field `part` of its rows.
     fn part(self) -> &'static str {
         match self {
             Phase::Rest => "rest",
@@ -69,25 +71,25 @@
     }
 }
 
-/// What a stretch of time cost the process.
+/// What an interval of time cost the manager process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cost {
-    /// How long it was.
+    /// Length of the interval.
     pub duration: Duration,
-    /// Processor time of the process.
+    /// Processor time that the process used.
     pub processor_time: Duration,
-    /// Time in which the process could run and had no processor, as others ran.
+    /// Time that runnable threads of the process waited for a processor while other threads ran.
     pub processor_wait: Duration,
-    /// Bytes of the list feed.
+    /// Bytes that the list feed sent to the manager.
     pub feed_sent: u64,
-    /// See `feed_sent`.
+    /// Bytes that the list feed received from the manager.
     pub feed_received: u64,
-    /// Events of the list that were published.
+    /// List events that the feed published.
     pub list_events: u64,
 }
 
 impl Cost {
-    /// The share of a core.
+    /// Processor time as a share of one core.
     pub(super) fn core_share(&self) -> f64 {
         self.processor_time.as_secs_f64() / self.duration.as_secs_f64()
     }
@@ -101,7 +103,7 @@
     }
 }
 
-/// Control alone.
+/// The manager without clients.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct ControlRow {
     #[serde(flatten)]
@@ -109,23 +111,26 @@
     #[serde(flatten)]
     deployment: Deployment,
     seconds: f64,
-    /// Engines replaced in a day at the rate that was played; see [`super::churn`].
+    /// Engines that would be replaced in a day at the rate of the phase; see [`super::churn`].
     replaced_a_day: f64,
     list_events: u64,
-    /// Of a core, in percent.
+    /// Share of one core, in percent.
     pub percent_core: f64,
     percent_waited: f64,
     budget_percent_core: f64,
-    /// Bytes of the list feed.
+    /// Bytes that the list feed sent to the manager.
     bytes_in_per_second: f64,
+    /// Bytes that the list feed received from the manager.
     bytes_out_per_second: f64,
     budget_bytes_per_second: f64,
     mb_resident: f64,
+    /// Whether processor time, bytes and memory are within their budgets.
     fits: bool,
 }
 
 impl ControlRow {
-    /// What a stretch without clients comes to, at this rate of replaced engines and with this much memory resident.
+    /// The row of an interval without clients, with the number of engines replaced per day and the
+    /// resident memory in bytes.
     pub(super) fn new(
         phase: Phase,
         deployment: &Deployment,
@@ -154,24 +159,26 @@
     }
 }
 
-/// Idle connections of clients.
+/// Memory with idle client connections.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct ConnectionsRow {
     #[serde(flatten)]
     size: Size,
     #[serde(flatten)]
     deployment: Deployment,
-    /// How many.
+    /// Number of connections.
     pub connections: usize,
-    /// Resident before the first one and with all of them.
+    /// Resident memory before the first connection.
     mb_before: f64,
+    /// Resident memory with all of them.
     mb_with_clients: f64,
-    /// What one takes.
+    /// Memory per connection.
     kb_connection: f64,
 }
 
 impl ConnectionsRow {
-    /// Memory before and with these connections.
+    /// The row of this number of connections, with the resident memory in bytes before the first
+    /// one and with all of them.
     pub(super) fn new(
         deployment: &Deployment,
         connections: usize,
@@ -196,26 +203,29 @@
     size: Size,
     #[serde(flatten)]
     deployment: Deployment,
-    /// Connections of clients.
+    /// Number of client connections.
     pub connections: usize,
-    /// The rate that clients were to offer; what they did offer is below.
+    /// Rate that clients should offer, in statements per second; `offered` has what they did offer.
     pub rate: f64,
-    /// Statements that the manager counts as accepted.
+    /// Statements that the manager counted as accepted.
     taken: u64,
-    /// What clients observed.
+    /// Counts and latencies that clients measured.
     #[serde(flatten)]
     pub offered: OfferedStatements,
-    /// Statements served, by the time from the first one to the last answer.
+    /// Statements served, divided by the duration of the round.
     pub served_per_second: f64,
     list_events: u64,
     percent_core: f64,
-    /// Of the time, in which the process could run and had no processor: what the machine's other load took.
+    /// Time that runnable threads waited for a processor, in percent of the duration: the effect of
+    /// other load on the machine.
     percent_waited: f64,
-    /// Processor time of a statement that was answered, without what control takes.
+    /// Processor time per answered statement in microseconds, without that of control.
     pub us_statement: f64,
-    /// Attempts written to engines, connections opened to them, and engines that were used.
+    /// Attempts that reached engines.
     attempts: u64,
+    /// Connections opened to engines.
     engine_connections: u64,
+    /// Engines that received a statement since the engines were started.
     engines_used: usize,
     engine_bytes_in: u64,
     engine_bytes_out: u64,
@@ -230,44 +240,45 @@
     pub attempts: u64,
     /// Connections opened to engines.
     pub engine_connections: u64,
-    /// Engines that were used since the start.
+    /// Engines that received a statement since the engines were started.
     pub engines_used: usize,
     /// Bytes from engines.
     pub engine_bytes_in: u64,
     /// Bytes to engines.
     pub engine_bytes_out: u64,
-    /// Bytes resident after the round.
+    /// Resident memory after the round, in bytes.
     pub resident: u64,
-    /// The most that were during it.
+    /// Peak of the resident memory during the round, in bytes.
     pub peak: u64,
 }
 
-/// A round to be played.
+/// Parameters of a round.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Round {
-    /// At a rate, or saturated.
+    /// `Statements` or `Saturated`.
     pub phase: Phase,
-    /// Connections of clients.
+    /// Number of client connections.
     pub connections: usize,
-    /// Statements a second.
+    /// Rate that clients should offer, in statements per second.
     pub rate: f64,
 }
 
 /// The result of a round.
 #[derive(Clone, Debug)]
 pub(super) struct RoundResult {
-    /// Statements that the manager counts as accepted.
+    /// Statements that the manager counted as accepted.
     pub taken: u64,
-    /// What clients observed.
+    /// Counts and latencies that clients measured.
     pub offered: OfferedStatements,
-    /// What it cost.
+    /// What the round cost the manager process.
     pub cost: Cost,
-    /// Traffic of the engines and memory.
+    /// Traffic of the engines and memory of the manager.
     pub totals: RoundTotals,
 }
 
 impl StatementsRow {
-    /// What a round comes to, where control alone takes this share of a core.
+    /// The row of a round. `control_core` is the share of a core that control takes; it is not
+    /// attributed to statements.
     pub(super) fn new(
         deployment: &Deployment,
         Round {
@@ -309,16 +320,17 @@
     }
 }
 
-/// What all rounds of a size come to.
+/// Rounds of a size that the summary uses.
 #[derive(Clone, Debug)]
 pub(super) struct Rounds {
-    /// The last one at the usual rate.
+    /// The last round at the usual rate.
     pub usual: StatementsRow,
-    /// The one that found out what a core gives.
+    /// The round that measured the rate that one core can serve.
     pub saturated: Option<StatementsRow>,
 }
 
-/// What is missing to the statements that one manager has at the size.
+/// Summary of a size: the served rate and the cores needed, compared with the rate that clients
+/// offer to one manager of the fleet.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct SummaryRow {
     #[serde(flatten)]
@@ -327,19 +339,22 @@
     deployment: Deployment,
     connections: usize,
     needed_per_second: f64,
-    /// Served a second with a bounded number always open, and the cost of a statement then.
+    /// Statements served per second in the saturated round.
     most_per_second: Option<f64>,
+    /// Processor time per statement in microseconds in that round.
     us_statement_saturated: Option<f64>,
-    /// The cost of a statement at a quarter of that.
+    /// Processor time per statement in microseconds at a quarter of that rate.
     pub us_statement_usual: f64,
-    /// Of a core, under churn and without clients.
+    /// Share of one core under churn and without clients, in percent.
     pub percent_core_control: f64,
-    /// Resident with the list, before the first client.
+    /// Resident memory with the list, before the first client connects.
     pub mb_before_clients: f64,
-    /// Cores that the statements of the size and control would take at the usual cost.
+    /// Cores needed for control and for the rate that clients offer, at the usual cost of a
+    /// statement.
     cores_needed: f64,
-    /// And at that of the saturated process.
+    /// The same at the cost of a statement in the saturated round.
     cores_needed_saturated: Option<f64>,
+    /// Whether the saturated round served at least the rate that clients offer.
     fits: bool,
 }
 
@@ -378,7 +393,7 @@
     }
 }
 
-/// Megabytes of 1,000,000 bytes.
+/// Converts bytes to megabytes of 1,000,000 bytes, rounded.
 pub(super) fn megabytes(bytes: u64) -> f64 {
     rounded(bytes as f64 / BYTES_PER_MEGABYTE)
 }
