--- a/benches/scale/manager_process.rs
+++ b/benches/scale/manager_process.rs
@@ -1,5 +1,6 @@
-//! One real workload manager: the release binary as a child process, measured through `/proc` and steered by signals.
-//! The process ends with the value that holds it, also where the test panics.
+//! One real workload manager: the release binary as a child process, measured through `/proc` and
+//! controlled by signals. The process is killed when its `ManagerProcess` is dropped, also if the
+//! test panics.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
@@ -10,32 +11,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The program under test, built with this one.
+/// The program under test, built by the same cargo command.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_workload-manager");
-/// What the program prints before its address once it serves.
+/// Text before the address in the line that the program prints once it serves.
 const SERVES_MARKER: &str = " serves on ";
-/// What a line of counters begins with.
+/// Start of a line of counters.
 const COUNTERS_PREFIX: &str = "workload-manager: counters ";
-/// No step of a process takes this long unless it fails.
+/// A step of the process that takes longer than this has failed.
 const STEP_TIMEOUT: Duration = Duration::from_secs(60);
-/// Between two looks at the counters.
+/// Interval between two reads of the counters.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Clock ticks in a second in `/proc/PID/stat`, the same on every Linux platform that the project is built for.
+/// Clock ticks per second in `/proc/PID/stat`, the same on every Linux platform that the project is
+/// built for.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Why a process could not be started, controlled or measured.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ProcessError {
-    /// A file or the process itself: what was done, and the system's error.
+    /// A file or process operation failed: the operation and the system's error.
     #[error("{0}: {1}")]
     Io(&'static str, #[source] std::io::Error),
-    /// The process printed no line that was waited for.
-    #[error("the process never printed: {0}")]
+    /// The process did not print the expected line in time.
+    #[error("the process did not print in time: {0}")]
     NotPrinted(&'static str),
-    /// A file of `/proc` without the figure.
-    #[error("/proc holds no {0}")]
+    /// A file of `/proc` does not contain the figure.
+    #[error("/proc does not contain the process's {0}")]
     MissingFigure(&'static str),
-    /// A signal was not delivered.
+    /// A signal could not be sent.
     #[error("SIG{0} could not be sent")]
     Signal(&'static str),
 }
@@ -43,9 +45,9 @@
 /// Memory of a process, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Memory {
-    /// Resident now.
+    /// Resident memory.
     pub resident: u64,
-    /// The most that was resident, since the start or since `ManagerProcess::reset_peak`.
+    /// Peak of the resident memory, since the start or since `ManagerProcess::reset_peak`.
     pub peak: u64,
 }
 
@@ -55,12 +57,12 @@
     watchdog: Child,
     folder: PathBuf,
     lines: Receiver<String>,
-    /// Where it serves clients.
+    /// Address at which it serves clients.
     pub listen: SocketAddr,
 }
 
 impl ManagerProcess {
-    /// Starts the program with this configuration, and returns once it serves.
+    /// Starts the program with this configuration and returns once it serves clients.
     pub(super) fn start(name: &str, configuration: &str) -> Result<ManagerProcess, ProcessError> {
         let folder =
             std::env::temp_dir().join(format!("magpiechute-scale-{}-{name}", std::process::id()));
@@ -122,11 +124,11 @@
         let is_reload_end = |line: &str| {
             line.contains("reload complete feed=") || line.contains("reload refused, the old")
         };
-        self.await_line("a reload's end", is_reload_end)?;
+        self.await_line("the end of a reload", is_reload_end)?;
         Ok(started_at.elapsed())
     }
 
-    /// Its counters, as SIGUSR1 prints them.
+    /// The counters that the process prints on SIGUSR1.
     pub(super) fn counters(&self) -> Result<HashMap<String, u64>, ProcessError> {
         let line = self.print_counters()?;
         let pairs = line[COUNTERS_PREFIX.len()..]
@@ -137,7 +139,7 @@
             .collect())
     }
 
-    /// Whether its counters name this class of requests.
+    /// Whether the counters include this class of requests.
     pub(super) fn has_class_counter(&self, name: &str) -> Result<bool, ProcessError> {
         let line = self.print_counters()?;
         Ok(line
@@ -170,13 +172,14 @@
         }
     }
 
-    /// Time so far in which its threads could run and had no processor; zero where the kernel keeps no such figure.
+    /// Time so far that its runnable threads waited for a processor; zero if the kernel does not
+    /// provide it.
     pub(super) fn processor_wait(&self) -> Duration {
         self.scheduler_times()
             .map_or(Duration::ZERO, |(_, processor_wait)| processor_wait)
     }
 
-    /// The scheduler's figures, to the nanosecond: time on a processor, and time in wait of one.
+    /// Processor time and time spent waiting for a processor, in nanoseconds from the scheduler.
     fn scheduler_times(&self) -> Option<(Duration, Duration)> {
         let tasks = std::fs::read_dir(self.proc_path("task")).ok()?;
         let (mut processor_time, mut processor_wait) = (0, 0);
@@ -192,10 +195,10 @@
         ))
     }
 
-    /// User and system time of `stat`, to a clock tick.
+    /// User and system time from `stat`, accurate to one clock tick.
     fn stat_processor_time(&self) -> Result<Duration, ProcessError> {
         let text = self.read_proc("stat")?;
-        // The name of the program stands in parentheses and may hold spaces.
+        // The program's name is in parentheses and may contain spaces.
         let fields = text.rsplit(')').next().unwrap_or_default();
         let ticks: Vec<f64> = fields
             .split_whitespace()
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Its resident memory, now and at most.
+    /// Its current and peak resident memory.
     pub(super) fn memory(&self) -> Result<Memory, ProcessError> {
         let text = self.read_proc("status")?;
         let figure_bytes = |name: &str| {
@@ -226,9 +229,9 @@
         }
     }
 
-    /// From now on the peak of its memory is counted anew.
+    /// Resets the peak of its memory to the current value.
     pub(super) fn reset_peak(&self) -> Result<(), ProcessError> {
-        /// What `/proc/PID/clear_refs` takes for that.
+        /// Value for `/proc/PID/clear_refs` that resets the peak.
         const RESET_PEAK: &str = "5";
         std::fs::write(self.proc_path("clear_refs"), RESET_PEAK)
             .map_err(|e| ProcessError::Io("reset the peak", e))
@@ -274,8 +277,9 @@
 
 impl Drop for ManagerProcess {
     fn drop(&mut self) {
-        // What has ended already cannot be ended again, and a folder in the way of nothing may stay. The watchdog goes
-        // first, as the process's id may be another's once it is reaped.
+        // Errors are ignored: a process may have ended already, and a folder that remains does no
+        // harm. The watchdog is killed first, since the process id may belong to another process
+        // once the child has been reaped.
         let _ = self.watchdog.kill();
         let _ = self.watchdog.wait();
         let _ = self.child.kill();
@@ -284,7 +288,8 @@
     }
 }
 
-/// Ends the process where the test is killed, which closes the pipe that the watchdog reads.
+/// Starts a shell that kills the process if the test is killed, which closes the pipe that the
+/// shell reads.
 fn start_watchdog(child: &Child) -> std::io::Result<Child> {
     let process = child.id().to_string();
     let mut watchdog = Command::new("sh");
@@ -307,7 +312,8 @@
         .map_err(|e| ProcessError::Io("replace the configuration", e))
 }
 
-/// Reads the lines of a process for as long as it writes any, so that it never waits for the test.
+/// Reads the lines of a process until its output ends, so that the process never blocks on a full
+/// pipe.
 fn read_lines(stderr: impl std::io::Read + Send + 'static) -> Receiver<String> {
     let (sender, lines) = mpsc::channel();
     thread::spawn(move || {
