--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -1,5 +1,5 @@
-//! A in-process manager: the real feed reader and the real core with roster and decision module, without sockets to
-//! clients and engines.
+//! An in-process manager: the real feed reader and the real core with its roster and dispatcher,
+//! without sockets to clients and engines.
 
 use super::fleet;
 use super::recording_ports::{NullClient, RecordingEngines, completion_message, request_message};
@@ -18,75 +18,75 @@
 use workload_manager::settings_json::{NamedClass, PlatformSettings};
 use workload_manager::{EngineId, EngineState, ListUpdateKind, Millis, RequestId};
 
-/// Delay until the next look while no timer is set, in ms.
+/// Delay until the timers are checked again while no timer is set, in ms.
 const NO_TIMER_DELAY_MS: Millis = 1000.0;
 
-/// What an in-process manager is made of.
+/// Configuration of an in-process manager.
 #[derive(Clone, Debug)]
 pub(super) struct ManagerPlan {
-    /// Managers of the fleet, as the settings say.
+    /// Managers of the fleet, as given in the settings.
     pub instances: u32,
-    /// Memory of each, in MB.
+    /// Memory that each manager may use, in MB.
     pub memory_mb: usize,
-    /// The feed.
+    /// Address of the list feed.
     pub feed: SocketAddr,
-    /// Whether the module's timer runs.
+    /// Whether the core is started and its timers run.
     pub ticks: bool,
 }
 
 /// A command to an in-process manager.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ManagerCommand {
-    /// Accept this many statements and serve them.
+    /// Accept and serve this many statements.
     Serve(u32),
-    /// Report the processor time of its thread.
+    /// Report the processor time of the manager's thread.
     Usage,
 }
 
 /// What an in-process manager reports.
 #[derive(Clone, Debug)]
 pub(super) enum ManagerReport {
-    /// The decision module has applied an event of the list.
+    /// The dispatcher has applied a list event.
     Event(AppliedEvent),
     /// Statements were served.
     Served {
-        /// Attempts handed to engines.
+        /// Attempts sent to engines.
         dispatched: usize,
-        /// Those among them whose engine had ended.
+        /// Attempts so far whose engine was draining or removed.
         dispatched_to_ended: usize,
     },
     /// Processor time of the manager's thread so far.
     Usage(Duration),
 }
 
-/// An event that one manager has applied.
+/// A list event that one manager has applied.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AppliedEvent {
     /// The event's number.
     pub number: u64,
-    /// When.
+    /// When the manager had applied it.
     pub applied_at: Instant,
-    /// Processor time of the manager's thread since it began to follow the feed.
+    /// Processor time of the manager's thread since the manager was created.
     pub processor_time: Duration,
-    /// Engines that the event removes: they get no attempts any more.
+    /// Engines that the event removes: they get no more attempts.
     pub removed_count: usize,
-    /// Engines that the event makes ready: they may get attempts.
+    /// Engines that the event lists as ready: they may get attempts.
     pub ready_count: usize,
-    /// Engines that the manager has taken up.
+    /// Numbers of engines that the manager has taken up.
     pub taken_up: RosterSize,
 }
 
-/// How many engines a core has taken up.
+/// Numbers of engines that a core has taken up.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct RosterSize {
-    /// By the roster.
+    /// Engines of the roster.
     known: usize,
-    /// Engines of the decision module.
+    /// Engines of the dispatcher.
     heard: usize,
 }
 
 impl RosterSize {
-    /// Of this core, which counts here.
+    /// The numbers of this core, which counts in these metrics.
     pub(super) fn of(core: &Core<RecordingEngines>, metrics: &Metrics) -> RosterSize {
         RosterSize {
             known: metrics.engines.get() as usize,
@@ -95,7 +95,7 @@
     }
 }
 
-/// One in-process manager.
+/// An in-process manager.
 pub(super) struct Manager {
     core: Core<RecordingEngines>,
     engines: RecordingEngines,
@@ -104,14 +104,14 @@
     client: Arc<dyn ClientPort>,
     clock: Clock,
     ticks: bool,
-    /// Processor time of its thread when it began.
+    /// Processor time of its thread when the manager was created.
     processor_time_at_start: Duration,
     next_id: RequestId,
     reports: mpsc::Sender<ManagerReport>,
 }
 
 impl Manager {
-    /// Starts its feed reader on the running runtime and runs it until `commands` closes.
+    /// Starts its feed reader on the current runtime and runs the manager until `commands` closes.
     pub(super) async fn run(
         plan: ManagerPlan,
         ordinal: u32,
@@ -158,7 +158,7 @@
             metrics.clone(),
         );
         Manager {
-            core: core.expect("settings that were parsed"),
+            core: core.expect("the settings are valid"),
             engines,
             metrics: metrics.clone(),
             class: parsed.classes[0].clone(),
@@ -256,7 +256,8 @@
     }
 }
 
-/// The engines that a change names. A complete list names all, and gives none here.
+/// The engines of a delta with their states. A full list contains all engines and gives an empty
+/// result.
 fn changed_engines(event: &EndpointListEvent) -> Vec<(EngineId, EngineState)> {
     match event.kind {
         ListUpdateKind::Delta => event
--- a/benches/scale/manager_group.rs
+++ b/benches/scale/manager_group.rs
@@ -1,4 +1,4 @@
-//! Many managers in one process, spread over a few threads.
+//! Many in-process managers, distributed over a few threads.
 
 use super::in_process_manager::{
     AppliedEvent, Manager, ManagerCommand, ManagerPlan, ManagerReport,
@@ -10,31 +10,31 @@
 use tokio::sync::mpsc as async_mpsc;
 use tokio::task::JoinSet;
 
-/// Threads that the managers share; the feed has one of its own.
+/// Threads that the managers share; the feed has its own thread.
 const THREADS: usize = 4;
-/// Longest wait for a report of every manager.
+/// Longest wait for a report from every manager.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Running managers; they stop when this is dropped.
+/// Running managers; they stop when the group is dropped.
 pub(super) struct ManagerGroup {
     commands: Vec<async_mpsc::UnboundedSender<ManagerCommand>>,
     reports: mpsc::Receiver<ManagerReport>,
     threads: Vec<JoinHandle<()>>,
-    /// When the first of them was started.
+    /// When the first manager was started.
     pub started_at: Instant,
 }
 
 /// Attempts that all managers dispatched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DispatchTotals {
-    /// Attempts handed to engines.
+    /// Attempts sent to engines.
     pub dispatched: usize,
-    /// Those among them whose engine drained or was removed.
+    /// Attempts among them whose engine was draining or removed.
     pub dispatched_to_ended: usize,
 }
 
 impl ManagerGroup {
-    /// Starts this many managers at once, each without a list.
+    /// Starts this many managers at once; each receives its list from the feed.
     pub(super) fn start(plan: &ManagerPlan, managers: usize) -> Result<ManagerGroup, ScaleError> {
         let (report_sender, reports) = mpsc::channel();
         let mut senders = Vec::new();
@@ -78,7 +78,7 @@
         })
     }
 
-    /// How many there are.
+    /// Number of managers.
     pub(super) fn size(&self) -> usize {
         self.commands.len()
     }
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Makes each manager serve this many statements.
+    /// Makes each manager accept and serve this many statements.
     pub(super) fn serve(&self, requests: u32) -> Result<DispatchTotals, ScaleError> {
         self.send_command(ManagerCommand::Serve(requests));
         let all = self.collect_reports(|report| match report {
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Processor time of the thread of the first manager.
+    /// Longest processor time among the managers' threads.
     pub(super) fn usage(&self) -> Result<Duration, ScaleError> {
         self.send_command(ManagerCommand::Usage);
         let all = self.collect_reports(|report| match report {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// One piece of reports from each.
+    /// Waits for one wanted report from each manager; other reports are discarded.
     fn collect_reports<T>(
         &self,
         wanted: impl Fn(ManagerReport) -> Option<T>,
@@ -138,7 +138,7 @@
             let remaining = deadline.saturating_duration_since(Instant::now());
             let timed_out = |_| {
                 ScaleError::CheckFailed(format!(
-                    "{} of {} managers reported in time",
+                    "only {} of {} managers reported in time",
                     all.len(),
                     self.size()
                 ))
--- a/benches/scale/recording_ports.rs
+++ b/benches/scale/recording_ports.rs
@@ -1,5 +1,5 @@
-//! Ports of a core without sockets: engines that record what they are sent, a client that discards its answers, and the
-//! messages of a statement and of its completed attempt.
+//! Ports of a core without sockets: engines that record what the core sends, a client that discards
+//! its answers, and the messages for a new request and for its completed attempt.
 
 use super::fleet;
 use bytes::Bytes;
@@ -14,32 +14,33 @@
 use workload_manager::settings_json::NamedClass;
 use workload_manager::{EngineId, EngineState, LoadReport, Millis, Outcome, RequestId};
 
-/// Work that a statement is estimated at, and billed, in ms.
+/// Estimated and measured work of a statement, in ms.
 pub(super) const WORK_MS: f64 = 5.0;
-/// Statements of other managers in flight at each engine, and the share of its cores that is busy.
+/// Statements of other managers in flight on each engine.
 const OTHER_MANAGERS_IN_FLIGHT: f64 = 4.0;
+/// Share of each engine's cores that is busy.
 const CPU_BUSY_SHARE: f64 = 0.5;
 
 /// An attempt that the core sent to an engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DispatchedAttempt {
-    /// Which engine.
+    /// The engine.
     pub engine: EngineId,
-    /// Which request.
+    /// The request.
     pub id: RequestId,
-    /// Which attempt.
+    /// The number of the attempt within the request.
     pub attempt: u16,
 }
 
-/// What the engines were sent.
+/// What the core sent to the engines.
 #[derive(Default)]
 pub(super) struct RecordedState {
     dispatched: Vec<DispatchedAttempt>,
     /// Engines listed as ready since the set was last cleared.
     pub ready: BTreeSet<EngineId>,
-    /// Engines that drain or are removed, and were not listed as ready again.
+    /// Engines that are draining or removed and were not listed as ready since.
     pub ended: BTreeSet<EngineId>,
-    /// Attempts dispatched to an engine of `ended`.
+    /// Attempts that were dispatched to an engine in `ended`.
     pub dispatched_to_ended: usize,
 }
 
@@ -48,12 +49,12 @@
 pub(super) struct RecordingEngines(Arc<Mutex<RecordedState>>);
 
 impl RecordingEngines {
-    /// What was recorded so far.
+    /// What has been recorded so far.
     pub(super) fn state(&self) -> MutexGuard<'_, RecordedState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The attempts since the last call.
+    /// Returns the attempts that were dispatched since the last call.
     pub(super) fn take_dispatched(&self) -> Vec<DispatchedAttempt> {
         std::mem::take(&mut self.state().dispatched)
     }
@@ -91,14 +92,14 @@
     fn set_manually_ejected(&mut self, _: EngineId, _: bool) {}
 }
 
-/// A client that discards its answers; the core counts them.
+/// A client that discards its answers. The core still counts them.
 pub(super) struct NullClient;
 
 impl ClientPort for NullClient {
     fn answer(&self, _: RequestId, _: Answer) {}
 }
 
-/// A statement of this class.
+/// The message of a new request with a statement of this class.
 pub(super) fn request_message(
     id: RequestId,
     now: Millis,
@@ -123,7 +124,7 @@
     })
 }
 
-/// The completion of an attempt, with the load report of its engine.
+/// The message of a successful attempt, with the load report of its engine.
 pub(super) fn completion_message(
     DispatchedAttempt {
         engine,
