--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of one real workload manager: connections held open, and statements offered at an even rate or a bounded
-//! number at a time.
+//! Clients of one real workload manager. They keep connections open, and send statements at an even
+//! rate or keep a fixed number of statements open.
 
 use super::fleet;
 use super::messages::{self, AnswerKind, ParseError};
@@ -18,26 +18,28 @@
 use tokio::time::{sleep_until, timeout};
 
 const CLASS: &str = "read";
-/// Fields of a statement, besides its reference.
+/// Fields of each statement besides its client reference.
 const STATEMENT_FIELDS: [(&str, &str); 4] = [
     ("allow", "2000"),
     ("project", "acme"),
     ("effort", "10.0"),
     ("need_mb", "8"),
 ];
-/// A connection that has had no call for this long calls `health`, as the manager closes it after 30 s.
+/// A connection without a call for this long sends a `health` call, since the manager closes an
+/// idle connection after 30 s.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
-/// Open statements on one connection at most: the bound of the protocol.
+/// Maximum number of open statements on one connection, a limit of the protocol.
 const MAX_OPEN_ON_CONNECTION: usize = 32;
-/// Open statements at most; beyond that none are offered.
+/// Maximum number of open statements; beyond it no statement is sent.
 const MAX_OPEN_STATEMENTS: u64 = 2_000;
-/// Time for the last answers after a round.
+/// Longest wait for the last answers after a round.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a connection to open and answer `health`.
+/// Longest wait for a connection to open, and then for the answer to its first `health` call.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval between two checks of what is due.
+/// Interval between two checks for due statements or for the last answers.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Open connections of clients; they close with this value.
+
+/// Open client connections; they are closed when this is dropped.
 pub(super) struct Clients {
     runtime: Runtime,
     connections: Vec<Connection>,
@@ -71,7 +73,7 @@
         })
     }
 
-    /// Offers statements at this rate for this long, and waits for their answers.
+    /// Sends statements at this rate per second for this duration, and waits for their answers.
     pub(super) fn offer(
         &mut self,
         rate: f64,
@@ -80,7 +82,7 @@
         self.run_round(duration, |elapsed, sent, _| (rate * elapsed) as u64 - sent)
     }
 
-    /// Keeps this many statements open for this long, and waits for their answers.
+    /// Keeps this many statements open for this duration, and waits for their answers.
     pub(super) fn keep_open(
         &mut self,
         statements: u64,
@@ -91,7 +93,8 @@
         })
     }
 
-    /// Offers what is due by the seconds elapsed, the statements due before and those open.
+    /// Runs one round. `due` returns how many statements to send now, from the elapsed seconds, the
+    /// number of statements due before, and the number that are open.
     fn run_round(
         &mut self,
         duration: Duration,
@@ -119,7 +122,8 @@
                         held_back += 1;
                     }
                 }
-                // What is due in all is offered, however late this task is.
+                // The check at the end of the duration sends all statements still due, even if this
+                // task runs late.
                 if elapsed == duration {
                     break;
                 }
@@ -130,7 +134,7 @@
                     tokio::time::sleep(POLL_INTERVAL).await;
                 }
             };
-            // What has no answer by then is counted below.
+            // Statements without an answer after the timeout are counted below.
             let _ = timeout(ANSWER_TIMEOUT, answered).await;
         });
         let mut offered = counters.offered();
@@ -141,7 +145,7 @@
     }
 }
 
-/// Gives a statement to the next connection with a free place; false if there is none.
+/// Assigns a statement to the next connection that has room for one; false if there is none.
 fn assign_statement(connections: &[Connection], next_connection: &mut usize) -> bool {
     for _ in 0..connections.len() {
         let connection = &connections[*next_connection % connections.len()];
@@ -156,20 +160,24 @@
     false
 }
 
-/// The data set of a statement: all one after another, in an order that is not that of their numbers.
+/// The data set of a statement. Consecutive statements go through all data sets, but not in the
+/// order of their numbers.
 fn data_set(statement: u64) -> u64 {
-    /// Shares no factor with the number of data sets.
+    /// It has no common factor with the number of data sets.
     const STRIDE: u64 = 617;
     statement * STRIDE % u64::from(fleet::DATA_SETS)
 }
 
-/// Opens a connection whose first call is answered, and starts its task.
+/// Opens a connection, waits for the answer to a `health` call, and starts the connection's task.
 async fn open_connection(
     manager: SocketAddr,
     counters: Arc<StatementCounters>,
 ) -> Result<Connection, ScaleError> {
-    let timed_out =
-        |_| ScaleError::CheckFailed("a client connection was not answered in time".to_owned());
+    let timed_out = |_| {
+        ScaleError::CheckFailed(
+            "a client connection was not opened or not answered in time".to_owned(),
+        )
+    };
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(manager))
         .await
         .map_err(timed_out)??;
@@ -185,15 +193,15 @@
     Ok(Connection { calls, open_count })
 }
 
-/// One connection's task.
+/// State of one connection's task.
 struct Session {
     stream: TcpStream,
     input: BytesMut,
     last_message_id: u64,
     last_written_at: Instant,
-    /// When each open statement was written.
+    /// When each open statement was sent, by message id.
     statements_open: HashMap<u64, Instant>,
-    /// The same for calls of `health`.
+    /// The same for `health` calls.
     health_calls_open: HashMap<u64, Instant>,
     open_count: Arc<AtomicUsize>,
     counters: Arc<StatementCounters>,
@@ -234,7 +242,7 @@
                 break;
             }
         }
-        // Statements that are open or arrive from now on get no answer.
+        // Open statements, and those that are assigned from now on, get no answer.
         call_receiver.close();
         while call_receiver.recv().await.is_some() {
             self.counters.lost.fetch_add(1, Ordering::Relaxed);
@@ -245,7 +253,7 @@
     }
 
     async fn send_statement(&mut self) -> Result<(), ScaleError> {
-        /// References are unique to a process.
+        /// Client references are unique within the process.
         static REFERENCE: AtomicU64 = AtomicU64::new(1);
         let number = REFERENCE.fetch_add(1, Ordering::Relaxed);
         let reference = format!("{number:016x}");
@@ -285,7 +293,8 @@
         Ok(())
     }
 
-    /// Reads what has come, at least one byte. It loses nothing where it is dropped while it waits.
+    /// Reads the available bytes, at least one, and handles the complete answers. Dropping the
+    /// future while it waits loses no data.
     async fn read_answers(&mut self) -> Result<(), ScaleError> {
         let length = self.stream.read_buf(&mut self.input).await?;
         if length == 0 {
@@ -304,9 +313,7 @@
                 }
                 Err(ParseError::Incomplete) => return Ok(()),
                 Err(ParseError::Malformed) => {
-                    return Err(ScaleError::CheckFailed(
-                        "an answer that cannot be read".to_owned(),
-                    ));
+                    return Err(ScaleError::CheckFailed("an answer is malformed".to_owned()));
                 }
             }
         }
--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -1,4 +1,5 @@
-//! Fake engines that speak the line protocol: one listener for all of them, each at a loopback address of its own.
+//! Fake engines that speak the line protocol. One listener serves all of them; each engine has its
+//! own loopback address.
 
 use super::row::ScaleError;
 use std::collections::HashSet;
@@ -12,15 +13,16 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// Time that an engine takes to serve a statement.
+/// Time that an engine takes to answer a statement.
 pub(super) const SERVICE_TIME: Duration = Duration::from_millis(10);
-/// What follows the name of a statement that was served: the work and memory that it needed, a load report, one row.
+/// The rest of an answer after the attempt's name: the work and memory that the statement needed, a
+/// load report, and one row.
 const SERVED_ANSWER: &str =
     " served batches=1,cpu=10,used=8,l=inflight:4;util:0.5 6\r\na\tb\tc\n\r\n";
-/// The interface that the listener is bound to, so that nothing outside of this machine reaches it.
+/// Interface that the listener is bound to, so that other machines cannot reach it.
 const LOOPBACK_INTERFACE: &[u8] = b"lo";
 const BACKLOG: u32 = 4_096;
-/// A statement of the tests is far shorter.
+/// Limit of a statement's length in bytes; the statements of the tests are far shorter.
 const MAX_STATEMENT_BYTES: usize = 64 * 1024;
 
 /// Counters of all engines together.
@@ -33,32 +35,32 @@
     engines_used: Mutex<HashSet<IpAddr>>,
 }
 
-/// Figures of the engines together.
+/// Totals of all engines together.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EngineTotals {
     /// Connections accepted.
     pub connections: u64,
     /// Statements received.
     pub statements: u64,
-    /// Bytes received, without cancellations.
+    /// Bytes of all lines and statements received.
     pub bytes_received: u64,
     /// Bytes sent.
     pub bytes_sent: u64,
-    /// Engines that received a statement.
+    /// Number of engines that received a statement.
     pub engines_used: usize,
 }
 
-/// All engines of a list; they end with this value.
+/// All engines of a list; they stop when this is dropped.
 pub(super) struct Engines {
     /// The port of every engine.
     pub port: u16,
     counters: Arc<EngineCounters>,
-    /// Closed with this value, which ends the thread.
+    /// Dropping it closes the channel, which ends the engines' thread.
     _running: oneshot::Sender<()>,
 }
 
 impl Engines {
-    /// Starts them in a thread of their own.
+    /// Starts the engines on their own thread.
     pub(super) fn start() -> Result<Engines, ScaleError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -86,7 +88,7 @@
         })
     }
 
-    /// The figures so far.
+    /// The totals so far.
     pub(super) fn totals(&self) -> EngineTotals {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         EngineTotals {
@@ -104,7 +106,7 @@
     }
 }
 
-/// One socket for every loopback address.
+/// Opens one listening socket for all loopback addresses.
 fn listen() -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.bind_device(Some(LOOPBACK_INTERFACE))?;
@@ -119,13 +121,13 @@
                 counters.connections.fetch_add(1, Ordering::Relaxed);
                 tokio::spawn(serve_connection(stream, counters.clone()));
             }
-            // Out of descriptors: what is open goes on.
+            // The process may be out of file descriptors; open connections continue meanwhile.
             Err(_) => tokio::time::sleep(SERVICE_TIME).await,
         }
     }
 }
 
-/// Serves one connection until the manager closes it.
+/// Serves one connection until the manager closes it, or until a statement is malformed or too long.
 async fn serve_connection(stream: TcpStream, counters: Arc<EngineCounters>) {
     let _ = stream.set_nodelay(true);
     let engine = stream.local_addr().map(|address| address.ip());
@@ -171,12 +173,12 @@
                     (answer_sender.clone(), format!("{name}{SERVED_ANSWER}"));
                 tokio::spawn(async move {
                     tokio::time::sleep(SERVICE_TIME).await;
-                    // The connection may be closed by then.
+                    // The connection may have been closed meanwhile.
                     let _ = answer_sender.send(text);
                 });
             }
             ["NOOP", tag] => _ = answer_sender.send(format!("{tag} green - 0\r\n\r\n")),
-            // Notes, priorities and statements that are given up need no answer.
+            // Other commands, such as priorities and cancellations, need no answer.
             _ => {}
         }
     }
--- a/benches/scale/messages.rs
+++ b/benches/scale/messages.rs
@@ -1,36 +1,36 @@
-//! The clients' side of the platform's MessagePack-RPC: calls written, answers read.
+//! The client side of the platform's MessagePack-RPC protocol: encodes calls and parses answers.
 
 use rmp::decode::{self, RmpRead};
 use rmp::encode;
 use std::io::Cursor;
 
-/// MessagePack markers that distinguish answers.
+/// MessagePack markers of the values that distinguish the kinds of answers.
 const NIL_MARKER: u8 = 0xc0;
 const FALSE_MARKER: u8 = 0xc2;
 const TRUE_MARKER: u8 = 0xc3;
-/// The kinds of messages.
+/// Kinds of messages.
 const CALL_KIND: u8 = 0;
 const ANSWER_KIND: u8 = 1;
 
 /// The kind of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerKind {
-    /// All rows of the result.
+    /// A result with all its rows.
     Served,
-    /// `Overloaded`.
+    /// The error `Overloaded`.
     Rejected,
     /// Any other error.
     Failed,
-    /// The answer to `health`: whether the manager is ready.
+    /// An answer to `health`: whether the manager is ready.
     Health(bool),
 }
 
 /// One answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Answer {
-    /// The message that it answers.
+    /// Id of the message that it answers.
     pub id: u64,
-    /// Its kind.
+    /// Kind of the answer.
     pub kind: AnswerKind,
 }
 
@@ -43,14 +43,14 @@
     Malformed,
 }
 
-/// A call of a method with its fields, and a body where there is one.
+/// Encodes a call of a method with its fields and an optional body.
 pub(super) fn encode_call(
     id: u64,
     method: &str,
     fields: &[(&str, &str)],
     body: Option<&[u8]>,
 ) -> Vec<u8> {
-    const INFALLIBLE_WRITE: &str = "a vector takes every write";
+    const INFALLIBLE_WRITE: &str = "writing to a vector cannot fail";
     let mut message = Vec::with_capacity(256);
     encode::write_array_len(&mut message, 4).expect(INFALLIBLE_WRITE);
     encode::write_uint(&mut message, u64::from(CALL_KIND)).expect(INFALLIBLE_WRITE);
@@ -68,7 +68,7 @@
     message
 }
 
-/// The first answer of these bytes and its length.
+/// Parses the first answer in these bytes; returns it and its length in bytes.
 pub(super) fn parse_answer(bytes: &[u8]) -> Result<(Answer, usize), ParseError> {
     let mut input = Cursor::new(bytes);
     let head = (
@@ -140,7 +140,7 @@
         .ok_or(ParseError::Incomplete)
 }
 
-/// Distinguishes input that ends early from malformed input.
+/// Maps a decoding error to the error for incomplete or malformed input.
 fn or_parse_error<T, E: MayBeEndOfInput>(read: Result<T, E>) -> Result<T, ParseError> {
     read.map_err(|error| {
         if error.is_end_of_input() {
@@ -151,7 +151,7 @@
     })
 }
 
-/// An error of decoding that may be the end of the input.
+/// A decoding error that may mean that the input ended early.
 trait MayBeEndOfInput {
     fn is_end_of_input(&self) -> bool;
 }
--- a/benches/scale/statement_counters.rs
+++ b/benches/scale/statement_counters.rs
@@ -8,14 +8,15 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Bounds of the latency histogram, in microseconds.
+/// Smallest latency that the histogram records, in microseconds.
 const MIN_LATENCY_US: u64 = 1;
-/// See [`MIN_LATENCY_US`].
+/// Largest latency that the histogram records, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant decimal digits of the histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counters of one round of statements. All counters are independent of each other, so relaxed ordering is enough.
+/// Counters of one round of statements. The counters are independent of each other, so relaxed
+/// ordering is enough.
 #[derive(Debug)]
 pub(super) struct StatementCounters {
     pub sent: AtomicU64,
@@ -33,47 +34,49 @@
 /// Result of one round of statements.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct OfferedStatements {
-    /// From the first statement to the last answer.
+    /// Seconds from the start of the round to the last answer, or to the end of the wait for it.
     pub seconds: f64,
-    /// Statements written.
+    /// Statements sent.
     pub offered: u64,
-    /// Statements that were due, and not written as too many were open.
+    /// Statements that were due but were not sent because too many were open.
     pub held_back: u64,
-    /// Answers by their kind.
+    /// Answers with a result.
     pub served: u64,
-    /// See `served`.
+    /// Answers `Overloaded`.
     pub refused: u64,
-    /// See `served`.
+    /// Answers with any other error.
     pub failed: u64,
     /// Statements without an answer.
     pub unanswered: u64,
-    /// Answers to an unknown message, or a second answer to one.
+    /// Answers to an unknown message, or further answers to the same one.
     pub stray: u64,
-    /// Calls of `health` that kept connections open.
+    /// Answered `health` calls, which keep connections open.
     pub health_calls: u64,
-    /// Bytes to and from the manager.
+    /// Bytes sent to the manager.
     pub bytes_sent: u64,
-    /// See `bytes_sent`.
+    /// Bytes received from the manager.
     pub bytes_received: u64,
-    /// Half of all answers came within this, in ms.
+    /// Median latency of the answers, in ms.
     pub p50_ms: f64,
-    /// And 99 in 100.
+    /// 99th percentile of the latencies, in ms.
     pub p99_ms: f64,
 }
 
 impl OfferedStatements {
-    /// Statements that have an answer.
+    /// Statements that have been answered.
     pub(super) fn answered(&self) -> u64 {
         self.served + self.refused + self.failed
     }
 }
 
 impl StatementCounters {
-    /// All zero.
+    /// Counters with the value zero.
     pub(super) fn new() -> Result<StatementCounters, ScaleError> {
         let latencies =
             Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-                .map_err(|e| ScaleError::CheckFailed(format!("latencies: {e}")))?;
+                .map_err(|e| {
+                    ScaleError::CheckFailed(format!("cannot create the latency histogram: {e}"))
+                })?;
         let zero = AtomicU64::default;
         Ok(StatementCounters {
             sent: zero(),
@@ -115,7 +118,7 @@
         ]
     }
 
-    /// Sets all figures to zero.
+    /// Resets all counters and latencies.
     pub(super) fn clear(&self) {
         self.counters()
             .iter()
@@ -126,7 +129,7 @@
             .reset();
     }
 
-    /// Statements that are answered, or never will be.
+    /// Statements that have been answered or can no longer be answered.
     pub(super) fn finished(&self) -> u64 {
         [&self.served, &self.refused, &self.failed, &self.lost]
             .iter()
@@ -134,7 +137,7 @@
             .sum()
     }
 
-    /// Records an answer and its latency.
+    /// Records an answer to a statement and its latency.
     pub(super) fn record(&self, kind: AnswerKind, latency: Duration) {
         let count = match kind {
             AnswerKind::Served => &self.served,
@@ -149,7 +152,8 @@
         latencies.saturating_record(latency.as_micros() as u64);
     }
 
-    /// The figures so far; the caller adds the times and what was held back.
+    /// The counts and latencies so far. The caller adds the duration and the held back and
+    /// unanswered statements.
     pub(super) fn offered(&self) -> OfferedStatements {
         let [
             sent,
