--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -1,5 +1,5 @@
-//! A list feed that speaks the published frames, on a thread of its own: what it costs can be sent from what its
-//! followers cost.
+//! A list feed that sends the published binary frames. It runs on its own thread, so that its
+//! processor time is measured apart from that of its followers.
 
 use super::row::ScaleError;
 use super::server_load::{Load, ServerTotals, Timeline};
@@ -17,23 +17,23 @@
 use workload_manager::node_config::{EndpointListEvent, EngineRecord};
 use workload_manager::{EngineState, ListUpdateKind};
 
-/// Bytes of one record.
+/// Bytes of one engine record.
 pub(super) const RECORD_BYTES: usize = 27;
 /// Bytes of a frame before its records: length, number and kind.
 pub(super) const FRAME_HEAD_BYTES: usize = 13;
-/// Interval of the empty frames that keep an idle connection alive.
+/// Interval of the heartbeats, empty frames that keep an idle connection alive.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const KIND_HEARTBEAT: u8 = 0;
 const KIND_FULL: u8 = 1;
 const KIND_CHANGES: u8 = 2;
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 4_096;
-/// Longest wait for its thread to respond.
+/// Longest wait for the feed's thread to respond.
 const THREAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// Interval at which its load is sampled.
+/// Interval at which the feed's load is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One event as a frame: its length, number, kind and records.
+/// Encodes an event as a frame: its length, number, kind and records.
 pub(super) fn frame(event: &EndpointListEvent) -> Bytes {
     let kind = match event.kind {
         ListUpdateKind::Delta => KIND_CHANGES,
@@ -76,7 +76,7 @@
     payload.extend((entry.started_at_ms as u64).to_be_bytes());
 }
 
-/// Whether the feed can be reached.
+/// Whether followers can connect to the feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerState {
     Listening,
@@ -93,9 +93,9 @@
 
 struct Shared {
     heartbeat_interval: Duration,
-    /// The events in order, with their numbers.
+    /// The frames of all events in order, with the events' numbers.
     log: Mutex<Vec<(u64, Bytes)>>,
-    /// How many there are.
+    /// Number of events in `log`.
     published: watch::Sender<usize>,
     counters: FeedCounters,
     timeline: Mutex<Timeline>,
@@ -127,7 +127,7 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// The frames behind the first `sent` ones.
+    /// The frames after the first `sent` ones.
     fn frames_after(&self, sent: usize) -> Vec<Bytes> {
         lock(&self.log)
             .iter()
@@ -137,9 +137,9 @@
     }
 }
 
-/// A feed at work; it ends when this is dropped.
+/// A running feed; it ends when this is dropped.
 pub(super) struct Feed {
-    /// Where it listens, when it is not away.
+    /// Address at which it listens, unless it has been stopped.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     state: watch::Sender<ListenerState>,
@@ -148,7 +148,7 @@
 }
 
 impl Feed {
-    /// A feed whose first event is this full list. `idle` is the interval of its empty frames.
+    /// Starts a feed whose first event is this full list.
     pub(super) fn start(
         list: &EndpointListEvent,
         heartbeat_interval: Duration,
@@ -196,7 +196,7 @@
         })
     }
 
-    /// Publishes one more event to present and later followers; returns the time of publication.
+    /// Publishes an event to current and later followers; returns the time of publication.
     pub(super) fn publish(&self, event: &EndpointListEvent) -> Instant {
         let frame = frame(event);
         let published_at = Instant::now();
@@ -211,7 +211,7 @@
         self.set_state(ListenerState::NotListening)
     }
 
-    /// Listens again at the same address; returns when it did.
+    /// Listens again at the same address; returns the time from which it does.
     pub(super) fn resume_listening(&self) -> Result<Instant, ScaleError> {
         self.set_state(ListenerState::Listening)
             .map(|()| Instant::now())
@@ -220,8 +220,11 @@
     fn set_state(&self, state: ListenerState) -> Result<(), ScaleError> {
         self.state.send_replace(state);
         let confirmation = self.confirmations.recv_timeout(THREAD_TIMEOUT);
-        let not_confirmed =
-            || ScaleError::CheckFailed(format!("the feed did not become {state:?}"));
+        let not_confirmed = || {
+            ScaleError::CheckFailed(format!(
+                "the feed did not reach the state {state:?} in time"
+            ))
+        };
         confirmation
             .ok()
             .filter(|now| *now == state)
@@ -229,19 +232,21 @@
             .ok_or_else(not_confirmed)
     }
 
-    /// What it has done so far.
+    /// The feed's totals so far.
     pub(super) fn totals(&self) -> ServerTotals {
         self.shared.totals()
     }
 
-    /// Its load over a time. It waits for the sample that ends the time.
+    /// The feed's load from `from` to `until`. Waits for the first sample at or after `until`.
     pub(super) fn load(&self, from: Instant, until: Instant) -> Result<Load, ScaleError> {
         self.await_sample(until)?;
         let load = lock(&self.shared.timeline).load(from, until);
-        load.ok_or_else(|| ScaleError::CheckFailed("no two samples of the feed's load".to_owned()))
+        load.ok_or_else(|| {
+            ScaleError::CheckFailed("fewer than two samples of the feed's load".to_owned())
+        })
     }
 
-    /// Processor time of its thread by the first sample after this time.
+    /// Processor time of the feed's thread. Waits for a sample at or after `not_before`.
     pub(super) fn processor_time(&self, not_before: Instant) -> Result<Duration, ScaleError> {
         self.await_sample(not_before)?;
         Ok(lock(&self.shared.timeline).processor_time())
@@ -252,7 +257,7 @@
         while !lock(&self.shared.timeline).has_sample_since(not_before) {
             if Instant::now() > deadline {
                 return Err(ScaleError::CheckFailed(
-                    "the feed's load is not sampled".to_owned(),
+                    "the feed's load was not sampled in time".to_owned(),
                 ));
             }
             std::thread::sleep(SAMPLE_INTERVAL);
@@ -309,7 +314,7 @@
     }
 }
 
-/// Accepts until the presence changes; then every connection is closed.
+/// Accepts connections until the feed no longer listens, then closes all of them.
 async fn accept_all(
     listener: &TcpListener,
     shared: &Arc<Shared>,
@@ -328,7 +333,8 @@
     }
 }
 
-/// Writes to one follower all events after its last one, and an empty frame at each interval.
+/// Sends to one follower all events after the last one that it has, and a heartbeat at each
+/// interval.
 async fn serve_follower(mut stream: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut published = shared.published.subscribe();
--- a/benches/scale/server_load.rs
+++ b/benches/scale/server_load.rs
@@ -1,36 +1,37 @@
-//! The load of a server over time: samples of what it has done, and its worst stretch of a tenth of a second.
+//! The load of a server over time: samples of its totals, and the largest load in any window of a
+//! tenth of a second.
 
 use super::row::rounded;
 use super::usage;
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Length of the window over which the worst load is measured.
+/// Length of the window in which the largest load is measured.
 pub(super) const WINDOW: Duration = Duration::from_millis(100);
 
-/// What a server has done so far.
+/// Totals of a server since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ServerTotals {
     /// Connections accepted.
     pub connections: u64,
-    /// Frames written, empty ones among them.
+    /// Frames written, including empty ones.
     pub frames: u64,
     /// Bytes written.
     pub bytes: u64,
 }
 
-/// What had been done at one moment.
+/// A server's totals at one time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sample {
-    /// When.
+    /// Time of the sample.
     pub sampled_at: Instant,
-    /// What had been done by then.
+    /// Totals at that time.
     pub totals: ServerTotals,
-    /// Processor time used by then.
+    /// Processor time that the thread had used by that time.
     pub processor_time: Duration,
 }
 
-/// What was done in one stretch, scaled to the length [`WINDOW`].
+/// The load in an interval, scaled to the length of [`WINDOW`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct LoadWindow {
     /// Connections accepted.
@@ -55,7 +56,7 @@
         }
     }
 
-    /// How many times each figure is the other's; 0 where that is 0.
+    /// The ratio of each figure to the other window's; 0 where the latter is 0.
     fn ratio_to(&self, other: &LoadWindow) -> LoadWindow {
         let ratio = |figure: f64, other: f64| {
             if other > 0.0 {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The larger of each figure.
+    /// The larger value of each figure.
     fn larger_of_each(self, other: LoadWindow) -> LoadWindow {
         LoadWindow {
             connections: self.connections.max(other.connections),
@@ -81,7 +82,8 @@
     }
 }
 
-/// The load over some time: its mean as if it lasted [`WINDOW`], each figure's worst stretch, and that against the mean.
+/// The load over an interval: its mean per [`WINDOW`], the largest load in any window by figure,
+/// and the ratio of the largest to the mean.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(super) struct Load {
     mean: LoadWindow,
@@ -98,18 +100,18 @@
         }
     }
 
-    /// Its worst stretch against the mean of another time.
+    /// The ratio of this interval's largest load to the mean of another interval.
     pub(super) fn worst_ratio_to(&self, other: &Load) -> LoadWindow {
         self.worst.ratio_to(&other.mean)
     }
 }
 
-/// Samples in the order of time.
+/// Samples in chronological order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Timeline(Vec<Sample>);
 
 impl Timeline {
-    /// Samples now, on the thread whose processor time counts.
+    /// Adds a sample at the current time, with the processor time of the calling thread.
     pub(super) fn record(&mut self, totals: ServerTotals) {
         self.0.push(Sample {
             sampled_at: Instant::now(),
@@ -118,21 +120,22 @@
         });
     }
 
-    /// Whether a sample is this late.
+    /// Whether there is a sample at or after `not_before`.
     pub(super) fn has_sample_since(&self, not_before: Instant) -> bool {
         self.0
             .last()
             .is_some_and(|sample| sample.sampled_at >= not_before)
     }
 
-    /// Processor time by the last sample.
+    /// Processor time at the last sample.
     pub(super) fn processor_time(&self) -> Duration {
         self.0
             .last()
             .map_or(Duration::ZERO, |sample| sample.processor_time)
     }
 
-    /// The load from the last sample before `from` to the first one after `until`; none where there are no two samples.
+    /// The load from the last sample at or before `from` to the first one at or after `until`; none
+    /// if there are fewer than two samples.
     pub(super) fn load(&self, from: Instant, until: Instant) -> Option<Load> {
         let first = self
             .0
@@ -154,7 +157,7 @@
             worst = worst.larger_of_each(LoadWindow::between(start, later));
         }
         let mean = LoadWindow::between(oldest, newest);
-        // What lasts no longer than one stretch is its own worst one.
+        // An interval no longer than one window contains none; its mean counts as the largest load.
         Some(Load::new(mean, worst.larger_of_each(mean)))
     }
 }
