--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -20,7 +20,7 @@
 /// Bytes of one engine record.
 pub(super) const RECORD_BYTES: usize = 27;
 /// Bytes of a frame before its records: length, number and kind.
-pub(super) const FRAME_HEAD_BYTES: usize = 13;
+pub(super) const FRAME_HEADER_BYTES: usize = 13;
 /// Interval of the heartbeats, empty frames that keep an idle connection alive.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const KIND_HEARTBEAT: u8 = 0;
@@ -48,7 +48,7 @@
 }
 
 fn encode_frame(number: u64, kind: u8, payload: &[u8]) -> Bytes {
-    let length = FRAME_HEAD_BYTES - size_of::<u32>() + payload.len();
+    let length = FRAME_HEADER_BYTES - size_of::<u32>() + payload.len();
     let mut frame = (length as u32).to_be_bytes().to_vec();
     frame.extend(number.to_be_bytes());
     frame.push(kind);
--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -1,6 +1,6 @@
 //! What one manager pays for a full list, a change and the feed at rest, by listed engines.
 
-use super::feed::{FRAME_HEAD_BYTES, Feed, HEARTBEAT_INTERVAL, frame};
+use super::feed::{FRAME_HEADER_BYTES, Feed, HEARTBEAT_INTERVAL, frame};
 use super::fit::{Figure, Point, Prediction};
 use super::in_process_manager::{AppliedEvent, ManagerPlan, RosterSize};
 use super::list_capacity::{MemoryModel, TEST};
@@ -137,7 +137,7 @@
         us_empty_frame: median(|round| round.empty_us),
         bytes_whole: any.bytes_whole,
         bytes_change: any.bytes_change,
-        bytes_second_at_rest: FRAME_HEAD_BYTES as f64 / HEARTBEAT_INTERVAL.as_secs_f64(),
+        bytes_second_at_rest: FRAME_HEADER_BYTES as f64 / HEARTBEAT_INTERVAL.as_secs_f64(),
         memory_bytes: held.bytes.round(),
         memory_managers: held.managers,
         memory_peak_bytes: held.peak_bytes.round(),
--- a/benches/scale/messages.rs
+++ b/benches/scale/messages.rs
@@ -71,11 +71,11 @@
 /// Parses the first answer in these bytes; returns it and its length in bytes.
 pub(super) fn parse_answer(bytes: &[u8]) -> Result<(Answer, usize), ParseError> {
     let mut input = Cursor::new(bytes);
-    let head = (
+    let header = (
         or_parse_error(decode::read_array_len(&mut input))?,
         or_parse_error(decode::read_int::<u8, _>(&mut input))?,
     );
-    if head != (4, ANSWER_KIND) {
+    if header != (4, ANSWER_KIND) {
         return Err(ParseError::Malformed);
     }
     let id = or_parse_error(decode::read_int::<u64, _>(&mut input))?;
