--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -205,7 +205,8 @@
     deployment: Deployment,
     /// Number of client connections.
     pub connections: usize,
-    /// Rate that clients should offer, in statements per second; `offered` has what they did offer.
+    /// Rate that clients should offer, in statements per second. `offered` contains the number of
+    /// statements that they sent.
     pub rate: f64,
     /// Statements that the manager counted as accepted.
     taken: u64,
@@ -323,7 +324,7 @@
 /// Rounds of a size that the summary uses.
 #[derive(Clone, Debug)]
 pub(super) struct Rounds {
-    /// The last round at the usual rate.
+    /// The last round at a quarter of the rate that one core can serve.
     pub usual: StatementsRow,
     /// The round that measured the rate that one core can serve.
     pub saturated: Option<StatementsRow>,
@@ -343,16 +344,16 @@
     most_per_second: Option<f64>,
     /// Processor time per statement in microseconds in that round.
     us_statement_saturated: Option<f64>,
-    /// Processor time per statement in microseconds at a quarter of that rate.
+    /// Processor time per statement in microseconds in the last round at a quarter of that rate.
     pub us_statement_usual: f64,
     /// Share of one core under churn and without clients, in percent.
     pub percent_core_control: f64,
     /// Resident memory with the list, before the first client connects.
     pub mb_before_clients: f64,
-    /// Cores needed for control and for the rate that clients offer, at the usual cost of a
-    /// statement.
+    /// Cores needed for control and for the rate that clients offer, if a statement costs
+    /// `us_statement_usual`.
     cores_needed: f64,
-    /// The same at the cost of a statement in the saturated round.
+    /// The same if a statement costs `us_statement_saturated`.
     cores_needed_saturated: Option<f64>,
     /// Whether the saturated round served at least the rate that clients offer.
     fits: bool,
