--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of one real workload manager: connections held open, and statements offered at an even rate or a bounded
-//! number at a time.
+//! Clients of one real workload manager. They keep connections open, and send statements at an even
+//! rate or keep a fixed number of statements open.
 
 use super::fleet;
 use super::messages::{self, AnswerKind, ParseError};
@@ -18,26 +18,28 @@
 use tokio::time::{sleep_until, timeout};
 
 const CLASS: &str = "read";
-/// Fields of a statement, besides its reference.
-const FIELDS: [(&str, &str); 4] = [
+/// Fields of each statement besides its client reference.
+const STATEMENT_FIELDS: [(&str, &str); 4] = [
     ("allow", "2000"),
     ("project", "acme"),
     ("effort", "10.0"),
     ("need_mb", "8"),
 ];
-/// A connection that has had no call for this long calls `health`, as the manager closes it after 30 s.
+/// A connection without a call for this long sends a `health` call, since the manager closes an
+/// idle connection after 30 s.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
-/// Open statements on one connection at most: the bound of the protocol.
+/// Maximum number of open statements on one connection, a limit of the protocol.
 const MAX_OPEN_ON_CONNECTION: usize = 32;
-/// Open statements at most; beyond that none are offered.
-const MAX_OPEN: u64 = 2_000;
-/// Time for the last answers after a round.
+/// Maximum number of open statements; beyond it no statement is sent.
+const MAX_OPEN_STATEMENTS: u64 = 2_000;
+/// Longest wait for the last answers after a round.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a connection to open and answer `health`.
+/// Longest wait for a connection to open, and then for the answer to its first `health` call.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval between two checks of what is due.
+/// Interval between two checks for due statements or for the last answers.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Open connections of clients; they close with this value.
+
+/// Open client connections; they are closed when this is dropped.
 pub(super) struct Clients {
     runtime: Runtime,
     connections: Vec<Connection>,
@@ -49,7 +51,7 @@
 /// The handle of one connection's task.
 struct Connection {
     calls: mpsc::UnboundedSender<()>,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
 }
 
 impl Clients {
@@ -61,7 +63,7 @@
         let counters = Arc::new(StatementCounters::new()?);
         let mut connections = Vec::with_capacity(count);
         for _ in 0..count {
-            connections.push(runtime.block_on(open(manager, counters.clone()))?);
+            connections.push(runtime.block_on(open_connection(manager, counters.clone()))?);
         }
         Ok(Clients {
             runtime,
@@ -71,26 +73,29 @@
         })
     }
 
-    /// Offers statements at this rate for this long, and waits for their answers.
+    /// Sends statements at this rate per second for this duration, and waits for their answers.
     pub(super) fn offer(
         &mut self,
         rate: f64,
         duration: Duration,
     ) -> Result<OfferedStatements, ScaleError> {
-        self.round(duration, |elapsed, sent, _| (rate * elapsed) as u64 - sent)
+        self.run_round(duration, |elapsed, sent, _| (rate * elapsed) as u64 - sent)
     }
 
-    /// Keeps this many statements open for this long, and waits for their answers.
+    /// Keeps this many statements open for this duration, and waits for their answers.
     pub(super) fn keep_open(
         &mut self,
         statements: u64,
         duration: Duration,
     ) -> Result<OfferedStatements, ScaleError> {
-        self.round(duration, |_, _, open| statements.saturating_sub(open))
+        self.run_round(duration, |_, _, open_count| {
+            statements.saturating_sub(open_count)
+        })
     }
 
-    /// Offers what is due by the seconds elapsed, the statements due before and those open.
-    fn round(
+    /// Runs one round. `due` returns how many statements to send now, from the elapsed seconds, the
+    /// number of statements due before, and the number that are open.
+    fn run_round(
         &mut self,
         duration: Duration,
         due: impl Fn(f64, u64, u64) -> u64,
@@ -102,21 +107,23 @@
             next_connection,
         } = self;
         counters.clear();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let (mut due_statements, mut held_back) = (0_u64, 0_u64);
         runtime.block_on(async {
             loop {
-                let elapsed = begun.elapsed().min(duration);
-                let open = (due_statements - held_back).saturating_sub(counters.finished());
-                for _ in 0..due(elapsed.as_secs_f64(), due_statements, open) {
+                let elapsed = started_at.elapsed().min(duration);
+                let open_count = (due_statements - held_back).saturating_sub(counters.finished());
+                for _ in 0..due(elapsed.as_secs_f64(), due_statements, open_count) {
                     due_statements += 1;
-                    let full =
-                        (due_statements - held_back).saturating_sub(counters.finished()) > MAX_OPEN;
-                    if full || !assign_statement(connections, next_connection) {
+                    let limit_reached = (due_statements - held_back)
+                        .saturating_sub(counters.finished())
+                        > MAX_OPEN_STATEMENTS;
+                    if limit_reached || !assign_statement(connections, next_connection) {
                         held_back += 1;
                     }
                 }
-                // What is due in all is offered, however late this task is.
+                // The check at the end of the duration sends all statements still due, even if this
+                // task runs late.
                 if elapsed == duration {
                     break;
                 }
@@ -127,77 +134,85 @@
                     tokio::time::sleep(POLL_INTERVAL).await;
                 }
             };
-            // What has no answer by then is counted below.
+            // Statements without an answer after the timeout are counted below.
             let _ = timeout(ANSWER_TIMEOUT, answered).await;
         });
         let mut offered = counters.offered();
-        offered.seconds = rounded(begun.elapsed().as_secs_f64());
+        offered.seconds = rounded(started_at.elapsed().as_secs_f64());
         offered.held_back = held_back;
         offered.unanswered = (due_statements - held_back).saturating_sub(offered.answered());
         Ok(offered)
     }
 }
 
-/// Gives a statement to the next connection with a free place; false if there is none.
+/// Assigns a statement to the next connection that has room for one; false if there is none.
 fn assign_statement(connections: &[Connection], next_connection: &mut usize) -> bool {
     for _ in 0..connections.len() {
         let connection = &connections[*next_connection % connections.len()];
         *next_connection = (*next_connection + 1) % connections.len();
-        if connection.open.load(Ordering::Relaxed) < MAX_OPEN_ON_CONNECTION
+        if connection.open_count.load(Ordering::Relaxed) < MAX_OPEN_ON_CONNECTION
             && connection.calls.send(()).is_ok()
         {
-            connection.open.fetch_add(1, Ordering::Relaxed);
+            connection.open_count.fetch_add(1, Ordering::Relaxed);
             return true;
         }
     }
     false
 }
 
-/// The data set of a statement: all one after another, in an order that is not that of their numbers.
+/// The data set of a statement. Consecutive statements go through all data sets, but not in the
+/// order of their numbers.
 fn data_set(statement: u64) -> u64 {
-    /// Shares no factor with the number of data sets.
+    /// It has no common factor with the number of data sets.
     const STRIDE: u64 = 617;
     statement * STRIDE % u64::from(fleet::DATA_SETS)
 }
 
-/// Opens a connection whose first call is answered, and starts its task.
-async fn open(
+/// Opens a connection, waits for the answer to a `health` call, and starts the connection's task.
+async fn open_connection(
     manager: SocketAddr,
     counters: Arc<StatementCounters>,
 ) -> Result<Connection, ScaleError> {
-    let late =
-        |_| ScaleError::CheckFailed("a client connection was not answered in time".to_owned());
+    let timed_out = |_| {
+        ScaleError::CheckFailed(
+            "a client connection was not opened or not answered in time".to_owned(),
+        )
+    };
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(manager))
         .await
-        .map_err(late)??;
+        .map_err(timed_out)??;
     stream.set_nodelay(true)?;
-    let open = Arc::<AtomicUsize>::default();
-    let mut session = Session::new(stream, open.clone(), counters);
+    let open_count = Arc::<AtomicUsize>::default();
+    let mut session = Session::new(stream, open_count.clone(), counters);
     session.send_health_call().await?;
     timeout(CONNECT_TIMEOUT, session.read_answers())
         .await
-        .map_err(late)??;
-    let (calls, called) = mpsc::unbounded_channel();
-    tokio::spawn(session.run(called));
-    Ok(Connection { calls, open })
+        .map_err(timed_out)??;
+    let (calls, call_receiver) = mpsc::unbounded_channel();
+    tokio::spawn(session.run(call_receiver));
+    Ok(Connection { calls, open_count })
 }
 
-/// One connection's task.
+/// State of one connection's task.
 struct Session {
     stream: TcpStream,
     input: BytesMut,
     last_message_id: u64,
     last_written_at: Instant,
-    /// When each open statement was written.
+    /// When each open statement was sent, by message id.
     statements_open: HashMap<u64, Instant>,
-    /// The same for calls of `health`.
+    /// The same for `health` calls.
     health_calls_open: HashMap<u64, Instant>,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
     counters: Arc<StatementCounters>,
 }
 
 impl Session {
-    fn new(stream: TcpStream, open: Arc<AtomicUsize>, counters: Arc<StatementCounters>) -> Session {
+    fn new(
+        stream: TcpStream,
+        open_count: Arc<AtomicUsize>,
+        counters: Arc<StatementCounters>,
+    ) -> Session {
         let (statements_open, health_calls_open) = Default::default();
         let (input, last_written_at) = (BytesMut::new(), Instant::now());
         Session {
@@ -207,29 +222,29 @@
             last_written_at,
             statements_open,
             health_calls_open,
-            open,
+            open_count,
             counters,
         }
     }
 
-    async fn run(mut self, mut called: mpsc::UnboundedReceiver<()>) {
+    async fn run(mut self, mut call_receiver: mpsc::UnboundedReceiver<()>) {
         loop {
-            let quiet = self.last_written_at + KEEP_ALIVE_INTERVAL;
-            let done = tokio::select! {
-                call = called.recv() => match call {
+            let keep_alive_at = self.last_written_at + KEEP_ALIVE_INTERVAL;
+            let result = tokio::select! {
+                call = call_receiver.recv() => match call {
                     Some(()) => self.send_statement().await,
                     None => return,
                 },
                 read = self.read_answers() => read,
-                () = sleep_until(quiet.into()) => self.send_health_call().await,
+                () = sleep_until(keep_alive_at.into()) => self.send_health_call().await,
             };
-            if done.is_err() {
+            if result.is_err() {
                 break;
             }
         }
-        // Statements that are open or arrive from now on get no answer.
-        called.close();
-        while called.recv().await.is_some() {
+        // Open statements, and those that are assigned from now on, get no answer.
+        call_receiver.close();
+        while call_receiver.recv().await.is_some() {
             self.counters.lost.fetch_add(1, Ordering::Relaxed);
         }
         self.counters
@@ -238,7 +253,7 @@
     }
 
     async fn send_statement(&mut self) -> Result<(), ScaleError> {
-        /// References are unique to a process.
+        /// Client references are unique within the process.
         static REFERENCE: AtomicU64 = AtomicU64::new(1);
         let number = REFERENCE.fetch_add(1, Ordering::Relaxed);
         let reference = format!("{number:016x}");
@@ -247,9 +262,9 @@
             data_set(number)
         );
         let mut fields = vec![("ref", reference.as_str())];
-        fields.extend(FIELDS);
+        fields.extend(STATEMENT_FIELDS);
         self.last_message_id += 1;
-        let text = messages::call(
+        let message = messages::encode_call(
             self.last_message_id,
             CLASS,
             &fields,
@@ -258,27 +273,28 @@
         self.statements_open
             .insert(self.last_message_id, Instant::now());
         self.counters.sent.fetch_add(1, Ordering::Relaxed);
-        self.write(&text).await
+        self.write(&message).await
     }
 
     async fn send_health_call(&mut self) -> Result<(), ScaleError> {
         self.last_message_id += 1;
         self.health_calls_open
             .insert(self.last_message_id, Instant::now());
-        let text = messages::call(self.last_message_id, "health", &[], None);
-        self.write(&text).await
+        let message = messages::encode_call(self.last_message_id, "health", &[], None);
+        self.write(&message).await
     }
 
-    async fn write(&mut self, text: &[u8]) -> Result<(), ScaleError> {
+    async fn write(&mut self, message: &[u8]) -> Result<(), ScaleError> {
         self.last_written_at = Instant::now();
-        self.stream.write_all(text).await?;
+        self.stream.write_all(message).await?;
         self.counters
             .bytes_sent
-            .fetch_add(text.len() as u64, Ordering::Relaxed);
+            .fetch_add(message.len() as u64, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Reads what has come, at least one byte. It loses nothing where it is dropped while it waits.
+    /// Reads the available bytes, at least one, and handles the complete answers. Dropping the
+    /// future while it waits loses no data.
     async fn read_answers(&mut self) -> Result<(), ScaleError> {
         let length = self.stream.read_buf(&mut self.input).await?;
         if length == 0 {
@@ -290,16 +306,14 @@
             .bytes_received
             .fetch_add(length as u64, Ordering::Relaxed);
         loop {
-            match messages::answer(&self.input) {
+            match messages::parse_answer(&self.input) {
                 Ok((answer, length)) => {
                     let _ = self.input.split_to(length);
                     self.handle_answer(answer);
                 }
                 Err(ParseError::Incomplete) => return Ok(()),
                 Err(ParseError::Malformed) => {
-                    return Err(ScaleError::CheckFailed(
-                        "an answer that cannot be read".to_owned(),
-                    ));
+                    return Err(ScaleError::CheckFailed("an answer is malformed".to_owned()));
                 }
             }
         }
@@ -313,9 +327,9 @@
             &mut self.statements_open
         };
         match open_calls.remove(&answer.id) {
-            Some(_) if health => _ = self.counters.health.fetch_add(1, Ordering::Relaxed),
+            Some(_) if health => _ = self.counters.health_answers.fetch_add(1, Ordering::Relaxed),
             Some(written_at) => {
-                self.open.fetch_sub(1, Ordering::Relaxed);
+                self.open_count.fetch_sub(1, Ordering::Relaxed);
                 self.counters.record(answer.kind, written_at.elapsed());
             }
             None => _ = self.counters.stray.fetch_add(1, Ordering::Relaxed),
--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -1,4 +1,5 @@
-//! Fake engines that speak the line protocol: one listener for all of them, each at a loopback address of its own.
+//! Fake engines that speak the line protocol. One listener serves all of them; each engine has its
+//! own loopback address.
 
 use super::row::ScaleError;
 use std::collections::HashSet;
@@ -12,14 +13,16 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// Time that an engine takes to serve a statement.
-pub(super) const SERVED_AFTER: Duration = Duration::from_millis(10);
-/// What follows the name of a statement that was served: the work and memory that it needed, a load report, one row.
-const SERVED: &str = " served batches=1,cpu=10,used=8,l=inflight:4;util:0.5 6\r\na\tb\tc\n\r\n";
-/// The interface that the listener is bound to, so that nothing outside of this machine reaches it.
-const LOOPBACK: &[u8] = b"lo";
+/// Time that an engine takes to answer a statement.
+pub(super) const SERVICE_TIME: Duration = Duration::from_millis(10);
+/// The rest of an answer after the attempt's name: the work and memory that the statement needed, a
+/// load report, and one row.
+const SERVED_ANSWER: &str =
+    " served batches=1,cpu=10,used=8,l=inflight:4;util:0.5 6\r\na\tb\tc\n\r\n";
+/// Interface that the listener is bound to, so that other machines cannot reach it.
+const LOOPBACK_INTERFACE: &[u8] = b"lo";
 const BACKLOG: u32 = 4_096;
-/// A statement of the tests is far shorter.
+/// Limit of a statement's length in bytes; the statements of the tests are far shorter.
 const MAX_STATEMENT_BYTES: usize = 64 * 1024;
 
 /// Counters of all engines together.
@@ -27,37 +30,37 @@
 struct EngineCounters {
     connections: AtomicU64,
     statements: AtomicU64,
-    received: AtomicU64,
-    sent: AtomicU64,
-    used: Mutex<HashSet<IpAddr>>,
+    bytes_received: AtomicU64,
+    bytes_sent: AtomicU64,
+    engines_used: Mutex<HashSet<IpAddr>>,
 }
 
-/// Figures of the engines together.
+/// Totals of all engines together.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EngineTotals {
     /// Connections accepted.
     pub connections: u64,
     /// Statements received.
     pub statements: u64,
-    /// Bytes received, without cancellations.
-    pub received: u64,
+    /// Bytes of all lines and statements received.
+    pub bytes_received: u64,
     /// Bytes sent.
-    pub sent: u64,
-    /// Engines that received a statement.
-    pub used: usize,
+    pub bytes_sent: u64,
+    /// Number of engines that received a statement.
+    pub engines_used: usize,
 }
 
-/// All engines of a list; they end with this value.
+/// All engines of a list; they stop when this is dropped.
 pub(super) struct Engines {
     /// The port of every engine.
     pub port: u16,
     counters: Arc<EngineCounters>,
-    /// Closed with this value, which ends the thread.
+    /// Dropping it closes the channel, which ends the engines' thread.
     _running: oneshot::Sender<()>,
 }
 
 impl Engines {
-    /// Starts them in a thread of their own.
+    /// Starts the engines on their own thread.
     pub(super) fn start() -> Result<Engines, ScaleError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -68,13 +71,13 @@
         };
         let port = listener.local_addr()?.port();
         let counters = Arc::<EngineCounters>::default();
-        let (running, ended) = oneshot::channel::<()>();
+        let (running, stopped) = oneshot::channel::<()>();
         let engines = counters.clone();
         thread::spawn(move || {
             runtime.block_on(async {
                 tokio::select! {
-                    () = accept(listener, engines) => {}
-                    _ = ended => {}
+                    () = accept_connections(listener, engines) => {}
+                    _ = stopped => {}
                 }
             });
         });
@@ -85,17 +88,17 @@
         })
     }
 
-    /// The figures so far.
+    /// The totals so far.
     pub(super) fn totals(&self) -> EngineTotals {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         EngineTotals {
             connections: read(&self.counters.connections),
             statements: read(&self.counters.statements),
-            received: read(&self.counters.received),
-            sent: read(&self.counters.sent),
-            used: self
+            bytes_received: read(&self.counters.bytes_received),
+            bytes_sent: read(&self.counters.bytes_sent),
+            engines_used: self
                 .counters
-                .used
+                .engines_used
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .len(),
@@ -103,34 +106,34 @@
     }
 }
 
-/// One socket for every loopback address.
+/// Opens one listening socket for all loopback addresses.
 fn listen() -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
-    socket.bind_device(Some(LOOPBACK))?;
+    socket.bind_device(Some(LOOPBACK_INTERFACE))?;
     socket.bind(([0, 0, 0, 0], 0).into())?;
     socket.listen(BACKLOG)
 }
 
-async fn accept(listener: TcpListener, counters: Arc<EngineCounters>) {
+async fn accept_connections(listener: TcpListener, counters: Arc<EngineCounters>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 counters.connections.fetch_add(1, Ordering::Relaxed);
-                tokio::spawn(serve(stream, counters.clone()));
+                tokio::spawn(serve_connection(stream, counters.clone()));
             }
-            // Out of descriptors: what is open goes on.
-            Err(_) => tokio::time::sleep(SERVED_AFTER).await,
+            // The process may be out of file descriptors; open connections continue meanwhile.
+            Err(_) => tokio::time::sleep(SERVICE_TIME).await,
         }
     }
 }
 
-/// Serves one connection until the manager closes it.
-async fn serve(stream: TcpStream, counters: Arc<EngineCounters>) {
+/// Serves one connection until the manager closes it, or until a statement is malformed or too long.
+async fn serve_connection(stream: TcpStream, counters: Arc<EngineCounters>) {
     let _ = stream.set_nodelay(true);
     let engine = stream.local_addr().map(|address| address.ip());
     let (read, write) = stream.into_split();
-    let (answers, answered) = mpsc::unbounded_channel();
-    tokio::spawn(answer(write, answered, counters.clone()));
+    let (answer_sender, answer_receiver) = mpsc::unbounded_channel();
+    tokio::spawn(write_answers(write, answer_receiver, counters.clone()));
     let mut read = BufReader::new(read);
     let mut line = String::new();
     loop {
@@ -139,7 +142,7 @@
             return;
         }
         counters
-            .received
+            .bytes_received
             .fetch_add(line.len() as u64, Ordering::Relaxed);
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
@@ -156,41 +159,42 @@
                     return;
                 }
                 counters
-                    .received
+                    .bytes_received
                     .fetch_add(statement.len() as u64, Ordering::Relaxed);
                 counters.statements.fetch_add(1, Ordering::Relaxed);
                 if let Ok(engine) = engine {
                     counters
-                        .used
+                        .engines_used
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .insert(engine);
                 }
-                let (answers, text) = (answers.clone(), format!("{name}{SERVED}"));
+                let (answer_sender, text) =
+                    (answer_sender.clone(), format!("{name}{SERVED_ANSWER}"));
                 tokio::spawn(async move {
-                    tokio::time::sleep(SERVED_AFTER).await;
-                    // The connection may be closed by then.
-                    let _ = answers.send(text);
+                    tokio::time::sleep(SERVICE_TIME).await;
+                    // The connection may have been closed meanwhile.
+                    let _ = answer_sender.send(text);
                 });
             }
-            ["NOOP", tag] => _ = answers.send(format!("{tag} green - 0\r\n\r\n")),
-            // Notes, priorities and statements that are given up need no answer.
+            ["NOOP", tag] => _ = answer_sender.send(format!("{tag} green - 0\r\n\r\n")),
+            // Other commands, such as priorities and cancellations, need no answer.
             _ => {}
         }
     }
 }
 
-async fn answer(
+async fn write_answers(
     mut write: OwnedWriteHalf,
-    mut answered: mpsc::UnboundedReceiver<String>,
+    mut answer_receiver: mpsc::UnboundedReceiver<String>,
     counters: Arc<EngineCounters>,
 ) {
-    while let Some(text) = answered.recv().await {
+    while let Some(text) = answer_receiver.recv().await {
         if write.write_all(text.as_bytes()).await.is_err() {
             return;
         }
         counters
-            .sent
+            .bytes_sent
             .fetch_add(text.len() as u64, Ordering::Relaxed);
     }
 }
--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -1,8 +1,8 @@
-//! A in-process manager: the real feed reader and the real core with roster and decision module, without sockets to
-//! clients and engines.
+//! An in-process manager: the real feed reader and the real core with its roster and dispatcher,
+//! without sockets to clients and engines.
 
 use super::fleet;
-use super::recording_ports::{NullClient, RecordingEngines, served, statement};
+use super::recording_ports::{NullClient, RecordingEngines, completion_message, request_message};
 use super::usage;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -18,75 +18,75 @@
 use workload_manager::settings_json::{NamedClass, PlatformSettings};
 use workload_manager::{EngineId, EngineState, ListUpdateKind, Millis, RequestId};
 
-/// Delay until the next look while no timer is set, in ms.
-const NO_TIMER_MS: Millis = 1000.0;
+/// Delay until the timers are checked again while no timer is set, in ms.
+const NO_TIMER_DELAY_MS: Millis = 1000.0;
 
-/// What an in-process manager is made of.
+/// Configuration of an in-process manager.
 #[derive(Clone, Debug)]
 pub(super) struct ManagerPlan {
-    /// Managers of the fleet, as the settings say.
+    /// Managers of the fleet, as given in the settings.
     pub instances: u32,
-    /// Memory of each, in MB.
+    /// Memory that each manager may use, in MB.
     pub memory_mb: usize,
-    /// The feed.
+    /// Address of the list feed.
     pub feed: SocketAddr,
-    /// Whether the module's timer runs.
+    /// Whether the core is started and its timers run.
     pub ticks: bool,
 }
 
 /// A command to an in-process manager.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ManagerCommand {
-    /// Accept this many statements and serve them.
+    /// Accept and serve this many statements.
     Serve(u32),
-    /// Report the processor time of its thread.
+    /// Report the processor time of the manager's thread.
     Usage,
 }
 
 /// What an in-process manager reports.
 #[derive(Clone, Debug)]
 pub(super) enum ManagerReport {
-    /// The decision module has applied an event of the list.
+    /// The dispatcher has applied a list event.
     Event(AppliedEvent),
     /// Statements were served.
     Served {
-        /// Attempts handed to engines.
+        /// Attempts sent to engines.
         dispatched: usize,
-        /// Those among them whose engine had ended.
+        /// Attempts so far whose engine was draining or removed.
         dispatched_to_ended: usize,
     },
     /// Processor time of the manager's thread so far.
     Usage(Duration),
 }
 
-/// An event that one manager has applied.
+/// A list event that one manager has applied.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AppliedEvent {
     /// The event's number.
     pub number: u64,
-    /// When.
-    pub at: Instant,
-    /// Processor time of the manager's thread since it began to follow the feed.
-    pub processor: Duration,
-    /// Engines that the event removes: they get no attempts any more.
-    pub ended: usize,
-    /// Engines that the event makes ready: they may get attempts.
-    pub ready: usize,
-    /// Engines that the manager has taken up.
+    /// When the manager had applied it.
+    pub applied_at: Instant,
+    /// Processor time of the manager's thread since the manager was created.
+    pub processor_time: Duration,
+    /// Engines that the event removes: they get no more attempts.
+    pub removed_count: usize,
+    /// Engines that the event lists as ready: they may get attempts.
+    pub ready_count: usize,
+    /// Numbers of engines that the manager has taken up.
     pub taken_up: RosterSize,
 }
 
-/// How many engines a core has taken up.
+/// Numbers of engines that a core has taken up.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct RosterSize {
-    /// By the roster.
+    /// Engines of the roster.
     known: usize,
-    /// Engines of the decision module.
+    /// Engines of the dispatcher.
     heard: usize,
 }
 
 impl RosterSize {
-    /// Of this core, which counts here.
+    /// The numbers of this core, which counts in these metrics.
     pub(super) fn of(core: &Core<RecordingEngines>, metrics: &Metrics) -> RosterSize {
         RosterSize {
             known: metrics.engines.get() as usize,
@@ -95,7 +95,7 @@
     }
 }
 
-/// One in-process manager.
+/// An in-process manager.
 pub(super) struct Manager {
     core: Core<RecordingEngines>,
     engines: RecordingEngines,
@@ -104,14 +104,14 @@
     client: Arc<dyn ClientPort>,
     clock: Clock,
     ticks: bool,
-    /// Processor time of its thread when it began.
-    began: Duration,
+    /// Processor time of its thread when the manager was created.
+    processor_time_at_start: Duration,
     next_id: RequestId,
     reports: mpsc::Sender<ManagerReport>,
 }
 
 impl Manager {
-    /// Starts its feed reader on the running runtime and runs it until `commands` closes.
+    /// Starts its feed reader on the current runtime and runs the manager until `commands` closes.
     pub(super) async fn run(
         plan: ManagerPlan,
         ordinal: u32,
@@ -122,7 +122,7 @@
         let limits = Arc::new(Limits::new(fleet::SOCKETS, plan.memory_mb, true, &parsed));
         let metrics: Arc<Metrics> = Arc::default();
         let clock = Clock::new();
-        let (handle, mut inputs) = Handle::new(limits.mailbox_messages, clock);
+        let (handle, mut mailbox) = Handle::new(limits.mailbox_messages, clock);
         let mut manager =
             Manager::new(&plan, ordinal, &parsed, (&limits, &metrics), clock, reports);
         let (_feed, address) = watch::channel(plan.feed);
@@ -136,7 +136,7 @@
             settings,
         };
         let reader = tokio::spawn(discovery::follow(address, 0, context));
-        manager.run_until_closed(&mut inputs, &mut commands).await;
+        manager.run_until_closed(&mut mailbox, &mut commands).await;
         reader.abort();
     }
 
@@ -158,14 +158,14 @@
             metrics.clone(),
         );
         Manager {
-            core: core.expect("settings that were parsed"),
+            core: core.expect("the settings are valid"),
             engines,
             metrics: metrics.clone(),
             class: parsed.classes[0].clone(),
             client: Arc::new(NullClient),
             clock,
             ticks: plan.ticks,
-            began: usage::thread_processor_time(),
+            processor_time_at_start: usage::thread_processor_time(),
             next_id: 1,
             reports,
         }
@@ -173,7 +173,7 @@
 
     async fn run_until_closed(
         &mut self,
-        inputs: &mut Mailbox,
+        mailbox: &mut Mailbox,
         commands: &mut async_mpsc::UnboundedReceiver<ManagerCommand>,
     ) {
         if self.ticks {
@@ -181,36 +181,36 @@
         }
         loop {
             let now = self.clock.now();
-            let due = self
+            let delay_ms = self
                 .core
                 .next_timer()
-                .map_or(NO_TIMER_MS, |at| (at - now).max(0.0));
+                .map_or(NO_TIMER_DELAY_MS, |at| (at - now).max(0.0));
             tokio::select! {
                 biased;
                 command = commands.recv() => match command {
                     Some(command) => self.execute(command),
                     None => return,
                 },
-                input = inputs.next_message() => match input {
-                    Some(input) => self.handle(input),
+                message = mailbox.next_message() => match message {
+                    Some(message) => self.handle(message),
                     None => return,
                 },
-                () = tokio::time::sleep(Duration::from_secs_f64(due / 1000.0)), if self.ticks => {
+                () = tokio::time::sleep(Duration::from_secs_f64(delay_ms / 1000.0)), if self.ticks => {
                     self.core.run_due_timers(self.clock.now());
                 }
             }
         }
     }
 
-    fn handle(&mut self, input: CoreMessage) {
-        let CoreMessage::EndpointList(event) = input else {
-            return self.core.handle(self.clock.now(), input);
+    fn handle(&mut self, message: CoreMessage) {
+        let CoreMessage::EndpointList(event) = message else {
+            return self.core.handle(self.clock.now(), message);
         };
         let (number, changed) = (event.number, changed_engines(&event));
         self.engines.state().ready.clear();
         self.core
             .handle(self.clock.now(), CoreMessage::EndpointList(event));
-        let at = Instant::now();
+        let applied_at = Instant::now();
         let state = self.engines.state();
         let count_applied = |of: &BTreeSet<EngineId>, wanted: EngineState| {
             changed
@@ -218,35 +218,36 @@
                 .filter(|(engine, listed)| *listed == wanted && of.contains(engine))
                 .count()
         };
-        let sighting = AppliedEvent {
+        let applied = AppliedEvent {
             number,
-            at,
-            processor: usage::thread_processor_time().saturating_sub(self.began),
-            ended: count_applied(&state.ended, EngineState::Removed),
-            ready: count_applied(&state.ready, EngineState::Ready),
+            applied_at,
+            processor_time: usage::thread_processor_time()
+                .saturating_sub(self.processor_time_at_start),
+            removed_count: count_applied(&state.ended, EngineState::Removed),
+            ready_count: count_applied(&state.ready, EngineState::Ready),
             taken_up: RosterSize::of(&self.core, &self.metrics),
         };
-        let _ = self.reports.send(ManagerReport::Event(sighting));
+        let _ = self.reports.send(ManagerReport::Event(applied));
     }
 
     fn execute(&mut self, command: ManagerCommand) {
-        let reports = match command {
+        let report = match command {
             ManagerCommand::Usage => ManagerReport::Usage(usage::thread_processor_time()),
-            ManagerCommand::Serve(requests) => self.serve(requests),
+            ManagerCommand::Serve(statements) => self.serve(statements),
         };
-        let _ = self.reports.send(reports);
+        let _ = self.reports.send(report);
     }
 
-    fn serve(&mut self, requests: u32) -> ManagerReport {
+    fn serve(&mut self, statements: u32) -> ManagerReport {
         let mut dispatched = 0;
-        for _ in 0..requests {
+        for _ in 0..statements {
             let (id, now) = (self.next_id, self.clock.now());
             self.next_id += 1;
             self.core
-                .handle(now, statement(id, now, &self.class, &self.client));
+                .handle(now, request_message(id, now, &self.class, &self.client));
             for attempt in self.engines.take_dispatched() {
                 dispatched += 1;
-                self.core.handle(now, served(attempt));
+                self.core.handle(now, completion_message(attempt));
             }
         }
         ManagerReport::Served {
@@ -256,7 +257,8 @@
     }
 }
 
-/// The engines that a change names. A complete list names all, and gives none here.
+/// The engines of a delta with their states. A full list contains all engines and gives an empty
+/// result.
 fn changed_engines(event: &EndpointListEvent) -> Vec<(EngineId, EngineState)> {
     match event.kind {
         ListUpdateKind::Delta => event
--- a/benches/scale/list_capacity.rs
+++ b/benches/scale/list_capacity.rs
@@ -107,7 +107,7 @@
 
 /// When the last manager applied the event; the current time if none did.
 pub(super) fn last_applied_at(applied: &[AppliedEvent]) -> Instant {
-    let times = applied.iter().map(|event| event.at);
+    let times = applied.iter().map(|event| event.applied_at);
     times.max().unwrap_or_else(Instant::now)
 }
 
@@ -129,7 +129,7 @@
     pub(super) fn since(start: Instant, applied: &[AppliedEvent]) -> LatencySummary {
         let times = applied
             .iter()
-            .map(|event| event.at.saturating_duration_since(start));
+            .map(|event| event.applied_at.saturating_duration_since(start));
         LatencySummary::of(times.collect())
     }
 
--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -1,7 +1,7 @@
 //! Cost of a full list, of a change and of an idle feed at one manager, by the number of listed
 //! engines.
 
-use super::feed::{FRAME_HEAD_BYTES, Feed, IDLE, frame};
+use super::feed::{FRAME_HEADER_BYTES, Feed, HEARTBEAT_INTERVAL, frame};
 use super::fit::{Figure, Point, Prediction};
 use super::in_process_manager::{AppliedEvent, ManagerPlan, RosterSize};
 use super::list_capacity::{MemoryModel, TEST};
@@ -141,7 +141,7 @@
         us_empty_frame: median(|round| round.empty_frame_us),
         bytes_whole: first_round.bytes_whole,
         bytes_change: first_round.bytes_change,
-        bytes_second_at_rest: FRAME_HEAD_BYTES as f64 / IDLE.as_secs_f64(),
+        bytes_second_at_rest: FRAME_HEADER_BYTES as f64 / HEARTBEAT_INTERVAL.as_secs_f64(),
         memory_bytes: manager_memory.bytes.round(),
         memory_managers: manager_memory.managers,
         memory_peak_bytes: manager_memory.peak_bytes.round(),
@@ -175,7 +175,7 @@
     let empty_frame_us = measure_empty_frames(&feed, &group, run_length)?;
     let change_us = changes_time.as_secs_f64() * 1e6 / f64::from(run_length.changes);
     Ok(Round {
-        full_list_us: full_list.processor.as_secs_f64() * 1e6,
+        full_list_us: full_list.processor_time.as_secs_f64() * 1e6,
         change_us,
         empty_frame_us,
         bytes_whole: frame(&list).len() as u64,
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -1,7 +1,7 @@
 //! Time until all managers of a fleet have applied a change, and until the managers of a zone that
 //! start at the same time have their list.
 
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fit::{Figure, Point, Prediction};
 use super::fleet;
 use super::in_process_manager::{AppliedEvent, RosterSize};
@@ -146,7 +146,7 @@
     if !fits_in_memory(output, memory, (listed, managers))? {
         return Ok(None);
     }
-    let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
+    let feed = Feed::start(&fleet::full_list(1, listed), HEARTBEAT_INTERVAL)?;
     let plan = ticks.plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     let full_list = group.await_event(1)?[0];
@@ -156,11 +156,11 @@
         CHANGES
     };
     let mut results = ChangeResults::default();
-    let time_before = feed.processor(Instant::now())?;
+    let time_before = feed.processor_time(Instant::now())?;
     for change in 0..changes {
         results.apply_change(&feed, &group, listed as u32, change)?;
     }
-    let feed_time = feed.processor(Instant::now())? - time_before;
+    let feed_time = feed.processor_time(Instant::now())? - time_before;
     let DispatchTotals {
         dispatched: asked,
         dispatched_to_ended: asked_of_ended,
@@ -211,14 +211,14 @@
         self.times.extend(
             applied
                 .iter()
-                .map(|event| event.at.saturating_duration_since(published)),
+                .map(|event| event.applied_at.saturating_duration_since(published)),
         );
         let least = |of: fn(&AppliedEvent) -> usize, so_far: Option<usize>| {
             let now = applied.iter().map(of).sum::<usize>();
             Some(so_far.map_or(now, |so_far| so_far.min(now)))
         };
-        self.old_ended = least(|event| event.ended, self.old_ended);
-        self.successor_ready = least(|event| event.ready, self.successor_ready);
+        self.old_ended = least(|event| event.removed_count, self.old_ended);
+        self.successor_ready = least(|event| event.ready_count, self.successor_ready);
         Ok(())
     }
 }
@@ -234,11 +234,11 @@
     if !fits_in_memory(output, memory, (listed, managers))? {
         return Ok(());
     }
-    let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
+    let feed = Feed::start(&fleet::full_list(1, listed), HEARTBEAT_INTERVAL)?;
     let plan = TickLoad::measure(options, listed, managers).plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     let applied = group.await_event(1)?;
-    let times = LatencySummary::since(group.began, &applied);
+    let times = LatencySummary::since(group.started_at, &applied);
     let ended = last_applied_at(&applied);
     let totals = feed.totals();
     output.row(&StartRow {
@@ -247,6 +247,6 @@
         times,
         feed_connections: totals.connections,
         feed_bytes: totals.bytes,
-        feed_load: feed.load(group.began, ended)?,
+        feed_load: feed.load(group.started_at, ended)?,
     })
 }
--- a/benches/scale/list_reconnect.rs
+++ b/benches/scale/list_reconnect.rs
@@ -1,7 +1,7 @@
 //! An outage of the feed: the time until all managers have reconnected and applied the event that
 //! they missed, and the feed's worst 100 ms against its mean while idle.
 
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fleet;
 use super::list_capacity::{
     LatencySummary, MemoryModel, TEST, TickLoad, fits_in_memory, last_applied_at,
@@ -58,7 +58,7 @@
     } else {
         (OUTAGE, IDLE_WATCH)
     };
-    let feed = Feed::start(&fleet::full_list(1, listed), IDLE)?;
+    let feed = Feed::start(&fleet::full_list(1, listed), HEARTBEAT_INTERVAL)?;
     let plan = TickLoad::measure(options, listed, managers).plan(options, &feed);
     let group = ManagerGroup::start(&plan, managers)?;
     group.await_event(1)?;
@@ -81,7 +81,7 @@
         times,
         feed_connections: totals.connections - totals_before.connections,
         feed_bytes: totals.bytes - totals_before.bytes,
-        feed_worst_to_rest: load.worst_against(&idle_load),
+        feed_worst_to_rest: load.worst_ratio_to(&idle_load),
         feed_load: load,
         feed_at_rest: idle_load,
     })
--- a/benches/scale/memory.rs
+++ b/benches/scale/memory.rs
@@ -1,7 +1,7 @@
 //! Memory of a manager, by the number of listed engines. In-process managers are measured in a
 //! separate process, because memory that was freed earlier would be reused and hide what they take.
 
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fleet;
 use super::in_process_manager::ManagerPlan;
 use super::manager_group::ManagerGroup;
@@ -72,7 +72,7 @@
     managers: usize,
 ) -> Result<ManagerMemory, ScaleError> {
     let list = fleet::full_list(1, listed);
-    let feed = Feed::start(&list, IDLE)?;
+    let feed = Feed::start(&list, HEARTBEAT_INTERVAL)?;
     drop(list);
     let plan = ManagerPlan {
         instances: options.managers,
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -3,7 +3,7 @@
 //! and once without it (`settings_only`).
 
 use super::configuration::{self, Configuration};
-use super::feed::{Feed, IDLE};
+use super::feed::{Feed, HEARTBEAT_INTERVAL};
 use super::fit::{Figure, Point, Prediction};
 use super::manager_process::ManagerProcess;
 use super::options::{Options, Test};
@@ -183,7 +183,7 @@
     listed: usize,
 ) -> Result<Vec<ReloadRow>, ScaleError> {
     let list = configuration::ready_engines(listed, ENGINE_PORT);
-    let feed = Feed::start(&configuration::first_event(&list), IDLE)?;
+    let feed = Feed::start(&configuration::first_event(&list), HEARTBEAT_INTERVAL)?;
     let with_list = Configuration {
         feed: feed.address,
         sockets: SOCKETS,
@@ -368,10 +368,10 @@
             "{TEST}: {played} reloads changed the counters from {before:?} to {now:?}"
         )));
     }
-    let known_before = manager.knows_class(form.last_class())?;
+    let known_before = manager.has_class_counter(form.last_class())?;
     manager.configure(files.last())?;
     manager.reload()?;
-    if known_before || !manager.knows_class(form.last_class())? {
+    if known_before || !manager.has_class_counter(form.last_class())? {
         return Err(ScaleError::CheckFailed(format!(
             "{TEST}: the last configuration of {form:?} is not in force"
         )));
