--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -54,13 +54,13 @@
         };
         self.queue.insert(queued.arrival_number, id);
         self.requests.insert(id, queued);
-        self.health_check_budget.earn();
+        self.health_check_budget.add_check();
         self.shed_load(actions);
         self.send_health_checks(id, actions);
         self.dispatch_queue(actions);
         // A client with a short deadline may give up before the next tick, and would get its answer
         // too late (18f1f014).
-        if self.cannot_meet_deadline(id) {
+        if self.is_too_late(id) {
             self.reject_or_fail(id, EndReason::TooLate, actions);
         }
     }
@@ -112,7 +112,7 @@
 
     /// Whether a waiting request is to be ended: it would miss its deadline, may not be sent again,
     /// or would miss its latency objective. A blocked request may miss its latency objective.
-    pub(super) fn cannot_meet_deadline(&self, id: RequestId) -> bool {
+    pub(super) fn is_too_late(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
@@ -156,7 +156,7 @@
             slack_ms: f64::INFINITY,
             lowest_density: None,
         };
-        let usual_slowdown = self.slowdown.bounded_mean();
+        let mean_slowdown = self.slowdown.bounded_mean();
         for id in self.queue.values().copied() {
             let request = &self.requests[&id];
             if request.is_blocked {
@@ -167,7 +167,7 @@
             backlog.work_ms += work_ms;
             let mean_work_ms = self.class_statistics[request.class].mean_work_ms();
             let run_ms = mean_work_ms / self.threads(request.class);
-            let slack_work_factor = class.objective_work_factor - usual_slowdown;
+            let slack_work_factor = class.objective_work_factor - mean_slowdown;
             let slack_ms = class.latency_objective_ms + slack_work_factor * run_ms;
             backlog.slack_ms = backlog.slack_ms.min(slack_ms);
             let weight_density = class.priority_weight / work_ms;
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -92,13 +92,13 @@
         if !self.may_resend(id) {
             return Some(EndReason::NoRetryAllowed);
         }
-        self.cannot_meet_deadline(id).then_some(EndReason::TooLate)
+        self.is_too_late(id).then_some(EndReason::TooLate)
     }
 
     /// Threads per core on an engine, at least 1.
     fn crowding(&self, engine_id: EngineId) -> f64 {
         self.engines.get(&engine_id).map_or(1.0, |engine| {
-            (self.load(engine) / self.cores(engine)).max(1.0)
+            (self.estimated_threads(engine) / self.available_cores(engine)).max(1.0)
         })
     }
 
@@ -257,7 +257,8 @@
         let threads_at_start = measurements.attempt.threads_at_start;
         let engine = &self.engines[&measurements.attempt.engine];
         let own_threads = (threads_at_start.own + f64::from(engine.own_threads) + threads) / 2.0;
-        let all_per_core_now = (self.load(engine) + threads) / self.cores(engine);
+        let all_per_core_now =
+            (self.estimated_threads(engine) + threads) / self.available_cores(engine);
         let all_per_core = (threads_at_start.all_per_core + all_per_core_now) / 2.0;
         let warm_cores = engine.warm_cores;
         let max_thread_time_ms = MAX_FIT_TIME_MULTIPLE * work_ms * self.slowdown.bounded_mean();
--- a/src/decision/class_statistics.rs
+++ b/src/decision/class_statistics.rs
@@ -17,15 +17,15 @@
 pub(super) const MIN_WORK_MS: f64 = 0.1;
 /// Initial spread of an estimate's error, as a log ratio. An error by a factor of e is at twice
 /// this spread.
-const INITIAL_SPREAD: f64 = 0.5;
+const INITIAL_DEVIATION: f64 = 0.5;
 /// Smallest step of the median per sample, as a log ratio. The estimator follows a change within
 /// about 20 samples.
 const ESTIMATOR_STEP: f64 = 0.03;
 /// Change of the spread per sample, as a share of the step. As it is equal in both directions, half
 /// of the samples stay within the spread.
-const SPREAD_STEP_SHARE: f64 = 0.5;
+const DEVIATION_STEP_SHARE: f64 = 0.5;
 /// Lower bound on the spread, as a log ratio.
-const MIN_SPREAD: f64 = 0.02;
+const MIN_DEVIATION: f64 = 0.02;
 /// Number of samples from which an estimate is used.
 pub(super) const MIN_SAMPLES: u32 = 5;
 
@@ -35,7 +35,7 @@
 pub(super) struct LogRatioEstimator {
     median: f64,
     /// Median absolute deviation: half of all samples are within this distance of the median.
-    spread: f64,
+    deviation: f64,
     samples: u32,
 }
 
@@ -43,7 +43,7 @@
     fn new() -> Self {
         LogRatioEstimator {
             median: 0.0,
-            spread: INITIAL_SPREAD,
+            deviation: INITIAL_DEVIATION,
             samples: 0,
         }
     }
@@ -54,8 +54,8 @@
     }
 
     /// The spread of the log ratio: the median absolute deviation.
-    pub(super) fn spread(&self) -> f64 {
-        self.spread
+    pub(super) fn deviation(&self) -> f64 {
+        self.deviation
     }
 
     /// Whether enough samples were seen to use the estimate.
@@ -66,15 +66,15 @@
     /// Adds one sample.
     pub(super) fn record(&mut self, log_ratio: f64) {
         self.samples = self.samples.saturating_add(1);
-        let step = ESTIMATOR_STEP.max(INITIAL_SPREAD / f64::from(self.samples));
+        let step = ESTIMATOR_STEP.max(INITIAL_DEVIATION / f64::from(self.samples));
         self.median += (log_ratio - self.median).clamp(-step, step);
-        let is_outside = (log_ratio - self.median).abs() > self.spread;
+        let is_outside = (log_ratio - self.median).abs() > self.deviation;
         let direction = if is_outside {
-            SPREAD_STEP_SHARE
+            DEVIATION_STEP_SHARE
         } else {
-            -SPREAD_STEP_SHARE
+            -DEVIATION_STEP_SHARE
         };
-        self.spread = (self.spread + step * direction).max(MIN_SPREAD);
+        self.deviation = (self.deviation + step * direction).max(MIN_DEVIATION);
     }
 }
 
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -213,9 +213,9 @@
         // The share of busy cores does not show queries that wait for memory or for a bulk load, so
         // only reported counts are used.
         let all_managers_limit =
-            INITIAL_THREADS_PER_CORE * self.pooled_limit.limit() * self.cores(engine);
-        let within_reported_limit =
-            self.reports_count_queries && self.load(engine) + threads <= all_managers_limit;
+            INITIAL_THREADS_PER_CORE * self.pooled_limit.limit() * self.available_cores(engine);
+        let within_reported_limit = self.reports_count_queries
+            && self.estimated_threads(engine) + threads <= all_managers_limit;
         let own_limit =
             self.fleet_share_threads * self.traffic_weight() * self.pooled_limit.limit();
         let within_own_limit =
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -6,7 +6,7 @@
 
 /// Memory grant above the median need, in spreads of the estimates' error (median absolute
 /// deviations). With it, four in five queries do not spill to disk.
-const MEMORY_GRANT_SPREADS: f64 = 1.3;
+const MEMORY_GRANT_DEVIATIONS: f64 = 1.3;
 /// Default priority of an attempt.
 const DEFAULT_PRIORITY: u8 = 1;
 
@@ -123,7 +123,8 @@
         let threads = self.settings.classes[class].threads;
         let slow_start_work_ms = self.slow_start_work_ms(class, work_ms);
         let engine = self.engines.get(&engine_id)?;
-        let all_per_core = (self.load(engine) + f64::from(threads)) / self.cores(engine);
+        let all_per_core =
+            (self.estimated_threads(engine) + f64::from(threads)) / self.available_cores(engine);
         let engine = self.engines.get_mut(&engine_id)?;
         engine.own_threads += threads;
         self.running_threads += f64::from(threads);
@@ -145,7 +146,7 @@
         let error = &self.class_statistics[class].memory_error;
         let estimated_mb = estimated_memory_mb?;
         let can_grant = self.settings.memory_grants_supported && error.is_established();
-        let log_factor = error.median() + MEMORY_GRANT_SPREADS * error.spread();
+        let log_factor = error.median() + MEMORY_GRANT_DEVIATIONS * error.deviation();
         can_grant.then(|| estimated_mb * log_factor.exp())
     }
 }
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -105,9 +105,9 @@
         engine: &Engine,
         affinity: &[EngineId],
     ) -> f64 {
-        let threads = self.load(engine) + self.threads(request.class);
-        let load_cost =
-            (BASE_THREADS_PER_CORE + threads / self.cores(engine)) * self.slowness(engine);
+        let threads = self.estimated_threads(engine) + self.threads(request.class);
+        let load_cost = (BASE_THREADS_PER_CORE + threads / self.available_cores(engine))
+            * self.slowness(engine);
         load_cost
             * self.affinity_cost(request, engine, affinity)
             * self.tie_break_cost(request, engine)
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -131,7 +131,7 @@
 
 impl HealthCheckBudget {
     /// Adds one health check, for a request that has arrived.
-    pub(super) fn earn(&mut self) {
+    pub(super) fn add_check(&mut self) {
         self.saved = (self.saved + 1.0).min(MAX_SAVED_CHECKS);
     }
 
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -13,7 +13,7 @@
 const HUNG_MULTIPLE: f64 = 10.0;
 /// Number of half-spreads of the estimates' log error by which an attempt has to exceed its
 /// expected time to count as having a bad plan.
-const BAD_PLAN_SPREADS: f64 = 2.5;
+const BAD_PLAN_DEVIATIONS: f64 = 2.5;
 /// Lower bound of the multiple of its expected time beyond which an attempt has a bad plan.
 const MIN_BAD_PLAN_MULTIPLE: f64 = 1.5;
 /// Bad-plan multiple from which elapsed time is not used to detect bad plans, because the estimates
@@ -29,7 +29,7 @@
 /// Share of the remaining time, estimated from progress, that has to fit before the deadline.
 const REMAINING_TIME_SHARE: f64 = 0.7;
 /// Time constant in ms with which the measured slowness of a silent engine decays.
-const SILENT_FADE_MS: Millis = 5000.0;
+const SILENT_DECAY_MS: Millis = 5000.0;
 
 impl Dispatcher {
     /// Cancels hung attempts and sends health checks: to engines with hung attempts, to engines
@@ -53,7 +53,7 @@
             if let Some(engine) = self.engines.get_mut(&engine_id)
                 && engine.failures.is_silent(self.now_ms)
             {
-                engine.slowdown.fade(1.0 - TICK_MS / SILENT_FADE_MS);
+                engine.slowdown.decay(1.0 - TICK_MS / SILENT_DECAY_MS);
             }
         }
         self.drop_removed_engines();
@@ -113,7 +113,7 @@
         } else {
             work_error_estimate.median()
         };
-        let multiple = (median + BAD_PLAN_SPREADS * work_error_estimate.spread()).exp();
+        let multiple = (median + BAD_PLAN_DEVIATIONS * work_error_estimate.deviation()).exp();
         multiple.clamp(MIN_BAD_PLAN_MULTIPLE, HUNG_MULTIPLE)
     }
 
@@ -162,8 +162,8 @@
         let total_ms = age_ms / share_done.clamp(MIN_SHARE_DONE, 1.0);
         let remaining_ms = total_ms - age_ms;
         let new_attempt_ms = run_ms * mean_slowdown.max(1.0);
-        let expected_here_ms = run_ms * slowness * mean_slowdown;
-        let expected_ms = expected_here_ms.max(new_attempt_ms);
+        let expected_on_engine_ms = run_ms * slowness * mean_slowdown;
+        let expected_ms = expected_on_engine_ms.max(new_attempt_ms);
         let is_slow = total_ms > self.bad_plan_multiple(request) * expected_ms;
         if !is_slow || remaining_ms <= MIN_RETRY_GAIN * new_attempt_ms {
             return false;
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -116,9 +116,9 @@
 impl Dispatcher {
     /// Estimated threads on an engine: those of this manager, and those of others by load reports.
     /// Without reports, the load of others shows only in the latency.
-    pub(super) fn load(&self, engine: &Engine) -> f64 {
+    pub(super) fn estimated_threads(&self, engine: &Engine) -> f64 {
         let fleet_threads = if engine.is_warm(self.now_ms) {
-            self.fleet_load.threads_per_core * self.cores(engine)
+            self.fleet_load.threads_per_core * self.available_cores(engine)
         } else {
             0.0
         };
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -272,7 +272,7 @@
             .queue
             .values()
             .copied()
-            .filter(|id| self.cannot_meet_deadline(*id))
+            .filter(|id| self.is_too_late(*id))
             .collect();
         for id in too_late {
             self.reject_or_fail(id, EndReason::TooLate, actions);
@@ -286,7 +286,7 @@
         self.engines
             .values()
             .filter(|engine| engine.is_usable())
-            .map(|engine| engine.share_threads * self.cores(engine) / engine.warm_cores)
+            .map(|engine| engine.share_threads * self.available_cores(engine) / engine.warm_cores)
             .sum()
     }
 }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -101,7 +101,7 @@
 
 impl Dispatcher {
     /// Cores that an engine can use now: all of them once its slow start is over.
-    pub(super) fn cores(&self, engine: &Engine) -> f64 {
+    pub(super) fn available_cores(&self, engine: &Engine) -> f64 {
         engine.warm_cores
             * engine
                 .slow_start
@@ -125,7 +125,8 @@
         let work_ms = self.slow_start_work_ms(request.class, self.expected_work_ms(request));
         let sharing = self.settings.sharing(&engine.entry);
         let managers = f64::from(sharing.max_managers);
-        let whole_budget_ms = self.settings.overload_multiple * self.cores(engine) * window_ms;
+        let whole_budget_ms =
+            self.settings.overload_multiple * self.available_cores(engine) * window_ms;
         let sent_ms = engine.slow_start.work_sent_ms(self.now_ms, window_ms);
         // Two processes of one manager share that manager's budget.
         let own_budget_ms =
--- a/src/decision/slowdown.rs
+++ b/src/decision/slowdown.rs
@@ -120,7 +120,7 @@
 
     /// Decays the measured slowdown to a share of its value. It is called on each tick on which the
     /// engine is silent.
-    pub(super) fn fade(&mut self, kept_share: f64) {
+    pub(super) fn decay(&mut self, kept_share: f64) {
         self.log_ratio *= kept_share;
     }
 }
@@ -134,7 +134,8 @@
     /// Whether the concurrency limit binds: the engine is crowded, busy or slow, or has been
     /// ejected since it last served a query.
     pub(super) fn is_under_pressure(&self, engine: &Engine) -> bool {
-        let is_crowded = self.load(engine) > PRESSURE_THREADS_PER_CORE * self.cores(engine);
+        let is_crowded = self.estimated_threads(engine)
+            > PRESSURE_THREADS_PER_CORE * self.available_cores(engine);
         let log_slowdown = self.slowdown.log_ratio + self.slowness(engine).ln();
         let is_slow = log_slowdown > self.slowdown.best_log_ratio + PRESSURE_SLOWDOWN.ln();
         let busy = engine.load.busy_share() * engine.load.report_weight(self.now_ms);
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -3,9 +3,9 @@
 use super::{Dispatcher, Millis};
 
 /// Time constant in ms of the rate of served work, with which the backlog is compared.
-const SERVED_WORK_FADE_MS: Millis = 2000.0;
+const SERVED_WORK_DECAY_MS: Millis = 2000.0;
 /// Time constant in ms of a manager's traffic. It covers dozens of requests.
-const TRAFFIC_FADE_MS: Millis = 10_000.0;
+const TRAFFIC_DECAY_MS: Millis = 10_000.0;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 /// Least rate of served work, as a share of this manager's part of the usable cores.
@@ -30,8 +30,8 @@
 
     /// Decays the sums by the time that has passed, and adds that time.
     pub(super) fn advance(&mut self, elapsed_ms: Millis) {
-        self.requests *= 1.0 - elapsed_ms / TRAFFIC_FADE_MS;
-        self.elapsed_ms += elapsed_ms - self.elapsed_ms * elapsed_ms / TRAFFIC_FADE_MS;
+        self.requests *= 1.0 - elapsed_ms / TRAFFIC_DECAY_MS;
+        self.elapsed_ms += elapsed_ms - self.elapsed_ms * elapsed_ms / TRAFFIC_DECAY_MS;
     }
 }
 
@@ -44,12 +44,12 @@
 impl ServedWork {
     /// Records the work of a served query, in ms.
     pub(super) fn record(&mut self, work_ms: f64) {
-        self.per_ms += work_ms / SERVED_WORK_FADE_MS;
+        self.per_ms += work_ms / SERVED_WORK_DECAY_MS;
     }
 
     /// Decays the rate by the time that has passed.
     pub(super) fn advance(&mut self, elapsed_ms: Millis) {
-        self.per_ms *= 1.0 - elapsed_ms / SERVED_WORK_FADE_MS;
+        self.per_ms *= 1.0 - elapsed_ms / SERVED_WORK_DECAY_MS;
     }
 }
 
@@ -77,7 +77,7 @@
             .filter(|engine| engine.is_usable())
             .map(|engine| {
                 let sharing = self.settings.sharing(&engine.entry);
-                self.cores(engine) * (managers / sharing.mean_managers)
+                self.available_cores(engine) * (managers / sharing.mean_managers)
             })
             .sum();
         let min_rate = cores * MIN_SERVED_SHARE * self.traffic_weight() / managers;
