--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -216,7 +216,7 @@
 /// An engine that was down and answers again may have restarted, and the endpoint list may report
 /// the restart later. Such an engine is in slow start.
 #[test]
-fn engine_that_answers_again_starts_slowly() {
+fn engine_that_answers_again_is_in_slow_start() {
     let mut bench = TestBench::new(settings(vec![class(1, 400.0, 1.0)]), 1);
     let engine_id = engine(0);
     for _ in 0..3 {
@@ -751,7 +751,7 @@
 /// A client sent estimates of 10^8 ms, and the class's mean work followed them although none of
 /// these requests was served.
 #[test]
-fn estimates_of_unserved_requests_are_not_learned() {
+fn estimates_of_unserved_requests_leave_the_mean_work_unchanged() {
     let mut bench = bench_with_history(true);
     for id in 1000..1100 {
         bench.request_with(id, 0, 0, 9000.0, Some(1e8));
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn limit_holds_at_least_one_query_of_the_widest_class() {
+fn limit_allows_at_least_one_query_of_the_widest_class() {
     let wide = class(7, 9000.0, 1.0);
     let mut bench = TestBench::new(
         Settings {
@@ -55,7 +55,7 @@
 /// With many managers, one manager's share of an engine is less than one thread. The reported
 /// threads of all managers are then compared with the sum of all managers' limits.
 #[test]
-fn share_below_one_query_keeps_reported_threads_under_all_limits() {
+fn share_below_one_query_limits_the_reported_threads_of_all_managers() {
     let run = |reported_inflight: f64| {
         let mut bench = TestBench::new(
             Settings {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn rejection_ejects_the_engine_and_the_retry_keeps_its_place() {
+fn rejection_ejects_the_engine_and_the_retry_keeps_its_queue_position() {
     let mut bench = TestBench::new(settings(vec![class(1, 9000.0, 1.0)]), 1);
     bench.request(1, 0, 0);
     assert!(
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn waiting_requests_leave_oldest_first_and_the_oldest_holds_back_the_rest() {
+fn waiting_requests_are_sent_oldest_first_and_none_overtakes_the_oldest() {
     let (narrow, wide) = (class(1, 9000.0, 1.0), class(4, 9000.0, 4.0));
     let mut bench = TestBench::new(settings(vec![narrow, wide]), 1);
     report_all_cores_busy(&mut bench, engine(0));
