--- a/src/decision/class_statistics.rs
+++ b/src/decision/class_statistics.rs
@@ -15,22 +15,22 @@
 const MAX_WORK_MULTIPLE: f64 = 20.0;
 /// Lower bound on the expected work of a request, in ms.
 pub(super) const MIN_WORK_MS: f64 = 0.1;
-/// Initial spread of an estimate's error, as a log ratio. An error by a factor of e is at twice
-/// this spread.
+/// Initial median absolute deviation of an estimate's error, as a log ratio. An error by a factor
+/// of e is at twice this deviation.
 const INITIAL_DEVIATION: f64 = 0.5;
 /// Smallest step of the median per sample, as a log ratio. The estimator follows a change within
 /// about 20 samples.
 const ESTIMATOR_STEP: f64 = 0.03;
-/// Change of the spread per sample, as a share of the step. As it is equal in both directions, half
-/// of the samples stay within the spread.
+/// Change of the median absolute deviation per sample, as a share of the step. As it is equal in
+/// both directions, half of the samples stay within the deviation.
 const DEVIATION_STEP_SHARE: f64 = 0.5;
-/// Lower bound on the spread, as a log ratio.
+/// Lower bound on the median absolute deviation, as a log ratio.
 const MIN_DEVIATION: f64 = 0.02;
 /// Number of samples from which an estimate is used.
 pub(super) const MIN_SAMPLES: u32 = 5;
 
-/// Running median and spread of a log ratio. A sample moves them by at most one step, so that rare
-/// extreme samples have little effect.
+/// Running median and median absolute deviation of a log ratio. A sample moves them by at most one
+/// step, so that rare extreme samples have little effect.
 #[derive(Clone)]
 pub(super) struct LogRatioEstimator {
     median: f64,
@@ -53,7 +53,7 @@
         self.median
     }
 
-    /// The spread of the log ratio: the median absolute deviation.
+    /// The median absolute deviation of the log ratio.
     pub(super) fn deviation(&self) -> f64 {
         self.deviation
     }
@@ -86,8 +86,8 @@
     longest_time_to_deadline_ms: Millis,
     /// Error of the memory estimates: log ratio of measured over estimated memory.
     pub(super) memory_error: LogRatioEstimator,
-    /// Error of the work estimates: log ratio of measured over estimated work, or of latency over
-    /// the usual latency where no work is measured.
+    /// Error of the work estimates: log ratio of measured over estimated work, or, where no work is
+    /// measured, of an attempt's slowdown over the mean slowdown of all attempts.
     pub(super) work_error: LogRatioEstimator,
 }
 
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -4,8 +4,8 @@
 use super::requests::{InFlightAttempt, QueuedRequest, ThreadsAtStart};
 use super::{Action, Dispatcher, Engine, EngineId, RequestId};
 
-/// Memory grant above the median need, in spreads of the estimates' error (median absolute
-/// deviations). With it, four in five queries do not spill to disk.
+/// Memory grant above the median need, in median absolute deviations of the estimates' log error.
+/// With it, four in five queries do not spill to disk.
 const MEMORY_GRANT_DEVIATIONS: f64 = 1.3;
 /// Default priority of an attempt.
 const DEFAULT_PRIORITY: u8 = 1;
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -5,28 +5,29 @@
 use super::requests::{InFlightAttempt, QueuedRequest};
 use super::{Action, Dispatcher, Engine, EngineId, LoadReportMode, Millis, Progress, RequestId};
 
-/// Least age in ms at which an attempt counts as hung.
+/// Minimum age in ms at which an attempt counts as hung.
 const MIN_OVERDUE_MS: Millis = 500.0;
 /// Multiple of its expected time beyond which an attempt counts as hung if its engine is down.
 const HUNG_MULTIPLE_ON_DOWN_ENGINE: f64 = 2.0;
 /// Multiple of its expected time beyond which an attempt counts as hung on any other engine.
 const HUNG_MULTIPLE: f64 = 10.0;
-/// Number of half-spreads of the estimates' log error by which an attempt has to exceed its
-/// expected time to count as having a bad plan.
+/// Number of median absolute deviations of the estimates' log error, above its median, beyond which
+/// an attempt counts as having a bad plan.
 const BAD_PLAN_DEVIATIONS: f64 = 2.5;
-/// Lower bound of the multiple of its expected time beyond which an attempt has a bad plan.
+/// Lower bound on the multiple of its expected time beyond which an attempt has a bad plan.
 const MIN_BAD_PLAN_MULTIPLE: f64 = 1.5;
 /// Bad-plan multiple from which elapsed time is not used to detect bad plans, because the estimates
 /// are too inaccurate.
 const MAX_BAD_PLAN_MULTIPLE: f64 = 4.0;
-/// Least age in ms of an attempt at which its reported progress is used.
+/// Minimum age in ms of an attempt at which its reported progress is used.
 const MIN_PROGRESS_AGE_MS: Millis = 400.0;
-/// Lower bound of the reported share done, by which an attempt's age is divided.
+/// Lower bound on the reported share done, by which an attempt's age is divided.
 const MIN_SHARE_DONE: f64 = 1e-3;
 /// Multiple of a new attempt's time that an attempt's remaining time has to exceed for a retry to
 /// be worthwhile.
 const MIN_RETRY_GAIN: f64 = 1.5;
-/// Share of the remaining time, estimated from progress, that has to fit before the deadline.
+/// Share of an attempt's remaining time, estimated from progress, that has to fit before the
+/// deadline.
 const REMAINING_TIME_SHARE: f64 = 0.7;
 /// Time constant in ms with which the measured slowness of a silent engine decays.
 const SILENT_DECAY_MS: Millis = 5000.0;
