--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -78,10 +78,10 @@
             self.order_keys
                 .insert(request.order_key, arrival_number, request.id);
         }
-        // A request that arrives with less time to its deadline than the longest of its class has
-        // already waited: its client sent it before, or this manager paused (id20f69). Its latency
-        // objective starts that much earlier. This does harm in a class whose clients have
-        // different timeouts.
+        // A request that arrives with less time to its deadline than the longest such time of its
+        // class has already waited: its client sent it before, or this manager paused (id20f69).
+        // Its latency objective starts that much earlier. This does harm in a class whose clients
+        // have different timeouts.
         let time_to_deadline_ms = (deadline_ms - self.now_ms).min(class.client_timeout_ms);
         let statistics = &mut self.class_statistics[request.class];
         let longest_time_to_deadline_ms = statistics.record_time_to_deadline(time_to_deadline_ms);
@@ -110,8 +110,9 @@
         })
     }
 
-    /// Whether a waiting request is to be ended: it would miss its deadline, may not be sent again,
-    /// or would miss its latency objective. A blocked request may miss its latency objective.
+    /// Whether a waiting request has to be ended: it would miss its deadline, may not be sent
+    /// again, or would miss its latency objective. A blocked request that would only miss its
+    /// latency objective is kept.
     pub(super) fn is_too_late(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -16,8 +16,8 @@
 /// Bounds on the natural logarithm of latency over work.
 const MIN_LOG_SLOWDOWN: f64 = -3.0;
 const MAX_LOG_SLOWDOWN: f64 = 5.0;
-/// Upper bound on the thread time of a very long attempt in the fits, in multiples of the usual
-/// thread time for its work.
+/// Upper bound on the thread time of a very long attempt in the fits, in multiples of the thread
+/// time that its work takes at the mean slowdown.
 const MAX_FIT_TIME_MULTIPLE: f64 = 4.0;
 
 /// An ended attempt, with the values from which the estimates are updated.
@@ -217,8 +217,8 @@
         let log_slowdown = (thread_time_ms / work_ms.max(MIN_WORK_MS))
             .ln()
             .clamp(MIN_LOG_SLOWDOWN, MAX_LOG_SLOWDOWN);
-        // Clients may send any estimate, but engines serve no nonsense queries: the estimate of a
-        // served query is used.
+        // Only the estimates of served queries are used: clients may send any estimate, but engines
+        // serve no nonsense queries.
         let statistics = &mut self.class_statistics[measurements.class];
         if measurements.has_estimate {
             statistics.record_work(attempt.estimated_work_ms);
@@ -245,8 +245,8 @@
     /// Adds a served attempt to the fit of its engine, and to the pooled fit over all engines,
     /// which is used for engines with few attempts of their own.
     ///
-    /// The sample holds the threads while the attempt ran, its thread time and its work. An attempt
-    /// without an answer is not added.
+    /// The sample consists of the threads on the engine while the attempt ran, of its thread time
+    /// and of its work. An attempt without an answer is not added.
     fn add_to_limit_fits(
         &mut self,
         measurements: &AttemptMeasurements,
--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -11,13 +11,13 @@
 /// An engine's load report. A figure that the engine does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries that run or wait on the engine.
+    /// Number of queries that run or wait on the engine.
     pub inflight: Option<f64>,
     /// Share of the engine's cores that are busy.
     pub cpu_busy: Option<f64>,
     /// Share of the engine's disks that are busy.
     pub disk_busy: Option<f64>,
-    /// Queries that wait for memory.
+    /// Number of queries that wait for memory.
     pub memory_queue: Option<f64>,
     /// Share of the engine's memory that is granted to queries.
     pub memory_granted: Option<f64>,
@@ -128,10 +128,10 @@
         at_ms: Millis,
     },
     /// A peer process of this workload manager has started, as in a hot restart, or has ended. The
-    /// processes share the workload manager's part of the engines' capacity.
+    /// processes share the workload manager's part of the engines' capacity, not always equally.
     PeerProcesses {
-        /// Number of equal parts into which the capacity is divided, one of which is this
-        /// process's; 1 if it has no peer.
+        /// Number by which the workload manager's part is divided to give that of this process; 1
+        /// if it has no peer.
         capacity_divisor: f64,
     },
     /// New settings. Unfinished requests keep their class.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,10 +1,10 @@
 //! The decision module: on which engine and when each request runs, and which requests are
 //! rejected.
 //!
-//! [`Dispatcher`] owns all state of the decisions. It does no I/O and reads no clock: its host calls
-//! [`Dispatcher::handle`] with the time and one [`Event`], and carries out the [`Action`]s in their
-//! order. The core and the simulator's adapter are such hosts. The same events at the same times
-//! give the same actions.
+//! [`Dispatcher`] owns all state of the decisions. It does no I/O and reads no clock: its host
+//! calls [`Dispatcher::handle`] with the time and one [`Event`], and carries out the [`Action`]s in
+//! their order. The core and the simulator's adapter are such hosts. The same events at the same
+//! times give the same actions.
 //!
 //! Each file holds one concern, its state and its constants:
 //!
@@ -89,8 +89,8 @@
     engines: BTreeMap<EngineId, Engine>,
     /// Engines that the on-call staff have ejected, whether or not the endpoint list contains them.
     manual_ejections: BTreeSet<EngineId>,
-    /// Number of processes of this manager, which divide its share of an engine's capacity among
-    /// them.
+    /// Number by which this manager's part of the engines' capacity is divided to give that of this
+    /// process. It is above 1 while a peer process uses the rest; a value below 1 counts as 1.
     capacity_divisor: f64,
     /// Statistics of each class, by its position in the settings.
     class_statistics: Vec<ClassStatistics>,
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -75,7 +75,7 @@
     pub(super) estimated_memory_mb: Option<f64>,
     /// Attempts so far, without those that got no connection slot.
     pub(super) attempts: u32,
-    /// Most attempts that it may have.
+    /// Maximum number of its attempts, the first included.
     pub(super) max_attempts: u32,
     /// Number of its next attempt. Attempts that got no connection slot have numbers too.
     pub(super) next_attempt_number: u16,
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -32,10 +32,11 @@
     pub priority_weight: f64,
     /// Share of the weight that an answer after the latency objective still earns.
     pub late_weight_factor: f64,
-    /// Fixed part of the latency objective; `objective_work_factor` times work over threads is
-    /// added to it.
+    /// Fixed part of the latency objective. `objective_work_factor` times the request's work
+    /// divided by its threads is added to it.
     pub latency_objective_ms: Millis,
-    /// Added to the latency objective for each ms of the request's work over its threads, in ms.
+    /// Time in ms that is added to the latency objective for each ms of the request's work divided
+    /// by its threads.
     pub objective_work_factor: f64,
     /// Total time that a client waits for an answer.
     pub client_timeout_ms: Millis,
@@ -91,7 +92,8 @@
     pub ordinal: u32,
     /// Request classes.
     pub classes: Vec<Class>,
-    /// Names of the classes, in the same order. New settings are matched to old classes by name.
+    /// Names of the classes, in the order of `classes`. The classes of old and new settings are
+    /// matched by name.
     pub class_names: Vec<String>,
     /// Number of cores of each machine type.
     pub machine_type_cores: Vec<f64>,
@@ -99,7 +101,8 @@
     pub memory_grants_supported: bool,
     /// Time between progress reports; 0 for none.
     pub progress_interval_ms: Millis,
-    /// Quota of each tenant in requests a second, over all managers; empty if there are no tenants.
+    /// Quota of each tenant in requests per second, over all managers; empty if there are no
+    /// tenants.
     pub tenant_quotas_per_s: Vec<f64>,
     /// This manager's zone.
     pub zone: u8,
@@ -117,7 +120,7 @@
     pub max_retry_after_ms: Millis,
     /// Where load reports come from.
     pub load_reports: LoadReportMode,
-    /// Least share of its capacity that an engine has at the beginning of its slow start.
+    /// Minimum share of its capacity that an engine has at the beginning of its slow start.
     pub slow_start_initial_share: f64,
     /// Longest duration of a slow start.
     pub slow_start_ms: Millis,
@@ -236,7 +239,7 @@
         ]
     }
 
-    /// Threads of the class whose queries run on the most threads, 1 at least.
+    /// Threads of the class whose queries run on the most threads, at least 1.
     pub fn max_class_threads(&self) -> f64 {
         self.classes
             .iter()
