--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -10,7 +10,7 @@
 /// Minimum number of attempts in an interval. 100 would be too many, because an engine serves about
 /// 10 attempts per second for one workload manager.
 const MIN_INTERVAL_OUTCOMES: u32 = 25;
-/// Shortest interval in ms, as in the design.
+/// Shortest interval in ms, as in `docs/design.md`.
 const MIN_INTERVAL_MS: f64 = 1000.0;
 /// Share of its weight that an old interval keeps with each new one. The fit covers about 20
 /// intervals.
@@ -18,13 +18,13 @@
 /// Total weight of the intervals from which an engine's own fit is used. With fewer intervals, the
 /// parabola would follow noise.
 pub(super) const ENGINE_MIN_INTERVALS: f64 = 8.0;
-/// The same for the fit over all engines, whose intervals span many engines.
+/// The same for the pooled fit over all engines, whose intervals contain attempts on many engines.
 pub(super) const POOLED_MIN_INTERVALS: f64 = 3.5;
 /// A fit is singular if its determinant, divided by the product of its diagonal, is at most this.
 const SINGULAR_DETERMINANT: f64 = 1e-5;
 /// Lower bound on the thread time of an interval in ms, which prevents a division by zero.
 const MIN_INTERVAL_THREAD_TIME_MS: f64 = 1e-9;
-/// Initial concurrency limit in threads per core, as in the design.
+/// Initial concurrency limit in threads per core, as in `docs/design.md`.
 pub(super) const INITIAL_THREADS_PER_CORE: f64 = 2.0;
 /// Lower bound on the limit, as a share of its initial value.
 const MIN_LIMIT_SHARE: f64 = 0.5;
@@ -204,10 +204,11 @@
 impl Dispatcher {
     /// Whether one more query of the class stays within the engine's concurrency limit.
     ///
-    /// If this manager's share of the engine is smaller than a query of the widest class, one of
-    /// two other limits must hold as well: its threads on all engines stay within the sum of its
-    /// limits, or the engine's reported threads stay within the limit for all managers. A manager
-    /// that sends no queries would get no new information about the engines (ecd87ede).
+    /// If this manager's share of the engine is smaller than a query of the widest class, that is,
+    /// of the class that uses the most threads, one of two other limits must hold as well: its
+    /// threads on all engines stay within the sum of its limits, or the engine's reported threads
+    /// stay within the limit for all managers. Either is enough, because a manager that sends no
+    /// queries gets no new information about the engines (ecd87ede).
     pub(super) fn within_concurrency_limit(&self, class: usize, engine: &Engine) -> bool {
         let threads = self.threads(class);
         // The share of busy cores does not show queries that wait for memory or for a bulk load, so
--- a/src/decision/engine_selection.rs
+++ b/src/decision/engine_selection.rs
@@ -3,8 +3,8 @@
 use super::{DedupScope, Dispatcher, Engine, EngineId, Idempotency, LoadReportMode};
 use super::{hash::mix, requests::QueuedRequest};
 
-/// Cost factor of the first affinity engine, against 1 for other engines. A data set in the
-/// engine's cache outweighs a somewhat higher load.
+/// Cost factor of the best affinity engine. The further ones have higher factors, and engines
+/// without affinity have 1. A data set in the engine's cache outweighs a somewhat higher load.
 const AFFINITY_COST: f64 = 0.75;
 /// Threads per core that are added to the load, so that nearly idle engines cost about the same.
 const BASE_THREADS_PER_CORE: f64 = 0.3;
@@ -16,16 +16,17 @@
 const TIE_HASH_BITS: i32 = 53;
 /// Number of engines that all managers prefer for a data set, ranked by hash.
 const AFFINITY_ENGINES: usize = 4;
-/// One engine in this many takes the bulk loads of a data set, the others its readers.
+/// Of this number of engines, one takes the bulk loads of a data set and the others its readers.
 const BULK_LOAD_ENGINE_DIVISOR: u64 = 4;
 /// Bit rotations that derive independent hashes from the hash of an engine.
 const BULK_LOAD_ROTATION: u32 = 17;
 const MANAGER_ROTATION: u32 = 11;
-/// Cost factor where a bulk load and its readers could meet, because the readers would wait.
+/// Cost factor of an engine on which a bulk load and readers of its data set could run at the same
+/// time, because the readers would wait.
 const SEPARATION_COST: f64 = 4.0;
-/// Cost factor where a bulk load would wait for another one of its data set.
+/// Cost factor of an engine on which a bulk load would wait for another one of its data set.
 const OCCUPIED_COST: f64 = 3.0;
-/// Cost factor where another manager's bulk loads of the data set may run.
+/// Cost factor of an engine on which another manager's bulk loads of the data set may run.
 const OTHER_MANAGER_COST: f64 = 1.3;
 /// Cost factor of an engine in another zone if cross-zone attempts have a cost. Of two equal
 /// engines, the one in this manager's zone is chosen.
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -15,11 +15,11 @@
 const FAILURES_UNTIL_DOWN: u32 = 2;
 /// Time in ms without an answer after which an engine counts as silent.
 const SILENT_AFTER_MS: Millis = 1500.0;
-/// Least time in ms between two health checks of an engine, and least age of its load report that
-/// leads to one.
+/// Minimum time in ms between two health checks of an engine, and minimum age of its load report
+/// for a health check to be sent.
 pub(super) const HEALTH_CHECK_INTERVAL_MS: Millis = 400.0;
-/// Most health checks that the budget saves; each request adds one. They suffice to check every
-/// engine of a small fleet once.
+/// Maximum number of health checks that the budget saves; each request adds one. They suffice to
+/// check every engine of a small fleet once.
 const MAX_SAVED_CHECKS: f64 = 12.0;
 /// Share of [`MAX_SAVED_CHECKS`] that has to be exceeded for the whole fleet to be checked.
 const MIN_SAVED_SHARE_FOR_FLEET: f64 = 0.5;
--- a/src/decision/load_estimate.rs
+++ b/src/decision/load_estimate.rs
@@ -152,8 +152,8 @@
             .map(|queries| (queries - engine.running.len() as f64) * threads_per_query);
         self.reports_count_queries |= counted_threads.is_some();
         // Without a count, the highest share replaces the threads per core. From the pressure
-        // threshold on, where further threads do not raise it, the engine counts as filled to its
-        // limit.
+        // threshold on, further threads do not raise the share, so the engine counts as filled to
+        // its limit.
         let threads_from_busy_share = highest_share.map(|busy| {
             let per_core = if busy < PRESSURE_BUSY_SHARE {
                 busy
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -4,10 +4,11 @@
 use super::health_checks::INITIAL_PAUSE_MS;
 use super::{Action, Dispatcher, EngineHealthChange, Millis, RequestId};
 
-/// Most doublings of the initial pause, which limit it to 4 s. Each trial after a pause delays the
-/// query that is sent.
+/// Maximum number of doublings of the initial pause, which limits a pause to 4 s. The pause grows
+/// because each trial after a pause delays the query that is sent.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
-/// Gain of one outcome in an engine's mean share of errors, which covers about five outcomes.
+/// Weight of one outcome in the moving mean of an engine's share of errors, which covers about five
+/// outcomes.
 const ERROR_GAIN: f64 = 0.2;
 /// Consecutive attributed errors from which an engine is suspect.
 const SUSPECT_ERRORS: u32 = 2;
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -3,23 +3,23 @@
 
 use super::{Dispatcher, Engine, Millis, QueuedRequest, Settings};
 
-/// Share of the overload bound that the budget uses. The bound refers to the capacity at 85% busy,
-/// and the costs of queries are estimates.
+/// Share of the overload bound that the budget uses. The rest is a margin: the bound refers to the
+/// capacity at 85% busy, and the costs of queries are estimates.
 const OVERLOAD_BUDGET_SHARE: f64 = 0.51;
-/// Least multiple of a query's work that the whole budget has to be for the query to be sent in the
-/// manager's turn.
+/// Minimum ratio of the whole budget to a query's work for the query to be sent in the manager's
+/// turn.
 const MIN_QUERIES_IN_BUDGET: f64 = 6.0;
 /// Number of turns, one for each manager, that pass within one overload window.
 const TURNS_PER_WINDOW: f64 = 3.0;
 /// Range to which the engine's hash is reduced, so that adding it to the clock loses no precision.
 const HASH_RANGE: u64 = 4096;
-/// Least share of its class's mean work that a query counts for, as clients are free to send too
+/// Minimum share of its class's mean work that a query counts for, because clients may send too
 /// small an estimate.
 const MIN_MEAN_WORK_SHARE: f64 = 0.25;
 /// Longest slow start in ms of an engine that was down and answers again. If it has restarted, the
 /// endpoint list may report the restart with a delay of up to that time.
 const MAX_RECOVERY_MS: f64 = 4000.0;
-/// Least share of its capacity that an engine has at the beginning of its slow start.
+/// Minimum share of its capacity that an engine has at the beginning of its slow start.
 const MIN_INITIAL_SHARE: f64 = 0.01;
 
 /// The period in which an engine counts as warming up.
--- a/src/decision/slowdown.rs
+++ b/src/decision/slowdown.rs
@@ -3,7 +3,7 @@
 
 use super::{Dispatcher, Engine};
 
-/// Gain of one outcome in the moving means, which cover about one second of an engine's outcomes.
+/// Weight of one outcome in a moving mean, which covers about one second of an engine's outcomes.
 pub(super) const LATENCY_GAIN: f64 = 0.08;
 /// Amount by which each outcome raises the best log ratio, so that an old best value expires.
 const BEST_RISE_PER_ATTEMPT: f64 = 0.0002;
@@ -14,10 +14,10 @@
 const PRESSURE_THREADS_PER_CORE: f64 = 1.3;
 /// Reported share of busy cores above which the concurrency limit binds.
 pub(super) const PRESSURE_BUSY_SHARE: f64 = 0.92;
-/// Bounds of an engine's slowness relative to the median engine.
+/// Bounds on an engine's slowness relative to the median engine.
 const MIN_SLOWNESS: f64 = 0.6;
 const MAX_SLOWNESS: f64 = 12.0;
-/// Bounds of the mean slowdown over all engines.
+/// Bounds on the mean slowdown over all engines.
 const MIN_MEAN_SLOWDOWN: f64 = 0.8;
 const MAX_MEAN_SLOWDOWN: f64 = 8.0;
 /// The mean slowdown that is assumed until enough attempts are measured.
@@ -25,7 +25,8 @@
 /// Number of samples from which a measured slowdown is used.
 const MIN_SAMPLES: u32 = 5;
 
-/// Gain of one more sample: it gives an arithmetic mean at first, then an exponential moving mean.
+/// Weight of one more sample in a mean: it gives an arithmetic mean at first, then an exponential
+/// moving mean.
 fn gain(samples: u32) -> f64 {
     LATENCY_GAIN.max(1.0 / f64::from(samples))
 }
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -8,9 +8,9 @@
 const TRAFFIC_DECAY_MS: Millis = 10_000.0;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
-/// Least rate of served work, as a share of this manager's part of the usable cores.
+/// Minimum rate of served work, as a share of this manager's part of the usable cores.
 const MIN_SERVED_SHARE: f64 = 0.3;
-/// Least rate of served work, in ms of work per ms.
+/// Minimum rate of served work, in ms of work per ms.
 const MIN_SERVED_WORK_PER_MS: f64 = 0.01;
 
 /// Requests that have arrived and the time in which they did, both with exponential decay.
