--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// An engine's entry in the endpoint list. Its number determines its zone (of two), its machine type
-/// (of two) and its cell (of three).
+/// An engine's entry in the endpoint list. Its number determines its zone (of two), its machine
+/// type (of two) and its cell (of three).
 pub(crate) fn entry(number: u8, state: EngineState, started_at_ms: f64) -> EngineEntry {
     EngineEntry {
         engine: engine(number),
@@ -122,8 +122,8 @@
         self.request_with(id, class, order_key, 20_000.0, None)
     }
 
-    /// Sends the dispatcher a request with a deadline in `timeout_ms`. Its id determines its data set
-    /// (of three).
+    /// Sends the dispatcher a request with a deadline in `timeout_ms`. Its id determines its data
+    /// set (of three).
     pub(crate) fn request_with(
         &mut self,
         id: u32,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -71,7 +71,8 @@
 }
 
 /// i89ce4e, i40a09d: the answers of some attempts were lost. An attempt that is in flight far
-/// longer than expected is cancelled; one that is only somewhat late is kept.
+/// longer than expected is cancelled, so that its request can be retried; one that is only somewhat
+/// late is kept.
 #[test]
 fn attempt_far_past_its_expected_time_is_cancelled_once() {
     let mut bench = bench_with_history(true);
@@ -100,7 +101,8 @@
     );
 }
 
-/// Without cancellation, the hung attempt would run on and a retry would double the work (3f9329df).
+/// Without cancellation, the hung attempt would run on and a retry would double the work
+/// (3f9329df).
 #[test]
 fn hung_attempt_is_kept_where_cancellation_is_not_allowed() {
     let mut bench = bench_with_history(false);
@@ -436,8 +438,8 @@
     );
 }
 
-/// 31d1870b: half of the bulk loads were cancelled because they were expected to end too late, but a
-/// non-idempotent bulk load may not run again.
+/// 31d1870b: half of the bulk loads were cancelled because they were expected to end too late, but
+/// a non-idempotent bulk load may not run again.
 #[test]
 fn non_idempotent_attempt_is_never_cancelled() {
     for (class_idempotency, expect_cancellation) in [
@@ -519,8 +521,8 @@
     );
 }
 
-/// 86789ebb: if no class waits for bulk loads, keeping them separate has no use and crowds them on a
-/// quarter of the engines.
+/// 86789ebb: if no class waits for bulk loads, keeping them separate has no use and crowds them on
+/// a quarter of the engines.
 #[test]
 fn bulk_loads_without_waiting_readers_use_all_engines() {
     let bulk_load = Class {
@@ -579,17 +581,17 @@
         .contains(&Action::CancelAttempt { id: 99, attempt: 0 })
 }
 
-/// 55af276f: without progress reports, attempts with bad plans occupied their threads 14 to 25 times
-/// too long, so elapsed time has to show a bad plan. 0f513397: where engines measure the work,
-/// elapsed time led only to the cancellation of attempts on crowded engines.
+/// 55af276f: without progress reports, attempts with bad plans occupied their threads 14 to 25
+/// times too long, so elapsed time has to show a bad plan. 0f513397: where engines measure the
+/// work, elapsed time led only to the cancellation of attempts on crowded engines.
 #[test]
 fn without_measured_work_elapsed_time_shows_a_bad_plan() {
     assert!(overdue_attempt_is_cancelled(None));
     assert!(!overdue_attempt_is_cancelled(measured(1000.0, 100.0)));
 }
 
-/// fa9f499c: an engine that chooses a query's memory itself follows the estimates. Their error
-/// depends on the class, and queries spilled.
+/// fa9f499c: an engine that chooses a query's memory itself relies on the client's estimate. The
+/// error of the estimates depends on the class, so queries spilled to disk.
 #[test]
 fn memory_grant_follows_the_measured_error_of_estimates() {
     for grants_supported in [true, false] {
@@ -670,7 +672,8 @@
     assert!(sent_count_with(vec![50.0]) > sent_count_with(Vec::new()) + 2);
 }
 
-/// 886fd89d: cross-zone attempts have a cost, so an equal engine in the manager's zone is preferred.
+/// 886fd89d: cross-zone attempts have a cost, so an equal engine in the manager's zone is
+/// preferred.
 #[test]
 fn engine_in_own_zone_is_preferred_where_cross_zone_attempts_cost() {
     let base_settings = settings(vec![class(1, 2000.0, 1.0)]);
@@ -780,8 +783,8 @@
     }
 }
 
-/// 405ee808: one bulk load in eight was late, because it waited on its engine for another one of its
-/// data set.
+/// 405ee808: one bulk load in eight was late, because it waited on its engine for another one of
+/// its data set.
 #[test]
 fn bulk_load_avoids_engines_with_a_load_of_its_data_set() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0), bulk_load_class()]), 1);
@@ -801,8 +804,8 @@
     );
 }
 
-/// A manager has no information on other managers' bulk loads. A hash that all managers share places
-/// the bulk loads of one data set on different engines.
+/// A manager has no information on other managers' bulk loads. A hash that all managers share
+/// places the bulk loads of one data set on different engines.
 #[test]
 fn managers_place_bulk_loads_of_a_data_set_on_different_engines() {
     let chosen_engine = |ordinal: u32, id: u32| {
@@ -828,8 +831,8 @@
     );
 }
 
-/// No update of the endpoint list ends a manual ejection. An engine that is returned to service is in
-/// slow start.
+/// No update of the endpoint list ends a manual ejection. An engine that is returned to service is
+/// in slow start.
 #[test]
 fn manual_ejection_outlasts_list_updates_and_ends_in_slow_start() {
     let mut bench = TestBench::new(settings(vec![class(1, 1000.0, 1.0)]), 2);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,4 +1,5 @@
-//! Tests of the dispatcher's mechanisms that the design page describes, through events and actions.
+//! Tests of the dispatcher's mechanisms that `docs/design.md` describes, through events and
+//! actions.
 
 mod common;
 use common::*;
@@ -135,11 +136,11 @@
     }
     assert!(
         sent_request_ids(&bench.request_with(20, 1, 0, 20_000.0, Some(300.0))).is_empty(),
-        "4 threads do not fit beside 14 of 16"
+        "4 threads exceed the limit of 16 while 14 are in use"
     );
     assert!(
         sent_request_ids(&bench.request_with(21, 0, 0, 20_000.0, Some(300.0))).is_empty(),
-        "1 thread would fit, but the oldest request is sent first"
+        "1 thread would be within the limit, but the oldest request is sent first"
     );
     assert!(sent_request_ids(&bench.end_attempt(0, 0, engine(0), Outcome::Ok)).is_empty());
     assert_eq!(
@@ -154,8 +155,8 @@
 
 #[test]
 fn fitted_peak_moves_the_limit_within_its_bounds() {
-    // The engine's throughput peaks at one thread per core, so the limit falls from its start value
-    // of 16, but not below half of it.
+    // The engine's throughput peaks at one thread per core, so the limit falls from its initial
+    // value of 16, but not below half of it.
     let mut bench = TestBench::new(settings(vec![class(1, 60_000.0, 1.0)]), 1);
     let (mut id, mut running) = (0u32, Vec::new());
     for round in 0..40u32 {
@@ -194,7 +195,7 @@
     }
     assert!(
         (8..14).contains(&running.len()),
-        "{} attempts in flight, with a start value of 16",
+        "{} attempts in flight, with an initial limit of 16",
         running.len()
     );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 //!
 //! 1. A request gets one final answer, by its deadline, and is not sent after its end.
 //! 2. A request that may have run is repeated only if the idempotency of its class allows it.
-//! 3. Only engines that the endpoint list has as ready get requests.
+//! 3. Only engines that are listed as ready get requests.
 //! 4. An engine in slow start gets no more work than its budget.
 //! 5. Requests with one order key run one at a time and in order, with a pause where an attempt may
 //!    still run.
@@ -589,8 +589,8 @@
         self.bench.handle_event(Event::AttemptEnded(ended))
     }
 
-    /// Ends the attempts whose deadline has passed as timed out. A request that still waits must have
-    /// been answered before.
+    /// Ends the attempts whose deadline has passed as timed out. A request that still waits must
+    /// have been answered before.
     fn check_deadlines(&mut self) {
         let now = self.bench.now;
         for id in self.ids_where(|request| !request.finished && request.deadline_ms <= now) {
@@ -694,7 +694,8 @@
         }
     }
 
-    /// Rule 5: requests of one key run one at a time, in order, with a pause where an attempt may still run.
+    /// Rule 5: requests of one key run one at a time, in order, with a pause where an attempt may
+    /// still run.
     fn check_order(&self, id: u32) {
         let request = &self.requests[&id];
         if !self.classes[request.class].ordered_by_key || request.key == 0 {
