--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,42 +4,42 @@
 use common::*;
 use workload_manager::*;
 
-const MANY: u32 = 100;
+const FLEET_SIZE: u32 = 100;
 
 /// So many managers of one fleet, each with its place in it.
-fn fleet(instances: u32, classes: &[Class]) -> Vec<TestBench> {
-    let one = |ordinal: u32| {
-        let large = Settings {
+fn start_fleet(instances: u32, classes: &[Class]) -> Vec<TestBench> {
+    let start_manager = |ordinal: u32| {
+        let fleet_settings = Settings {
             instances,
             ordinal,
             ..settings(classes.to_vec())
         };
         let seed = u64::from(ordinal) * 7919 + 3;
         let mut bench = TestBench {
-            dispatcher: Dispatcher::new(large, seed).expect("settings"),
+            dispatcher: Dispatcher::new(fleet_settings, seed).expect("settings"),
             now: 1000.0,
         };
         bench.handle_event(Event::Started);
         bench
     };
-    (0..instances).map(one).collect()
+    (0..instances).map(start_manager).collect()
 }
 
 /// Work sent within a window that begins then, in ms.
-fn within(sends: &[(f64, f64)], from: f64, window: f64) -> f64 {
+fn work_sent_in_window(sends: &[(f64, f64)], from_ms: f64, window_ms: f64) -> f64 {
     sends
         .iter()
-        .filter(|(t, _)| (from..from + window).contains(t))
-        .map(|(_, w)| w)
+        .filter(|(sent_at_ms, _)| (from_ms..from_ms + window_ms).contains(sent_at_ms))
+        .map(|(_, work_ms)| work_ms)
         .sum()
 }
 
 /// With many managers the sum of what they send stays within the rule, and the engine does warm up.
 #[test]
-fn many_managers_together_keep_the_slow_start_budget_and_use_it() {
-    let window = 1000.0;
+fn light_queries_use_but_do_not_exceed_the_slow_start_budget() {
+    let window_ms = 1000.0;
     let mut sends = Vec::new();
-    for bench in &mut fleet(250, &[class(1, 400.0, 1.0)]) {
+    for bench in &mut start_fleet(250, &[class(1, 400.0, 1.0)]) {
         bench.update_list(vec![entry(0, EngineState::Ready, 1000.0)]);
         for id in 0..40u32 {
             bench.now += 200.0;
@@ -49,49 +49,64 @@
             }
         }
     }
-    for k in 0..60 {
-        let from = 1000.0 + f64::from(k) * 100.0;
-        let age = (from - 1000.0) / 10_000.0;
-        let capacity = 8.0 * (0.3 + 0.7 * age * age);
-        let used = within(&sends, from, window);
-        assert!(used < 2.0 * capacity * window, "window from {from}: {used}");
+    for step in 0..60 {
+        let from_ms = 1000.0 + f64::from(step) * 100.0;
+        let elapsed_share = (from_ms - 1000.0) / 10_000.0;
+        let capacity_cores = 8.0 * (0.3 + 0.7 * elapsed_share * elapsed_share);
+        let sent_ms = work_sent_in_window(&sends, from_ms, window_ms);
+        assert!(
+            sent_ms < 2.0 * capacity_cores * window_ms,
+            "window from {from_ms}: {sent_ms}"
+        );
     }
-    let used = within(&sends, 2000.0, window);
-    assert!(used > 0.25 * 2.0 * 0.3 * 8.0 * window, "starved: {used}");
+    let sent_ms = work_sent_in_window(&sends, 2000.0, window_ms);
+    assert!(
+        sent_ms > 0.25 * 2.0 * 0.3 * 8.0 * window_ms,
+        "starved: {sent_ms}"
+    );
 }
 
 /// When six in ten engines were replaced, no query larger than one manager's part of a cold engine's budget reached any
 /// of the new ones, and the others were overloaded beside eighteen idle engines. Such queries go in turn: together the
 /// managers keep the budget in every window, and use a good part of it.
 #[test]
-fn heavy_queries_reach_a_cold_engine_in_turn_and_keep_its_budget() {
-    let (work, window, whole) = (600.0, 1000.0, 2.0 * 0.3 * 8.0 * 1000.0);
+fn heavy_queries_use_but_do_not_exceed_the_slow_start_budget() {
+    let (work_ms, window_ms, budget_ms) = (600.0, 1000.0, 2.0 * 0.3 * 8.0 * 1000.0);
     let mut sends = Vec::new();
-    for (k, bench) in fleet(MANY, &[class(3, 1500.0, 1.0)]).iter_mut().enumerate() {
+    for (ordinal, bench) in start_fleet(FLEET_SIZE, &[class(3, 1500.0, 1.0)])
+        .iter_mut()
+        .enumerate()
+    {
         bench.update_list(vec![entry(0, EngineState::Ready, 1000.0)]);
-        bench.now += k as f64 * 2.0;
+        bench.now += ordinal as f64 * 2.0;
         for id in 0..40 {
             bench.now += 100.0;
             let mut actions = bench.tick(0.0);
-            actions.extend(bench.request_with(id, 0, 0, 4000.0, Some(work)));
+            actions.extend(bench.request_with(id, 0, 0, 4000.0, Some(work_ms)));
             for id in sent_request_ids(&actions) {
-                sends.push((bench.now, work));
+                sends.push((bench.now, work_ms));
                 bench.end_attempt_after(id, 0, engine(0), Outcome::Ok, 5.0);
             }
         }
     }
-    for k in 0..50 {
-        let from = 1000.0 + f64::from(k) * 50.0;
-        let used = within(&sends, from, window);
-        assert!(used < whole, "window from {from}: {used} of {whole}");
+    for step in 0..50 {
+        let from_ms = 1000.0 + f64::from(step) * 50.0;
+        let sent_ms = work_sent_in_window(&sends, from_ms, window_ms);
+        assert!(
+            sent_ms < budget_ms,
+            "window from {from_ms}: {sent_ms} of {budget_ms}"
+        );
     }
-    let used = within(&sends, 1500.0, 2.0 * window) / 2.0;
-    assert!(used > 0.25 * whole, "starved: {used} of {whole} a window");
+    let sent_ms = work_sent_in_window(&sends, 1500.0, 2.0 * window_ms) / 2.0;
+    assert!(
+        sent_ms > 0.25 * budget_ms,
+        "starved: {sent_ms} of {budget_ms} a window"
+    );
 }
 
 /// The slow-start budget counts a light query of a heavy class by its estimate.
 #[test]
-fn light_query_of_a_heavy_class_passes_the_slow_start_budget() {
+fn light_query_of_a_heavy_class_is_within_the_slow_start_budget() {
     let mut bench = TestBench::new(settings(vec![class(3, 6000.0, 1.0)]), 0); // usually 9,000 ms of work
     bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
     assert_eq!(
@@ -106,7 +121,7 @@
 
 /// The load of the older engines does not count for one that has just started.
 #[test]
-fn engine_that_just_started_is_not_taken_for_crowded() {
+fn engine_that_just_started_is_not_treated_as_crowded() {
     let mut bench = TestBench::new(
         Settings {
             instances: 2,
@@ -116,32 +131,39 @@
     );
     for id in 0..60 {
         bench.now += 20.0;
-        let at = sent_to(&bench.request(id, 0, 0), id).expect("an engine");
+        let target = sent_to(&bench.request(id, 0, 0), id).expect("an engine");
         let report = LoadReport {
             inflight: Some(60.0),
             ..LoadReport::default()
         };
-        bench.handle_event(served_event(id, at, 150.0, measured(100.0, 8.0), report));
+        bench.handle_event(served_event(
+            id,
+            target,
+            150.0,
+            measured(100.0, 8.0),
+            report,
+        ));
     }
     bench.update_list(vec![entry(4, EngineState::Ready, bench.now - 500.0)]);
-    let asked = (90..96).map(|id| sent_to(&bench.request_with(id, 0, 0, 9000.0, Some(100.0)), id));
-    assert_eq!(asked.collect::<Vec<_>>(), vec![Some(engine(4)); 6]);
+    let targets =
+        (90..96).map(|id| sent_to(&bench.request_with(id, 0, 0, 9000.0, Some(100.0)), id));
+    assert_eq!(targets.collect::<Vec<_>>(), vec![Some(engine(4)); 6]);
 }
 
 /// Load reports come with answers, and engines that have just started answer first. Three engines with six queries a core
 /// are overloaded while twelve cold ones answer small queries at once: an engine that was not heard of lately still counts
 /// as crowded as the warm ones that were.
 #[test]
-fn answers_of_cold_engines_do_not_hide_crowded_ones() {
+fn answers_of_engines_that_warm_up_do_not_hide_crowded_ones() {
     let classes = vec![class(1, 1000.0, 1.0), class(3, 1000.0, 20.0)];
     let mut bench = TestBench::new(
         Settings {
-            instances: MANY,
+            instances: FLEET_SIZE,
             ..settings(classes)
         },
         3,
     );
-    let mut quick = 0;
+    let mut sent_to_new = 0;
     for id in 0..240 {
         if id == 40 {
             bench.update_list(
@@ -151,35 +173,49 @@
             );
         }
         bench.now += 25.0;
-        let at = sent_to(&bench.request_with(id, 0, 0, 4000.0, Some(5.0)), id).expect("an engine");
-        let cold = at.addr[3] >= 3;
-        quick += u32::from(cold);
-        let (took, inflight) = if cold { (6.0, 1.0) } else { (30.0, 48.0) };
+        let target =
+            sent_to(&bench.request_with(id, 0, 0, 4000.0, Some(5.0)), id).expect("an engine");
+        let is_warming_up = target.addr[3] >= 3;
+        sent_to_new += u32::from(is_warming_up);
+        let (elapsed_ms, inflight) = if is_warming_up {
+            (6.0, 1.0)
+        } else {
+            (30.0, 48.0)
+        };
         let report = LoadReport {
             inflight: Some(inflight),
             ..LoadReport::default()
         };
-        bench.handle_event(served_event(id, at, took, measured(5.0, 8.0), report));
+        bench.handle_event(served_event(
+            id,
+            target,
+            elapsed_ms,
+            measured(5.0, 8.0),
+            report,
+        ));
     }
-    assert!(quick > 150, "{quick} to the cold ones");
+    assert!(sent_to_new > 150, "{sent_to_new} to the cold ones");
     // One heavy query an engine may bring news; those after it find no room, and do not pile up.
-    let asked = (300..310).map(|id| bench.request_with(id, 1, 0, 4000.0, Some(6000.0)));
-    let warm: Vec<u32> = asked
+    let pending = (300..310).map(|id| bench.request_with(id, 1, 0, 4000.0, Some(6000.0)));
+    let sent_ids: Vec<u32> = pending
         .flat_map(|actions| sent_request_ids(&actions))
         .collect();
-    assert!(warm.len() <= 3, "{warm:?} went to engines that drown");
+    assert!(
+        sent_ids.len() <= 3,
+        "{sent_ids:?} went to engines that drown"
+    );
 }
 
 /// Whatever the number of managers that the settings name, and with hundreds of engines, a manager with little traffic
 /// serves every class: six in ten engines are replaced at once, the new ones cold, and nothing is rejected.
 #[test]
 fn every_class_is_served_by_one_manager_and_by_one_of_a_thousand() {
-    let at = |n: u16| EngineId {
+    let engine_id = |n: u16| EngineId {
         addr: [10, 0, (n >> 8) as u8, n as u8],
         port: 8000,
     };
-    let line = |n: u16, state, started_ms| EngineEntry {
-        engine: at(n),
+    let list_entry = |n: u16, state, started_ms| EngineEntry {
+        engine: engine_id(n),
         ..entry(n as u8, state, started_ms)
     };
     for instances in [1, 350, 1024] {
@@ -191,31 +227,41 @@
             },
             0,
         );
-        bench.update_list((0..300).map(|n| line(n, EngineState::Ready, 0.0)).collect());
-        let mut served_of = [0; 2];
+        bench.update_list(
+            (0..300)
+                .map(|n| list_entry(n, EngineState::Ready, 0.0))
+                .collect(),
+        );
+        let mut served_by_class = [0; 2];
         for id in 0..400u32 {
             if id == 200 {
-                let old = (0..180).map(|n| line(n, EngineState::Draining, 0.0));
-                let new = (300..480).map(|n| line(n, EngineState::Ready, bench.now));
+                let old = (0..180).map(|n| list_entry(n, EngineState::Draining, 0.0));
+                let new = (300..480).map(|n| list_entry(n, EngineState::Ready, bench.now));
                 bench.update_list(old.chain(new).collect());
             }
             bench.now += 50.0;
-            let (of, cost) = if id % 4 == 0 { (1, 900.0) } else { (0, 50.0) };
+            let (class_index, work_ms) = if id % 4 == 0 { (1, 900.0) } else { (0, 50.0) };
             let mut actions = bench.tick(0.0);
-            actions.extend(bench.request_with(id, of, 0, 15_000.0, Some(cost)));
-            let to = sent_to(&actions, id)
+            actions.extend(bench.request_with(id, class_index, 0, 15_000.0, Some(work_ms)));
+            let target = sent_to(&actions, id)
                 .unwrap_or_else(|| panic!("{instances} managers: {id} was not sent"));
             assert!(
-                id < 200 || to.addr[3] >= 180 || to.addr[2] > 0,
+                id < 200 || target.addr[3] >= 180 || target.addr[2] > 0,
                 "to one that drains"
             );
             let report = LoadReport {
                 inflight: Some(4.0),
                 ..LoadReport::default()
             };
-            bench.handle_event(served_event(id, to, cost, measured(cost, 8.0), report));
-            served_of[of] += 1;
+            bench.handle_event(served_event(
+                id,
+                target,
+                work_ms,
+                measured(work_ms, 8.0),
+                report,
+            ));
+            served_by_class[class_index] += 1;
         }
-        assert_eq!(served_of, [300, 100]);
+        assert_eq!(served_by_class, [300, 100]);
     }
 }
