--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -41,7 +41,7 @@
 }
 
 impl Command {
-    fn is(&self, verb: &str) -> bool {
+    fn has_verb(&self, verb: &str) -> bool {
         self.words[0] == verb
     }
 
@@ -57,7 +57,7 @@
 }
 
 /// An engine that leaves every answer to the test.
-struct Engine {
+struct FakeEngine {
     address: SocketAddr,
     events: mpsc::UnboundedReceiver<EngineEvent>,
     connections: Vec<OwnedWriteHalf>,
@@ -65,13 +65,13 @@
     attempts: usize,
 }
 
-impl Engine {
-    async fn start() -> Engine {
+impl FakeEngine {
+    async fn start() -> FakeEngine {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let (sender, events) = mpsc::unbounded_channel();
-        tokio::spawn(accept(listener, sender));
-        Engine {
+        tokio::spawn(accept_connections(listener, sender));
+        FakeEngine {
             address,
             events,
             connections: Vec::new(),
@@ -80,11 +80,11 @@
     }
 
     /// The next command with this verb, others aside.
-    async fn expect(&mut self, verb: &str) -> Command {
+    async fn expect_command(&mut self, verb: &str) -> Command {
         let next = async {
             loop {
                 let command = self.next_command().await;
-                if command.is(verb) {
+                if command.has_verb(verb) {
                     return command;
                 }
             }
@@ -97,7 +97,7 @@
             match self.events.recv().await.expect("an engine") {
                 EngineEvent::Connected(writer) => self.connections.push(writer),
                 EngineEvent::Received(command) => {
-                    self.attempts += usize::from(command.is("ASK"));
+                    self.attempts += usize::from(command.has_verb("ASK"));
                     return command;
                 }
             }
@@ -105,23 +105,27 @@
     }
 
     /// Answers on the connection of a command, under its reference.
-    async fn answer(&mut self, to: &Command, answer: &str) {
-        let text = format!("{} {answer}", to.reference());
-        let connection = &mut self.connections[to.connection];
+    async fn answer(&mut self, command: &Command, answer: &str) {
+        let text = format!("{} {answer}", command.reference());
+        let connection = &mut self.connections[command.connection];
         connection.write_all(text.as_bytes()).await.expect("write");
     }
 }
 
-async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<EngineEvent>) {
+async fn accept_connections(listener: TcpListener, events: mpsc::UnboundedSender<EngineEvent>) {
     for connection in 0.. {
         let (stream, _): (TcpStream, _) = listener.accept().await.expect("accept");
         let (reader, writer) = stream.into_split();
         let _ = events.send(EngineEvent::Connected(writer));
-        tokio::spawn(read(connection, BufReader::new(reader), events.clone()));
+        tokio::spawn(read_commands(
+            connection,
+            BufReader::new(reader),
+            events.clone(),
+        ));
     }
 }
 
-async fn read(
+async fn read_commands(
     connection: usize,
     mut reader: BufReader<OwnedReadHalf>,
     events: mpsc::UnboundedSender<EngineEvent>,
@@ -146,19 +150,19 @@
 }
 
 /// A manager with one engine.
-struct Bench {
-    engine: Engine,
+struct TestSetup {
+    engine: FakeEngine,
     manager: ManagerProcess,
     folder: PathBuf,
 }
 
-impl Bench {
-    async fn start(name: &str) -> Bench {
+impl TestSetup {
+    async fn start(name: &str) -> TestSetup {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("late-{name}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("folder");
-        let engine = Engine::start().await;
-        let known = format!(
+        let engine = FakeEngine::start().await;
+        let endpoint_list = format!(
             r#"{{"n":1,"members":{{"generation":1,"reset":true,"instances":[{{"instanceId":"s-00000001",
             "hostPort":"{}","zone":"hall-a","machineType":"std-8c","cell":0,"lifecycle":"active","weight":1,
             "startedAtMs":0}}]}}}}"#,
@@ -167,9 +171,9 @@
         // Nobody serves the list: it does not change.
         let feed = "127.0.0.1:1".parse().expect("address");
         let config = folder.join("config.json");
-        std::fs::write(&config, configuration(feed, &known)).expect("file");
+        std::fs::write(&config, configuration(feed, &endpoint_list)).expect("file");
         let manager = ManagerProcess::start(&config, &folder).await;
-        Bench {
+        TestSetup {
             engine,
             manager,
             folder,
@@ -178,12 +182,12 @@
 
     /// Waits until the manager has read the late answer and passed it over.
     async fn expect_ignored(&mut self, case: &str) {
-        let ignored = async {
+        let answer_ignored = async {
             loop {
                 tokio::select! {
                     biased;
                     command = self.engine.next_command() => {
-                        assert!(!command.is("ASK"), "{case}: two attempts are in flight at once");
+                        assert!(!command.has_verb("ASK"), "{case}: two attempts are in flight at once");
                     }
                     () = tokio::time::sleep(POLL_INTERVAL) => {
                         self.manager.signal("USR1");
@@ -195,10 +199,10 @@
                 }
             }
         };
-        within_timeout("counter of unexpected answers", ignored).await;
+        within_timeout("counter of unexpected answers", answer_ignored).await;
     }
 
-    fn end(self) {
+    fn remove_folder(self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -209,8 +213,8 @@
     class: &'static str,
     /// The good answer whose pages are asked for, where there is one.
     result: Option<&'static str>,
-    end: &'static str,
-    late: &'static str,
+    ending_answer: &'static str,
+    late_answer: &'static str,
 }
 
 const CASES: [Case; 6] = [
@@ -218,75 +222,75 @@
         name: "all pages of a result are lost",
         class: "usage-report",
         result: Some("served batches=3 2\r\na\n\r\n"),
-        end: "crashed - 0\r\n\r\n",
-        late: "crashed - 0\r\n\r\n",
+        ending_answer: "crashed - 0\r\n\r\n",
+        late_answer: "crashed - 0\r\n\r\n",
     },
     Case {
         name: "an error comes twice",
         class: "seat-check",
         result: None,
-        end: "crashed - 0\r\n\r\n",
-        late: "crashed - 0\r\n\r\n",
+        ending_answer: "crashed - 0\r\n\r\n",
+        late_answer: "crashed - 0\r\n\r\n",
     },
     Case {
         name: "a rejection comes twice",
         class: "seat-check",
         result: None,
-        end: "overload - 0\r\n\r\n",
-        late: "overload - 0\r\n\r\n",
+        ending_answer: "overload - 0\r\n\r\n",
+        late_answer: "overload - 0\r\n\r\n",
     },
     Case {
         name: "a rejection of a non-idempotent request comes twice",
         class: "log-load",
         result: None,
-        end: "overload - 0\r\n\r\n",
-        late: "overload - 0\r\n\r\n",
+        ending_answer: "overload - 0\r\n\r\n",
+        late_answer: "overload - 0\r\n\r\n",
     },
     Case {
         name: "the request is not known after an error",
         class: "seat-check",
         result: None,
-        end: "crashed - 0\r\n\r\n",
-        late: "nobody - 0\r\n\r\n",
+        ending_answer: "crashed - 0\r\n\r\n",
+        late_answer: "nobody - 0\r\n\r\n",
     },
     Case {
         name: "a result comes after an error",
         class: "seat-check",
         result: None,
-        end: "crashed - 0\r\n\r\n",
-        late: "served batches=1 5\r\nlate\n\r\n",
+        ending_answer: "crashed - 0\r\n\r\n",
+        late_answer: "served batches=1 5\r\nlate\n\r\n",
     },
 ];
 
-async fn play(number: usize, case: &Case) {
-    let mut bench = Bench::start(&number.to_string()).await;
-    let mut client = Client::new("c1", bench.manager.address).await;
+async fn check_late_answer(number: usize, case: &Case) {
+    let mut setup = TestSetup::start(&number.to_string()).await;
+    let mut client = Client::new("c1", setup.manager.address).await;
     client.step("send", &["1", case.class]).await;
-    let first = bench.engine.expect("ASK").await;
+    let first = setup.engine.expect_command("ASK").await;
     if let Some(result) = case.result {
-        bench.engine.answer(&first, result).await;
-        bench.engine.expect("NEXT").await;
-        bench.engine.expect("NEXT").await;
+        setup.engine.answer(&first, result).await;
+        setup.engine.expect_command("NEXT").await;
+        setup.engine.expect_command("NEXT").await;
     }
-    bench.engine.answer(&first, case.end).await;
-    let retry = bench.engine.expect("ASK").await;
-    bench.engine.answer(&first, case.late).await;
-    bench.expect_ignored(case.name).await;
-    bench
+    setup.engine.answer(&first, case.ending_answer).await;
+    let retry = setup.engine.expect_command("ASK").await;
+    setup.engine.answer(&first, case.late_answer).await;
+    setup.expect_ignored(case.name).await;
+    setup
         .engine
         .answer(&retry, "served batches=1 4\r\nnew\n\r\n")
         .await;
     within_timeout(case.name, client.step("expect", &["1", "served", "new\\n"])).await;
-    assert_eq!(bench.engine.attempts, 2, "{}", case.name);
-    bench.end();
+    assert_eq!(setup.engine.attempts, 2, "{}", case.name);
+    setup.remove_folder();
 }
 
 /// The retry runs until its own answer, whatever still comes for the attempt before it.
 #[test]
 fn a_late_answer_does_not_end_the_retry_of_its_attempt() {
-    run(async {
+    run_test(async {
         for (number, case) in CASES.iter().enumerate() {
-            play(number, case).await;
+            check_late_answer(number, case).await;
         }
     });
 }
@@ -296,30 +300,30 @@
 #[test]
 fn a_late_answer_is_not_the_answer_to_a_later_request_with_its_reference() {
     const REFERENCE: &str = "ref=00000000000000a7";
-    run(async {
-        let mut bench = Bench::start("reference").await;
-        let mut client = Client::new("c1", bench.manager.address).await;
+    run_test(async {
+        let mut setup = TestSetup::start("reference").await;
+        let mut client = Client::new("c1", setup.manager.address).await;
         client.step("send", &["1", "seat-check", REFERENCE]).await;
-        let first = bench.engine.expect("ASK").await;
+        let first = setup.engine.expect_command("ASK").await;
         client.step("send", &["cancel", "1"]).await;
-        bench.engine.expect("QUIT").await;
+        setup.engine.expect_command("QUIT").await;
         client.step("send", &["2", "seat-check", REFERENCE]).await;
-        let second = bench.engine.expect("ASK").await;
-        bench
+        let second = setup.engine.expect_command("ASK").await;
+        setup
             .engine
             .answer(&first, "served batches=1 4\r\nold\n\r\n")
             .await;
-        bench.expect_ignored("a reference used again").await;
-        bench
+        setup.expect_ignored("a reference used again").await;
+        setup
             .engine
             .answer(&second, "served batches=1 4\r\nnew\n\r\n")
             .await;
         within_timeout("answer", client.step("expect", &["2", "served", "new\\n"])).await;
-        bench.end();
+        setup.remove_folder();
     });
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
