--- a/tests/fault_soak/client.rs
+++ b/tests/fault_soak/client.rs
@@ -1,7 +1,7 @@
 //! A client that keeps requests open, takes some back, leaves at times, and goes on sending until the manager has ended.
 
-use crate::draws::Draws;
-use crate::rules::{MAX_LATE, Rules};
+use crate::draws::SeededRandom;
+use crate::rules::{MAX_ANSWER_DELAY, Rules};
 use crate::scene::msgpack_client::Client;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 use tokio::time::sleep;
 
 /// A request that crosses the close of its connection by less than this goes again on a new one.
-const CROSSING: Duration = Duration::from_millis(100);
+const CLOSE_RACE_TIME: Duration = Duration::from_millis(100);
 
 /// Requests that a client keeps open.
-const MAX_OPEN: usize = 4;
+const MAX_OPEN_REQUESTS: usize = 4;
 
 /// A request without its answer.
-struct Open {
+struct OpenRequest {
     label: String,
     sent_at: Instant,
     deadline: Instant,
@@ -32,45 +32,50 @@
 }
 
 /// Plays a client until its connection is closed and no new one may be made.
-pub(crate) async fn play(number: u64, setup: ClientSetup, mut draws: Draws) {
+pub(crate) async fn run(number: u64, setup: ClientSetup, mut random: SeededRandom) {
     let mut connections = 0;
     while *setup.may_connect.borrow() {
         connections += 1;
         let name = format!("c{number}x{connections}");
         if let Some(client) = Client::try_new(&name, setup.manager).await {
-            play_connection(&name, client, &setup, &mut draws).await;
+            use_connection(&name, client, &setup, &mut random).await;
         }
     }
 }
 
-async fn play_connection(name: &str, mut client: Client, setup: &ClientSetup, draws: &mut Draws) {
+async fn use_connection(
+    name: &str,
+    mut client: Client,
+    setup: &ClientSetup,
+    random: &mut SeededRandom,
+) {
     let rules = &setup.rules;
-    let mut open: HashMap<u64, Open> = HashMap::new();
+    let mut open: HashMap<u64, OpenRequest> = HashMap::new();
     let mut last_id = 0;
     loop {
-        let pause = Duration::from_millis(draws.between(1, 30));
+        let pause = Duration::from_millis(random.in_range(1, 30));
         tokio::select! {
             biased;
             answer = client.next_answer_or_end() => match answer {
                 Some((id, text)) => {
                     // One that was taken back may still be answered.
                     if let Some(request) = open.remove(&id) {
-                        rules.answered(&request.label, &text);
+                        rules.check_answer(&request.label, &text);
                     }
                 }
                 None => return check_unanswered(&open, rules),
             },
             () = sleep(pause) => {
                 let may_leave = *setup.may_connect.borrow();
-                if may_leave && draws.happens(80) {
+                if may_leave && random.one_in(80) {
                     return; // with its requests open
                 }
-                if draws.happens(15) && let Some(id) = open.keys().next().copied() {
+                if random.one_in(15) && let Some(id) = open.keys().next().copied() {
                     open.remove(&id);
                     client.try_cancel(id).await;
-                } else if open.len() < MAX_OPEN {
+                } else if open.len() < MAX_OPEN_REQUESTS {
                     last_id += 1;
-                    let request = send(name, last_id, &mut client, rules, draws).await;
+                    let request = send(name, last_id, &mut client, rules, random).await;
                     open.insert(last_id, request);
                 }
             }
@@ -79,21 +84,27 @@
     }
 }
 
-async fn send(name: &str, id: u64, client: &mut Client, rules: &Rules, draws: &mut Draws) -> Open {
-    let class = match draws.between(0, 4) {
+async fn send(
+    name: &str,
+    id: u64,
+    client: &mut Client,
+    rules: &Rules,
+    random: &mut SeededRandom,
+) -> OpenRequest {
+    let class = match random.in_range(0, 4) {
         0 => "log-load",
         1 => "usage-report",
         _ => "seat-check",
     };
-    let allow = Duration::from_millis(draws.between(200, 2500));
+    let timeout = Duration::from_millis(random.in_range(200, 2500));
     let label = format!("{name}.{id}");
     let sent_at = Instant::now();
-    let deadline = sent_at + allow;
-    rules.request_sent(&label, class == "log-load", deadline);
+    let deadline = sent_at + timeout;
+    rules.add_request(&label, class == "log-load", deadline);
     client
-        .try_send(id, class, &format!("allow={}", allow.as_millis()))
+        .try_send(id, class, &format!("allow={}", timeout.as_millis()))
         .await;
-    Open {
+    OpenRequest {
         label,
         sent_at,
         deadline,
@@ -101,12 +112,12 @@
 }
 
 /// The connection was closed: what was open on it is lost, unless it crossed the close unread.
-fn check_unanswered(open: &HashMap<u64, Open>, rules: &Rules) {
+fn check_unanswered(open: &HashMap<u64, OpenRequest>, rules: &Rules) {
     for request in open.values() {
-        let crossed = request.sent_at.elapsed() < CROSSING;
-        if !crossed || rules.was_forwarded(&request.label) {
+        let was_sent_at_close = request.sent_at.elapsed() < CLOSE_RACE_TIME;
+        if !was_sent_at_close || rules.was_forwarded(&request.label) {
             let age = request.sent_at.elapsed();
-            rules.violated(format!(
+            rules.add_violation(format!(
                 "{}: closed without an answer after {age:?}",
                 request.label
             ));
@@ -114,11 +125,11 @@
     }
 }
 
-fn check_overdue(open: &mut HashMap<u64, Open>, rules: &Rules) {
+fn check_overdue(open: &mut HashMap<u64, OpenRequest>, rules: &Rules) {
     open.retain(|_, request| {
-        let overdue = Instant::now() > request.deadline + MAX_LATE;
+        let overdue = Instant::now() > request.deadline + MAX_ANSWER_DELAY;
         if overdue {
-            rules.violated(format!("{}: no answer in its time", request.label));
+            rules.add_violation(format!("{}: no answer in its time", request.label));
         }
         !overdue
     });
--- a/tests/fault_soak/draws.rs
+++ b/tests/fault_soak/draws.rs
@@ -2,14 +2,14 @@
 
 /// A generator of draws (SplitMix64): the same seed gives the same ones.
 #[derive(Clone)]
-pub(crate) struct Draws(u64);
+pub(crate) struct SeededRandom(u64);
 
-impl Draws {
-    pub(crate) fn new(seed: u64) -> Draws {
-        Draws(seed)
+impl SeededRandom {
+    pub(crate) fn new(seed: u64) -> SeededRandom {
+        SeededRandom(seed)
     }
 
-    fn next(&mut self) -> u64 {
+    fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -17,18 +17,18 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number from `least` to below `end`.
-    pub(crate) fn between(&mut self, least: u64, end: u64) -> u64 {
-        least + self.next() % (end - least)
+    /// A number from `start` to below `end`.
+    pub(crate) fn in_range(&mut self, start: u64, end: u64) -> u64 {
+        start + self.next_u64() % (end - start)
     }
 
     /// Whether the event with one chance in so many happens.
-    pub(crate) fn happens(&mut self, one_in: u64) -> bool {
-        self.between(0, one_in) == 0
+    pub(crate) fn one_in(&mut self, chances: u64) -> bool {
+        self.in_range(0, chances) == 0
     }
 
     /// A generator of its own.
-    pub(crate) fn branch(&mut self) -> Draws {
-        Draws(self.next())
+    pub(crate) fn fork(&mut self) -> SeededRandom {
+        SeededRandom(self.next_u64())
     }
 }
--- a/tests/fault_soak/engine.rs
+++ b/tests/fault_soak/engine.rs
@@ -1,7 +1,7 @@
 //! An engine that fails in the ways that engines do, each chosen by a seeded draw.
 
-use crate::draws::Draws;
-use crate::rules::{End, Rules};
+use crate::draws::SeededRandom;
+use crate::rules::{AttemptEnd, Rules};
 use crate::scene::engine_fleet::parse_statement_label;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use tokio::time::sleep;
 
 /// The close of a connection reaches its task within this time after an attempt that followed the close.
-const CLOSE_DELAY: Duration = Duration::from_millis(150);
+const MAX_CLOSE_DELAY: Duration = Duration::from_millis(150);
 
 /// What an engine does with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Plan {
+enum AnswerPlan {
     /// It serves so many pages.
     Serve {
         pages: usize,
@@ -31,34 +31,39 @@
     Crash,
     Hang,
     /// It breaks the connection inside its answer.
-    Cut,
+    BreakConnection,
     /// It sends what is no answer.
     Malformed,
 }
 
-fn draw_plan(draws: &mut Draws) -> Plan {
-    let pages = draws.between(2, 6) as usize;
-    match draws.between(0, 100) {
-        0..45 => Plan::Serve { pages: 1 },
-        45..58 => Plan::Serve { pages },
-        58..74 => Plan::LosePages { pages },
-        74..82 => Plan::Overload,
-        82..90 => Plan::Crash,
-        90..95 => Plan::Hang,
-        95..98 => Plan::Cut,
-        _ => Plan::Malformed,
+fn choose_plan(random: &mut SeededRandom) -> AnswerPlan {
+    let pages = random.in_range(2, 6) as usize;
+    match random.in_range(0, 100) {
+        0..45 => AnswerPlan::Serve { pages: 1 },
+        45..58 => AnswerPlan::Serve { pages },
+        58..74 => AnswerPlan::LosePages { pages },
+        74..82 => AnswerPlan::Overload,
+        82..90 => AnswerPlan::Crash,
+        90..95 => AnswerPlan::Hang,
+        95..98 => AnswerPlan::BreakConnection,
+        _ => AnswerPlan::Malformed,
     }
 }
 
 /// Numbers the connections of all engines.
-static CONNECTIONS: AtomicU64 = AtomicU64::new(0);
+static NEXT_CONNECTION_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 /// Serves until the run is over.
-pub(crate) async fn serve(engine: usize, listener: TcpListener, rules: Rules, mut draws: Draws) {
+pub(crate) async fn serve(
+    engine: usize,
+    listener: TcpListener,
+    rules: Rules,
+    mut random: SeededRandom,
+) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
         let (reader, connection) = Connection::new(engine, stream, rules.clone());
-        tokio::spawn(connection.run(reader, draws.branch()));
+        tokio::spawn(connection.run(reader, random.fork()));
     }
 }
 
@@ -70,7 +75,7 @@
     number: u64,
     rules: Rules,
     writer: Arc<Mutex<Option<OwnedWriteHalf>>>,
-    cut: Arc<Notify>,
+    break_requested: Arc<Notify>,
 }
 
 /// An attempt on a connection.
@@ -78,7 +83,7 @@
 struct Attempt {
     reference: String,
     label: String,
-    plan: Plan,
+    plan: AnswerPlan,
 }
 
 impl Connection {
@@ -86,15 +91,15 @@
         let (reader, writer) = stream.into_split();
         let connection = Connection {
             engine,
-            number: CONNECTIONS.fetch_add(1, Ordering::Relaxed),
+            number: NEXT_CONNECTION_NUMBER.fetch_add(1, Ordering::Relaxed),
             rules,
             writer: Arc::new(Mutex::new(Some(writer))),
-            cut: Arc::default(),
+            break_requested: Arc::default(),
         };
         (reader, connection)
     }
 
-    async fn run(self, reader: OwnedReadHalf, mut draws: Draws) {
+    async fn run(self, reader: OwnedReadHalf, mut random: SeededRandom) {
         let mut reader = BufReader::new(reader);
         let mut attempts = HashMap::new();
         let mut line = String::new();
@@ -106,11 +111,11 @@
                 read = reader.read_line(&mut line) => if read.is_err() || !line.ends_with('\n') {
                     break;
                 },
-                () = self.cut.notified() => break,
+                () = self.break_requested.notified() => break,
             }
             let words: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
             if !self
-                .handle(&words, &mut reader, &mut attempts, &mut draws)
+                .handle_command(&words, &mut reader, &mut attempts, &mut random)
                 .await
             {
                 break;
@@ -119,17 +124,17 @@
         drop(self.writer.lock().await.take());
         for attempt in attempts.values() {
             self.rules
-                .attempt_ended(&attempt.label, self.number, End::Closed);
+                .attempt_ended(&attempt.label, self.number, AttemptEnd::Closed);
         }
     }
 
     /// Handles one command; false where the connection ended inside it.
-    async fn handle(
+    async fn handle_command(
         &self,
         words: &[String],
         reader: &mut BufReader<OwnedReadHalf>,
         attempts: &mut HashMap<String, Attempt>,
-        draws: &mut Draws,
+        random: &mut SeededRandom,
     ) -> bool {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         match words[..] {
@@ -142,88 +147,93 @@
                 let attempt = Attempt {
                     reference: reference.to_owned(),
                     label: parse_statement_label(statement.trim_end()).0,
-                    plan: draw_plan(draws),
+                    plan: choose_plan(random),
                 };
-                self.rules.check_drain(&attempt.label, self.engine);
+                self.rules.check_not_draining(&attempt.label, self.engine);
                 self.rules
                     .attempt_received(&attempt.label, self.number, patience(fields));
                 attempts.insert(reference.to_owned(), attempt.clone());
-                tokio::spawn(self.clone().answer(attempt, draws.branch()));
+                tokio::spawn(self.clone().answer_attempt(attempt, random.fork()));
             }
             ["QUIT", reference] => {
                 if let Some(attempt) = attempts.get(reference) {
                     self.rules
-                        .attempt_ended(&attempt.label, self.number, End::Cancelled);
+                        .attempt_ended(&attempt.label, self.number, AttemptEnd::Cancelled);
                 }
             }
             ["NEXT", reference, page] => {
                 let attempt = attempts[reference].clone();
                 let page = page.parse().expect("a page");
-                tokio::spawn(self.clone().answer_page(attempt, page, draws.branch()));
+                tokio::spawn(self.clone().answer_page(attempt, page, random.fork()));
             }
             ["NOOP", tag] => {
                 let text = format!("{tag} green - 0\r\n\r\n");
-                let pause = Duration::from_millis(draws.between(0, 20));
+                let pause = Duration::from_millis(random.in_range(0, 20));
                 tokio::spawn(self.clone().write_after(pause, text));
             }
             ["FREE" | "PRIO", ..] => {}
-            _ => self.rules.violated(format!("no command: {words:?}")),
+            _ => self.rules.add_violation(format!("no command: {words:?}")),
         }
         true
     }
 
-    async fn answer(self, attempt: Attempt, mut draws: Draws) {
-        sleep(Duration::from_millis(draws.between(1, 120))).await;
+    async fn answer_attempt(self, attempt: Attempt, mut random: SeededRandom) {
+        sleep(Duration::from_millis(random.in_range(1, 120))).await;
         if self.rules.is_overlapped(&attempt.label, self.number) {
-            sleep(CLOSE_DELAY).await;
+            sleep(MAX_CLOSE_DELAY).await;
         }
         let end = match attempt.plan {
-            Plan::Hang => return,
-            Plan::Overload => End::NeverRan,
-            _ => End::Ran,
+            AnswerPlan::Hang => return,
+            AnswerPlan::Overload => AttemptEnd::NeverRan,
+            _ => AttemptEnd::Ran,
         };
         if !self.rules.attempt_ended(&attempt.label, self.number, end) {
             return; // it was cancelled
         }
         let reference = &attempt.reference;
         let text = match attempt.plan {
-            Plan::Serve { pages } | Plan::LosePages { pages } => {
-                let result: String = (0..pages).map(|page| row(&attempt.label, page)).collect();
-                self.rules.result_made(&attempt.label, &result);
-                let first = row(&attempt.label, 0);
+            AnswerPlan::Serve { pages } | AnswerPlan::LosePages { pages } => {
+                let result: String = (0..pages)
+                    .map(|page| result_page(&attempt.label, page))
+                    .collect();
+                self.rules.add_result(&attempt.label, &result);
+                let first_page = result_page(&attempt.label, 0);
                 format!(
-                    "{reference} served batches={pages} {}\r\n{first}\r\n",
-                    first.len()
+                    "{reference} served batches={pages} {}\r\n{first_page}\r\n",
+                    first_page.len()
                 )
             }
-            Plan::Overload => format!("{reference} overload - 0\r\n\r\n"),
-            Plan::Crash | Plan::Hang => format!("{reference} crashed - 0\r\n\r\n"),
-            Plan::Cut => format!("{reference} served batches=1 9\r\nab"),
-            Plan::Malformed => "lol\r\n".to_owned(),
+            AnswerPlan::Overload => format!("{reference} overload - 0\r\n\r\n"),
+            AnswerPlan::Crash | AnswerPlan::Hang => format!("{reference} crashed - 0\r\n\r\n"),
+            AnswerPlan::BreakConnection => format!("{reference} served batches=1 9\r\nab"),
+            AnswerPlan::Malformed => "lol\r\n".to_owned(),
         };
-        let is_repeated = draws.happens(4);
+        let is_repeated = random.one_in(4);
         self.write(&text).await;
         match attempt.plan {
-            Plan::Cut => self.cut.notify_one(),
+            AnswerPlan::BreakConnection => self.break_requested.notify_one(),
             // An engine may send an answer twice, the second time milliseconds later.
             _ if is_repeated => {
-                let pause = Duration::from_millis(draws.between(0, 8));
+                let pause = Duration::from_millis(random.in_range(0, 8));
                 self.write_after(pause, text).await;
             }
             _ => {}
         }
     }
 
-    async fn answer_page(self, attempt: Attempt, page: usize, mut draws: Draws) {
+    async fn answer_page(self, attempt: Attempt, page: usize, mut random: SeededRandom) {
         let reference = &attempt.reference;
         let text = match attempt.plan {
-            Plan::Serve { .. } => {
-                let row = row(&attempt.label, page);
-                format!("{reference} rows batch={page} {}\r\n{row}\r\n", row.len())
+            AnswerPlan::Serve { .. } => {
+                let result_page = result_page(&attempt.label, page);
+                format!(
+                    "{reference} rows batch={page} {}\r\n{result_page}\r\n",
+                    result_page.len()
+                )
             }
             _ => format!("{reference} crashed - 0\r\n\r\n"),
         };
-        let pause = Duration::from_millis(draws.between(0, 8));
+        let pause = Duration::from_millis(random.in_range(0, 8));
         self.write_after(pause, text).await;
     }
 
@@ -240,7 +250,7 @@
 }
 
 /// One page of a result: it names its request.
-fn row(label: &str, page: usize) -> String {
+fn result_page(label: &str, page: usize) -> String {
     format!("{label}\t{page}\tx\n")
 }
 
--- a/tests/fault_soak/faults.c
+++ b/tests/fault_soak/faults.c
@@ -17,10 +17,10 @@
 #define MAX_DESCRIPTORS 4096
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-static uint64_t state;
+static uint64_t random_state;
 /* Connections that the program made itself. */
-static unsigned char outgoing[MAX_DESCRIPTORS];
-static int64_t step_s, step_at_ms;
+static unsigned char is_outgoing[MAX_DESCRIPTORS];
+static int64_t clock_step_s, clock_step_at_ms;
 
 static int64_t monotonic_ms(void) {
     static __typeof__(&clock_gettime) real;
@@ -31,22 +31,23 @@
     return now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
-__attribute__((constructor)) static void begin(void) {
-    const char *seed = getenv("FAULT_SEED"), *step = getenv("CLOCK_STEP_S"), *after = getenv("CLOCK_STEP_AFTER_MS");
-    state = seed ? strtoull(seed, NULL, 10) * 2 + 1 : 1;
-    step_s = step ? strtoll(step, NULL, 10) : 0;
-    step_at_ms = monotonic_ms() + (after ? strtoll(after, NULL, 10) : 0);
+__attribute__((constructor)) static void read_settings(void) {
+    const char *seed_text = getenv("FAULT_SEED"), *step_text = getenv("CLOCK_STEP_S"),
+               *delay_text = getenv("CLOCK_STEP_AFTER_MS");
+    random_state = seed_text ? strtoull(seed_text, NULL, 10) * 2 + 1 : 1;
+    clock_step_s = step_text ? strtoll(step_text, NULL, 10) : 0;
+    clock_step_at_ms = monotonic_ms() + (delay_text ? strtoll(delay_text, NULL, 10) : 0);
 }
 
-/* Whether the event with one chance in so many happens (xorshift). */
-static int happens(unsigned one_in) {
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return state % one_in == 0;
+/* Whether the event with one chance in so many happens_one_in (xorshift). */
+static int happens_one_in(unsigned chances) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return random_state % chances == 0;
 }
 
-static int fail(int error) {
+static int fail_with(int error) {
     errno = error;
     return -1;
 }
@@ -55,11 +56,11 @@
     static __typeof__(&accept4) real;
     if (!real)
         real = REAL(accept4);
-    if (happens(20))
-        return fail(happens(2) ? ECONNABORTED : ENFILE);
+    if (happens_one_in(20))
+        return fail_with(happens_one_in(2) ? ECONNABORTED : ENFILE);
     int accepted = real(fd, address, length, flags);
     if (accepted >= 0 && accepted < MAX_DESCRIPTORS)
-        outgoing[accepted] = 0;
+        is_outgoing[accepted] = 0;
     return accepted;
 }
 
@@ -67,11 +68,11 @@
     static __typeof__(&socket) real;
     if (!real)
         real = REAL(socket);
-    if (monotonic_ms() > step_at_ms && happens(30))
-        return fail(happens(2) ? ENOBUFS : ENFILE);
+    if (monotonic_ms() > clock_step_at_ms && happens_one_in(30))
+        return fail_with(happens_one_in(2) ? ENOBUFS : ENFILE);
     int fd = real(domain, type, protocol);
     if (fd >= 0 && fd < MAX_DESCRIPTORS)
-        outgoing[fd] = 0;
+        is_outgoing[fd] = 0;
     return fd;
 }
 
@@ -79,28 +80,28 @@
     static __typeof__(&connect) real;
     if (!real)
         real = REAL(connect);
-    if (happens(30))
-        return fail(happens(2) ? EADDRNOTAVAIL : ENETUNREACH);
+    if (happens_one_in(30))
+        return fail_with(happens_one_in(2) ? EADDRNOTAVAIL : ENETUNREACH);
     if (fd >= 0 && fd < MAX_DESCRIPTORS)
-        outgoing[fd] = 1;
+        is_outgoing[fd] = 1;
     return real(fd, address, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     static __typeof__(&epoll_wait) real;
     if (!real)
         real = REAL(epoll_wait);
-    if (happens(20))
-        return fail(EINTR);
-    return real(fd, events, most, timeout);
+    if (happens_one_in(20))
+        return fail_with(EINTR);
+    return real(fd, events, max_events, timeout);
 }
 
 /* Breaks a connection that the program made; its peer sees the end. */
-static int breaks(int fd) {
-    if (fd < 0 || fd >= MAX_DESCRIPTORS || !outgoing[fd] || !happens(400))
+static int break_connection(int fd) {
+    if (fd < 0 || fd >= MAX_DESCRIPTORS || !is_outgoing[fd] || !happens_one_in(400))
         return 0;
     shutdown(fd, SHUT_RDWR);
-    errno = happens(2) ? ETIMEDOUT : EHOSTUNREACH;
+    errno = happens_one_in(2) ? ETIMEDOUT : EHOSTUNREACH;
     return 1;
 }
 
@@ -109,8 +110,8 @@
     static __typeof__(&read) real;
     if (!real)
         real = REAL(read);
-    if (happens(10))
-        return fail(EINTR);
+    if (happens_one_in(10))
+        return fail_with(EINTR);
     return real(fd, bytes, length);
 }
 
@@ -118,29 +119,29 @@
     static __typeof__(&recv) real;
     if (!real)
         real = REAL(recv);
-    if (breaks(fd))
+    if (break_connection(fd))
         return -1;
-    if (happens(30))
-        return fail(EINTR);
-    return real(fd, bytes, length > 1 && happens(4) ? 1 + length / 7 % 64 : length, flags);
+    if (happens_one_in(30))
+        return fail_with(EINTR);
+    return real(fd, bytes, length > 1 && happens_one_in(4) ? 1 + length / 7 % 64 : length, flags);
 }
 
 ssize_t send(int fd, const void *bytes, size_t length, int flags) {
     static __typeof__(&send) real;
     if (!real)
         real = REAL(send);
-    if (breaks(fd))
+    if (break_connection(fd))
         return -1;
-    return real(fd, bytes, length > 1 && happens(4) ? length / 2 : length, flags);
+    return real(fd, bytes, length > 1 && happens_one_in(4) ? length / 2 : length, flags);
 }
 
 ssize_t writev(int fd, const struct iovec *chunks, int count) {
     static __typeof__(&writev) real;
     if (!real)
         real = REAL(writev);
-    if (breaks(fd))
+    if (break_connection(fd))
         return -1;
-    if (count > 0 && happens(4)) {
+    if (count > 0 && happens_one_in(4)) {
         struct iovec first = chunks[0];
         if (first.iov_len > 1)
             first.iov_len /= 2;
@@ -154,7 +155,7 @@
     if (!real)
         real = REAL(clock_gettime);
     int result = real(clock, now);
-    if (clock == CLOCK_REALTIME && result == 0 && step_s && monotonic_ms() >= step_at_ms)
-        now->tv_sec += step_s;
+    if (clock == CLOCK_REALTIME && result == 0 && clock_step_s && monotonic_ms() >= clock_step_at_ms)
+        now->tv_sec += clock_step_s;
     return result;
 }
--- a/tests/fault_soak/feed.rs
+++ b/tests/fault_soak/feed.rs
@@ -9,11 +9,11 @@
 
 /// The kind of a frame with changes, and the states of a record.
 const KIND_CHANGES: u8 = 2;
-const READY: u8 = 0;
-const DRAINING: u8 = 1;
+const STATE_READY: u8 = 0;
+const STATE_DRAINING: u8 = 1;
 
 /// The number of the event that the configuration has.
-const KNOWN_EVENT: u64 = 1;
+const CONFIGURED_EVENT: u64 = 1;
 
 /// The events so far, which each connection follows.
 #[derive(Clone)]
@@ -26,40 +26,47 @@
     pub(crate) async fn start() -> Feed {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let (frames, followed) = watch::channel(Arc::default());
+        let (frames, receiver) = watch::channel(Arc::default());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(follow(stream, followed.clone()));
+                tokio::spawn(send_events(stream, receiver.clone()));
             }
         });
         Feed { address, frames }
     }
 
     /// Tells that an engine, by its place in the list, drains or is ready again.
-    pub(crate) fn tell(&self, engine: usize, address: SocketAddr, drains: bool) {
-        let state = if drains { DRAINING } else { READY };
+    pub(crate) fn publish_state(&self, engine: usize, address: SocketAddr, draining: bool) {
+        let state = if draining {
+            STATE_DRAINING
+        } else {
+            STATE_READY
+        };
         self.frames.send_modify(|frames| {
-            let number = KNOWN_EVENT + 1 + frames.len() as u64;
-            let frame = feed_frame(number, KIND_CHANGES, engine, address, state, 0);
+            let event_number = CONFIGURED_EVENT + 1 + frames.len() as u64;
+            let frame = feed_frame(event_number, KIND_CHANGES, engine, address, state, 0);
             Arc::make_mut(frames).push(frame);
         });
     }
 }
 
-async fn follow(mut stream: TcpStream, mut followed: watch::Receiver<Arc<Vec<Vec<u8>>>>) {
-    let Ok(last) = stream.read_u64().await else {
+async fn send_events(
+    mut stream: TcpStream,
+    mut frames_receiver: watch::Receiver<Arc<Vec<Vec<u8>>>>,
+) {
+    let Ok(last_event) = stream.read_u64().await else {
         return;
     };
-    let mut sent = (last - KNOWN_EVENT) as usize;
+    let mut sent_count = (last_event - CONFIGURED_EVENT) as usize;
     loop {
-        let frames = followed.borrow_and_update().clone();
-        for frame in &frames[sent..] {
+        let frames = frames_receiver.borrow_and_update().clone();
+        for frame in &frames[sent_count..] {
             if stream.write_all(frame).await.is_err() {
                 return;
             }
         }
-        sent = frames.len();
-        if followed.changed().await.is_err() {
+        sent_count = frames.len();
+        if frames_receiver.changed().await.is_err() {
             return;
         }
     }
--- a/tests/fault_soak/main.rs
+++ b/tests/fault_soak/main.rs
@@ -18,7 +18,7 @@
 mod rules;
 
 use client::ClientSetup;
-use draws::Draws;
+use draws::SeededRandom;
 use feed::Feed;
 use rules::Rules;
 use scene::child_process::{KillOnDrop, program, signal, stderr_of, wait_for_line};
@@ -33,26 +33,26 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-const ENGINES: usize = 3;
-const CLIENTS: u64 = 4;
+const ENGINE_COUNT: usize = 3;
+const CLIENT_COUNT: u64 = 4;
 
 /// Idle connections of a crowd: more than the manager has slots for.
-const CROWD: usize = 40;
+const IDLE_CONNECTIONS: usize = 40;
 
 /// Runs side by side.
-const RUNS_AT_ONCE: usize = 4;
+const PARALLEL_RUNS: usize = 4;
 
 /// From the start to SIGTERM.
-const SERVING: Duration = Duration::from_millis(1500);
+const SERVING_TIME: Duration = Duration::from_millis(1500);
 
 /// New connections come for this long after SIGTERM.
-const CONNECTING_AFTER_TERM: Duration = Duration::from_millis(300);
+const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
 
 /// The platform kills the process this long after SIGTERM: the longest deadline, which counts as 3 s, and 0.7 s.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
 
 /// What one run showed.
-struct Report {
+struct RunResult {
     violations: Vec<String>,
     attempts: usize,
     retries: usize,
@@ -60,22 +60,23 @@
 
 #[test]
 fn no_rule_is_broken_under_faults() {
-    let library = build_faults();
-    let seeds = Mutex::new(seeds());
+    let library = build_fault_library();
+    let seeds = Mutex::new(chosen_seeds());
     let failures = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..RUNS_AT_ONCE {
+        for _ in 0..PARALLEL_RUNS {
             scope.spawn(|| {
-                while let Some(seed) = next(&seeds) {
-                    let report = run(seed, &library);
+                while let Some(seed) = next_seed(&seeds) {
+                    let result = run_seed(seed, &library);
                     println!(
                         "seed {seed}: {} attempts, {} of them retries, violations: {:#?}",
-                        report.attempts, report.retries, report.violations
+                        result.attempts, result.retries, result.violations
                     );
-                    assert!(report.attempts > 0, "seed {seed}: no traffic");
-                    let failed = report.violations.into_iter();
-                    let failed = failed.map(|violation| format!("seed {seed}: {violation}"));
-                    failures.lock().expect("failures").extend(failed);
+                    assert!(result.attempts > 0, "seed {seed}: no traffic");
+                    let violations = result.violations.into_iter();
+                    let violations =
+                        violations.map(|violation| format!("seed {seed}: {violation}"));
+                    failures.lock().expect("failures").extend(violations);
                 }
             });
         }
@@ -84,12 +85,12 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-fn next(seeds: &Mutex<Vec<u64>>) -> Option<u64> {
+fn next_seed(seeds: &Mutex<Vec<u64>>) -> Option<u64> {
     seeds.lock().expect("seeds").pop()
 }
 
 /// The chosen seeds, the last first.
-fn seeds() -> Vec<u64> {
+fn chosen_seeds() -> Vec<u64> {
     let range = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1-12".to_owned());
     let (first, last) = range.split_once('-').expect("FIRST-LAST");
     let number = |text: &str| text.parse::<u64>().expect("a number");
@@ -97,31 +98,31 @@
 }
 
 /// Builds the library that makes system calls fail.
-fn build_faults() -> PathBuf {
+fn build_fault_library() -> PathBuf {
     let library = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("faults.so");
     let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fault_soak/faults.c");
-    let built = Command::new("cc")
+    let compiler_status = Command::new("cc")
         .args(["-O2", "-shared", "-fPIC", "-o"])
         .arg(&library)
         .args([source, "-ldl"])
         .status();
-    assert!(built.expect("cc").success());
+    assert!(compiler_status.expect("cc").success());
     library
 }
 
-fn run(seed: u64, library: &PathBuf) -> Report {
+fn run_seed(seed: u64, library: &PathBuf) -> RunResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("runtime");
-    runtime.block_on(play(seed, library))
+    runtime.block_on(run_with_faults(seed, library))
 }
 
-async fn play(seed: u64, library: &PathBuf) -> Report {
-    let mut draws = Draws::new(seed);
+async fn run_with_faults(seed: u64, library: &PathBuf) -> RunResult {
+    let mut random = SeededRandom::new(seed);
     let rules = Rules::default();
     let mut engines = Vec::new();
-    for _ in 0..ENGINES {
+    for _ in 0..ENGINE_COUNT {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let number = engines.len();
         engines.push(listener.local_addr().expect("address"));
@@ -129,15 +130,15 @@
             number,
             listener,
             rules.clone(),
-            draws.branch(),
+            random.fork(),
         ));
     }
     let feed = Feed::start().await;
-    let (mut child, manager) = start(seed, library, &engines, feed.address);
-    let mut crowd = Vec::new();
+    let (mut child, manager) = start_manager(seed, library, &engines, feed.address);
+    let mut idle_connections = Vec::new();
     if seed.is_multiple_of(4) {
-        for _ in 0..CROWD {
-            crowd.push(TcpStream::connect(manager).await);
+        for _ in 0..IDLE_CONNECTIONS {
+            idle_connections.push(TcpStream::connect(manager).await);
         }
     }
     let (connecting, may_connect) = watch::channel(true);
@@ -147,23 +148,23 @@
         may_connect,
     };
     let mut clients = JoinSet::new();
-    for number in 0..CLIENTS {
-        clients.spawn(client::play(number, setup.clone(), draws.branch()));
+    for number in 0..CLIENT_COUNT {
+        clients.spawn(client::run(number, setup.clone(), random.fork()));
     }
-    sleep(SERVING / 2).await;
+    sleep(SERVING_TIME / 2).await;
     signal(&child, "HUP");
-    drain_and_return(&feed, &rules, &engines, &mut draws).await;
+    drain_engines(&feed, &rules, &engines, &mut random).await;
     if child.try_wait().expect("status").is_some() {
-        rules.violated("the manager ended without being asked to".to_owned());
+        rules.add_violation("the manager ended without being asked to".to_owned());
     }
-    end(&mut child, &rules, &connecting).await;
+    stop_manager(&mut child, &rules, &connecting).await;
     while let Some(ended) = clients.join_next().await {
         if let Err(error) = ended {
-            rules.violated(format!("a client: {error}"));
+            rules.add_violation(format!("a client: {error}"));
         }
     }
-    let (violations, attempts, retries) = rules.finish();
-    Report {
+    let (violations, attempts, retries) = rules.take_results();
+    RunResult {
         violations,
         attempts,
         retries,
@@ -171,35 +172,40 @@
 }
 
 /// Until SIGTERM one engine drains for a while, and another one drains to the end of the run.
-async fn drain_and_return(feed: &Feed, rules: &Rules, engines: &[SocketAddr], draws: &mut Draws) {
-    let first = draws.between(0, ENGINES as u64) as usize;
-    let second = (first + 1) % ENGINES;
-    for (engine, drains) in [(first, true), (first, false), (second, true)] {
-        rules.engine_drains(engine, drains);
-        feed.tell(engine, engines[engine], drains);
-        sleep(SERVING / 6).await;
+async fn drain_engines(
+    feed: &Feed,
+    rules: &Rules,
+    engines: &[SocketAddr],
+    random: &mut SeededRandom,
+) {
+    let first = random.in_range(0, ENGINE_COUNT as u64) as usize;
+    let second = (first + 1) % ENGINE_COUNT;
+    for (engine, draining) in [(first, true), (first, false), (second, true)] {
+        rules.set_draining(engine, draining);
+        feed.publish_state(engine, engines[engine], draining);
+        sleep(SERVING_TIME / 6).await;
     }
 }
 
 /// Ends the manager by signals in series, while clients go on sending on the connections that they have. It is killed at
 /// the platform's earliest.
-async fn end(child: &mut Child, rules: &Rules, connecting: &watch::Sender<bool>) {
+async fn stop_manager(child: &mut Child, rules: &Rules, connecting: &watch::Sender<bool>) {
     let killed_at = Instant::now() + KILL_AFTER_TERM;
     for (name, pause) in [("TERM", 100), ("HUP", 100), ("TERM", 100), ("USR1", 0)] {
         signal(child, name);
         sleep(Duration::from_millis(pause)).await;
     }
-    sleep_until(killed_at - KILL_AFTER_TERM + CONNECTING_AFTER_TERM).await;
+    sleep_until(killed_at - KILL_AFTER_TERM + CONNECT_TIME_AFTER_TERM).await;
     connecting.send_replace(false);
-    if !ended_by(child, killed_at).await {
-        rules.violated("the manager had to be killed".to_owned());
+    if !has_succeeded_by(child, killed_at).await {
+        rules.add_violation("the manager had to be killed".to_owned());
         let _ = child.kill();
     }
 }
 
 /// Whether the manager has ended with 0 by then.
-async fn ended_by(child: &mut Child, at: Instant) -> bool {
-    while Instant::now() < at {
+async fn has_succeeded_by(child: &mut Child, time: Instant) -> bool {
+    while Instant::now() < time {
         if let Some(status) = child.try_wait().expect("status") {
             return status.success();
         }
@@ -209,37 +215,41 @@
 }
 
 /// Starts the manager under faults; returns where it serves.
-fn start(
+fn start_manager(
     seed: u64,
     library: &PathBuf,
     engines: &[SocketAddr],
     feed: SocketAddr,
 ) -> (KillOnDrop, SocketAddr) {
-    let member = |(number, address): (usize, &SocketAddr)| {
+    let list_entry = |(number, address): (usize, &SocketAddr)| {
         format!(
             r#"{{"instanceId":"s-{:08x}","hostPort":"{address}","zone":"hall-a","machineType":"std-8c","cell":0,
             "lifecycle":"active","weight":1,"startedAtMs":0}}"#,
             number + 1
         )
     };
-    let members: Vec<String> = engines.iter().enumerate().map(member).collect();
-    let known = format!(
+    let list_entries: Vec<String> = engines.iter().enumerate().map(list_entry).collect();
+    let endpoint_list = format!(
         r#"{{"n":1,"members":{{"generation":1,"reset":true,"instances":[{}]}}}}"#,
-        members.join(",")
+        list_entries.join(",")
     );
     let step_s = ["0", "3600", "-3600", "5"][(seed % 4) as usize];
-    let mut child = program(&format!("soak-{seed}"), &configuration(feed, &known), "")
-        .env("LD_PRELOAD", library)
-        .env("FAULT_SEED", seed.to_string())
-        .env("CLOCK_STEP_S", step_s)
-        .env("CLOCK_STEP_AFTER_MS", "600")
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("program");
-    let mut said = stderr_of(&mut child);
-    let line = wait_for_line(&mut said, "serves on");
+    let mut child = program(
+        &format!("soak-{seed}"),
+        &configuration(feed, &endpoint_list),
+        "",
+    )
+    .env("LD_PRELOAD", library)
+    .env("FAULT_SEED", seed.to_string())
+    .env("CLOCK_STEP_S", step_s)
+    .env("CLOCK_STEP_AFTER_MS", "600")
+    .stderr(Stdio::piped())
+    .spawn()
+    .expect("program");
+    let mut stderr = stderr_of(&mut child);
+    let line = wait_for_line(&mut stderr, "serves on");
     // Read to its end, or the manager would stop at a full pipe.
-    std::thread::spawn(move || std::io::copy(&mut said, &mut std::io::sink()));
+    std::thread::spawn(move || std::io::copy(&mut stderr, &mut std::io::sink()));
     let address = line.split("serves on ").nth(1).expect("an address");
     let address = address.split(',').next().expect("an address").trim();
     (KillOnDrop(child), address.parse().expect("an address"))
