--- a/tests/service_guarantees/fake_engine.rs
+++ b/tests/service_guarantees/fake_engine.rs
@@ -11,35 +11,39 @@
 pub(crate) type RequestHandler = Arc<dyn Fn(&str) -> (Duration, f64) + Send + Sync>;
 
 /// Serves on this listener.
-pub(crate) async fn serve(listener: TcpListener, asked: RequestHandler) {
+pub(crate) async fn serve(listener: TcpListener, handler: RequestHandler) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(connection(stream, asked.clone()));
+        tokio::spawn(serve_connection(stream, handler.clone()));
     }
 }
 
-async fn connection(stream: TcpStream, asked: RequestHandler) {
-    let (read, write) = stream.into_split();
-    let (mut read, write) = (
-        BufReader::new(read),
-        Arc::new(tokio::sync::Mutex::new(write)),
+async fn serve_connection(stream: TcpStream, handler: RequestHandler) {
+    let (reader, writer) = stream.into_split();
+    let (mut reader, writer) = (
+        BufReader::new(reader),
+        Arc::new(tokio::sync::Mutex::new(writer)),
     );
     let mut line = String::new();
-    while read.read_line(&mut line).await.is_ok_and(|bytes| bytes > 0) {
+    while reader
+        .read_line(&mut line)
+        .await
+        .is_ok_and(|bytes| bytes > 0)
+    {
         let words: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
         line.clear();
-        let [verb, name, _, length] = &words[..] else {
+        let [verb, reference, _, length] = &words[..] else {
             continue;
         };
         assert_eq!(verb, "ASK", "a line of four words");
         let mut body = vec![0; length.parse::<usize>().expect("length") + 2];
-        read.read_exact(&mut body).await.expect("statement");
+        reader.read_exact(&mut body).await.expect("statement");
         let (label, _) = parse_statement_label(String::from_utf8(body).expect("text").trim_end());
-        let (takes, work) = asked(&label);
-        let answer = format!("{name} served batches=1,cpu={work:.0},l=rif:1 2\r\na\n\r\n");
-        let write = write.clone();
+        let (service_time, work_ms) = handler(&label);
+        let answer = format!("{reference} served batches=1,cpu={work_ms:.0},l=rif:1 2\r\na\n\r\n");
+        let writer = writer.clone();
         tokio::spawn(async move {
-            sleep(takes).await;
-            let _ = write.lock().await.write_all(answer.as_bytes()).await;
+            sleep(service_time).await;
+            let _ = writer.lock().await.write_all(answer.as_bytes()).await;
         });
     }
 }
--- a/tests/service_guarantees/restart_readiness.rs
+++ b/tests/service_guarantees/restart_readiness.rs
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 
 /// The operators' term: so many of the managers restarted, within this time.
-const RESTARTED: usize = 10;
-const READY: usize = 9;
-const WITHIN: Duration = Duration::from_secs(10);
+const RESTARTED_MANAGERS: usize = 10;
+const MIN_READY_MANAGERS: usize = 9;
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
 
 /// Clients that have asked before the manager is there.
 const WAITING_CLIENTS: usize = 20;
@@ -26,7 +26,7 @@
 
 /// What the control feed does.
 #[derive(Clone, Copy, Debug)]
-enum Feed {
+enum FeedFault {
     /// Nobody listens there.
     Refuses,
     /// It takes the connection and the watch, and says nothing.
@@ -37,33 +37,33 @@
 
 /// What was there before the manager.
 #[derive(Clone, Copy, Debug)]
-enum Before {
+enum EarlierProcesses {
     /// Nothing.
-    Nothing,
+    NoProcess,
     /// Another process of the same manager, which was killed.
-    Killed,
+    OneKilled,
     /// Another process of the same manager, which still serves.
-    Serving,
+    OneServing,
     /// Two of them.
     TwoServing,
 }
 
-impl Feed {
+impl FeedFault {
     /// Its address, for as long as the listener is held.
-    fn open(self) -> (SocketAddr, Option<TcpListener>) {
+    fn start(self) -> (SocketAddr, Option<TcpListener>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
-        let accepts = listener.try_clone().expect("listener");
+        let accepting = listener.try_clone().expect("listener");
         match self {
-            Feed::Refuses => (address, None),
+            FeedFault::Refuses => (address, None),
             // Connections come up in the backlog, and nobody takes them.
-            Feed::Silent => (address, Some(listener)),
-            Feed::StopsHalfway => {
+            FeedFault::Silent => (address, Some(listener)),
+            FeedFault::StopsHalfway => {
                 std::thread::spawn(move || {
-                    let mut held = Vec::new();
-                    while let Ok((mut stream, _)) = accepts.accept() {
+                    let mut open_streams = Vec::new();
+                    while let Ok((mut stream, _)) = accepting.accept() {
                         let _ = stream.write_all(&[0, 0, 0, 36, 0, 0]);
-                        held.push(stream);
+                        open_streams.push(stream);
                     }
                 });
                 (address, Some(listener))
@@ -74,33 +74,33 @@
 
 /// The configuration of a start whose list names engines that are gone.
 fn stale_configuration(feed: SocketAddr) -> String {
-    let member = |n: u32| {
+    let list_entry = |n: u32| {
         format!(
             r#"{{"instanceId":"s-{n:08x}","hostPort":"127.0.0.1:1","zone":"hall-a","machineType":"std-8c","weight":1}}"#
         )
     };
-    let members: Vec<String> = (1..=STALE_ENGINES).map(member).collect();
-    let known = format!(
+    let list_entries: Vec<String> = (1..=STALE_ENGINES).map(list_entry).collect();
+    let endpoint_list = format!(
         r#"{{"n":1,"members":{{"reset":true,"instances":[{}]}}}}"#,
-        members.join(",")
+        list_entries.join(",")
     );
-    apply_changes(&configuration(feed, &known), &["sockets=256"])
+    apply_changes(&configuration(feed, &endpoint_list), &["sockets=256"])
 }
 
 /// Where a program is operated; none where it does not say so in time. Its words are read to the end, so that it is not
 /// held up by them.
-fn await_admin_address(child: &mut Child, within: Duration) -> Option<SocketAddr> {
-    let mut said = stderr_of(child);
+fn await_admin_address(child: &mut Child, timeout: Duration) -> Option<SocketAddr> {
+    let mut stderr = stderr_of(child);
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
-        let _ = sender.send(addresses(&mut said).1);
-        let _ = said.read_to_end(&mut Vec::new());
+        let _ = sender.send(addresses(&mut stderr).1);
+        let _ = stderr.read_to_end(&mut Vec::new());
     });
-    receiver.recv_timeout(within).ok()
+    receiver.recv_timeout(timeout).ok()
 }
 
 /// Starts one manager; how long it took to be ready, if it was in time.
-fn restart(name: &str, feed: SocketAddr, before: Before) -> Option<Duration> {
+fn restart_manager(name: &str, feed: SocketAddr, earlier: EarlierProcesses) -> Option<Duration> {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("folder");
@@ -108,36 +108,41 @@
     std::fs::write(&config, stale_configuration(feed)).expect("file");
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let start = |folder: &Path| KillOnDrop(start_with_listener(&listener, &config, folder));
-    let others = match before {
-        Before::Nothing => 0,
-        Before::Killed | Before::Serving => 1,
-        Before::TwoServing => 2,
+    let earlier_count = match earlier {
+        EarlierProcesses::NoProcess => 0,
+        EarlierProcesses::OneKilled | EarlierProcesses::OneServing => 1,
+        EarlierProcesses::TwoServing => 2,
     };
-    let mut others: Vec<KillOnDrop> = (0..others).map(|_| start(&folder)).collect();
-    for other in &mut others {
-        await_admin_address(other, WITHIN).expect("an earlier process");
+    let mut earlier_processes: Vec<KillOnDrop> =
+        (0..earlier_count).map(|_| start(&folder)).collect();
+    for process in &mut earlier_processes {
+        await_admin_address(process, MAX_READY_TIME).expect("an earlier process");
     }
-    if matches!(before, Before::Killed) {
-        others.clear();
+    if matches!(earlier, EarlierProcesses::OneKilled) {
+        earlier_processes.clear();
     }
-    let at = listener.local_addr().expect("address");
-    let mut clients: Vec<TcpStream> = (0..WAITING_CLIENTS).map(|_| send_health_call(at)).collect();
-    let since = Instant::now();
+    let address = listener.local_addr().expect("address");
+    let mut clients: Vec<TcpStream> = (0..WAITING_CLIENTS)
+        .map(|_| send_health_call(address))
+        .collect();
+    let started_at = Instant::now();
     let mut manager = start(&folder);
-    let operations = await_admin_address(&mut manager, WITHIN)?;
-    let ready = admin_call(operations, "READY")
+    let admin_address = await_admin_address(&mut manager, MAX_READY_TIME)?;
+    let ready = admin_call(admin_address, "READY")
         .starts_with("200")
-        .then(|| since.elapsed());
+        .then(|| started_at.elapsed());
     for client in &mut clients {
         assert!(is_healthy(client), "a client at the door");
     }
-    ready.filter(|took| *took <= WITHIN)
+    ready.filter(|ready_time| *ready_time <= MAX_READY_TIME)
 }
 
 /// A client that has asked whether the manager is fit.
-fn send_health_call(at: SocketAddr) -> TcpStream {
-    let mut stream = TcpStream::connect(at).expect("connect");
-    stream.set_read_timeout(Some(WITHIN)).expect("option");
+fn send_health_call(address: SocketAddr) -> TcpStream {
+    let mut stream = TcpStream::connect(address).expect("connect");
+    stream
+        .set_read_timeout(Some(MAX_READY_TIME))
+        .expect("option");
     stream
         .write_all(b"\x94\x00\x01\xa6health\x91\x80")
         .expect("write");
@@ -151,28 +156,34 @@
 
 #[rstest]
 fn nine_in_ten_restarted_managers_are_ready_within_the_limit(
-    #[values(Feed::Refuses, Feed::Silent, Feed::StopsHalfway)] feed: Feed,
-    #[values(Before::Nothing, Before::Killed, Before::Serving, Before::TwoServing)] before: Before,
+    #[values(FeedFault::Refuses, FeedFault::Silent, FeedFault::StopsHalfway)] feed: FeedFault,
+    #[values(
+        EarlierProcesses::NoProcess,
+        EarlierProcesses::OneKilled,
+        EarlierProcesses::OneServing,
+        EarlierProcesses::TwoServing
+    )]
+    earlier: EarlierProcesses,
 ) {
-    let (address, _listener) = feed.open();
-    let starts: Vec<_> = (0..RESTARTED)
-        .map(|n| {
-            let name = format!("restart-{feed:?}-{before:?}-{n}").to_lowercase();
-            std::thread::spawn(move || restart(&name, address, before))
+    let (feed_address, _listener) = feed.start();
+    let starts: Vec<_> = (0..RESTARTED_MANAGERS)
+        .map(|number| {
+            let name = format!("restart-{feed:?}-{earlier:?}-{number}").to_lowercase();
+            std::thread::spawn(move || restart_manager(&name, feed_address, earlier))
         })
         .collect();
     // All are joined before any fails the test, or the processes of the others would be left behind.
-    let over: Vec<_> = starts
+    let joined: Vec<_> = starts
         .into_iter()
         .map(std::thread::JoinHandle::join)
         .collect();
-    let took: Vec<_> = over
+    let ready_times: Vec<_> = joined
         .into_iter()
         .map(|start| start.expect("a start"))
         .collect();
-    let ready = took.iter().flatten().count();
+    let ready = ready_times.iter().flatten().count();
     assert!(
-        ready >= READY,
-        "{ready} of {RESTARTED} were ready within {WITHIN:?}: {took:?}"
+        ready >= MIN_READY_MANAGERS,
+        "{ready} of {RESTARTED_MANAGERS} were ready within {MAX_READY_TIME:?}: {ready_times:?}"
     );
 }
