--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,12 +1,14 @@
-//! A hundred managers side by side: what is harmless in one and harmful when all do it.
+//! Tests of a fleet of many managers that use the same engines. They check decisions that are
+//! harmless when one manager makes them and harmful when all managers make them.
 
 mod common;
 use common::*;
 use workload_manager::*;
 
+/// Number of managers in a large fleet.
 const FLEET_SIZE: u32 = 100;
 
-/// So many managers of one fleet, each with its place in it.
+/// Starts the dispatchers of all managers of a fleet. Each manager has its own ordinal and seed.
 fn start_fleet(instances: u32, classes: &[Class]) -> Vec<TestBench> {
     let start_manager = |ordinal: u32| {
         let fleet_settings = Settings {
@@ -25,7 +27,8 @@
     (0..instances).map(start_manager).collect()
 }
 
-/// Work sent within a window that begins then, in ms.
+/// Work in ms that is sent within the window that begins at `from_ms`. `sends` has the time and the
+/// work of each query, both in ms.
 fn work_sent_in_window(sends: &[(f64, f64)], from_ms: f64, window_ms: f64) -> f64 {
     sends
         .iter()
@@ -34,7 +37,8 @@
         .sum()
 }
 
-/// With many managers the sum of what they send stays within the rule, and the engine does warm up.
+/// The sum of the work that many managers send to an engine in slow start stays below its overload
+/// bound. The managers also use a quarter of that bound at least, so that the engine warms up.
 #[test]
 fn light_queries_use_but_do_not_exceed_the_slow_start_budget() {
     let window_ms = 1000.0;
@@ -56,19 +60,21 @@
         let sent_ms = work_sent_in_window(&sends, from_ms, window_ms);
         assert!(
             sent_ms < 2.0 * capacity_cores * window_ms,
-            "window from {from_ms}: {sent_ms}"
+            "window from {from_ms} ms: {sent_ms} ms of work sent"
         );
     }
     let sent_ms = work_sent_in_window(&sends, 2000.0, window_ms);
     assert!(
         sent_ms > 0.25 * 2.0 * 0.3 * 8.0 * window_ms,
-        "starved: {sent_ms}"
+        "only {sent_ms} ms of work sent"
     );
 }
 
-/// When six in ten engines were replaced, no query larger than one manager's part of a cold engine's budget reached any
-/// of the new ones, and the others were overloaded beside eighteen idle engines. Such queries go in turn: together the
-/// managers keep the budget in every window, and use a good part of it.
+/// Guards against engines that stay idle during their slow start. When six in ten engines were
+/// replaced, no query larger than one manager's part of the slow-start budget was sent to a new
+/// engine. The old engines were overloaded while eighteen new ones were idle. The managers take
+/// turns to send such queries: together they keep the budget in every window, and use at least a
+/// quarter of it.
 #[test]
 fn heavy_queries_use_but_do_not_exceed_the_slow_start_budget() {
     let (work_ms, window_ms, budget_ms) = (600.0, 1000.0, 2.0 * 0.3 * 8.0 * 1000.0);
@@ -94,20 +100,22 @@
         let sent_ms = work_sent_in_window(&sends, from_ms, window_ms);
         assert!(
             sent_ms < budget_ms,
-            "window from {from_ms}: {sent_ms} of {budget_ms}"
+            "window from {from_ms} ms: {sent_ms} of {budget_ms} ms of work sent"
         );
     }
     let sent_ms = work_sent_in_window(&sends, 1500.0, 2.0 * window_ms) / 2.0;
     assert!(
         sent_ms > 0.25 * budget_ms,
-        "starved: {sent_ms} of {budget_ms} a window"
+        "only {sent_ms} of {budget_ms} ms of work sent per window"
     );
 }
 
-/// The slow-start budget counts a light query of a heavy class by its estimate.
+/// The slow-start budget counts a light query of a heavy class by the query's estimated work, not by
+/// the mean work of the class.
 #[test]
 fn light_query_of_a_heavy_class_is_within_the_slow_start_budget() {
-    let mut bench = TestBench::new(settings(vec![class(3, 6000.0, 1.0)]), 0); // usually 9,000 ms of work
+    // Without measurements, the mean work of this class is 9,000 ms.
+    let mut bench = TestBench::new(settings(vec![class(3, 6000.0, 1.0)]), 0);
     bench.update_list(vec![entry(0, EngineState::Ready, bench.now)]);
     assert_eq!(
         sent_to(&bench.request_with(1, 0, 0, 9000.0, Some(300.0)), 1),
@@ -119,7 +127,8 @@
     );
 }
 
-/// The load of the older engines does not count for one that has just started.
+/// The fleet's mean load, which the older engines report, does not count for an engine that has just
+/// started.
 #[test]
 fn engine_that_just_started_is_not_treated_as_crowded() {
     let mut bench = TestBench::new(
@@ -150,9 +159,10 @@
     assert_eq!(targets.collect::<Vec<_>>(), vec![Some(engine(4)); 6]);
 }
 
-/// Load reports come with answers, and engines that have just started answer first. Three engines with six queries a core
-/// are overloaded while twelve cold ones answer small queries at once: an engine that was not heard of lately still counts
-/// as crowded as the warm ones that were.
+/// Load reports come with answers, and engines that have just started answer soonest. Three engines
+/// with six queries per core are overloaded while twelve engines that warm up answer small queries
+/// immediately. Reports of the latter must not hide the overload: an engine without a recent report
+/// counts as crowded as the warm engines that have reported.
 #[test]
 fn answers_of_engines_that_warm_up_do_not_hide_crowded_ones() {
     let classes = vec![class(1, 1000.0, 1.0), class(3, 1000.0, 20.0)];
@@ -194,20 +204,25 @@
             report,
         ));
     }
-    assert!(sent_to_new > 150, "{sent_to_new} to the cold ones");
-    // One heavy query an engine may bring news; those after it find no room, and do not pile up.
+    assert!(
+        sent_to_new > 150,
+        "{sent_to_new} of 240 requests sent to engines that warm up"
+    );
+    // One heavy query per engine may be sent, as its answer brings a new load report. The engines
+    // have no free capacity for further ones, which must not pile up there.
     let pending = (300..310).map(|id| bench.request_with(id, 1, 0, 4000.0, Some(6000.0)));
     let sent_ids: Vec<u32> = pending
         .flat_map(|actions| sent_request_ids(&actions))
         .collect();
     assert!(
         sent_ids.len() <= 3,
-        "{sent_ids:?} went to engines that drown"
+        "{sent_ids:?} sent to overloaded engines"
     );
 }
 
-/// Whatever the number of managers that the settings name, and with hundreds of engines, a manager with little traffic
-/// serves every class: six in ten engines are replaced at once, the new ones cold, and nothing is rejected.
+/// A manager with little traffic and 300 engines serves every class, for any number of managers in
+/// its settings. Six in ten engines are replaced at the same time by engines that warm up, and no
+/// request is rejected.
 #[test]
 fn every_class_is_served_by_one_manager_and_by_one_of_a_thousand() {
     let engine_id = |n: u16| EngineId {
@@ -244,10 +259,10 @@
             let mut actions = bench.tick(0.0);
             actions.extend(bench.request_with(id, class_index, 0, 15_000.0, Some(work_ms)));
             let target = sent_to(&actions, id)
-                .unwrap_or_else(|| panic!("{instances} managers: {id} was not sent"));
+                .unwrap_or_else(|| panic!("{instances} managers: request {id} was not sent"));
             assert!(
                 id < 200 || target.addr[3] >= 180 || target.addr[2] > 0,
-                "to one that drains"
+                "request {id} is sent to a draining engine"
             );
             let report = LoadReport {
                 inflight: Some(4.0),
