--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -1,21 +1,24 @@
-//! Late answers of an ended attempt.
+//! Tests of late answers: answers to an attempt that has already ended.
 //!
-//! What users saw: two attempts of one idempotent request were in flight at once, at one engine, where the settings
-//! allow one; some of these requests failed although the engine had served them.
+//! Symptom: two attempts of one idempotent request were in flight at the same time at one engine,
+//! where the settings allow one attempt. Some of these requests failed although the engine had
+//! served them.
 //!
-//! The order of events: an engine ends an attempt and then sends something more under its reference, as when all pages
-//! of a result are lost and each page that was asked for is answered `crashed`. The first of these answers ends the
-//! attempt, and the retry goes over the same connection. The next one arrives while the retry runs.
+//! Sequence: an engine ends an attempt and then sends a further answer with the same reference. This
+//! happens when all pages of a result are lost and each requested page is answered with `crashed`.
+//! The first of these answers ends the attempt, and the retry uses the same connection. The second
+//! answer arrives while the retry runs.
 //!
-//! The cause: answers name the client's reference and no number of the attempt, and a connection matched them by
-//! reference alone. So the late answer was taken for the retry's: the retry counted as ended while it ran, and another
-//! attempt followed.
+//! Cause: an answer has the client's reference but no attempt number, and a connection matched
+//! answers by reference alone. A late answer was therefore matched to the retry. The retry counted
+//! as ended while it was running, and another attempt followed.
 //!
-//! The evidence that proved it: in the incident each pair was sent within 1 ms to the engine of the attempt before, 0 to
-//! 2 ms after that had ended well; the engine was ejected for errors that it had not given. At `debug`, a reproduction
-//! shows two lines `answer without a result` on one connection for one answer that the engine meant for each attempt.
+//! Evidence: in the incident, each of these pairs was sent within 1 ms to the engine of the previous
+//! attempt, 0 to 2 ms after that attempt had ended well. The engine was ejected for errors that it
+//! had not returned. At log level `debug`, a reproduction shows two lines `answer without a result`
+//! on one connection where the engine meant one answer for each attempt.
 
-#[allow(dead_code)] // the process and the clients of the scenes, without the scenes
+#[allow(dead_code)] // uses the scene's manager process and clients, but not its scripts
 mod scene;
 
 use scene::manager_process::{ManagerProcess, has_counter};
@@ -29,14 +32,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Interval at which the manager's counters are read.
+/// Interval between two reads of the manager's counters.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A command that reached the engine, and the connection that it came over.
+/// A command that the engine has received.
 #[derive(Debug)]
 struct Command {
+    /// Index of the connection on which the engine received the command.
     connection: usize,
-    /// Its words: verb, reference, and more.
+    /// The words of the command line: verb, reference and further fields.
     words: Vec<String>,
 }
 
@@ -50,18 +54,20 @@
     }
 }
 
-/// What the engine's accepting task tells: a new connection, or a command on one.
+/// An event of the engine's connection tasks.
 enum EngineEvent {
+    /// A new connection, by its write half.
     Connected(OwnedWriteHalf),
+    /// A command on a connection.
     Received(Command),
 }
 
-/// An engine that leaves every answer to the test.
+/// A fake engine that answers only when the test tells it to.
 struct FakeEngine {
     address: SocketAddr,
     events: mpsc::UnboundedReceiver<EngineEvent>,
     connections: Vec<OwnedWriteHalf>,
-    /// Attempts that have reached it.
+    /// Number of attempts that the engine has received.
     attempts: usize,
 }
 
@@ -79,7 +85,7 @@
         }
     }
 
-    /// The next command with this verb, others aside.
+    /// Waits for the next command with this verb, and skips other commands.
     async fn expect_command(&mut self, verb: &str) -> Command {
         let next = async {
             loop {
@@ -92,9 +98,10 @@
         within_timeout(verb, next).await
     }
 
+    /// Waits for the next command on any connection.
     async fn next_command(&mut self) -> Command {
         loop {
-            match self.events.recv().await.expect("an engine") {
+            match self.events.recv().await.expect("event of the fake engine") {
                 EngineEvent::Connected(writer) => self.connections.push(writer),
                 EngineEvent::Received(command) => {
                     self.attempts += usize::from(command.has_verb("ASK"));
@@ -104,7 +111,7 @@
         }
     }
 
-    /// Answers on the connection of a command, under its reference.
+    /// Writes an answer to a command, with the command's reference and on its connection.
     async fn answer(&mut self, command: &Command, answer: &str) {
         let text = format!("{} {answer}", command.reference());
         let connection = &mut self.connections[command.connection];
@@ -112,6 +119,7 @@
     }
 }
 
+/// Accepts connections and reads the commands of each one in a task of its own.
 async fn accept_connections(listener: TcpListener, events: mpsc::UnboundedSender<EngineEvent>) {
     for connection in 0.. {
         let (stream, _): (TcpStream, _) = listener.accept().await.expect("accept");
@@ -125,6 +133,7 @@
     }
 }
 
+/// Reads the commands of one connection and reports each one as an event.
 async fn read_commands(
     connection: usize,
     mut reader: BufReader<OwnedReadHalf>,
@@ -149,7 +158,7 @@
     }
 }
 
-/// A manager with one engine.
+/// A manager process with one fake engine.
 struct TestSetup {
     engine: FakeEngine,
     manager: ManagerProcess,
@@ -157,6 +166,7 @@
 }
 
 impl TestSetup {
+    /// Starts the engine and the manager, with files in a folder of this name.
     async fn start(name: &str) -> TestSetup {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("late-{name}"));
         let _ = std::fs::remove_dir_all(&folder);
@@ -168,7 +178,7 @@
             "startedAtMs":0}}]}}}}"#,
             engine.address
         );
-        // Nobody serves the list: it does not change.
+        // Nothing listens at the feed's address, so the endpoint list does not change.
         let feed = "127.0.0.1:1".parse().expect("address");
         let config = folder.join("config.json");
         std::fs::write(&config, configuration(feed, &endpoint_list)).expect("file");
@@ -180,7 +190,8 @@
         }
     }
 
-    /// Waits until the manager has read the late answer and passed it over.
+    /// Waits until the manager has read the late answer and ignored it. Panics if the manager starts
+    /// another attempt.
     async fn expect_ignored(&mut self, case: &str) {
         let answer_ignored = async {
             loop {
@@ -202,18 +213,22 @@
         within_timeout("counter of unexpected answers", answer_ignored).await;
     }
 
+    /// Removes the manager's folder.
     fn remove_folder(self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// How the first attempt ends, and what its engine sends later under its reference.
+/// One way in which the first attempt ends, and the late answer that the engine sends afterwards.
 struct Case {
     name: &'static str,
     class: &'static str,
-    /// The good answer whose pages are asked for, where there is one.
+    /// The answer with the first page of a result whose further pages the manager requests, if the
+    /// attempt has one.
     result: Option<&'static str>,
+    /// The answer that ends the first attempt.
     ending_answer: &'static str,
+    /// The answer with the first attempt's reference that arrives while the retry runs.
     late_answer: &'static str,
 }
 
@@ -226,35 +241,35 @@
         late_answer: "crashed - 0\r\n\r\n",
     },
     Case {
-        name: "an error comes twice",
+        name: "an error is sent twice",
         class: "seat-check",
         result: None,
         ending_answer: "crashed - 0\r\n\r\n",
         late_answer: "crashed - 0\r\n\r\n",
     },
     Case {
-        name: "a rejection comes twice",
+        name: "a rejection is sent twice",
         class: "seat-check",
         result: None,
         ending_answer: "overload - 0\r\n\r\n",
         late_answer: "overload - 0\r\n\r\n",
     },
     Case {
-        name: "a rejection of a non-idempotent request comes twice",
+        name: "a rejection of a non-idempotent request is sent twice",
         class: "log-load",
         result: None,
         ending_answer: "overload - 0\r\n\r\n",
         late_answer: "overload - 0\r\n\r\n",
     },
     Case {
-        name: "the request is not known after an error",
+        name: "an unknown reference is reported after an error",
         class: "seat-check",
         result: None,
         ending_answer: "crashed - 0\r\n\r\n",
         late_answer: "nobody - 0\r\n\r\n",
     },
     Case {
-        name: "a result comes after an error",
+        name: "a result is sent after an error",
         class: "seat-check",
         result: None,
         ending_answer: "crashed - 0\r\n\r\n",
@@ -262,6 +277,7 @@
     },
 ];
 
+/// Plays one case and checks that the late answer does not end the retry.
 async fn check_late_answer(number: usize, case: &Case) {
     let mut setup = TestSetup::start(&number.to_string()).await;
     let mut client = Client::new("c1", setup.manager.address).await;
@@ -285,7 +301,8 @@
     setup.remove_folder();
 }
 
-/// The retry runs until its own answer, whatever still comes for the attempt before it.
+/// The retry runs until its own answer arrives, whatever the engine still sends for the previous
+/// attempt.
 #[test]
 fn a_late_answer_does_not_end_the_retry_of_its_attempt() {
     run_test(async {
@@ -295,8 +312,9 @@
     });
 }
 
-/// A client that takes a request back and sends its reference again, with another statement, gets the new statement's
-/// result: the cancelled attempt's answer crosses its cancellation.
+/// The engine's answer to a cancelled attempt may arrive after the cancellation. A client that
+/// cancels a request and then sends another statement with the same reference gets the result of the
+/// new statement.
 #[test]
 fn a_late_answer_is_not_the_answer_to_a_later_request_with_its_reference() {
     const REFERENCE: &str = "ref=00000000000000a7";
@@ -313,7 +331,7 @@
             .engine
             .answer(&first, "served batches=1 4\r\nold\n\r\n")
             .await;
-        setup.expect_ignored("a reference used again").await;
+        setup.expect_ignored("a reference is used again").await;
         setup
             .engine
             .answer(&second, "served batches=1 4\r\nnew\n\r\n")
@@ -323,6 +341,7 @@
     });
 }
 
+/// Runs a test on a single-threaded runtime.
 fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
