--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -110,8 +110,8 @@
     );
 }
 
-/// The slow-start budget counts a light query of a heavy class by the query's estimated work, not by
-/// the mean work of the class.
+/// The slow-start budget counts a light query of a heavy class by the query's estimated work, not
+/// by the mean work of the class.
 #[test]
 fn light_query_of_a_heavy_class_is_within_the_slow_start_budget() {
     // Without measurements, the mean work of this class is 9,000 ms.
@@ -127,8 +127,8 @@
     );
 }
 
-/// The fleet's mean load, which the older engines report, does not count for an engine that has just
-/// started.
+/// The fleet's mean load, which the older engines report, does not count for an engine that has
+/// just started.
 #[test]
 fn engine_that_just_started_is_not_treated_as_crowded() {
     let mut bench = TestBench::new(
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -4,19 +4,19 @@
 //! where the settings allow one attempt. Some of these requests failed although the engine had
 //! served them.
 //!
-//! Sequence: an engine ends an attempt and then sends a further answer with the same reference. This
-//! happens when all pages of a result are lost and each requested page is answered with `crashed`.
-//! The first of these answers ends the attempt, and the retry uses the same connection. The second
-//! answer arrives while the retry runs.
+//! Sequence: an engine ends an attempt and then sends a further answer with the same reference.
+//! This happens when all pages of a result are lost and each requested page is answered with
+//! `crashed`. The first of these answers ends the attempt, and the retry uses the same connection.
+//! The second answer arrives while the retry runs.
 //!
 //! Cause: an answer has the client's reference but no attempt number, and a connection matched
 //! answers by reference alone. A late answer was therefore matched to the retry. The retry counted
 //! as ended while it was running, and another attempt followed.
 //!
-//! Evidence: in the incident, each of these pairs was sent within 1 ms to the engine of the previous
-//! attempt, 0 to 2 ms after that attempt had ended well. The engine was ejected for errors that it
-//! had not returned. At log level `debug`, a reproduction shows two lines `answer without a result`
-//! on one connection where the engine meant one answer for each attempt.
+//! Evidence: in the incident, each of these pairs was sent within 1 ms to the engine of the
+//! previous attempt, 0 to 2 ms after that attempt had ended well. The engine was ejected for errors
+//! that it had not returned. At log level `debug`, a reproduction shows two lines `answer without a
+//! result` on one connection where the engine meant one answer for each attempt.
 
 #[allow(dead_code)] // uses the scene's manager process and clients, but not its scripts
 mod scene;
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Waits until the manager has read the late answer and ignored it. Panics if the manager starts
-    /// another attempt.
+    /// Waits until the manager has read the late answer and ignored it. Panics if the manager
+    /// starts another attempt.
     async fn expect_ignored(&mut self, case: &str) {
         let answer_ignored = async {
             loop {
@@ -313,8 +313,8 @@
 }
 
 /// The engine's answer to a cancelled attempt may arrive after the cancellation. A client that
-/// cancels a request and then sends another statement with the same reference gets the result of the
-/// new statement.
+/// cancels a request and then sends another statement with the same reference gets the result of
+/// the new statement.
 #[test]
 fn a_late_answer_is_not_the_answer_to_a_later_request_with_its_reference() {
     const REFERENCE: &str = "ref=00000000000000a7";
