--- a/tests/fault_soak/client.rs
+++ b/tests/fault_soak/client.rs
@@ -1,4 +1,5 @@
-//! A client that keeps requests open, takes some back, leaves at times, and goes on sending until the manager has ended.
+//! A fake client that keeps requests open, cancels some of them and disconnects at random. It keeps
+//! sending until the manager has exited.
 
 use crate::draws::SeededRandom;
 use crate::rules::{MAX_ANSWER_DELAY, Rules};
@@ -9,29 +10,30 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A request that crosses the close of its connection by less than this goes again on a new one.
+/// A request that is sent less than this time before its connection closes may stay unread, as
+/// clients send such a request again on a new connection.
 const CLOSE_RACE_TIME: Duration = Duration::from_millis(100);
 
-/// Requests that a client keeps open.
+/// Largest number of requests that a client keeps open.
 const MAX_OPEN_REQUESTS: usize = 4;
 
-/// A request without its answer.
+/// A request that has not been answered yet.
 struct OpenRequest {
     label: String,
     sent_at: Instant,
     deadline: Instant,
 }
 
-/// What the clients of a run share.
+/// The setup that the clients of a run share.
 #[derive(Clone)]
 pub(crate) struct ClientSetup {
     pub(crate) manager: SocketAddr,
     pub(crate) rules: Rules,
-    /// False from the moment on in which no new connections come.
+    /// Whether clients may open new connections.
     pub(crate) may_connect: watch::Receiver<bool>,
 }
 
-/// Plays a client until its connection is closed and no new one may be made.
+/// Runs a client until its connection is closed and it may not open a new one.
 pub(crate) async fn run(number: u64, setup: ClientSetup, mut random: SeededRandom) {
     let mut connections = 0;
     while *setup.may_connect.borrow() {
@@ -43,6 +45,7 @@
     }
 }
 
+/// Sends and cancels requests on one connection, until either side closes it.
 async fn use_connection(
     name: &str,
     mut client: Client,
@@ -58,7 +61,7 @@
             biased;
             answer = client.next_answer_or_end() => match answer {
                 Some((id, text)) => {
-                    // One that was taken back may still be answered.
+                    // A cancelled request is not in `open` any more and may still be answered.
                     if let Some(request) = open.remove(&id) {
                         rules.check_answer(&request.label, &text);
                     }
@@ -68,7 +71,7 @@
             () = sleep(pause) => {
                 let may_leave = *setup.may_connect.borrow();
                 if may_leave && random.one_in(80) {
-                    return; // with its requests open
+                    return; // disconnects with open requests
                 }
                 if random.one_in(15) && let Some(id) = open.keys().next().copied() {
                     open.remove(&id);
@@ -84,6 +87,7 @@
     }
 }
 
+/// Sends a request of a random class with a random timeout.
 async fn send(
     name: &str,
     id: u64,
@@ -111,25 +115,30 @@
     }
 }
 
-/// The connection was closed: what was open on it is lost, unless it crossed the close unread.
+/// Reports the open requests of a closed connection as violations. A request that was sent shortly
+/// before the close and has reached no engine is allowed: the manager may not have read it.
 fn check_unanswered(open: &HashMap<u64, OpenRequest>, rules: &Rules) {
     for request in open.values() {
         let was_sent_at_close = request.sent_at.elapsed() < CLOSE_RACE_TIME;
         if !was_sent_at_close || rules.was_forwarded(&request.label) {
             let age = request.sent_at.elapsed();
             rules.add_violation(format!(
-                "{}: closed without an answer after {age:?}",
+                "{}: connection closed {age:?} after the request, without an answer",
                 request.label
             ));
         }
     }
 }
 
+/// Reports requests whose answer is overdue as violations and removes them.
 fn check_overdue(open: &mut HashMap<u64, OpenRequest>, rules: &Rules) {
     open.retain(|_, request| {
         let overdue = Instant::now() > request.deadline + MAX_ANSWER_DELAY;
         if overdue {
-            rules.add_violation(format!("{}: no answer in its time", request.label));
+            rules.add_violation(format!(
+                "{}: no answer within the allowed delay after its deadline",
+                request.label
+            ));
         }
         !overdue
     });
--- a/tests/fault_soak/engine.rs
+++ b/tests/fault_soak/engine.rs
@@ -1,4 +1,5 @@
-//! An engine that fails in the ways that engines do, each chosen by a seeded draw.
+//! A fake engine that fails in the ways in which engines fail. A seeded random number chooses what
+//! it does with each attempt.
 
 use crate::draws::SeededRandom;
 use crate::rules::{AttemptEnd, Rules};
@@ -13,29 +14,30 @@
 use tokio::sync::{Mutex, Notify};
 use tokio::time::sleep;
 
-/// The close of a connection reaches its task within this time after an attempt that followed the close.
+/// Longest time by which an engine may read the close of a connection after an attempt that the
+/// manager has sent after the close.
 const MAX_CLOSE_DELAY: Duration = Duration::from_millis(150);
 
-/// What an engine does with an attempt.
+/// What the engine does with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnswerPlan {
-    /// It serves so many pages.
-    Serve {
-        pages: usize,
-    },
-    /// It serves the first of so many pages and has lost the others.
-    LosePages {
-        pages: usize,
-    },
+    /// It serves a result with this number of pages.
+    Serve { pages: usize },
+    /// It serves the first of this number of pages and has lost the others.
+    LosePages { pages: usize },
+    /// It rejects the attempt.
     Overload,
+    /// It answers with an error.
     Crash,
+    /// It never answers.
     Hang,
-    /// It breaks the connection inside its answer.
+    /// It closes the connection in the middle of its answer.
     BreakConnection,
-    /// It sends what is no answer.
+    /// It sends a line that is not a valid answer.
     Malformed,
 }
 
+/// Chooses at random what the engine does with an attempt.
 fn choose_plan(random: &mut SeededRandom) -> AnswerPlan {
     let pages = random.in_range(2, 6) as usize;
     match random.in_range(0, 100) {
@@ -50,10 +52,10 @@
     }
 }
 
-/// Numbers the connections of all engines.
+/// Number of the next connection, over the engines of all runs.
 static NEXT_CONNECTION_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// Serves until the run is over.
+/// Serves connections until the run is over.
 pub(crate) async fn serve(
     engine: usize,
     listener: TcpListener,
@@ -67,18 +69,20 @@
     }
 }
 
-/// One connection. Answers are written by tasks of their own, in any order.
+/// One connection to an engine. Separate tasks write the answers, in any order.
 #[derive(Clone)]
 struct Connection {
-    /// The engine's place in the list.
+    /// Index of the engine in the endpoint list.
     engine: usize,
     number: u64,
     rules: Rules,
+    /// `None` once the connection is closed.
     writer: Arc<Mutex<Option<OwnedWriteHalf>>>,
+    /// Notified when a task asks for the connection to be closed.
     break_requested: Arc<Notify>,
 }
 
-/// An attempt on a connection.
+/// An attempt that was received on a connection.
 #[derive(Clone)]
 struct Attempt {
     reference: String,
@@ -99,6 +103,7 @@
         (reader, connection)
     }
 
+    /// Handles commands until the connection ends, and then marks its attempts as ended.
     async fn run(self, reader: OwnedReadHalf, mut random: SeededRandom) {
         let mut reader = BufReader::new(reader);
         let mut attempts = HashMap::new();
@@ -107,7 +112,7 @@
             line.clear();
             tokio::select! {
                 biased;
-                // The end of the connection may cut a line off.
+                // A line without a line feed was cut off by the end of the connection.
                 read = reader.read_line(&mut line) => if read.is_err() || !line.ends_with('\n') {
                     break;
                 },
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Handles one command; false where the connection ended inside it.
+    /// Handles one command. Returns false if the connection ends in the middle of it.
     async fn handle_command(
         &self,
         words: &[String],
@@ -172,11 +177,14 @@
                 tokio::spawn(self.clone().write_after(pause, text));
             }
             ["FREE" | "PRIO", ..] => {}
-            _ => self.rules.add_violation(format!("no command: {words:?}")),
+            _ => self
+                .rules
+                .add_violation(format!("an engine received an unknown command: {words:?}")),
         }
         true
     }
 
+    /// Answers an attempt after a random time, as its plan says.
     async fn answer_attempt(self, attempt: Attempt, mut random: SeededRandom) {
         sleep(Duration::from_millis(random.in_range(1, 120))).await;
         if self.rules.is_overlapped(&attempt.label, self.number) {
@@ -188,7 +196,7 @@
             _ => AttemptEnd::Ran,
         };
         if !self.rules.attempt_ended(&attempt.label, self.number, end) {
-            return; // it was cancelled
+            return; // the attempt was cancelled
         }
         let reference = &attempt.reference;
         let text = match attempt.plan {
@@ -212,7 +220,7 @@
         self.write(&text).await;
         match attempt.plan {
             AnswerPlan::BreakConnection => self.break_requested.notify_one(),
-            // An engine may send an answer twice, the second time milliseconds later.
+            // An engine may send an answer a second time, up to 7 ms later.
             _ if is_repeated => {
                 let pause = Duration::from_millis(random.in_range(0, 8));
                 self.write_after(pause, text).await;
@@ -221,6 +229,7 @@
         }
     }
 
+    /// Answers the request for one more page of a result.
     async fn answer_page(self, attempt: Attempt, page: usize, mut random: SeededRandom) {
         let reference = &attempt.reference;
         let text = match attempt.plan {
@@ -242,6 +251,7 @@
         self.write(&text).await;
     }
 
+    /// Writes the text, unless the connection is closed.
     async fn write(&self, text: &str) {
         if let Some(writer) = self.writer.lock().await.as_mut() {
             let _ = writer.write_all(text.as_bytes()).await;
@@ -249,12 +259,12 @@
     }
 }
 
-/// One page of a result: it names its request.
+/// One page of a result. It has the label of its request, so that clients can check it.
 fn result_page(label: &str, page: usize) -> String {
     format!("{label}\t{page}\tx\n")
 }
 
-/// The `patience` among a request's fields.
+/// The value of the field `patience` of a request.
 fn patience(fields: &str) -> Duration {
     let mut fields = fields.split(',');
     let value = fields.find_map(|field| field.strip_prefix("patience="));
--- a/tests/fault_soak/faults.c
+++ b/tests/fault_soak/faults.c
@@ -1,8 +1,10 @@
-/* System calls that fail as Linux documents, for the program under the soak: loaded before the C library (LD_PRELOAD).
+/* Fault injection for the program in the soak test: wrappers of system calls that fail in the ways that Linux documents.
+ * The library is loaded before the C library (LD_PRELOAD).
  *
- * FAULT_SEED seeds the choices. Waits are interrupted; accept, socket and connect fail for a moment; reads and writes on
- * sockets are short; connections that the program made break with ETIMEDOUT or EHOSTUNREACH. CLOCK_STEP_S steps the wall
- * clock by so many seconds, CLOCK_STEP_AFTER_MS after the start; the monotonic clock runs on. */
+ * FAULT_SEED is the seed of the random choices. Waits are interrupted. accept, socket and connect fail now and then.
+ * Reads and writes on sockets are short. Connections that the program opened break with ETIMEDOUT or EHOSTUNREACH.
+ * CLOCK_STEP_S is the number of seconds by which the wall clock is stepped, CLOCK_STEP_AFTER_MS the time of the step in
+ * ms after the start; the monotonic clock is not changed. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -15,11 +17,13 @@
 #include <unistd.h>
 
 #define MAX_DESCRIPTORS 4096
+/* The function of this name that the C library defines. */
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 static uint64_t random_state;
-/* Connections that the program made itself. */
+/* Whether a descriptor is a connection that the program opened itself, by descriptor. */
 static unsigned char is_outgoing[MAX_DESCRIPTORS];
+/* Size of the wall clock step, and its time on the monotonic clock. */
 static int64_t clock_step_s, clock_step_at_ms;
 
 static int64_t monotonic_ms(void) {
@@ -39,7 +43,7 @@
     clock_step_at_ms = monotonic_ms() + (delay_text ? strtoll(delay_text, NULL, 10) : 0);
 }
 
-/* Whether the event with one chance in so many happens_one_in (xorshift). */
+/* Returns 1 with a probability of one in `chances` (xorshift generator). */
 static int happens_one_in(unsigned chances) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
@@ -47,6 +51,7 @@
     return random_state % chances == 0;
 }
 
+/* Sets errno and returns the result of a failed system call. */
 static int fail_with(int error) {
     errno = error;
     return -1;
@@ -64,6 +69,7 @@
     return accepted;
 }
 
+/* Fails only after the time of the clock step. */
 int socket(int domain, int type, int protocol) {
     static __typeof__(&socket) real;
     if (!real)
@@ -96,7 +102,8 @@
     return real(fd, events, max_events, timeout);
 }
 
-/* Breaks a connection that the program made; its peer sees the end. */
+/* Breaks a connection that the program opened, with a probability of one in 400. Its peer sees the end of the connection.
+ * Returns 1 and sets errno if the connection is broken. */
 static int break_connection(int fd) {
     if (fd < 0 || fd >= MAX_DESCRIPTORS || !is_outgoing[fd] || !happens_one_in(400))
         return 0;
@@ -105,7 +112,7 @@
     return 1;
 }
 
-/* Pipes, counters of events and files: sockets are read by recv. */
+/* Reads of pipes, event counters and files. Sockets are read with recv. */
 ssize_t read(int fd, void *bytes, size_t length) {
     static __typeof__(&read) real;
     if (!real)
--- a/tests/fault_soak/feed.rs
+++ b/tests/fault_soak/feed.rs
@@ -1,4 +1,5 @@
-//! The discovery feed of a run: engines drain and come back, and its connections are resumed after the last event.
+//! The fake discovery feed of a run. It reports engines as draining or ready, and resumes each
+//! connection after the last event that the manager has.
 
 use crate::scene::list_feed::feed_frame;
 use std::net::SocketAddr;
@@ -7,15 +8,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The kind of a frame with changes, and the states of a record.
+/// Kind of a frame with a delta.
 const KIND_CHANGES: u8 = 2;
+
+/// State of a ready engine in a record.
 const STATE_READY: u8 = 0;
+
+/// State of a draining engine in a record.
 const STATE_DRAINING: u8 = 1;
 
-/// The number of the event that the configuration has.
+/// Number of the last event that is part of the manager's configuration.
 const CONFIGURED_EVENT: u64 = 1;
 
-/// The events so far, which each connection follows.
+/// A running feed, with the frames of all events since the configuration.
 #[derive(Clone)]
 pub(crate) struct Feed {
     pub(crate) address: SocketAddr,
@@ -23,6 +28,7 @@
 }
 
 impl Feed {
+    /// Starts a feed without events.
     pub(crate) async fn start() -> Feed {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
@@ -35,7 +41,8 @@
         Feed { address, frames }
     }
 
-    /// Tells that an engine, by its place in the list, drains or is ready again.
+    /// Publishes an event: the engine with this index in the endpoint list is draining, or ready
+    /// again.
     pub(crate) fn publish_state(&self, engine: usize, address: SocketAddr, draining: bool) {
         let state = if draining {
             STATE_DRAINING
@@ -50,6 +57,7 @@
     }
 }
 
+/// Sends one connection all events that the manager does not have, and each further one.
 async fn send_events(
     mut stream: TcpStream,
     mut frames_receiver: watch::Receiver<Arc<Vec<Vec<u8>>>>,
--- a/tests/fault_soak/main.rs
+++ b/tests/fault_soak/main.rs
@@ -1,13 +1,16 @@
-//! A soak under faults: the program itself, with engines that fail, clients that leave and go on sending to the end, system
-//! calls that fail, a wall clock that is stepped, signals in series, and in some runs a crowd of idle connections. Engines drain
-//! and come back by the list meanwhile. The rules on attempts and answers are checked at the engines and the clients (`rules`).
+//! Soak test under injected faults. It runs the program itself with engines that fail, clients that
+//! disconnect or keep sending until the end, system calls that fail, a wall clock step, several
+//! signals in a row and, in some runs, many idle connections. Meanwhile the endpoint list reports
+//! engines as draining and ready again. The engines and the clients check the rules on attempts and
+//! answers (see `rules`).
 //!
-//! Each seed is a run of a few seconds. `SOAK_SEEDS=FIRST-LAST` chooses the seeds, a dozen without it.
+//! Each seed is one run of some seconds. `SOAK_SEEDS=FIRST-LAST` chooses the seeds; the default is
+//! 1 to 12.
 
 #[path = "../scene/mod.rs"]
 #[allow(
     dead_code,
-    reason = "the processes and clients of the scenes, without the scenes"
+    reason = "uses the scene's processes and clients, but not its scripts"
 )]
 mod scene;
 
@@ -36,22 +39,24 @@
 const ENGINE_COUNT: usize = 3;
 const CLIENT_COUNT: u64 = 4;
 
-/// Idle connections of a crowd: more than the manager has slots for.
+/// Number of idle connections in the runs that have them: more than the manager's connection slots.
 const IDLE_CONNECTIONS: usize = 40;
 
-/// Runs side by side.
+/// Number of runs at the same time.
 const PARALLEL_RUNS: usize = 4;
 
-/// From the start to SIGTERM.
+/// Time from the manager's start to SIGTERM.
 const SERVING_TIME: Duration = Duration::from_millis(1500);
 
-/// New connections come for this long after SIGTERM.
+/// Time after SIGTERM during which clients still open new connections.
 const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
 
-/// The platform kills the process this long after SIGTERM: the longest deadline, which counts as 3 s, and 0.7 s.
+/// Time after SIGTERM at which the platform kills the process: the longest deadline, which counts
+/// as 3 s, and 0.7 s.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
 
-/// What one run showed.
+/// Result of one run: the violations of the rules, and the numbers of attempts and of retries among
+/// them.
 struct RunResult {
     violations: Vec<String>,
     attempts: usize,
@@ -72,7 +77,7 @@
                         "seed {seed}: {} attempts, {} of them retries, violations: {:#?}",
                         result.attempts, result.retries, result.violations
                     );
-                    assert!(result.attempts > 0, "seed {seed}: no traffic");
+                    assert!(result.attempts > 0, "seed {seed}: no attempt was made");
                     let violations = result.violations.into_iter();
                     let violations =
                         violations.map(|violation| format!("seed {seed}: {violation}"));
@@ -85,19 +90,22 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
+/// Takes the next seed to run.
 fn next_seed(seeds: &Mutex<Vec<u64>>) -> Option<u64> {
     seeds.lock().expect("seeds").pop()
 }
 
-/// The chosen seeds, the last first.
+/// The seeds of this test run in descending order, so that the lowest one is taken first.
 fn chosen_seeds() -> Vec<u64> {
     let range = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1-12".to_owned());
-    let (first, last) = range.split_once('-').expect("FIRST-LAST");
+    let (first, last) = range
+        .split_once('-')
+        .expect("SOAK_SEEDS has the form FIRST-LAST");
     let number = |text: &str| text.parse::<u64>().expect("a number");
     (number(first)..=number(last)).rev().collect()
 }
 
-/// Builds the library that makes system calls fail.
+/// Builds the shared library that injects faults into system calls.
 fn build_fault_library() -> PathBuf {
     let library = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("faults.so");
     let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fault_soak/faults.c");
@@ -110,6 +118,7 @@
     library
 }
 
+/// Runs one seed on a single-threaded runtime.
 fn run_seed(seed: u64, library: &PathBuf) -> RunResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -118,6 +127,7 @@
     runtime.block_on(run_with_faults(seed, library))
 }
 
+/// Runs the manager with fake engines, clients and feed, and collects the violations.
 async fn run_with_faults(seed: u64, library: &PathBuf) -> RunResult {
     let mut random = SeededRandom::new(seed);
     let rules = Rules::default();
@@ -155,12 +165,12 @@
     signal(&child, "HUP");
     drain_engines(&feed, &rules, &engines, &mut random).await;
     if child.try_wait().expect("status").is_some() {
-        rules.add_violation("the manager ended without being asked to".to_owned());
+        rules.add_violation("the manager exited before it got a signal to stop".to_owned());
     }
     stop_manager(&mut child, &rules, &connecting).await;
     while let Some(ended) = clients.join_next().await {
         if let Err(error) = ended {
-            rules.add_violation(format!("a client: {error}"));
+            rules.add_violation(format!("a client task failed: {error}"));
         }
     }
     let (violations, attempts, retries) = rules.take_results();
@@ -171,7 +181,8 @@
     }
 }
 
-/// Until SIGTERM one engine drains for a while, and another one drains to the end of the run.
+/// Reports one engine as draining and as ready again, and then another one as draining until the
+/// end of the run. Takes half of the time up to SIGTERM.
 async fn drain_engines(
     feed: &Feed,
     rules: &Rules,
@@ -187,8 +198,8 @@
     }
 }
 
-/// Ends the manager by signals in series, while clients go on sending on the connections that they have. It is killed at
-/// the platform's earliest.
+/// Stops the manager with several signals in a row, while clients keep sending on their open
+/// connections. Kills the manager at the earliest time at which the platform would kill it.
 async fn stop_manager(child: &mut Child, rules: &Rules, connecting: &watch::Sender<bool>) {
     let killed_at = Instant::now() + KILL_AFTER_TERM;
     for (name, pause) in [("TERM", 100), ("HUP", 100), ("TERM", 100), ("USR1", 0)] {
@@ -203,7 +214,8 @@
     }
 }
 
-/// Whether the manager has ended with 0 by then.
+/// Waits until the manager exits, at most until the given time. Returns whether it has exited with
+/// status 0.
 async fn has_succeeded_by(child: &mut Child, time: Instant) -> bool {
     while Instant::now() < time {
         if let Some(status) = child.try_wait().expect("status") {
@@ -214,7 +226,7 @@
     false
 }
 
-/// Starts the manager under faults; returns where it serves.
+/// Starts the manager with injected faults. Returns the process and its listen address.
 fn start_manager(
     seed: u64,
     library: &PathBuf,
@@ -248,7 +260,7 @@
     .expect("program");
     let mut stderr = stderr_of(&mut child);
     let line = wait_for_line(&mut stderr, "serves on");
-    // Read to its end, or the manager would stop at a full pipe.
+    // The rest of standard error is read to its end: a full pipe would block the manager.
     std::thread::spawn(move || std::io::copy(&mut stderr, &mut std::io::sink()));
     let address = line.split("serves on ").nth(1).expect("an address");
     let address = address.split(',').next().expect("an address").trim();
