--- a/tests/service_guarantees/client_disconnect.rs
+++ b/tests/service_guarantees/client_disconnect.rs
@@ -1,25 +1,34 @@
-//! No attempt, first or further, begins later than 0.1 s after its client closed its connection, ended its side of it,
-//! or cancelled. The scene itself holds every attempt to that; here each place is forced where an attempt may wait
-//! meanwhile. A request of another client that passes the same place afterwards shows that the first one would have
-//! begun by then.
+//! Guarantee: no attempt, first or further, begins later than 0.1 s after its client has closed its
+//! connection, has ended its sending side, or has cancelled the request.
+//!
+//! The scene checks this for every attempt. Each test here makes an attempt wait at one of the
+//! places where attempts may wait, and then disconnects the client. A later request of another
+//! client passes the same place, which shows that the first attempt would have begun by then.
 
 use crate::scene::{EMPTY_OPERATOR_FILE, SceneSetup, run_script_with_setup};
 use rstest::rstest;
 use workload_manager::node_config::EngineProtocol;
 
-/// Connections to engines may take this long, so that a dial outlasts the steps of a script.
+/// A connect timeout of 19 s, so that connecting to an engine takes longer than the steps of a
+/// script.
 const LONG_CONNECT_TIMEOUT: &[&str] = &["connectTimeoutMs=19000"];
 
-/// Attempts wait out a back-off of this length, after which a later one shows that an earlier one is due.
+/// An operators' file with a constant backoff of 300 ms. Once a later retry is sent, an earlier one
+/// would have been sent too.
 const BACKOFF_OPERATOR_FILE: &str =
     "version = 1\n[attempts.default]\nbackoff = { base_ms = 300, max_ms = 300, jitter = 0.0 }\n";
 
-/// The ways in which a platform client disconnect_step.
+/// Script step: a platform client closes its connection.
 const CLOSE_CONNECTION: &str = "c1 close";
+
+/// Script step: a platform client cancels its request.
 const CANCEL_REQUEST: &str = "c1 send cancel 1";
+
+/// Script step: a platform client ends its sending side of the connection.
 const END_SENDING: &str = "c1 send end";
 
-/// Plays a script in which `DISCONNECT` stands for the client's leaving, up to the moment at which the core has heard of it.
+/// Runs a script in which `DISCONNECT` stands for the given step, and for the wait until the core
+/// has received the disconnect.
 fn run_script_with_disconnect(setup: &SceneSetup<'_>, disconnect_step: &str, script: &str) {
     run_script_with_setup(
         setup,
@@ -30,7 +39,7 @@
     );
 }
 
-/// The first attempt waits in the core, as no engine takes any.
+/// The first attempt waits in the core, because all engines are draining.
 #[rstest]
 fn disconnect_cancels_a_first_attempt_that_waits_for_an_engine(
     #[values(CLOSE_CONNECTION, CANCEL_REQUEST, END_SENDING)] disconnect_step: &str,
@@ -61,7 +70,7 @@
     run_script_with_disconnect(&setup, disconnect_step, script);
 }
 
-/// A further attempt waits in the core: the first never ran, and no engine takes another.
+/// A retry waits in the core: the first attempt was rejected, and all engines are draining.
 #[rstest]
 fn disconnect_cancels_a_retry_that_waits_for_an_engine(
     #[values(CLOSE_CONNECTION, CANCEL_REQUEST, END_SENDING)] disconnect_step: &str,
@@ -95,7 +104,7 @@
     run_script_with_disconnect(&setup, disconnect_step, script);
 }
 
-/// A further attempt waits out its back-off, which is over before that of the other client's attempt.
+/// A retry waits for its backoff, which ends before the backoff of the other client's retry.
 #[rstest]
 fn disconnect_cancels_a_retry_that_waits_for_its_backoff(
     #[values(CLOSE_CONNECTION, CANCEL_REQUEST, END_SENDING)] disconnect_step: &str,
@@ -125,8 +134,8 @@
     run_script_with_disconnect(&setup, disconnect_step, script);
 }
 
-/// The first attempt is with its engine's actor, whose connection does not come up. The other client's attempt waits for
-/// the same connection, behind it.
+/// The first attempt waits at its engine's actor, whose connection is not established. The other
+/// client's attempt waits for the same connection, behind the first one.
 #[rstest]
 fn disconnect_cancels_a_first_attempt_that_waits_for_its_connection(
     #[values(CLOSE_CONNECTION, CANCEL_REQUEST, END_SENDING)] disconnect_step: &str,
@@ -155,7 +164,8 @@
     run_script_with_disconnect(&setup, disconnect_step, script);
 }
 
-/// The same for a further attempt, whose engine broke the connection of the first one.
+/// A retry waits for a new connection at its engine's actor, because the engine has closed the
+/// connection of the first attempt.
 #[rstest]
 fn disconnect_cancels_a_retry_that_waits_for_its_connection(
     #[values(CLOSE_CONNECTION, CANCEL_REQUEST, END_SENDING)] disconnect_step: &str,
--- a/tests/service_guarantees/descriptor_limit.rs
+++ b/tests/service_guarantees/descriptor_limit.rs
@@ -1,6 +1,9 @@
-//! Idle clients may fill the descriptors while the control feed is down: the manager holds no more than its limit names,
-//! connects to the feed once that is back, hears a drain, connects to an engine that is new, and serves. The manager is
-//! the program itself, so that the system tells its descriptors.
+//! Guarantee: idle clients may use up the descriptors while the discovery feed is down. The manager
+//! holds no more descriptors than its limit. Once the feed is back, it connects to the feed,
+//! receives the event that an engine is draining, connects to a new engine and serves requests
+//! there.
+//!
+//! The manager is the program itself, so that its descriptors can be counted in `/proc`.
 
 use crate::fake_engine;
 use crate::scene::child_process::{KillOnDrop, addresses, start_program, stderr_of};
@@ -15,26 +18,28 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Descriptors that the scene's configuration allows.
+/// Number of descriptors that the scene's configuration allows.
 const MAX_DESCRIPTORS: usize = 64;
 
-/// Clients that were answered, that say nothing, and that stop halfway through a call: several times what the descriptors
-/// take, each.
+/// Number of idle clients of each kind: those that have been answered, those that send nothing, and
+/// those that stop in the middle of a call. Each number alone exceeds the descriptor limit.
 const IDLE_CLIENTS: usize = 100;
 
-/// The beginning of a call.
+/// The first bytes of a MessagePack-RPC call.
 const PARTIAL_CALL: [u8; 3] = [0x94, 0, 1];
 
-/// Requests after the feed is back, each of a new client.
+/// Number of requests after the feed is back, each from a new client.
 const REQUESTS_AFTER_RECONNECT: usize = 20;
 
-/// Looks at the descriptors of a process again and again, from a thread of its own, and keeps the most that it held.
+/// Counts the open descriptors of a process continuously, on a separate thread, and keeps the
+/// largest count.
 struct DescriptorMonitor {
     max_held: Arc<AtomicUsize>,
     stopped: Arc<AtomicBool>,
 }
 
 impl DescriptorMonitor {
+    /// Starts to count the descriptors of the process with this id.
     fn start(process: u32) -> DescriptorMonitor {
         let (max_held, stopped) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
         let monitor = DescriptorMonitor {
@@ -51,11 +56,12 @@
         monitor
     }
 
+    /// Panics if the process has held more descriptors than the limit.
     fn assert_at_most(&self, limit: usize) {
         let max_held = self.max_held.load(Ordering::Relaxed);
         assert!(
             max_held <= limit,
-            "{max_held} descriptors, {limit} are allowed"
+            "the process held {max_held} descriptors, {limit} are allowed"
         );
     }
 }
@@ -66,7 +72,8 @@
     }
 }
 
-/// An engine that serves at once, and how many requests it has had.
+/// Starts an engine that serves every request immediately. Returns its address and the number of
+/// requests that it has received.
 fn start_engine() -> (SocketAddr, Arc<AtomicUsize>) {
     let (listener, _) = listen();
     let (address, request_count) = (
@@ -85,7 +92,7 @@
     (address, request_count)
 }
 
-/// The manager's connection to the feed, with this as the last event that it has.
+/// Accepts the manager's connection to the feed, and checks the last event that the manager has.
 async fn accept_feed_connection(feed: &TcpListener, last_event: u64) -> TcpStream {
     let (mut stream, _) = within_timeout("connection to the feed", feed.accept())
         .await
@@ -94,7 +101,7 @@
     stream
 }
 
-/// A new client that is served once.
+/// Connects a new client and waits until its request is served.
 async fn serve_new_client(address: SocketAddr, number: usize) -> Client {
     let mut client =
         within_timeout("connection", Client::new(&format!("c{number}"), address)).await;
@@ -103,7 +110,7 @@
     client
 }
 
-/// Waits until staff are await_figure this.
+/// Waits until the answer to `STATS` at the admin address has this line.
 async fn await_figure(admin_address: SocketAddr, figure: &str) {
     let figure_reached = async {
         loop {
@@ -145,9 +152,10 @@
         let monitor = DescriptorMonitor::start(child.id());
         let stream = accept_feed_connection(&feed, 1).await;
         let _first_client = serve_new_client(manager, 0).await;
-        // Nobody listens where the feed was.
+        // The feed is down: nothing listens at its address.
         drop((stream, feed));
-        // All that idle come at once, and none of them reads, or closes, what the manager closes.
+        // All idle clients connect without a pause. None of them reads from or closes a connection
+        // that the manager has closed.
         let (mut idle, mut silent, mut partial) = (Vec::new(), Vec::new(), Vec::new());
         for n in 1..=IDLE_CLIENTS {
             silent.push(within_timeout("connection", TcpStream::connect(manager)).await.expect("connect"));
@@ -162,8 +170,8 @@
                 client.step("expect", &["1", "true"]).await;
             }
         };
-        // Together: those that stop halfway delay the others by little.
-        within_timeout("answers to all that came", answers).await;
+        // One timeout for all answers: incomplete calls delay the other clients only a little.
+        within_timeout("answers to all idle clients", answers).await;
         idle.push(serve_new_client(manager, IDLE_CLIENTS + 1).await);
         monitor.assert_at_most(MAX_DESCRIPTORS);
         let feed = listen_at(feed_address);
@@ -179,7 +187,7 @@
         assert_eq!(
             old_request_count.load(Ordering::Relaxed),
             old_requests_before_drain,
-            "requests to an engine that drains"
+            "an attempt was sent to a draining engine"
         );
         assert_eq!(new_request_count.load(Ordering::Relaxed), REQUESTS_AFTER_RECONNECT);
         monitor.assert_at_most(MAX_DESCRIPTORS);
--- a/tests/service_guarantees/fake_engine.rs
+++ b/tests/service_guarantees/fake_engine.rs
@@ -7,16 +7,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Gets the label of each complete request. Returns its service time, and its work in ms on one core.
+/// Called with the label of each request that has been received completely. Returns the request's
+/// service time, and its work in ms on one core.
 pub(crate) type RequestHandler = Arc<dyn Fn(&str) -> (Duration, f64) + Send + Sync>;
 
-/// Serves on this listener.
+/// Accepts connections on this listener and serves their requests.
 pub(crate) async fn serve(listener: TcpListener, handler: RequestHandler) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(serve_connection(stream, handler.clone()));
     }
 }
 
+/// Serves each request on one connection after its service time.
 async fn serve_connection(stream: TcpStream, handler: RequestHandler) {
     let (reader, writer) = stream.into_split();
     let (mut reader, writer) = (
@@ -34,7 +36,7 @@
         let [verb, reference, _, length] = &words[..] else {
             continue;
         };
-        assert_eq!(verb, "ASK", "a line of four words");
+        assert_eq!(verb, "ASK", "a command of four words is ASK");
         let mut body = vec![0; length.parse::<usize>().expect("length") + 2];
         reader.read_exact(&mut body).await.expect("statement");
         let (label, _) = parse_statement_label(String::from_utf8(body).expect("text").trim_end());
--- a/tests/service_guarantees/main.rs
+++ b/tests/service_guarantees/main.rs
@@ -1,5 +1,7 @@
-//! The operators' four service guarantees, each forced on loopback sockets against complete workload managers. `docs/service-guarantees.md`
-//! names the guard behind each test, and how the test failed without it.
+//! Tests of the operators' four service guarantees. Each test provokes the failure that its
+//! guarantee excludes, on loopback sockets and against complete workload managers.
+//! `docs/service-guarantees.md` describes the code that upholds each guarantee, and how each test
+//! failed without that code.
 
 #[path = "../scene/mod.rs"]
 #[allow(dead_code, reason = "each test target uses a part of the scene")]
--- a/tests/service_guarantees/restart_readiness.rs
+++ b/tests/service_guarantees/restart_readiness.rs
@@ -1,5 +1,7 @@
-//! Nine in ten restarted managers are ready within 10 s: whatever the control feed does, with clients at the door, and with
-//! a list of the start that is out of date. The managers are the program itself, on a socket that the platform holds.
+//! Guarantee: nine in ten restarted managers are ready within 10 s, whatever the discovery feed
+//! does, with clients that are waiting for the manager, and with an endpoint list in the
+//! configuration that is out of date. The managers are the program itself, on a socket that the
+//! platform holds.
 
 use crate::scene::child_process::{
     KillOnDrop, addresses, admin_call, start_with_listener, stderr_of,
@@ -13,50 +15,55 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// The operators' term: so many of the managers restarted, within this time.
+/// Number of managers that are restarted at the same time.
 const RESTARTED_MANAGERS: usize = 10;
+
+/// Number of the restarted managers that have to be ready in time by the operators' guarantee.
 const MIN_READY_MANAGERS: usize = 9;
+
+/// Time from the start to readiness that the operators' guarantee allows.
 const MAX_READY_TIME: Duration = Duration::from_secs(10);
 
-/// Clients that have asked before the manager is there.
+/// Number of clients that send a call before the manager is started.
 const WAITING_CLIENTS: usize = 20;
 
-/// Engines of a list that is out of date: nobody listens at their addresses.
+/// Number of engines in the list that is out of date. Nothing listens at their addresses.
 const STALE_ENGINES: u32 = 1024;
 
-/// What the control feed does.
+/// How the discovery feed fails.
 #[derive(Clone, Copy, Debug)]
 enum FeedFault {
-    /// Nobody listens there.
+    /// Nothing listens at its address.
     Refuses,
-    /// It takes the connection and the watch, and says nothing.
+    /// The connection and the subscription succeed, and the feed sends nothing.
     Silent,
-    /// It stops inside its first event.
+    /// The feed stops in the middle of its first event.
     StopsHalfway,
 }
 
-/// What was there before the manager.
+/// The processes of the same manager that were started before the one under test.
 #[derive(Clone, Copy, Debug)]
 enum EarlierProcesses {
-    /// Nothing.
+    /// No other process.
     NoProcess,
-    /// Another process of the same manager, which was killed.
+    /// One process, which was killed.
     OneKilled,
-    /// Another process of the same manager, which still serves.
+    /// One process, which still serves.
     OneServing,
-    /// Two of them.
+    /// Two processes, which still serve.
     TwoServing,
 }
 
 impl FeedFault {
-    /// Its address, for as long as the listener is held.
+    /// Starts the feed. Returns its address and the listener, which has to be held as long as the
+    /// feed is used.
     fn start(self) -> (SocketAddr, Option<TcpListener>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         let accepting = listener.try_clone().expect("listener");
         match self {
             FeedFault::Refuses => (address, None),
-            // Connections come up in the backlog, and nobody takes them.
+            // Connections are established in the backlog and never accepted.
             FeedFault::Silent => (address, Some(listener)),
             FeedFault::StopsHalfway => {
                 std::thread::spawn(move || {
@@ -72,7 +79,7 @@
     }
 }
 
-/// The configuration of a start whose list names engines that are gone.
+/// A configuration whose endpoint list contains only engines that no longer exist.
 fn stale_configuration(feed: SocketAddr) -> String {
     let list_entry = |n: u32| {
         format!(
@@ -87,8 +94,8 @@
     apply_changes(&configuration(feed, &endpoint_list), &["sockets=256"])
 }
 
-/// Where a program is operated; none where it does not say so in time. Its words are read to the end, so that it is not
-/// held up by them.
+/// Waits until a program logs its admin address. Returns `None` if it does not do so in time. The
+/// program's standard error is read to its end, as a full pipe would block the program.
 fn await_admin_address(child: &mut Child, timeout: Duration) -> Option<SocketAddr> {
     let mut stderr = stderr_of(child);
     let (sender, receiver) = mpsc::channel();
@@ -99,7 +106,8 @@
     receiver.recv_timeout(timeout).ok()
 }
 
-/// Starts one manager; how long it took to be ready, if it was in time.
+/// Starts one manager after the earlier processes. Returns the time until it was ready, or `None`
+/// if it was not ready within [`MAX_READY_TIME`].
 fn restart_manager(name: &str, feed: SocketAddr, earlier: EarlierProcesses) -> Option<Duration> {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -132,12 +140,15 @@
         .starts_with("200")
         .then(|| started_at.elapsed());
     for client in &mut clients {
-        assert!(is_healthy(client), "a client at the door");
+        assert!(
+            is_healthy(client),
+            "a client that was waiting gets the answer true"
+        );
     }
     ready.filter(|ready_time| *ready_time <= MAX_READY_TIME)
 }
 
-/// A client that has asked whether the manager is fit.
+/// Connects a client that sends a `health` call.
 fn send_health_call(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("connect");
     stream
@@ -149,6 +160,7 @@
     stream
 }
 
+/// Whether the answer to the `health` call is `true`.
 fn is_healthy(stream: &mut TcpStream) -> bool {
     let mut answer = [0; 7];
     stream.read_exact(&mut answer).is_ok() && answer[5] == 0xc3
@@ -172,7 +184,8 @@
             std::thread::spawn(move || restart_manager(&name, feed_address, earlier))
         })
         .collect();
-    // All are joined before any fails the test, or the processes of the others would be left behind.
+    // All threads are joined before the first one can fail the test. Otherwise the processes of the
+    // other threads would be left running.
     let joined: Vec<_> = starts
         .into_iter()
         .map(std::thread::JoinHandle::join)
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -1,7 +1,10 @@
-//! The cold ramp holds for the sum of twenty to thirty managers: a cold engine is overloaded when, within the time that the
-//! settings name, it gets more than N + 2 root N + 2 requests of mean work, N being what the settings allow it then. The
-//! managers are complete ones on loopback sockets, in one runtime with paused time; the fake engine counts what reaches
-//! it. Clients ask for far more than it may get.
+//! Guarantee: twenty to thirty managers together keep the slow-start budget of an engine. An engine
+//! that is warming up is overloaded if it gets more than N + 2 sqrt(N) + 2 requests of mean work
+//! within the overload window of the settings. N is the number of requests that the settings allow
+//! in that window.
+//!
+//! The managers are complete ones on loopback sockets, in one runtime with paused time. The fake
+//! engine counts the requests that it receives. Clients send far more than the engine may get.
 
 use crate::fake_engine::{RequestHandler, serve};
 use crate::scene::list_feed::feed_frame;
@@ -19,24 +22,35 @@
 use workload_manager::node::Node;
 use workload_manager::node_config::{NodeConfig, OptionalFronts};
 
-/// The settings of the scene: how long an engine is cold, what it can do at first, and when it is overloaded.
+/// Duration of the slow start in the scene's settings.
 const SLOW_START_MS: f64 = 15_000.0;
+
+/// Share of its cores that an engine can use at the beginning of its slow start.
 const SLOW_START_INITIAL_SHARE: f64 = 0.3;
+
+/// Number of cores of the engine.
 const CORES: f64 = 8.0;
+
+/// Multiple of the engine's present capacity above which it is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
+
+/// Time within which the engine's requests are counted for an overload.
 const OVERLOAD_WINDOW_MS: f64 = 1500.0;
 
-/// The rule blames the notified managers if they sent more than this share of an overload.
+/// An overload counts as a fault of the notified managers if they sent more than this share of it.
 const NOTIFIED_SHARE: f64 = 2.0 / 3.0;
 
-/// Requests that each client keeps open, and how long the engine takes for one.
+/// Number of requests that each client keeps open.
 const OPEN_REQUESTS: u64 = 8;
+
+/// Time that the engine takes to serve a request.
 const SERVICE_TIME: Duration = Duration::from_millis(100);
 
-/// How long the engine is watched: to beyond the half of its cold time, where its budget has grown by a half.
+/// Time during which the engine's requests are counted. It ends after the middle of the slow start,
+/// when the engine's budget has grown by half.
 const TEST_DURATION: Duration = Duration::from_secs(9);
 
-/// Work of the requests, in ms on one core: each tenth of another size.
+/// Work of the requests, in ms on one core. Every tenth request has a different amount of work.
 #[derive(Clone, Copy)]
 struct Mix {
     regular_ms: f64,
@@ -44,6 +58,7 @@
 }
 
 impl Mix {
+    /// Work of the request with this id.
     fn work_ms(self, id: u64) -> f64 {
         if id.is_multiple_of(10) {
             self.tenth_ms
@@ -52,35 +67,36 @@
         }
     }
 
+    /// Mean work of the requests.
     fn mean_work_ms(self) -> f64 {
         (9.0 * self.regular_ms + self.tenth_ms) / 10.0
     }
 }
 
-/// One request as it reached the engine.
+/// One request that the engine has received.
 struct Arrival {
     at_ms: f64,
     work_ms: f64,
-    /// Whether its manager had been notified of the engine's start.
+    /// Whether the manager that sent the request had been notified of the engine's start.
     notified: bool,
 }
 
-/// Requests that the cold engine got within the last window, and its first overload.
+/// Requests that the engine has received within the latest overload window, and its first overload.
 struct OverloadMeter {
     clock: Clock,
     started_at_ms: f64,
     mix: Mix,
-    /// When each manager was notified of the start, in Unix ms.
+    /// Time at which each manager is notified of the engine's start, in Unix ms.
     notified_at_ms: Vec<f64>,
     arrivals: VecDeque<Arrival>,
-    /// The most that it got, as a share of N.
+    /// Largest number of requests that notified managers sent within a window, as a share of N.
     max_share: f64,
     first_overload: Option<String>,
 }
 
 impl OverloadMeter {
-    /// Requests of mean work that the settings allow in a window from this time on. The engine can do least at its
-    /// beginning.
+    /// Number of requests of mean work that the settings allow in the window that begins at
+    /// `from_ms`. The engine's capacity at the beginning of the window counts, which is the lowest.
     fn allowed_requests(&self, from_ms: f64) -> f64 {
         let elapsed_share = ((from_ms - self.started_at_ms) / SLOW_START_MS).clamp(0.0, 1.0);
         let cores = CORES
@@ -89,20 +105,21 @@
         OVERLOAD_MULTIPLE * cores * OVERLOAD_WINDOW_MS / self.mix.mean_work_ms()
     }
 
+    /// Records a request that the engine has received, and checks its window for an overload.
     fn record_arrival(&mut self, manager: usize, id: u64) {
-        let now_ms = self.clock.now();
-        if now_ms < self.started_at_ms {
+        let at_ms = self.clock.now();
+        if at_ms < self.started_at_ms {
             return;
         }
-        let notified = self.notified_at_ms[manager] <= now_ms;
+        let notified = self.notified_at_ms[manager] <= at_ms;
         self.arrivals.push_back(Arrival {
-            at_ms: now_ms,
+            at_ms,
             work_ms: self.mix.work_ms(id),
             notified,
         });
         while self
             .arrivals
-            .pop_front_if(|first| first.at_ms + OVERLOAD_WINDOW_MS < now_ms)
+            .pop_front_if(|first| first.at_ms + OVERLOAD_WINDOW_MS < at_ms)
             .is_some()
         {}
         let requests = |notified_only: bool| {
@@ -113,21 +130,22 @@
             counted.map(|arrival| arrival.work_ms).sum::<f64>() / self.mix.mean_work_ms()
         };
         let (all, notified) = (requests(false), requests(true));
-        let allowed = self.allowed_requests(now_ms - OVERLOAD_WINDOW_MS);
+        let allowed = self.allowed_requests(at_ms - OVERLOAD_WINDOW_MS);
         let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
         self.max_share = self.max_share.max(notified / allowed);
-        // The notified managers must not overload it alone, and are not to blame if the others sent a large part.
+        // Notified managers must not overload the engine by themselves. An overload to which the
+        // other managers contributed a large part does not count as their fault.
         if notified > limit || all > limit && notified > NOTIFIED_SHARE * all {
-            let elapsed_ms = now_ms - self.started_at_ms;
+            let elapsed_ms = at_ms - self.started_at_ms;
             let text = format!(
-                "{all:.0} requests, {notified:.0} of notified managers, above {limit:.0} after {elapsed_ms:.0} ms"
+                "{all:.0} requests, {notified:.0} of notified managers, limit {limit:.0}, at {elapsed_ms:.0} ms"
             );
             self.first_overload.get_or_insert(text);
         }
     }
 }
 
-/// Counts each request when it has arrived completely.
+/// A request handler that records each request in the meter.
 fn counting_handler(meter: Arc<Mutex<OverloadMeter>>) -> RequestHandler {
     Arc::new(move |label| {
         let (client, id) = label.split_once('.').expect("a label");
@@ -141,7 +159,8 @@
     })
 }
 
-/// Notifies one manager of the engine's start after this time, and sends an empty frame each second.
+/// Serves the discovery feed of one manager. Notifies the manager of the engine's start after the
+/// delay, and sends a heartbeat every second.
 async fn serve_feed(listener: TcpListener, delay: Duration, start_frame: Vec<u8>) {
     let (mut stream, _) = listener.accept().await.expect("accept");
     assert_eq!(stream.read_u64().await.expect("the last event"), 1);
@@ -161,7 +180,7 @@
     }
 }
 
-/// A client that keeps some requests open, and waits after a rejection.
+/// Runs a client that keeps [`OPEN_REQUESTS`] requests open, and waits after a rejection.
 async fn run_client(manager: usize, address: SocketAddr, mix: Mix) {
     let mut client = Client::new(&format!("m{manager}"), address).await;
     let mut last_id = 0;
@@ -179,6 +198,7 @@
     }
 }
 
+/// Sends a request with its work as the estimate.
 async fn send_request(client: &mut Client, id: u64, mix: Mix) {
     let effort = format!("effort={:.1}", mix.work_ms(id));
     client
@@ -189,17 +209,19 @@
         .await;
 }
 
-/// How a fleet of managers sees the engine and itself.
+/// What the managers of a fleet know of its size and of the engine.
 struct FleetSetup {
     /// The number of instances in each manager's configuration.
     instances: Vec<u32>,
-    /// How long after the start each manager is notified of it.
+    /// Time after the engine's start at which each manager is notified of it.
     notified_after: Vec<Duration>,
-    /// Whether they know the engine as one that started long ago.
+    /// Whether the managers' configuration lists the engine already, as one that started long ago.
     engine_was_listed: bool,
 }
 
 impl FleetSetup {
+    /// A fleet of `count` managers that all know its size, and are notified of the engine's start
+    /// without a delay.
     fn identical(count: u32) -> FleetSetup {
         let manager_count = count as usize;
         FleetSetup {
@@ -210,7 +232,9 @@
     }
 }
 
-/// Plays these managers against the engine. Returns the most that the notified ones sent within a window, as a share of N.
+/// Runs the fleet, its clients and the engine, and checks that the engine is not overloaded.
+/// Returns the largest number of requests that notified managers sent within a window, as a share
+/// of N.
 fn run_fleet(fleet: &FleetSetup, mix: Mix) -> f64 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -252,9 +276,11 @@
                 r#"{{"instanceId":"s-00000001","hostPort":"{engine_address}","zone":"hall-a","machineType":"std-8c","weight":1}}"#
             );
             let list_entries = if fleet.engine_was_listed { list_entry.as_str() } else { "" };
-            let endpoint_list = format!(r#"{{"n":1,"members":{{"reset":true,"instances":[{list_entries}]}}}}"#);
+            let endpoint_list =
+                format!(r#"{{"n":1,"members":{{"reset":true,"instances":[{list_entries}]}}}}"#);
             let seed = format!("seed=\"{:016x}\"", ordinal * 7919 + 3);
-            let (instances, ordinal_change) = (format!("nInstances={instances}"), format!("ordinal={ordinal}"));
+            let (instances, ordinal_change) =
+                (format!("nInstances={instances}"), format!("ordinal={ordinal}"));
             let text = apply_changes(
                 &configuration(feed_address, &endpoint_list),
                 &[&instances, &ordinal_change, &seed],
@@ -271,31 +297,39 @@
     })
 }
 
+/// Light requests only.
 const LIGHT: Mix = Mix {
     regular_ms: 50.0,
     tenth_ms: 50.0,
 };
+/// Heavy requests only.
 const HEAVY: Mix = Mix {
     regular_ms: 1500.0,
     tenth_ms: 1500.0,
 };
+/// Light requests, every tenth one heavy.
 const MIXED: Mix = Mix {
     regular_ms: 50.0,
     tenth_ms: 1500.0,
 };
 
-/// All managers are notified of the start at once. They use the budget, too: an engine that gets nothing cannot be overloaded.
+/// All managers are notified of the engine's start at the same time. They also have to use the
+/// budget, as an engine that gets no requests cannot be overloaded.
 #[rstest]
 fn all_managers_together_respect_the_slow_start_budget(
     #[values(20, 30)] count: u32,
     #[values(LIGHT, HEAVY, MIXED)] mix: Mix,
 ) {
     let max_share = run_fleet(&FleetSetup::identical(count), mix);
-    assert!(max_share > 0.3, "{max_share:.2} of what it may get");
+    assert!(
+        max_share > 0.3,
+        "notified managers sent at most {max_share:.2} of the allowed requests"
+    );
 }
 
-/// An engine that all know to be up comes back cold, and managers are notified one after another, up to 4 s later. Those that
-/// were notified are not to blame for an overload.
+/// All managers have the engine in their list when it restarts and warms up. They are notified of
+/// the restart one after another, within 4 s. Those that have been notified must not cause an
+/// overload.
 #[rstest]
 fn managers_notified_at_different_times_respect_the_slow_start_budget(
     #[values(LIGHT, HEAVY, MIXED)] mix: Mix,
@@ -307,11 +341,14 @@
         ..FleetSetup::identical(25)
     };
     let max_share = run_fleet(&fleet, mix);
-    assert!(max_share > 0.3, "{max_share:.2} of what it may get");
+    assert!(
+        max_share > 0.3,
+        "notified managers sent at most {max_share:.2} of the allowed requests"
+    );
 }
 
-/// The fleet grows from twenty to thirty managers, and the older ones have not been notified: their configuration still names
-/// twenty.
+/// The fleet grows from twenty to thirty managers. The older managers have not been notified: their
+/// configuration still has twenty instances.
 #[rstest]
 fn managers_with_different_fleet_sizes_respect_the_slow_start_budget(
     #[values(LIGHT, HEAVY, MIXED)] mix: Mix,
@@ -324,5 +361,8 @@
         },
         mix,
     );
-    assert!(max_share > 0.3, "{max_share:.2} of what it may get");
+    assert!(
+        max_share > 0.3,
+        "notified managers sent at most {max_share:.2} of the allowed requests"
+    );
 }
