--- a/tests/fault_soak/engine.rs
+++ b/tests/fault_soak/engine.rs
@@ -184,7 +184,7 @@
         true
     }
 
-    /// Answers an attempt after a random time, as its plan says.
+    /// Answers an attempt after a random time, according to its plan.
     async fn answer_attempt(self, attempt: Attempt, mut random: SeededRandom) {
         sleep(Duration::from_millis(random.in_range(1, 120))).await;
         if self.rules.is_overlapped(&attempt.label, self.number) {
