--- a/tests/fault_soak/faults.c
+++ b/tests/fault_soak/faults.c
@@ -1,7 +1,7 @@
 /* Fault injection for the program in the soak test: wrappers of system calls that fail in the ways that Linux documents.
  * The library is loaded before the C library (LD_PRELOAD).
  *
- * FAULT_SEED is the seed of the random choices. Waits are interrupted. accept, socket and connect fail now and then.
+ * FAULT_SEED is the seed of the random choices. Waits are interrupted. accept, socket and connect fail at random.
  * Reads and writes on sockets are short. Connections that the program opened break with ETIMEDOUT or EHOSTUNREACH.
  * CLOCK_STEP_S is the number of seconds by which the wall clock is stepped, CLOCK_STEP_AFTER_MS the time of the step in
  * ms after the start; the monotonic clock is not changed. */
--- a/tests/fault_soak/main.rs
+++ b/tests/fault_soak/main.rs
@@ -4,7 +4,7 @@
 //! engines as draining and ready again. The engines and the clients check the rules on attempts and
 //! answers (see `rules`).
 //!
-//! Each seed is one run of some seconds. `SOAK_SEEDS=FIRST-LAST` chooses the seeds; the default is
+//! Each seed is one run of a few seconds. `SOAK_SEEDS=FIRST-LAST` chooses the seeds; the default is
 //! 1 to 12.
 
 #[path = "../scene/mod.rs"]
--- a/tests/fault_soak/rules.rs
+++ b/tests/fault_soak/rules.rs
@@ -224,11 +224,8 @@
                 .iter()
                 .any(|attempt| attempt.end != Some(AttemptEnd::NeverRan));
             let problem = if let Some(result) = answer.strip_prefix("served ") {
-                let was_made = request
-                    .results
-                    .iter()
-                    .any(|made_result| made_result == result);
-                (!was_made).then_some("served with a result that no engine produced for it")
+                let was_produced = request.results.iter().any(|produced| produced == result);
+                (!was_produced).then_some("served with a result that no engine produced for it")
             } else if answer.starts_with("Overloaded") && request.non_idempotent && may_have_run {
                 Some("rejected although it may have run")
             } else {
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -15,8 +15,8 @@
 //!
 //! Evidence: in the incident, each of these pairs was sent within 1 ms to the engine of the
 //! previous attempt, 0 to 2 ms after that attempt had ended well. The engine was ejected for errors
-//! that it had not returned. At log level `debug`, a reproduction shows two lines `answer without a
-//! result` on one connection where the engine meant one answer for each attempt.
+//! that it had not returned. At log level `debug`, a reproduction shows two lines
+//! `answer without a result` on one connection where the engine meant one answer for each attempt.
 
 #[allow(dead_code)] // uses the scene's manager process and clients, but not its scripts
 mod scene;
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -209,7 +209,7 @@
         .await;
 }
 
-/// What the managers of a fleet know of its size and of the engine.
+/// The configuration of a fleet's managers, and the times at which they are notified of the engine.
 struct FleetSetup {
     /// The number of instances in each manager's configuration.
     instances: Vec<u32>,
@@ -220,8 +220,8 @@
 }
 
 impl FleetSetup {
-    /// A fleet of `count` managers that all know its size, and are notified of the engine's start
-    /// without a delay.
+    /// A fleet of `count` managers that all have its size in their configuration, and are notified
+    /// of the engine's start without a delay.
     fn identical(count: u32) -> FleetSetup {
         let manager_count = count as usize;
         FleetSetup {
