--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -79,7 +79,9 @@
         rate: f64,
         duration: Duration,
     ) -> Result<OfferedStatements, ScaleError> {
-        self.run_round(duration, |elapsed, sent, _| (rate * elapsed) as u64 - sent)
+        self.run_round(duration, |elapsed, due_before, _| {
+            (rate * elapsed) as u64 - due_before
+        })
     }
 
     /// Keeps this many statements open for this duration, and waits for their answers.
--- a/benches/scale/decision.rs
+++ b/benches/scale/decision.rs
@@ -26,7 +26,7 @@
 const SERVICE_TIME_MS: Millis = 8.0;
 
 /// How much is measured at each size.
-struct RunLength {
+struct RunPlan {
     rounds: usize,
     warm_up_requests: u32,
     requests: u32,
@@ -34,13 +34,13 @@
     max_duration: Duration,
 }
 
-const FULL_RUN: RunLength = RunLength {
+const FULL_RUN: RunPlan = RunPlan {
     rounds: 5,
     warm_up_requests: 500,
     requests: 4_000,
     max_duration: Duration::from_secs(15),
 };
-const SMALL_RUN: RunLength = RunLength {
+const SMALL_RUN: RunPlan = RunPlan {
     rounds: 1,
     warm_up_requests: 50,
     requests: 500,
@@ -74,7 +74,7 @@
 
 /// Measures all sizes, and predicts the figures of the largest from the others.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
-    let run_length = if options.small { &SMALL_RUN } else { &FULL_RUN };
+    let run_plan = if options.small { &SMALL_RUN } else { &FULL_RUN };
     let sizes = options.list_sizes();
     let (mut requests, mut ticks): (Vec<Point>, Vec<Point>) = (Vec::new(), Vec::new());
     let figure = |figure| Figure {
@@ -90,7 +90,7 @@
             let tick = Prediction::write(output, figure("us_tick"), &ticks, size)?;
             predictions = Some((request, tick));
         }
-        let row = measure(options, run_length, listed);
+        let row = measure(options, run_plan, listed);
         output.row(&row)?;
         requests.push((size, row.us_request));
         ticks.push((size, row.us_tick));
@@ -110,13 +110,13 @@
     bench.tick_time.mean_us()
 }
 
-fn measure(options: &Options, run_length: &RunLength, listed: usize) -> DecisionRow {
+fn measure(options: &Options, run_plan: &RunPlan, listed: usize) -> DecisionRow {
     let mut benches: Vec<DecisionBench> = Vec::new();
-    for round in 0..run_length.rounds {
+    for round in 0..run_plan.rounds {
         let mut bench = DecisionBench::new(options, listed, round as u64);
-        bench.run_requests(run_length.warm_up_requests, run_length.max_duration);
+        bench.run_requests(run_plan.warm_up_requests, run_plan.max_duration);
         (bench.request_time, bench.tick_time) = Default::default();
-        bench.run_requests(run_length.requests, run_length.max_duration);
+        bench.run_requests(run_plan.requests, run_plan.max_duration);
         benches.push(bench);
     }
     let sum_metric =
@@ -133,7 +133,7 @@
         us_tick: tick.median,
         us_tick_least: tick.least,
         us_tick_most: tick.most,
-        rounds: run_length.rounds,
+        rounds: run_plan.rounds,
         requests: benches.iter().map(|bench| bench.request_time.count).sum(),
         ticks: benches.iter().map(|bench| bench.tick_time.count).sum(),
         served: sum_metric(|metrics| metrics.requests_served.get()),
--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -24,7 +24,7 @@
 /// Interval of the heartbeats, empty frames that keep an idle connection alive.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const KIND_HEARTBEAT: u8 = 0;
-const KIND_FULL: u8 = 1;
+const KIND_FULL_LIST: u8 = 1;
 const KIND_CHANGES: u8 = 2;
 /// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 4_096;
@@ -37,7 +37,7 @@
 pub(super) fn frame(event: &EndpointListEvent) -> Bytes {
     let kind = match event.kind {
         ListUpdateKind::Delta => KIND_CHANGES,
-        _ => KIND_FULL,
+        _ => KIND_FULL_LIST,
     };
     let mut payload = Vec::with_capacity(event.records.len() * RECORD_BYTES);
     event
--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -13,25 +13,25 @@
 use std::time::{Duration, Instant};
 
 /// Interval of empty frames while their cost is measured, and the maximum time to wait for them.
-const EMPTY_FRAME_INTERVAL: Duration = Duration::from_millis(5);
+const SHORT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// How much is measured at each size.
-struct RunLength {
+struct RunPlan {
     rounds: usize,
     changes: u32,
-    empty_frames: u64,
+    heartbeats: u64,
 }
 
-const FULL_RUN: RunLength = RunLength {
+const FULL_RUN: RunPlan = RunPlan {
     rounds: 5,
     changes: 100,
-    empty_frames: 400,
+    heartbeats: 400,
 };
-const SMALL_RUN: RunLength = RunLength {
+const SMALL_RUN: RunPlan = RunPlan {
     rounds: 1,
     changes: 5,
-    empty_frames: 5,
+    heartbeats: 5,
 };
 
 #[derive(Serialize)]
@@ -62,7 +62,7 @@
 struct Round {
     full_list_us: f64,
     change_us: f64,
-    empty_frame_us: f64,
+    heartbeat_us: f64,
     bytes_whole: u64,
     bytes_change: u64,
     full_list: AppliedEvent,
@@ -72,7 +72,7 @@
 type FigureReader = fn(&CostRow) -> f64;
 
 /// Figures that are fitted by the size of the list.
-const FIGURES: [(&str, FigureReader); 5] = [
+const FITTED_FIGURES: [(&str, FigureReader); 5] = [
     ("us_whole", |row| row.us_whole),
     ("us_change", |row| row.us_change),
     ("bytes_whole", |row| row.bytes_whole as f64),
@@ -88,8 +88,8 @@
     let mut predictions = Vec::new();
     for (index, listed) in sizes.iter().copied().enumerate() {
         if index + 1 == sizes.len() && rows.len() >= 2 {
-            for (name, figure) in FIGURES {
-                let points = points(&rows, figure);
+            for (name, read_figure) in FITTED_FIGURES {
+                let points = points(&rows, read_figure);
                 let prediction = Prediction::write(
                     output,
                     Figure {
@@ -100,13 +100,13 @@
                     &points,
                     listed as f64,
                 )?;
-                predictions.push((prediction, figure));
+                predictions.push((prediction, read_figure));
             }
         }
         let row = measure(options, listed)?;
         output.row(&row)?;
-        for (prediction, figure) in &predictions {
-            prediction.write_error(output, figure(&row))?;
+        for (prediction, read_figure) in &predictions {
+            prediction.write_error(output, read_figure(&row))?;
         }
         rows.push(row);
     }
@@ -115,16 +115,16 @@
     MemoryModel::through(&points(&rows, |row| row.memory_bytes)).ok_or_else(no_line)
 }
 
-fn points(rows: &[CostRow], figure: FigureReader) -> Vec<Point> {
+fn points(rows: &[CostRow], read_figure: FigureReader) -> Vec<Point> {
     rows.iter()
-        .map(|row| (row.size.listed as f64, figure(row)))
+        .map(|row| (row.size.listed as f64, read_figure(row)))
         .collect()
 }
 
 fn measure(options: &Options, listed: usize) -> Result<CostRow, ScaleError> {
-    let run_length = if options.small { &SMALL_RUN } else { &FULL_RUN };
+    let run_plan = if options.small { &SMALL_RUN } else { &FULL_RUN };
     let manager_memory = memory::measure_manager(options, listed)?;
-    let rounds = (0..run_length.rounds).map(|_| measure_round(options, run_length, listed));
+    let rounds = (0..run_plan.rounds).map(|_| measure_round(options, run_plan, listed));
     let rounds = rounds.collect::<Result<Vec<Round>, ScaleError>>()?;
     let median = |figure: fn(&Round) -> f64| {
         let mut all: Vec<f64> = rounds.iter().map(figure).collect();
@@ -138,7 +138,7 @@
         taken_up: first_round.full_list.taken_up,
         us_whole: median(|round| round.full_list_us),
         us_change: median(|round| round.change_us),
-        us_empty_frame: median(|round| round.empty_frame_us),
+        us_empty_frame: median(|round| round.heartbeat_us),
         bytes_whole: first_round.bytes_whole,
         bytes_change: first_round.bytes_change,
         bytes_second_at_rest: FRAME_HEADER_BYTES as f64 / HEARTBEAT_INTERVAL.as_secs_f64(),
@@ -152,11 +152,11 @@
 /// Measures one manager that receives a full list, then changes one by one, then empty frames.
 fn measure_round(
     options: &Options,
-    run_length: &RunLength,
+    run_plan: &RunPlan,
     listed: usize,
 ) -> Result<Round, ScaleError> {
     let list = fleet::full_list(1, listed);
-    let feed = Feed::start(&list, EMPTY_FRAME_INTERVAL)?;
+    let feed = Feed::start(&list, SHORT_HEARTBEAT_INTERVAL)?;
     let plan = ManagerPlan {
         instances: options.managers,
         memory_mb: options.memory_mb,
@@ -166,18 +166,18 @@
     let group = ManagerGroup::start(&plan, 1)?;
     let full_list = group.await_event(1)?[0];
     let before = group.usage()?;
-    for change in 0..run_length.changes {
+    for change in 0..run_plan.changes {
         let event = fleet::replacement(u64::from(change) + 2, change, listed as u32 + change, 0.0);
         feed.publish(&event);
         group.await_event(event.number)?;
     }
     let changes_time = group.usage()? - before;
-    let empty_frame_us = measure_empty_frames(&feed, &group, run_length)?;
-    let change_us = changes_time.as_secs_f64() * 1e6 / f64::from(run_length.changes);
+    let heartbeat_us = measure_heartbeats(&feed, &group, run_plan)?;
+    let change_us = changes_time.as_secs_f64() * 1e6 / f64::from(run_plan.changes);
     Ok(Round {
         full_list_us: full_list.processor_time.as_secs_f64() * 1e6,
         change_us,
-        empty_frame_us,
+        heartbeat_us,
         bytes_whole: frame(&list).len() as u64,
         bytes_change: frame(&fleet::replacement(2, 0, listed as u32, 0.0)).len() as u64,
         full_list,
@@ -185,24 +185,24 @@
 }
 
 /// Processor time of the manager for one empty frame, in microseconds.
-fn measure_empty_frames(
+fn measure_heartbeats(
     feed: &Feed,
     group: &ManagerGroup,
-    run_length: &RunLength,
+    run_plan: &RunPlan,
 ) -> Result<f64, ScaleError> {
     let deadline = Instant::now() + MAX_WAIT;
     let (frames_before, time_before) = (feed.totals().frames, group.usage()?);
-    while feed.totals().frames < frames_before + run_length.empty_frames {
+    while feed.totals().frames < frames_before + run_plan.heartbeats {
         if Instant::now() > deadline {
             return Err(ScaleError::CheckFailed(
-                "the feed did not write enough empty frames in time".to_owned(),
+                "the feed did not write enough heartbeats in time".to_owned(),
             ));
         }
-        std::thread::sleep(EMPTY_FRAME_INTERVAL);
+        std::thread::sleep(SHORT_HEARTBEAT_INTERVAL);
     }
-    let (frames_passed, spent) = (
+    let (frames_written, spent) = (
         feed.totals().frames - frames_before,
         group.usage()? - time_before,
     );
-    Ok(spent.as_secs_f64() * 1e6 / frames_passed as f64)
+    Ok(spent.as_secs_f64() * 1e6 / frames_written as f64)
 }
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -24,12 +24,12 @@
 const CONTROL_BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
 /// Configuration changes per minute: 33,000 a day.
 const NEEDED_RELOADS_PER_MINUTE: f64 = 33_000.0 / (24.0 * 60.0);
-const MEGABYTE: f64 = 1e6;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
 
 /// How much is measured at each size. Reloads run in blocks, and the idle process is measured
 /// before each block, so that a machine that becomes slower or faster during the run affects both
 /// alike.
-struct RunLength {
+struct RunPlan {
     blocks: usize,
     reloads_in_block: usize,
     idle_time: Duration,
@@ -37,13 +37,13 @@
     settle_time: Duration,
 }
 
-const FULL_RUN: RunLength = RunLength {
+const FULL_RUN: RunPlan = RunPlan {
     blocks: 20,
     reloads_in_block: 10,
     idle_time: Duration::from_secs(1),
     settle_time: Duration::from_millis(20),
 };
-const SMALL_RUN: RunLength = RunLength {
+const SMALL_RUN: RunPlan = RunPlan {
     blocks: 2,
     reloads_in_block: 2,
     idle_time: Duration::from_millis(50),
@@ -249,14 +249,14 @@
     form: ConfigurationForm,
     value: &Value,
 ) -> Result<ReloadRow, ScaleError> {
-    let run_length = if options.small { SMALL_RUN } else { FULL_RUN };
+    let run_plan = if options.small { SMALL_RUN } else { FULL_RUN };
     let files = ConfigurationSeries::new(value, form.last_class());
     let counters_before = read_reload_counters(manager)?;
     manager.reset_peak()?;
     let memory_before = manager.memory()?;
     let mut blocks = Vec::new();
-    for _ in 0..run_length.blocks {
-        blocks.push(ReloadBlock::measure(manager, &files, &run_length)?);
+    for _ in 0..run_plan.blocks {
+        blocks.push(ReloadBlock::measure(manager, &files, &run_plan)?);
     }
     let memory_after = manager.memory()?;
     let mut reload_times: Vec<Duration> = blocks
@@ -290,10 +290,10 @@
         ms_reload_error: rounded(standard_error * 1000.0),
         ms_in_force: milliseconds(reload_times.get(reload_times.len() / 2)),
         ms_in_force_most: milliseconds(reload_times.last()),
-        mb_before: rounded(memory_before.resident as f64 / MEGABYTE),
-        mb_after: rounded(memory_after.resident as f64 / MEGABYTE),
+        mb_before: rounded(memory_before.resident as f64 / BYTES_PER_MEGABYTE),
+        mb_after: rounded(memory_after.resident as f64 / BYTES_PER_MEGABYTE),
         mb_peak_above: rounded(
-            memory_after.peak.saturating_sub(memory_before.resident) as f64 / MEGABYTE,
+            memory_after.peak.saturating_sub(memory_before.resident) as f64 / BYTES_PER_MEGABYTE,
         ),
         percent_core_at_rest: rounded(idle_share * 100.0),
         per_minute_by_core: rounded(by_core),
@@ -317,15 +317,15 @@
     fn measure(
         manager: &ManagerProcess,
         files: &ConfigurationSeries,
-        run_length: &RunLength,
+        run_plan: &RunPlan,
     ) -> Result<ReloadBlock, ScaleError> {
-        let idle_share = idle_core_share(manager, run_length.idle_time)?;
+        let idle_share = idle_core_share(manager, run_plan.idle_time)?;
         let (started, processor_time) = (Instant::now(), manager.processor_time()?);
         let mut reload_times = Vec::new();
-        for n in 0..run_length.reloads_in_block {
+        for n in 0..run_plan.reloads_in_block {
             manager.configure(files.nth(n))?;
             reload_times.push(manager.reload()?);
-            thread::sleep(run_length.settle_time);
+            thread::sleep(run_plan.settle_time);
         }
         let processor_time = manager.processor_time()? - processor_time;
         Ok(ReloadBlock {
@@ -360,18 +360,18 @@
     manager: &ManagerProcess,
     files: &ConfigurationSeries,
     form: ConfigurationForm,
-    (before, played): (ReloadCounters, usize),
+    (before, reloads): (ReloadCounters, usize),
 ) -> Result<(), ScaleError> {
     let now = read_reload_counters(manager)?;
-    if now.used != before.used + played as u64 || now.rejected != before.rejected {
+    if now.applied != before.applied + reloads as u64 || now.rejected != before.rejected {
         return Err(ScaleError::CheckFailed(format!(
-            "{TEST}: {played} reloads changed the counters from {before:?} to {now:?}"
+            "{TEST}: {reloads} reloads changed the counters from {before:?} to {now:?}"
         )));
     }
-    let known_before = manager.has_class_counter(form.last_class())?;
+    let had_class_counter = manager.has_class_counter(form.last_class())?;
     manager.configure(files.last())?;
     manager.reload()?;
-    if known_before || !manager.has_class_counter(form.last_class())? {
+    if had_class_counter || !manager.has_class_counter(form.last_class())? {
         return Err(ScaleError::CheckFailed(format!(
             "{TEST}: the last configuration of {form:?} is not in force"
         )));
@@ -382,7 +382,7 @@
 /// Counters of the process: configurations reloaded and rejected.
 #[derive(Clone, Copy, Debug)]
 struct ReloadCounters {
-    used: u64,
+    applied: u64,
     rejected: u64,
 }
 
@@ -390,7 +390,7 @@
     let counters = manager.counters()?;
     let count = |name| counters.get(name).copied().unwrap_or_default();
     Ok(ReloadCounters {
-        used: count("reloads"),
+        applied: count("reloads"),
         rejected: count("reloads_rejected"),
     })
 }
