--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -28,13 +28,13 @@
 /// clients, and an eighth of these is reserved for connections that are about to close. That leaves
 /// 2,351 client connections.
 const SOCKETS: usize = 5_632;
-const LISTED: [usize; 5] = [80, 1_024, 4_096, 10_000, 22_000];
-const LISTED_SMALL: [usize; 4] = [16, 32, 64, 128];
+const LIST_SIZES: [usize; 5] = [80, 1_024, 4_096, 10_000, 22_000];
+const LIST_SIZES_SMALL: [usize; 4] = [16, 32, 64, 128];
 /// Rates of the rounds, as fractions of the rate that one core can serve.
-const RATE_FRACTIONS: [f64; 3] = [USUAL_RATE_FRACTION, 0.5, 1.0];
+const RATE_FRACTIONS: [f64; 3] = [MODERATE_RATE_FRACTION, 0.5, 1.0];
 /// The cost of a statement is taken from the round at this fraction. It does not overload the
 /// process, although a single statement costs more than one of many that are open together.
-const USUAL_RATE_FRACTION: f64 = 0.25;
+const MODERATE_RATE_FRACTION: f64 = 0.25;
 /// Statements that are kept open while the rate that one core can serve is measured.
 const SATURATED_OPEN_STATEMENTS: u64 = 128;
 /// Bytes that a manager writes to the list feed for each connection. It writes nothing else.
@@ -62,7 +62,7 @@
     settle_time: Duration,
 }
 
-const LARGEST: RunPlan = RunPlan {
+const LARGEST_RUN: RunPlan = RunPlan {
     rest_duration: Duration::from_secs(60),
     churn_duration: Duration::from_secs(60),
     replacement_rate: None,
@@ -72,16 +72,16 @@
     idle_connections: &[100, 500, 1_000, 2_351],
     settle_time: SETTLE_TIME,
 };
-const SMALLER: RunPlan = RunPlan {
+const SMALLER_RUN: RunPlan = RunPlan {
     rest_duration: Duration::from_secs(10),
     churn_duration: Duration::from_secs(10),
     saturated_duration: Some(Duration::from_secs(5)),
     round_duration: Duration::from_secs(10),
     round_connections: &[2_351],
     idle_connections: &[2_351],
-    ..LARGEST
+    ..LARGEST_RUN
 };
-const SMALL: RunPlan = RunPlan {
+const SMALL_RUN: RunPlan = RunPlan {
     rest_duration: Duration::from_millis(100),
     churn_duration: Duration::from_millis(200),
     replacement_rate: Some(churn::ReplacementRate {
@@ -94,10 +94,10 @@
     idle_connections: &[8],
     settle_time: Duration::from_millis(10),
 };
-const SMALL_LARGEST: RunPlan = RunPlan {
+const SMALL_LARGEST_RUN: RunPlan = RunPlan {
     round_connections: &[2, 8],
     idle_connections: &[2, 4, 6, 8],
-    ..SMALL
+    ..SMALL_RUN
 };
 /// Rate that one core is assumed to serve in the small case, which does not measure it.
 const SMALL_STATEMENTS_PER_SECOND: f64 = 200.0;
@@ -105,14 +105,14 @@
 /// Runs all sizes but the largest. The figures of the largest size are predicted as soon as its
 /// manager reports how many engines it has taken up, and then measured.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<(), ScaleError> {
-    let sizes = options.list_sizes_or(&LISTED, &LISTED_SMALL);
+    let sizes = options.list_sizes_or(&LIST_SIZES, &LIST_SIZES_SMALL);
     let Some((largest, smaller)) = sizes.split_last() else {
         return Ok(());
     };
     let (smaller_plan, largest_plan) = if options.small {
-        (SMALL, SMALL_LARGEST)
+        (SMALL_RUN, SMALL_LARGEST_RUN)
     } else {
-        (SMALLER, LARGEST)
+        (SMALLER_RUN, LARGEST_RUN)
     };
     let mut rows = Vec::new();
     for listed in smaller {
@@ -317,7 +317,7 @@
         churn: &Churn,
         control_core: f64,
     ) -> Result<Rounds, ScaleError> {
-        let (mut usual, mut saturated) = (None, None);
+        let (mut moderate, mut saturated) = (None, None);
         for connections in self.plan.round_connections {
             let attainable_rate = match &saturated {
                 None => self.measure_saturated(
@@ -339,17 +339,20 @@
                 let row = self.run_round(output, churn, round, control_core, |clients| {
                     clients.offer(rate, duration)
                 })?;
-                usual = if rate_fraction == USUAL_RATE_FRACTION {
+                moderate = if rate_fraction == MODERATE_RATE_FRACTION {
                     Some(row)
                 } else {
-                    usual
+                    moderate
                 };
             }
         }
-        let usual = usual.ok_or_else(|| {
-            ScaleError::CheckFailed(format!("{TEST}: no round ran at the usual rate"))
+        let moderate = moderate.ok_or_else(|| {
+            ScaleError::CheckFailed(format!("{TEST}: no round ran at the moderate rate"))
         })?;
-        Ok(Rounds { usual, saturated })
+        Ok(Rounds {
+            moderate,
+            saturated,
+        })
     }
 
     /// Measures how many statements per second one core serves, limited to the rate that clients
@@ -394,10 +397,10 @@
         self.manager
             .await_counter("client_connections_open", round.connections as u64)?;
         self.manager.reset_peak()?;
-        let (engines_before, taken) = (self.engines.totals(), self.accepted_requests()?);
+        let (engines_before, accepted_before) = (self.engines.totals(), self.accepted_requests()?);
         let (offered, cost) = self.measure_cost(Some(churn), || offer(&mut clients))?;
         let (engines_after, memory) = (self.engines.totals(), self.manager.memory()?);
-        let taken = self.accepted_requests()? - taken;
+        let taken = self.accepted_requests()? - accepted_before;
         drop(clients);
         // The clients of the open requests are gone. Waiting for their end lets the next round
         // start with no open requests.
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -325,7 +325,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Rounds {
     /// The last round at a quarter of the rate that one core can serve.
-    pub usual: StatementsRow,
+    pub moderate: StatementsRow,
     /// The round that measured the rate that one core can serve.
     pub saturated: Option<StatementsRow>,
 }
@@ -368,7 +368,10 @@
     /// Summary of control and all rounds.
     pub(super) fn new(
         deployment: &Deployment,
-        Rounds { usual, saturated }: &Rounds,
+        Rounds {
+            moderate,
+            saturated,
+        }: &Rounds,
         control: &ControlRow,
         mb_before_clients: f64,
     ) -> SummaryRow {
@@ -382,14 +385,14 @@
         SummaryRow {
             size: deployment.size(Phase::Summary),
             deployment: *deployment,
-            connections: usual.connections,
+            connections: moderate.connections,
             needed_per_second: fleet::STATEMENTS_PER_SECOND,
             most_per_second,
             us_statement_saturated,
-            us_statement_usual: usual.us_statement,
+            us_statement_usual: moderate.us_statement,
             percent_core_control: control.percent_core,
             mb_before_clients,
-            cores_needed: cores_at(usual.us_statement),
+            cores_needed: cores_at(moderate.us_statement),
             cores_needed_saturated: us_statement_saturated.map(cores_at),
             fits: most_per_second.is_some_and(|rate| rate >= fleet::STATEMENTS_PER_SECOND),
         }
