--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -222,14 +222,14 @@
         .iter()
         .flat_map(SubsetEngines::keys)
         .for_each(|id| *holders.entry(*id).or_default() += 1);
-    let places: usize = sizes.iter().sum();
-    let holders_mean = places as f64 / listed as f64;
+    let member_count: usize = sizes.iter().sum();
+    let holders_mean = member_count as f64 / listed as f64;
     let holders_most = holders.values().copied().max().unwrap_or_default();
-    let parts = zone_parts(&fleet.subsets, listed);
+    let ratios = zone_share_ratios(&fleet.subsets, listed);
     BalanceRow {
         size: fleet.size("balance", listed),
         engines_least: sizes.iter().copied().min().unwrap_or_default(),
-        engines_mean: rounded(places as f64 / f64::from(fleet.managers)),
+        engines_mean: rounded(member_count as f64 / f64::from(fleet.managers)),
         engines_most: sizes.iter().copied().max().unwrap_or_default(),
         holders_least: holders.values().copied().min().unwrap_or_default(),
         holders_mean: rounded(holders_mean),
@@ -237,22 +237,22 @@
         most_to_mean: rounded(holders_most as f64 / holders_mean),
         without: holders.values().filter(|n| **n == 0).count(),
         zone_part_p99: rounded(
-            parts
-                .get(parts.len() * 99 / 100)
+            ratios
+                .get(ratios.len() * 99 / 100)
                 .copied()
                 .unwrap_or_default(),
         ),
-        zone_part_most: rounded(parts.last().copied().unwrap_or_default()),
+        zone_part_most: rounded(ratios.last().copied().unwrap_or_default()),
         us_change: rounded(change_us(&fleet, listed)),
     }
 }
 
 /// For every zone and every subset, the zone's share of the subset divided by its share of the
 /// list, ascending.
-fn zone_parts(subsets: &[SubsetEngines], listed: usize) -> Vec<f64> {
+fn zone_share_ratios(subsets: &[SubsetEngines], listed: usize) -> Vec<f64> {
     let mut of_list = [0.0; fleet::ZONES];
     (0..listed).for_each(|id| of_list[usize::from(zone_of(id))] += 1.0 / listed as f64);
-    let mut parts = Vec::new();
+    let mut ratios = Vec::new();
     for members in subsets {
         let mut of_subset = [0.0; fleet::ZONES];
         for engine in members.keys() {
@@ -262,10 +262,12 @@
             .iter()
             .zip(&of_list)
             .filter(|(_, of_list)| **of_list > 0.0);
-        parts.extend(zones.map(|(places, of_list)| places / members.len() as f64 / of_list));
+        ratios.extend(
+            zones.map(|(member_count, of_list)| member_count / members.len() as f64 / of_list),
+        );
     }
-    parts.sort_by(f64::total_cmp);
-    parts
+    ratios.sort_by(f64::total_cmp);
+    ratios
 }
 
 /// Processor time of a change of the list at one manager, in microseconds.
@@ -400,7 +402,7 @@
         fleet.subsets[0]
             .values()
             .next()
-            .map_or(0, |holders| holders.max_managers)
+            .map_or(0, |sharing| sharing.max_managers)
     };
     let mut row = DifferingListsRow {
         size: whole.size("views", listed),
@@ -431,25 +433,26 @@
 /// maximum number of managers that may send to it at the same time. Each manager has one entry per
 /// list.
 fn budget_shares(managers: &[[Option<&EngineSharing>; 2]], salt: usize) -> (f64, f64, usize) {
-    let share = |holders: &Option<&EngineSharing>| {
-        holders.map_or(0.0, |sharing| 1.0 / f64::from(sharing.max_managers))
+    let share = |entry: &Option<&EngineSharing>| {
+        entry.map_or(0.0, |sharing| 1.0 / f64::from(sharing.max_managers))
     };
     let worst = managers
         .iter()
-        .map(|views| share(&views[0]).max(share(&views[1])))
+        .map(|entries| share(&entries[0]).max(share(&entries[1])))
         .sum();
     let pick = |index: usize| (index.wrapping_mul(2_654_435_761) >> 7) + salt;
     let by_chance = managers
         .iter()
         .enumerate()
-        .map(|(index, views)| share(&views[pick(index) % 2]))
+        .map(|(index, entries)| share(&entries[pick(index) % 2]))
         .sum();
-    let count_senders = |turn: u32| {
-        let may_send =
-            |holders: &EngineSharing| (turn + holders.rank) % holders.max_managers < MAX_SENDERS;
+    let count_senders = |position: u32| {
+        let may_send = |sharing: &EngineSharing| {
+            (position + sharing.rank) % sharing.max_managers < MAX_SENDERS
+        };
         managers
             .iter()
-            .filter(|views| views.iter().flatten().any(|holders| may_send(holders)))
+            .filter(|entries| entries.iter().flatten().any(|sharing| may_send(sharing)))
             .count()
     };
     (
