--- a/benches/scale/list_capacity.rs
+++ b/benches/scale/list_capacity.rs
@@ -17,6 +17,7 @@
 /// Maximum number of cores for the managers' ticks. Above it the managers run no timers, and the
 /// row shows this in `ticks`.
 const MAX_TICK_CORES: f64 = 2.0;
+/// Interval of a manager's timer ticks, in microseconds.
 const TICK_INTERVAL_US: f64 = 50_000.0;
 
 /// Resident memory of an in-process manager, by the number of listed engines.
@@ -47,7 +48,7 @@
     }
     let gigabytes = bytes / 1e9;
     let why =
-        format!("needs {gigabytes:.1} GB by the measured memory of a manager; the limit is 9 GB");
+        format!("takes {gigabytes:.1} GB by the measured memory of a manager; this test has 9");
     output.row(&LeftOut {
         size: Size::left_out(TEST, "change", listed, managers),
         why: &why,
