--- a/benches/scale/churn.rs
+++ b/benches/scale/churn.rs
@@ -23,7 +23,7 @@
 /// Distance in the list between two engines that are replaced one after the other.
 const INDEX_STRIDE: usize = 7_919;
 
-/// How often engines are replaced, and how many at most.
+/// How often engines are replaced, and the maximum number of replacements.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplacementRate {
     /// Time from the start of one replacement to the start of the next.
@@ -125,13 +125,19 @@
     }
 }
 
-/// The endpoint list as last published, and the number of its last event.
+/// Replaces the engines of an endpoint list one after another, and creates the events.
 struct RollingReplacement {
+    /// Engines that are ready.
     listed: Vec<EngineRecord>,
+    /// Port of every engine.
     port: u16,
+    /// Position in `listed` of the engine that is replaced next.
     next_index: usize,
+    /// Index from which the next successor gets its id.
     next_engine_index: u32,
+    /// Number of the last event.
     last_event: u64,
+    /// The engine that was replaced last, until its removal.
     draining: Option<EngineRecord>,
 }
 
--- a/benches/scale/clients.rs
+++ b/benches/scale/clients.rs
@@ -50,7 +50,9 @@
 
 /// The handle of one connection's task.
 struct Connection {
+    /// Each message makes the task send one statement.
     calls: mpsc::UnboundedSender<()>,
+    /// Statements that are assigned to the connection and have no answer.
     open_count: Arc<AtomicUsize>,
 }
 
@@ -73,7 +75,8 @@
         })
     }
 
-    /// Sends statements at this rate per second for this duration, and waits for their answers.
+    /// Sends statements at this rate, in statements per second, for this duration, and waits for
+    /// their answers.
     pub(super) fn offer(
         &mut self,
         rate: f64,
--- a/benches/scale/engines.rs
+++ b/benches/scale/engines.rs
@@ -21,6 +21,7 @@
     " served batches=1,cpu=10,used=8,l=inflight:4;util:0.5 6\r\na\tb\tc\n\r\n";
 /// Interface that the listener is bound to, so that other machines cannot reach it.
 const LOOPBACK_INTERFACE: &[u8] = b"lo";
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 4_096;
 /// Limit of a statement's length in bytes; the statements of the tests are far shorter.
 const MAX_STATEMENT_BYTES: usize = 64 * 1024;
@@ -127,7 +128,8 @@
     }
 }
 
-/// Serves one connection until the manager closes it, or until a statement is malformed or too long.
+/// Serves one connection until the manager closes it, or until the length of a statement is
+/// malformed or too large.
 async fn serve_connection(stream: TcpStream, counters: Arc<EngineCounters>) {
     let _ = stream.set_nodelay(true);
     let engine = stream.local_addr().map(|address| address.ip());
--- a/benches/scale/feed.rs
+++ b/benches/scale/feed.rs
@@ -1,5 +1,5 @@
-//! A list feed that sends the published binary frames. It runs on its own thread, so that its
-//! processor time is measured apart from that of its followers.
+//! A fake discovery feed that sends the published binary frames. It runs on its own thread, so that
+//! its processor time is measured apart from that of its followers, the managers.
 
 use super::row::ScaleError;
 use super::server_load::{Load, ServerTotals, Timeline};
@@ -246,7 +246,7 @@
         })
     }
 
-    /// Processor time of the feed's thread. Waits for a sample at or after `not_before`.
+    /// Processor time of the feed's thread so far. Waits for a sample at or after `not_before`.
     pub(super) fn processor_time(&self, not_before: Instant) -> Result<Duration, ScaleError> {
         self.await_sample(not_before)?;
         Ok(lock(&self.shared.timeline).processor_time())
--- a/benches/scale/in_process_manager.rs
+++ b/benches/scale/in_process_manager.rs
@@ -24,11 +24,11 @@
 /// Configuration of an in-process manager.
 #[derive(Clone, Debug)]
 pub(super) struct ManagerPlan {
-    /// Managers of the fleet, as given in the settings.
+    /// Number of managers in the fleet, as given in the settings.
     pub instances: u32,
     /// Memory that each manager may use, in MB.
     pub memory_mb: usize,
-    /// Address of the list feed.
+    /// Address of the discovery feed.
     pub feed: SocketAddr,
     /// Whether the core is started and its timers run.
     pub ticks: bool,
@@ -68,9 +68,9 @@
     pub applied_at: Instant,
     /// Processor time of the manager's thread since the manager was created.
     pub processor_time: Duration,
-    /// Engines that the event removes: they get no more attempts.
+    /// Number of engines that the event removes: they get no more attempts.
     pub removed_count: usize,
-    /// Engines that the event lists as ready: they may get attempts.
+    /// Number of engines that the event lists as ready: they may get attempts.
     pub ready_count: usize,
     /// Numbers of engines that the manager has taken up.
     pub taken_up: RosterSize,
@@ -79,14 +79,14 @@
 /// Numbers of engines that a core has taken up.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct RosterSize {
-    /// Engines of the roster.
+    /// Engines that the roster has taken up.
     known: usize,
-    /// Engines of the dispatcher.
+    /// Engines among them that the dispatcher has.
     heard: usize,
 }
 
 impl RosterSize {
-    /// The numbers of this core, which counts in these metrics.
+    /// The numbers of this core, whose metrics these are.
     pub(super) fn of(core: &Core<RecordingEngines>, metrics: &Metrics) -> RosterSize {
         RosterSize {
             known: metrics.engines.get() as usize,
--- a/benches/scale/list_cost.rs
+++ b/benches/scale/list_cost.rs
@@ -12,8 +12,9 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Interval of empty frames while their cost is measured, and the maximum time to wait for them.
+/// Interval of the heartbeats, which are empty frames, while their cost is measured.
 const SHORT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest wait for the heartbeats.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// How much is measured at each size.
@@ -42,13 +43,14 @@
     #[serde(flatten)]
     taken_up: RosterSize,
     /// Processor time of the manager (feed reader, roster and dispatcher) in microseconds, as
-    /// medians over the rounds.
+    /// medians over the rounds: for the full list, for one change and for one heartbeat.
     us_whole: f64,
     us_change: f64,
     us_empty_frame: f64,
+    /// Bytes of the frame with the full list, and of the frame with one change.
     bytes_whole: u64,
     bytes_change: u64,
-    /// Bytes per second that one manager receives while nothing changes.
+    /// Bytes of heartbeats per second that one manager receives while nothing changes.
     bytes_second_at_rest: f64,
     /// Resident memory of one in-process manager with its list, the number of managers measured
     /// together for that, and the peak of a single manager while it took up its list.
@@ -71,7 +73,7 @@
 /// Reads a figure from a row.
 type FigureReader = fn(&CostRow) -> f64;
 
-/// Figures that are fitted by the size of the list.
+/// Figures that are fitted as a function of the number of listed engines.
 const FITTED_FIGURES: [(&str, FigureReader); 5] = [
     ("us_whole", |row| row.us_whole),
     ("us_change", |row| row.us_change),
@@ -80,8 +82,8 @@
     ("memory_peak_bytes", |row| row.memory_peak_bytes),
 ];
 
-/// Measures all sizes, predicts the largest from the others, and returns the memory of a manager by
-/// list size.
+/// Measures all sizes, predicts the figures of the largest from the others, and returns the memory
+/// of a manager by list size.
 pub(super) fn run(options: &Options, output: &mut Output) -> Result<MemoryModel, ScaleError> {
     let sizes = options.list_sizes();
     let mut rows: Vec<CostRow> = Vec::new();
@@ -149,7 +151,7 @@
     })
 }
 
-/// Measures one manager that receives a full list, then changes one by one, then empty frames.
+/// Measures one manager that receives a full list, then changes one by one, then heartbeats.
 fn measure_round(
     options: &Options,
     run_plan: &RunPlan,
@@ -184,7 +186,7 @@
     })
 }
 
-/// Processor time of the manager for one empty frame, in microseconds.
+/// Processor time of the manager for one heartbeat, in microseconds.
 fn measure_heartbeats(
     feed: &Feed,
     group: &ManagerGroup,
--- a/benches/scale/list_propagation.rs
+++ b/benches/scale/list_propagation.rs
@@ -22,6 +22,7 @@
 /// Start time of a successor, in ms of Unix time. With any value but 0 the engine is warming up.
 const SUCCESSOR_STARTED_MS: f64 = 1e12;
 
+/// Number of changes made one after another.
 const CHANGES: u32 = 20;
 const CHANGES_SMALL: u32 = 3;
 
@@ -38,8 +39,8 @@
     changes: u32,
     #[serde(flatten)]
     times: LatencySummary,
-    /// Managers that no longer send to the removed engine, and managers that may send to the
-    /// successor: minimum over the changes.
+    /// Number of managers that no longer send to the removed engine, and number of managers that
+    /// may send to its successor: each the minimum over the changes.
     old_ended: usize,
     successor_ready: usize,
     /// Whether the dispatcher's timer ran in each manager, and the cores that the ticks use,
@@ -63,7 +64,9 @@
     /// Time from the start of the first manager until a manager has applied the full list, in ms.
     #[serde(flatten)]
     times: LatencySummary,
+    /// Whether the dispatcher's timer ran in each manager.
     ticks: bool,
+    /// Connections that the feed accepted, and bytes that it sent.
     feed_connections: u64,
     feed_bytes: u64,
     /// Load of the feed until the last manager has applied the full list.
--- a/benches/scale/list_reconnect.rs
+++ b/benches/scale/list_reconnect.rs
@@ -28,8 +28,11 @@
     /// Time from the end of the outage until a manager has applied the missed event, in ms.
     #[serde(flatten)]
     times: LatencySummary,
+    /// Whether the dispatcher's timer ran in each manager.
     ticks: bool,
+    /// Length of the outage, in ms.
     away_ms: f64,
+    /// Connections that the feed accepted after the outage, and bytes that it sent.
     feed_connections: u64,
     feed_bytes: u64,
     /// Load of the feed from the end of the outage until the last manager has applied the missed
--- a/benches/scale/manager.rs
+++ b/benches/scale/manager.rs
@@ -1,7 +1,7 @@
 //! The `manager` test: one real workload manager process with a long endpoint list, churn of that
 //! list, and clients that send statements. It measures the processor time per statement and the
 //! processor time without clients (control), the memory per client connection, and the bytes of the
-//! list feed.
+//! discovery feed.
 
 use super::churn::{self, Churn};
 use super::clients::Clients;
@@ -32,12 +32,13 @@
 const LIST_SIZES_SMALL: [usize; 4] = [16, 32, 64, 128];
 /// Rates of the rounds, as fractions of the rate that one core can serve.
 const RATE_FRACTIONS: [f64; 3] = [MODERATE_RATE_FRACTION, 0.5, 1.0];
-/// The cost of a statement is taken from the round at this fraction. It does not overload the
+/// The cost of a statement is measured in the round at this fraction. It does not overload the
 /// process, although a single statement costs more than one of many that are open together.
 const MODERATE_RATE_FRACTION: f64 = 0.25;
 /// Statements that are kept open while the rate that one core can serve is measured.
 const SATURATED_OPEN_STATEMENTS: u64 = 128;
-/// Bytes that a manager writes to the list feed for each connection. It writes nothing else.
+/// Bytes that a manager writes to the discovery feed for each connection. It writes nothing else to
+/// it.
 const CONNECT_BYTES: u64 = 8;
 /// Wait after which the effects of a new list or of new connections have ended.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
@@ -45,7 +46,9 @@
 /// Durations and numbers of connections for one size of the list.
 #[derive(Clone, Copy)]
 struct RunPlan {
+    /// Duration of the phase without clients and without changes of the list.
     rest_duration: Duration,
+    /// Duration of the phase without clients and with churn of the list.
     churn_duration: Duration,
     /// Rate at which engines are replaced. Without a value, ten ordinary days' replacements are
     /// spread over one day.
@@ -59,9 +62,11 @@
     round_connections: &'static [usize],
     /// Numbers of idle client connections; memory is measured with each of them.
     idle_connections: &'static [usize],
+    /// Wait after a new list and after new connections; see [`SETTLE_TIME`].
     settle_time: Duration,
 }
 
+/// Plan for the largest list.
 const LARGEST_RUN: RunPlan = RunPlan {
     rest_duration: Duration::from_secs(60),
     churn_duration: Duration::from_secs(60),
@@ -72,6 +77,7 @@
     idle_connections: &[100, 500, 1_000, 2_351],
     settle_time: SETTLE_TIME,
 };
+/// Plan for the other lists.
 const SMALLER_RUN: RunPlan = RunPlan {
     rest_duration: Duration::from_secs(10),
     churn_duration: Duration::from_secs(10),
@@ -81,6 +87,7 @@
     idle_connections: &[2_351],
     ..LARGEST_RUN
 };
+/// Plan of the small case for all lists but the largest.
 const SMALL_RUN: RunPlan = RunPlan {
     rest_duration: Duration::from_millis(100),
     churn_duration: Duration::from_millis(200),
@@ -94,6 +101,7 @@
     idle_connections: &[8],
     settle_time: Duration::from_millis(10),
 };
+/// Plan of the small case for the largest list.
 const SMALL_LARGEST_RUN: RunPlan = RunPlan {
     round_connections: &[2, 8],
     idle_connections: &[2, 4, 6, 8],
@@ -137,6 +145,7 @@
     ("mb_before_clients", |row| row.mb_before_clients),
 ];
 
+/// Predicts the fitted figures for a manager that has taken up `known` engines.
 fn predict(
     output: &mut Output,
     rows: &[SummaryRow],
@@ -169,7 +178,7 @@
         .min(fleet::STATEMENTS_PER_SECOND)
 }
 
-/// A manager process with its list feed and engines.
+/// A manager process with its discovery feed and engines.
 struct ManagerBench {
     // Fields are dropped in order: the manager ends before the feed and the engines that it is
     // connected to.
@@ -402,8 +411,8 @@
         let (engines_after, memory) = (self.engines.totals(), self.manager.memory()?);
         let taken = self.accepted_requests()? - accepted_before;
         drop(clients);
-        // The clients of the open requests are gone. Waiting for their end lets the next round
-        // start with no open requests.
+        // All clients have disconnected. The next round starts once the requests that were still
+        // open have ended, so that it starts with no open requests.
         self.manager.await_counter("client_connections_open", 0)?;
         self.manager.await_counter("requests_open", 0)?;
         let totals = RoundTotals {
@@ -431,7 +440,7 @@
         }
     }
 
-    /// Runs an action and measures what its time costs the manager process.
+    /// Runs an action, and measures what the manager process uses while the action runs.
     fn measure_cost<T>(
         &self,
         churn: Option<&Churn>,
@@ -475,8 +484,8 @@
             .unwrap_or_default())
     }
 
-    /// Checks that every event was applied once, and that as many engines are listed as at the
-    /// start.
+    /// Waits until every event has been applied once and as many engines are listed as at the
+    /// start; fails if that does not happen in time.
     fn check_list(&self, events: u64) -> Result<(), ScaleError> {
         self.manager.await_counter("feed_events", events)?;
         self.manager
--- a/benches/scale/manager_rows.rs
+++ b/benches/scale/manager_rows.rs
@@ -1,5 +1,5 @@
-//! Rows of the `manager` test, and the budget that they are compared with. Control is the manager's
-//! work without clients.
+//! Rows of the `manager` test, and the budgets that they are compared with. Control is the work of
+//! the manager without clients.
 
 use super::fleet;
 use super::options::Test;
@@ -22,11 +22,11 @@
     /// Engines in the list.
     #[serde(skip)]
     pub listed: usize,
-    /// Engines that the roster has taken up.
+    /// Number of engines that the roster has taken up.
     pub known: u64,
-    /// Listed engines that wait for a place in the roster.
+    /// Number of listed engines that wait for a place in the roster.
     pub waiting: u64,
-    /// Managers of the fleet, as given in the settings.
+    /// Number of managers in the fleet, as given in the settings.
     #[serde(skip)]
     pub managers: u32,
     /// Memory that the manager may use, in MB.
@@ -80,9 +80,9 @@
     pub processor_time: Duration,
     /// Time that runnable threads of the process waited for a processor while other threads ran.
     pub processor_wait: Duration,
-    /// Bytes that the list feed sent to the manager.
+    /// Bytes that the discovery feed sent to the manager.
     pub feed_sent: u64,
-    /// Bytes that the list feed received from the manager.
+    /// Bytes that the discovery feed received from the manager.
     pub feed_received: u64,
     /// List events that the feed published.
     pub list_events: u64,
@@ -116,11 +116,12 @@
     list_events: u64,
     /// Share of one core, in percent.
     pub percent_core: f64,
+    /// Time that runnable threads waited for a processor, in percent of the duration.
     percent_waited: f64,
     budget_percent_core: f64,
-    /// Bytes that the list feed sent to the manager.
+    /// Bytes that the discovery feed sent to the manager.
     bytes_in_per_second: f64,
-    /// Bytes that the list feed received from the manager.
+    /// Bytes that the discovery feed received from the manager.
     bytes_out_per_second: f64,
     budget_bytes_per_second: f64,
     mb_resident: f64,
@@ -216,6 +217,7 @@
     /// Statements served, divided by the duration of the round.
     pub served_per_second: f64,
     list_events: u64,
+    /// Share of one core, in percent.
     percent_core: f64,
     /// Time that runnable threads waited for a processor, in percent of the duration: the effect of
     /// other load on the machine.
@@ -228,8 +230,10 @@
     engine_connections: u64,
     /// Engines that received a statement since the engines were started.
     engines_used: usize,
+    /// Bytes that engines sent to the manager, and that they received from it.
     engine_bytes_in: u64,
     engine_bytes_out: u64,
+    /// Resident memory after the round, and its peak during the round.
     mb_resident: f64,
     mb_peak: f64,
 }
@@ -338,7 +342,9 @@
     size: Size,
     #[serde(flatten)]
     deployment: Deployment,
+    /// Number of client connections in the round that gives `us_statement_usual`.
     connections: usize,
+    /// Rate that clients offer to one manager of the fleet, in statements per second.
     needed_per_second: f64,
     /// Statements served per second in the saturated round.
     most_per_second: Option<f64>,
@@ -360,7 +366,7 @@
 }
 
 impl SummaryRow {
-    /// Engines that the roster has taken up.
+    /// Number of engines that the roster has taken up.
     pub(super) fn known(&self) -> u64 {
         self.deployment.known
     }
--- a/benches/scale/options.rs
+++ b/benches/scale/options.rs
@@ -13,8 +13,8 @@
     List,
     /// Cost of a configuration reload in a real process, by the number of listed engines.
     Reload,
-    /// Cost of statements, control work and connections in a real process, by the number of listed
-    /// engines.
+    /// Cost of statements, of connections and of the work without clients (control) in a real
+    /// process, by the number of listed engines.
     Manager,
     /// Balance, zones, churn and budget shares of the fleet's engine subsets, by the number of
     /// listed engines.
--- a/benches/scale/reload.rs
+++ b/benches/scale/reload.rs
@@ -14,12 +14,14 @@
 use std::time::{Duration, Instant};
 
 const TEST: &str = Test::Reload.name();
+/// Maximum number of open file descriptors of the manager.
 const SOCKETS: usize = 1_024;
 /// Port of the listed engines. The manager connects to none of them.
 const ENGINE_PORT: u16 = 5_050;
 const LIST_SIZES: [usize; 5] = [100, 1_000, 4_096, 10_000, 22_000];
 const LIST_SIZES_SMALL: [usize; 4] = [10, 20, 40, 80];
-/// Limits on the manager's control work: cores, and bytes per second.
+/// Cores, and bytes per second, that a manager may spend on control, which is its work without
+/// clients.
 const CONTROL_BUDGET_CORES: f64 = 0.012;
 const CONTROL_BUDGET_BYTES_PER_SECOND: f64 = 8_000.0;
 /// Configuration changes per minute: 33,000 a day.
@@ -307,6 +309,7 @@
 struct ReloadBlock {
     /// Share of a core that the process uses while idle.
     idle_share: f64,
+    /// Duration of the reloads and of the pauses after them, and the processor time used meanwhile.
     block_duration: Duration,
     processor_time: Duration,
     /// For each reload, the time from the signal until the settings are in force.
@@ -354,8 +357,8 @@
     (mean, (squares / (count - 1.0) / count).sqrt())
 }
 
-/// Checks that each file of the series was used, and that a last file with an additional class is
-/// in force once it is loaded.
+/// Checks that each file of the series was applied, and that the last file, which contains an
+/// additional class, is in force once it is loaded.
 fn check_in_force(
     manager: &ManagerProcess,
     files: &ConfigurationSeries,
@@ -379,7 +382,7 @@
     Ok(())
 }
 
-/// Counters of the process: configurations reloaded and rejected.
+/// Counters of the process: configurations applied and rejected.
 #[derive(Clone, Copy, Debug)]
 struct ReloadCounters {
     applied: u64,
--- a/benches/scale/server_load.rs
+++ b/benches/scale/server_load.rs
@@ -1,5 +1,5 @@
-//! The load of a server over time: samples of its totals, and the largest load in any window of a
-//! tenth of a second.
+//! The load of a server over time: samples of its totals, and the largest load in any window of
+//! 100 ms.
 
 use super::row::rounded;
 use super::usage;
@@ -14,7 +14,7 @@
 pub(super) struct ServerTotals {
     /// Connections accepted.
     pub connections: u64,
-    /// Frames written, including empty ones.
+    /// Frames written, including heartbeats.
     pub frames: u64,
     /// Bytes written.
     pub bytes: u64,
--- a/benches/scale/statement_counters.rs
+++ b/benches/scale/statement_counters.rs
@@ -23,7 +23,9 @@
     served: AtomicU64,
     refused: AtomicU64,
     failed: AtomicU64,
+    /// Statements whose connection ended before they were answered.
     pub lost: AtomicU64,
+    /// Answers to an unknown message, or further answers to the same one.
     pub stray: AtomicU64,
     pub health_answers: AtomicU64,
     pub bytes_sent: AtomicU64,
--- a/benches/scale/subset.rs
+++ b/benches/scale/subset.rs
@@ -28,7 +28,8 @@
 const SAMPLED_ENGINES: usize = 300;
 /// Maximum number of managers that may send at the same time to an engine that is warming up.
 const MAX_SENDERS: u32 = 3;
-/// Number of positions of the managers' rotation that are checked.
+/// The managers take turns in sending to an engine that is warming up. This many positions of their
+/// rotation are checked.
 const ROTATION_POSITIONS: u32 = 128;
 /// Lowest id of the engines that start later.
 const FIRST_SUCCESSOR_ID: u32 = 1 << 30;
@@ -431,7 +432,7 @@
 
 /// The worst and the pseudo-random sum of the managers' shares of one engine's budget, and the
 /// maximum number of managers that may send to it at the same time. Each manager has one entry per
-/// list.
+/// list, which is `None` if its subset from that list does not contain the engine.
 fn budget_shares(managers: &[[Option<&EngineSharing>; 2]], salt: usize) -> (f64, f64, usize) {
     let share = |entry: &Option<&EngineSharing>| {
         entry.map_or(0.0, |sharing| 1.0 / f64::from(sharing.max_managers))
