--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -125,8 +125,8 @@
             "{row}"
         );
         assert_eq!(row["requests"], 500);
-        // Of the 550 statements, some are in flight at the end: about 37 at 4,595 per second and 8
-        // ms each.
+        // Of the 550 statements, about 37 are in flight at the end, at 4,595 statements per second
+        // and 8 ms for each.
         assert!(
             row["served"]
                 .as_u64()
@@ -251,7 +251,7 @@
         });
     }
     let bytes = numbers(&settings_only, "bytes");
-    assert!(bytes.iter().all(|all| *all == bytes[0]), "{bytes:?}");
+    assert!(bytes.iter().all(|size| *size == bytes[0]), "{bytes:?}");
     // Each engine adds the size of its entry to the file.
     for row in &whole {
         let listed = row["listed"].as_u64().expect("a size");
