--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -62,7 +62,7 @@
 use std::time::{Duration, Instant};
 use workload_manager::node::Node;
 use workload_manager::node_config::{
-    EngineProtocol, FlightFrontConfig, NodeConfig, OptionalFronts, SnmpAgentConfig,
+    EngineProtocol, FlightFrontEndConfig, NodeConfig, OptionalFrontEnds, SnmpAgentConfig,
 };
 use workload_manager::operator_config::{self, OperatorConfig, PlatformConstraints};
 
@@ -153,7 +153,7 @@
             setup.changes,
         );
         let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
-        let front = FlightFrontConfig {
+        let front = FlightFrontEndConfig {
             listen: "127.0.0.1:0".to_owned(),
             engines: protocol,
         };
@@ -161,7 +161,7 @@
             listen: "127.0.0.1:0".to_owned(),
             community: "public".to_owned(),
         };
-        let fronts = OptionalFronts {
+        let fronts = OptionalFrontEnds {
             flight: Some(front),
             snmp: Some(agent),
         };
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -20,7 +20,7 @@
 use tokio::time::{interval, sleep};
 use workload_manager::core::Clock;
 use workload_manager::node::Node;
-use workload_manager::node_config::{NodeConfig, OptionalFronts};
+use workload_manager::node_config::{NodeConfig, OptionalFrontEnds};
 
 /// Duration of the slow start in the scene's settings.
 const SLOW_START_MS: f64 = 15_000.0;
@@ -286,7 +286,7 @@
                 &[&instances, &ordinal_change, &seed],
             );
             let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
-            let node = Node::start(config, OptionalFronts::default()).await.expect("node");
+            let node = Node::start(config, OptionalFrontEnds::default()).await.expect("node");
             tokio::spawn(run_client(ordinal, node.listen, mix));
             nodes.push(node);
         }
