--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -8,7 +8,7 @@
 pub(crate) struct LifecycleState {
     /// Startup is complete: the listeners and the core are running, and the core has an endpoint
     /// list.
-    pub(crate) serving: bool,
+    pub(crate) started: bool,
     /// On-call staff have drained the node, so that clients are asked to leave.
     pub(crate) drained: bool,
     /// A graceful shutdown has begun.
@@ -21,7 +21,7 @@
 impl LifecycleState {
     /// Returns whether the node is ready for new clients. The readiness check reports this value.
     pub(crate) fn is_ready(self) -> bool {
-        self.serving && !self.is_draining()
+        self.started && !self.is_draining()
     }
 
     /// Returns whether clients are asked to leave. Requests that still arrive are served.
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -102,7 +102,7 @@
     let snmp = sockets
         .snmp_agent
         .map(|socket| start_snmp_agent(socket, config.name, &context));
-    context.lifecycle.update(|state| state.serving = true);
+    context.lifecycle.update(|state| state.started = true);
     Ok(Node {
         listen,
         flight,
