--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -241,7 +241,7 @@
     /// When its engine last reported anything about it, in Unix ms.
     pub last_report_ms: Millis,
     /// Its cancellation, or `None` if it is not being cancelled.
-    pub cancelling: Option<Cancellation>,
+    pub cancellation: Option<Cancellation>,
 }
 
 /// The cancellation of an attempt in flight.
@@ -359,7 +359,7 @@
             engine,
             sent_to: sent,
             last_report_ms: sent.sent_at_ms,
-            cancelling: None,
+            cancellation: None,
         });
     }
 
@@ -369,8 +369,8 @@
         let in_flight = self
             .in_flight
             .as_mut()
-            .filter(|attempt| attempt.cancelling.is_none())?;
-        in_flight.cancelling = Some(Cancellation {
+            .filter(|attempt| attempt.cancellation.is_none())?;
+        in_flight.cancellation = Some(Cancellation {
             since_ms: now,
             outcome,
         });
--- a/src/core/attempt_end.rs
+++ b/src/core/attempt_end.rs
@@ -200,7 +200,7 @@
     }
 
     /// Cancels an attempt of an idempotent request if its engine has reported nothing about it for
-    /// `attempt_silence_ms`, for example because the engine's machine failed without resetting its
+    /// `attempt_silence_timeout_ms`, for example because the engine's machine failed without resetting its
     /// connections. Attempts of other requests are not cancelled, because no further attempt may
     /// follow them.
     pub(super) fn check_attempt_silence(
@@ -216,9 +216,9 @@
         let Some(in_flight) = request.history.in_flight_matching(attempt, None) else {
             return;
         };
-        let due = in_flight.last_report_ms + self.limits.attempt_silence_ms;
+        let due = in_flight.last_report_ms + self.limits.attempt_silence_timeout_ms;
         if due > timer_due {
-            self.set_timer(due, Timer::SilenceCheck { id, attempt });
+            self.set_timer(due, Timer::AttemptSilenceCheck { id, attempt });
         } else if request.is_idempotent() {
             self.cancel_in_flight(now, id, Outcome::TimedOut);
         }
@@ -269,7 +269,7 @@
         let Some(in_flight) = request.history.in_flight_matching(attempt, None) else {
             return;
         };
-        let (engine, Some(cancellation)) = (in_flight.engine, in_flight.cancelling) else {
+        let (engine, Some(cancellation)) = (in_flight.engine, in_flight.cancellation) else {
             return;
         };
         if now - cancellation.since_ms < self.limits.cancellation_timeout_ms {
--- a/src/core/attempt_events.rs
+++ b/src/core/attempt_events.rs
@@ -37,13 +37,13 @@
             return;
         };
         in_flight.last_report_ms = now;
-        let cancelling = in_flight.cancelling;
+        let pending_cancellation = in_flight.cancellation;
         match event {
-            AttemptEvent::Progress(progress) if cancelling.is_none() => {
+            AttemptEvent::Progress(progress) if pending_cancellation.is_none() => {
                 self.report_progress(now, id, attempt, progress);
             }
             AttemptEvent::Progress(_) => {}
-            AttemptEvent::ResultStreaming(_) if answered || cancelling.is_some() => {}
+            AttemptEvent::ResultStreaming(_) if answered || pending_cancellation.is_some() => {}
             AttemptEvent::ResultStreaming(body) => self.result_streaming(now, id, attempt, body),
             AttemptEvent::Ended {
                 outcome,
@@ -63,7 +63,7 @@
                 self.attempt_completed(now, id, attempt, completion, body);
             }
             AttemptEvent::Cancelled(end) => {
-                let cancellation = cancelling.unwrap_or(Cancellation {
+                let cancellation = pending_cancellation.unwrap_or(Cancellation {
                     since_ms: now,
                     outcome: Outcome::Cancelled,
                 });
--- a/src/core/attempt_start.rs
+++ b/src/core/attempt_start.rs
@@ -186,10 +186,10 @@
         attempt: u16,
         policy_timeout_ms: Option<Millis>,
     ) {
-        if self.limits.attempt_silence_ms.is_finite() {
+        if self.limits.attempt_silence_timeout_ms.is_finite() {
             self.set_timer(
-                now + self.limits.attempt_silence_ms,
-                Timer::SilenceCheck { id, attempt },
+                now + self.limits.attempt_silence_timeout_ms,
+                Timer::AttemptSilenceCheck { id, attempt },
             );
         }
         if let Some(timeout_ms) = policy_timeout_ms {
@@ -237,7 +237,7 @@
         let in_flight = request
             .history
             .in_flight()
-            .filter(|in_flight| previous != priority && in_flight.cancelling.is_none());
+            .filter(|in_flight| previous != priority && in_flight.cancellation.is_none());
         if let Some(in_flight) = in_flight {
             self.engines
                 .set_priority(in_flight.engine, id, in_flight.number, priority);
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -203,7 +203,7 @@
     /// The end of an attempt that must not be written any more; `None` if it may be written. It
     /// must not be written once it was cancelled, its deadline has passed, or engines may no longer
     /// detect that it repeats an earlier attempt. Such an attempt never ran.
-    pub fn expired(&self, now: Millis) -> Option<AttemptEvent> {
+    pub fn end_if_expired_or_cancelled(&self, now: Millis) -> Option<AttemptEvent> {
         if self.cancellation.is_cancelled() || now >= self.deadline_ms {
             return Some(AttemptEvent::Cancelled(AttemptEnd::NeverSent));
         }
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -120,7 +120,7 @@
         let running = request
             .history
             .in_flight_matching(attempt, None)
-            .is_some_and(|in_flight| in_flight.cancelling.is_none());
+            .is_some_and(|in_flight| in_flight.cancellation.is_none());
         if running {
             self.metrics.attempt_timeouts.increment();
             self.cancel_in_flight(now, id, Outcome::TimedOut);
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -15,7 +15,7 @@
     /// Checks whether the cancellation of an attempt was confirmed.
     CancellationCheck { id: RequestId, attempt: u16 },
     /// Checks when the engine of an attempt last reported anything about it.
-    SilenceCheck { id: RequestId, attempt: u16 },
+    AttemptSilenceCheck { id: RequestId, attempt: u16 },
     /// The backoff of an attempt is over.
     BackoffElapsed { id: RequestId, attempt: u16 },
     /// An attempt has run for as long as its policy allows.
@@ -31,7 +31,7 @@
             Timer::Dispatcher(_) | Timer::LeaseReview => true,
             Timer::RequestDeadline(id) => requests.contains(id),
             Timer::CancellationCheck { id, attempt }
-            | Timer::SilenceCheck { id, attempt }
+            | Timer::AttemptSilenceCheck { id, attempt }
             | Timer::AttemptTimeout { id, attempt } => requests
                 .get(id)
                 .and_then(|request| request.history.in_flight())
@@ -116,7 +116,7 @@
                 Timer::CancellationCheck { id, attempt } => {
                     self.check_cancellation(now, id, attempt);
                 }
-                Timer::SilenceCheck { id, attempt } => {
+                Timer::AttemptSilenceCheck { id, attempt } => {
                     self.check_attempt_silence(now, id, attempt, due);
                 }
                 Timer::BackoffElapsed { id, attempt } => self.backoff_elapsed(now, id, attempt),
--- a/src/engines/flight/attempt.rs
+++ b/src/engines/flight/attempt.rs
@@ -38,7 +38,7 @@
     // The attempt may have been cancelled, or its time may have run out, while the connection was
     // being opened.
     if connected.is_ok()
-        && let Some(event) = request.expired(link.context().core.now())
+        && let Some(event) = request.end_if_expired_or_cancelled(link.context().core.now())
     {
         return link.send_event_without_report(attempt, event).await;
     }
--- a/src/engines/line_protocol/connection/attempt_queue.rs
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -67,7 +67,7 @@
             let now_ms = self.context.core.now();
             // The attempt may have expired in the queue: connecting may take long, and the engine
             // may accept no output for long.
-            match request.expired(now_ms) {
+            match request.end_if_expired_or_cancelled(now_ms) {
                 Some(event) => self.end_attempt(request, event),
                 None => self.write_attempt(request, now_ms),
             }
--- a/src/limits/table.rs
+++ b/src/limits/table.rs
@@ -167,7 +167,7 @@
     cancellation_timeout_ms: f64 = 2000.0;
     /// An attempt of an idempotent request is given up if the engine reports nothing about it for
     /// this time, in ms. Infinite if engines send no progress reports.
-    attempt_silence_ms: f64 = basis.silence_limit_ms(6.0, 3000.0);
+    attempt_silence_timeout_ms: f64 = basis.silence_limit_ms(6.0, 3000.0);
 
     // The endpoint list and its feed.
 
