--- a/src/core/roster.rs
+++ b/src/core/roster.rs
@@ -190,7 +190,7 @@
     /// engines, otherwise the difference between the subset that it was notified of last and the
     /// present one. A switch from the subset to all engines is sent as a full list.
     fn subset_change(&mut self, kind: ListUpdateKind, changes: Vec<EngineEntry>) -> SubsetChange {
-        let members = self.subset.engines();
+        let subset_engines = self.subset.engines();
         let before = self.reported_subset.take();
         let all_unavailable = before.as_ref().is_some_and(|subset| {
             !subset.is_empty() && !subset.keys().any(|engine| self.subset.is_ready(*engine))
@@ -202,7 +202,7 @@
             engines_removed: 0,
             all_unavailable,
         };
-        match (members, before) {
+        match (subset_engines, before) {
             (None, None) => change_without_counts(kind, changes),
             (None, Some(_)) => change_without_counts(
                 ListUpdateKind::Full,
@@ -211,8 +211,8 @@
                     .map(|record| record.entry.clone())
                     .collect(),
             ),
-            (Some(members), before) => {
-                let after = self.member_entries(&members);
+            (Some(subset_engines), before) => {
+                let after = self.subset_entries(&subset_engines);
                 let change = SubsetChange::between(before.as_ref(), &after);
                 self.reported_subset = Some(after);
                 SubsetChange {
@@ -224,7 +224,7 @@
     }
 
     /// The entries of the subset's engines, with the data on how managers share them.
-    fn member_entries(&self, members: &SubsetEngines) -> BTreeMap<EngineId, EngineEntry> {
+    fn subset_entries(&self, subset_engines: &SubsetEngines) -> BTreeMap<EngineId, EngineEntry> {
         let entry = |(engine, sharing): (&EngineId, &EngineSharing)| {
             let record = self.engines.get(engine)?;
             Some((
@@ -235,7 +235,7 @@
                 },
             ))
         };
-        members.iter().filter_map(entry).collect()
+        subset_engines.iter().filter_map(entry).collect()
     }
 
     /// Applies the records of an event. Of several records of one engine only the last one applies.
--- a/src/core/roster/tests.rs
+++ b/src/core/roster/tests.rs
@@ -414,7 +414,7 @@
 /// While the list is longer than the subset bound, the dispatcher is notified of a subset, before
 /// and after that of all engines.
 #[test]
-fn a_list_that_crosses_the_subset_bound_switches_between_subset_and_whole_list() {
+fn a_list_that_crosses_the_subset_bound_switches_between_subset_and_complete_list() {
     let (mut roster, mut view) = (roster_with_small_subset(), DispatcherView::default());
     let update = roster.apply(&event(
         ListUpdateKind::Full,
--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -47,16 +47,16 @@
     subsets_of(subset, 0..subset.membership.instances)
 }
 
-fn holders_by_engine(
+fn sharing_by_engine(
     subsets: &[SubsetEngines],
     list: &[(EngineId, u8)],
 ) -> HashMap<EngineId, Vec<EngineSharing>> {
-    let mut holders: HashMap<EngineId, Vec<EngineSharing>> =
+    let mut managers: HashMap<EngineId, Vec<EngineSharing>> =
         list.iter().map(|(e, _)| (*e, Vec::new())).collect();
     for (engine, sharing) in subsets.iter().flatten() {
-        holders.get_mut(engine).expect("listed").push(*sharing);
+        managers.get_mut(engine).expect("listed").push(*sharing);
     }
-    holders
+    managers
 }
 
 /// Returns the number of engines that one manager gained or lost between two states of its subset,
@@ -78,7 +78,7 @@
             manager.target_size(),
             manager
                 .engines()
-                .map_or(engines as usize, |members| members.len()),
+                .map_or(engines as usize, |subset_engines| subset_engines.len()),
         )
     };
     assert_eq!(size(80, 100), (80, 80));
@@ -103,7 +103,7 @@
     let list = list(5500, 14, 1);
     let fleet = subset(512, 925, &list);
     let subsets = subsets_of_all(&fleet);
-    let manager_counts: Vec<usize> = holders_by_engine(&subsets, &list)
+    let manager_counts: Vec<usize> = sharing_by_engine(&subsets, &list)
         .values()
         .map(Vec::len)
         .collect();
@@ -260,8 +260,8 @@
     for engines in &subsets[370..] {
         assert!((80..=160).contains(&engines.len()), "{}", engines.len());
     }
-    for (engine, holders) in holders_by_engine(&subsets, &list) {
-        let total_share: f64 = holders
+    for (engine, managers) in sharing_by_engine(&subsets, &list) {
+        let total_share: f64 = managers
             .iter()
             .map(|sharing| 1.0 / f64::from(sharing.max_managers))
             .sum();
@@ -270,7 +270,7 @@
             "the shares of {engine} add up to {total_share}"
         );
         assert!(
-            holders
+            managers
                 .iter()
                 .all(|sharing| sharing.rank < sharing.max_managers)
         );
@@ -333,16 +333,16 @@
         prop_assume!(fleet.target_size() < fleet.ready_engines());
         let subsets = subsets_of_all(&fleet);
         let mean_on_arc = f64::from(instances) * fleet.arcs().subset_fraction;
-        for (engine, holders) in holders_by_engine(&subsets, &list) {
-            let manager_count = holders.len() as f64;
+        for (engine, managers) in sharing_by_engine(&subsets, &list) {
+            let manager_count = managers.len() as f64;
             prop_assert!(manager_count >= 1.0, "{engine} has no manager");
             prop_assert!(
                 manager_count <= MAX_ARC_RATIO * mean_on_arc + MAX_EXCESS_MANAGERS_ON_ARC,
                 "{engine} has {manager_count} managers"
             );
-            let ranks: HashSet<u32> = holders.iter().map(|sharing| sharing.rank).collect();
-            prop_assert_eq!(ranks.len(), holders.len());
-            prop_assert!(holders.iter().all(|sharing| sharing.rank < sharing.max_managers
+            let ranks: HashSet<u32> = managers.iter().map(|sharing| sharing.rank).collect();
+            prop_assert_eq!(ranks.len(), managers.len());
+            prop_assert!(managers.iter().all(|sharing| sharing.rank < sharing.max_managers
                 && manager_count <= f64::from(sharing.max_managers)));
         }
         // With the mean that it reports, a manager's shares of all its engines add up to its share
