--- a/src/admin/answer.rs
+++ b/src/admin/answer.rs
@@ -38,8 +38,8 @@
             AdminAnswer::Figures(figures) => writeln!(f, "{figures}{END_MARKER}"),
             AdminAnswer::Policy(values) => {
                 writeln!(f, "200 keys of attempts, their values and tables")?;
-                for EffectiveValue { key, value, from } in values {
-                    writeln!(f, "{key} {value} {from}")?;
+                for EffectiveValue { key, value, source } in values {
+                    writeln!(f, "{key} {value} {source}")?;
                 }
                 writeln!(f, "{END_MARKER}")
             }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -48,7 +48,7 @@
     let value = EffectiveValue {
         key: "timeout_ms",
         value: "9000".to_owned(),
-        from: "default".to_owned(),
+        source: "default".to_owned(),
     };
     let policy = AdminAnswer::Policy(vec![value]).to_string();
     let expected = "200 keys of attempts, their values and tables\ntimeout_ms 9000 default\nEOF\n";
--- a/src/command.rs
+++ b/src/command.rs
@@ -77,7 +77,7 @@
     #[error("workload-manager: {0:?} is not a member in the platform's settings")]
     UnknownMember(String),
     #[error("workload-manager: {0:?} is not a front end; use platform or flight")]
-    UnknownFront(String),
+    UnknownFrontEnd(String),
 }
 
 /// `check [--config JSON] FILE`: checks the file by itself and, with `--config`, against the
@@ -159,7 +159,7 @@
         let _ = writeln!(
             lines,
             "{:<20} {:<60} {}",
-            value.key, value.value, value.from
+            value.key, value.value, value.source
         );
     }
     Ok(lines)
@@ -186,7 +186,7 @@
     let frontend = match query.front.as_deref() {
         None | Some("platform") => FrontendKind::Platform,
         Some("flight") => FrontendKind::Flight,
-        Some(other) => return Err(CommandError::UnknownFront(other.to_owned())),
+        Some(other) => return Err(CommandError::UnknownFrontEnd(other.to_owned())),
     };
     Ok(RequestAttributes {
         class,
--- a/src/core/retry/tests.rs
+++ b/src/core/retry/tests.rs
@@ -328,7 +328,7 @@
     };
     let class = |name: &str| crate::retry_policy::ClassPolicy {
         name: name.to_owned(),
-        not_idempotent: false,
+        non_idempotent: false,
         own_policy: None,
     };
     let classes = vec![class("seat-check"), class("log-load")];
--- a/src/operator_config/constraints.rs
+++ b/src/operator_config/constraints.rs
@@ -24,7 +24,7 @@
     pub name: String,
     /// Whether a second run may do harm. True for a class whose requests may run once only, and for
     /// one whose requests may run once within a group of engines and a time window.
-    pub not_idempotent: bool,
+    pub non_idempotent: bool,
     /// How long a client waits for the answer, in ms.
     pub client_timeout_ms: Millis,
 }
@@ -35,7 +35,7 @@
         let settings = &platform.settings;
         let constraints = |(name, class): (&String, &Class)| ClassConstraints {
             name: name.clone(),
-            not_idempotent: class.idempotency != Idempotency::Idempotent,
+            non_idempotent: class.idempotency != Idempotency::Idempotent,
             client_timeout_ms: class.client_timeout_ms,
         };
         let classes = settings.class_names.iter().zip(&settings.classes);
--- a/src/operator_config/policy.rs
+++ b/src/operator_config/policy.rs
@@ -70,7 +70,7 @@
 fn class_policies(file: &OperatorFile, platform: &PlatformConstraints) -> Vec<ClassPolicy> {
     let class_policy = |class: &ClassConstraints| ClassPolicy {
         name: class.name.clone(),
-        not_idempotent: class.not_idempotent,
+        non_idempotent: class.non_idempotent,
         own_policy: file.attempts.class.get(&class.name).map(attempt_policy),
     };
     platform.classes.iter().map(class_policy).collect()
@@ -103,12 +103,12 @@
     faults: &mut FaultCollector<'_>,
 ) {
     for table in tables.iter().filter(|t| t.kind != TableKind::Route) {
-        let own = attempt_policy(table.content);
+        let table_policy = attempt_policy(table.content);
         for (class, effective) in platform.classes.iter().zip(by_class) {
             if table.is_default_or_of_class(&class.name) {
                 let table_for_class = TableForClass {
                     table,
-                    own: &own,
+                    table_policy: &table_policy,
                     effective,
                     class,
                     platform,
@@ -137,7 +137,7 @@
             effective.override_with(&route.policy);
             let table_for_class = TableForClass {
                 table,
-                own: &route.policy,
+                table_policy: &route.policy,
                 effective: &effective,
                 class,
                 platform,
--- a/src/operator_config/settings_check.rs
+++ b/src/operator_config/settings_check.rs
@@ -11,7 +11,7 @@
 pub(super) struct TableForClass<'a> {
     pub(super) table: &'a Table<'a>,
     /// The policy that this table sets by itself.
-    pub(super) own: &'a AttemptPolicy,
+    pub(super) table_policy: &'a AttemptPolicy,
     /// The policy in force for the class: this table's keys and those of broader tables.
     pub(super) effective: &'a AttemptPolicy,
     pub(super) class: &'a ClassConstraints,
@@ -33,7 +33,7 @@
     /// table may set keys that such a class must not have: the policy leaves them out for this
     /// class.
     fn targets_non_idempotent_class(&self) -> bool {
-        self.class.not_idempotent && self.table.kind != TableKind::Default
+        self.class.non_idempotent && self.table.kind != TableKind::Default
     }
 
     /// The effective timeout of a request of the class, in ms: at most the client timeout.
@@ -47,7 +47,7 @@
 
     /// Hedging is rejected in every case; the problem gives the first reason that applies.
     fn check_hedging(&self, faults: &mut FaultCollector<'_>) {
-        if self.own.hedging.is_none() {
+        if self.table_policy.hedging.is_none() {
             return;
         }
         let (problem, suggestion) = if !self.platform.parallel_attempts_allowed {
@@ -77,7 +77,7 @@
     /// A non-idempotent request must not be retried after an outcome that leaves open whether an
     /// engine ran it.
     fn check_retry_outcomes(&self, faults: &mut FaultCollector<'_>) {
-        let Some(outcomes) = self.own.retry_on else {
+        let Some(outcomes) = self.table_policy.retry_on else {
             return;
         };
         let may_have_run: Vec<&str> = outcomes.names_that_may_have_run().collect();
@@ -95,7 +95,7 @@
     /// The request timeout must not exceed the client timeout.
     fn check_request_timeout(&self, faults: &mut FaultCollector<'_>) {
         let client_timeout_ms = self.class.client_timeout_ms;
-        if let Some(timeout_ms) = self.own.timeout_ms
+        if let Some(timeout_ms) = self.table_policy.timeout_ms
             && timeout_ms > client_timeout_ms
         {
             let name = &self.class.name;
@@ -109,8 +109,8 @@
 
     /// The timeout of an attempt must not exceed that of its request.
     fn check_attempt_timeout(&self, faults: &mut FaultCollector<'_>) {
-        let table_sets_timeout =
-            self.own.attempt_timeout_ms.is_some() || self.own.timeout_ms.is_some();
+        let table_sets_timeout = self.table_policy.attempt_timeout_ms.is_some()
+            || self.table_policy.timeout_ms.is_some();
         let request_ms = self.request_timeout_ms();
         if let Some(attempt_ms) = self.effective.attempt_timeout_ms
             && attempt_ms > request_ms
@@ -128,7 +128,7 @@
     /// The number of attempts must not exceed the platform's limit.
     fn check_max_attempts(&self, faults: &mut FaultCollector<'_>) {
         let allowed = self.platform.max_attempts;
-        if let Some(attempts) = self.own.max_attempts
+        if let Some(attempts) = self.table_policy.max_attempts
             && attempts > allowed
         {
             let problem =
@@ -144,17 +144,20 @@
         let allowed = self.platform.max_attempts;
         let attempts = self.effective.max_attempts.unwrap_or(allowed).min(allowed);
         let request_ms = self.request_timeout_ms();
-        let table_sets_relevant_key = self.own.backoff.is_some()
-            || self.own.max_attempts.is_some()
-            || self.own.timeout_ms.is_some();
-        let total_wait = self.effective.backoff.map(|b| b.total_delay_ms(attempts));
-        if let Some(wait_ms) = total_wait
-            && wait_ms >= request_ms
+        let table_sets_relevant_key = self.table_policy.backoff.is_some()
+            || self.table_policy.max_attempts.is_some()
+            || self.table_policy.timeout_ms.is_some();
+        let total_delay_ms = self
+            .effective
+            .backoff
+            .map(|backoff| backoff.total_delay_ms(attempts));
+        if let Some(backoff_ms) = total_delay_ms
+            && backoff_ms >= request_ms
             && table_sets_relevant_key
         {
             let name = &self.class.name;
             let problem = format!(
-                "the backoff between {attempts} attempts of class {name} takes {wait_ms} ms, \
+                "the backoff between {attempts} attempts of class {name} takes {backoff_ms} ms, \
                  and the request may take {request_ms} ms"
             );
             let suggestion = "shorten the backoff or allow fewer attempts";
--- a/src/operator_config/tests.rs
+++ b/src/operator_config/tests.rs
@@ -8,7 +8,7 @@
 fn constraints(parallel_attempts: bool) -> PlatformConstraints {
     let class = |name: &str, runs_once| ClassConstraints {
         name: name.to_owned(),
-        not_idempotent: runs_once,
+        non_idempotent: runs_once,
         client_timeout_ms: 15_000.0,
     };
     PlatformConstraints {
@@ -96,7 +96,7 @@
         explained
             .iter()
             .find(|s| s.key == key)
-            .map(|s| (s.value.clone(), s.from.clone()))
+            .map(|s| (s.value.clone(), s.source.clone()))
     };
     assert_eq!(
         value_and_source("max_attempts"),
--- a/src/retry_policy/attempt_policy.rs
+++ b/src/retry_policy/attempt_policy.rs
@@ -180,9 +180,9 @@
 impl AttemptPolicy {
     /// Replaces the value of each key that `other` sets by the value in `other`.
     pub fn override_with(&mut self, other: &AttemptPolicy) {
-        fn override_key<T: Clone>(own: &mut Option<T>, other: &Option<T>) {
-            if other.is_some() {
-                own.clone_from(other);
+        fn override_key<T: Clone>(value: &mut Option<T>, override_value: &Option<T>) {
+            if override_value.is_some() {
+                value.clone_from(override_value);
             }
         }
         override_key(&mut self.timeout_ms, &other.timeout_ms);
@@ -219,12 +219,12 @@
     /// Returns the names of the keys that both policies set to different values.
     pub fn conflicting_keys(&self, other: &AttemptPolicy) -> Vec<&'static str> {
         let both_set =
-            |own: &KeyValue, other: &KeyValue| own.value.is_some() && other.value.is_some();
+            |left: &KeyValue, right: &KeyValue| left.value.is_some() && right.value.is_some();
         self.key_values()
             .into_iter()
             .zip(other.key_values())
-            .filter(|(own, other)| both_set(own, other) && own.value != other.value)
-            .map(|(own, _)| own.key)
+            .filter(|(left, right)| both_set(left, right) && left.value != right.value)
+            .map(|(left, _)| left.key)
             .collect()
     }
 
--- a/src/retry_policy/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -19,7 +19,7 @@
     /// The value in the notation of the operators' file, or `-` if no table sets it.
     pub value: String,
     /// The table that sets the key: `default`, `class NAME` or `route NAME`, or `-` if none does.
-    pub from: String,
+    pub source: String,
 }
 
 /// A class of the settings and its table in the operators' file.
@@ -29,7 +29,7 @@
     pub name: String,
     /// Whether running a request twice may do harm. The default policy's hedging does not apply to
     /// such a class, nor do the outcomes in its `retry_on` after which the attempt may have run.
-    pub not_idempotent: bool,
+    pub non_idempotent: bool,
     /// The policy of the class's table, or `None` if the file has no table for the class.
     pub own_policy: Option<AttemptPolicy>,
 }
@@ -38,11 +38,11 @@
     /// Returns the policy in force for the class, without routes.
     #[must_use]
     pub fn effective(&self, default: &AttemptPolicy) -> AttemptPolicy {
-        let own = self.own_policy.as_ref();
-        if self.not_idempotent {
-            default.for_non_idempotent().overridden_by(own)
+        let own_policy = self.own_policy.as_ref();
+        if self.non_idempotent {
+            default.for_non_idempotent().overridden_by(own_policy)
         } else {
-            default.overridden_by(own)
+            default.overridden_by(own_policy)
         }
     }
 }
@@ -63,7 +63,7 @@
 
 /// A table that applies to a request.
 struct ApplicableTable<'a> {
-    /// The table's name, as in [`EffectiveValue::from`].
+    /// The table's name, as in [`EffectiveValue::source`].
     label: String,
     policy: &'a AttemptPolicy,
 }
@@ -159,9 +159,9 @@
         carry_over_budget(&self.default, &earlier.default);
         for class in &self.classes {
             let same_class = earlier.classes.iter().find(|old| old.name == class.name);
-            let earlier_own = same_class.and_then(|old| old.own_policy.as_ref());
-            if let (Some(own), Some(earlier_own)) = (&class.own_policy, earlier_own) {
-                carry_over_budget(own, earlier_own);
+            let earlier_policy = same_class.and_then(|old| old.own_policy.as_ref());
+            if let (Some(policy), Some(earlier_policy)) = (&class.own_policy, earlier_policy) {
+                carry_over_budget(policy, earlier_policy);
             }
         }
         for route in &self.routes_in_order {
@@ -178,15 +178,15 @@
     let KeyValue { key, value } = key_value;
     let sets_key = |table: &&ApplicableTable<'_>| {
         let mut key_values = table.policy.key_values().into_iter();
-        key_values.any(|own| own.key == key && own.value.is_some())
+        key_values.any(|table_value| table_value.key == key && table_value.value.is_some())
     };
-    let from = value
+    let source = value
         .as_ref()
         .and_then(|_| tables.iter().rev().find(sets_key))
         .map_or(UNSET, |table| table.label.as_str());
     EffectiveValue {
         key,
-        from: from.to_owned(),
+        source: source.to_owned(),
         value: value.unwrap_or_else(|| UNSET.to_owned()),
     }
 }
--- a/src/retry_policy/routes.rs
+++ b/src/retry_policy/routes.rs
@@ -51,7 +51,7 @@
         }
         let classes = classes
             .iter()
-            .map(|own| default.overridden_by(own.as_ref()))
+            .map(|class_policy| default.overridden_by(class_policy.as_ref()))
             .collect();
         let matcher_sets: BTreeSet<MatcherSet> = routes
             .iter()
--- a/src/retry_policy/tests.rs
+++ b/src/retry_policy/tests.rs
@@ -261,10 +261,11 @@
         };
         accepted.set(accepted.get() + 1);
         let resolved = index.resolve(&request);
-        let timeout_ms = most_specific_policy(&routes, &request, |own| own.timeout_ms.is_some())
-            .and_then(|policy| policy.timeout_ms);
+        let timeout_ms =
+            most_specific_policy(&routes, &request, |policy| policy.timeout_ms.is_some())
+                .and_then(|policy| policy.timeout_ms);
         let max_attempts =
-            most_specific_policy(&routes, &request, |own| own.max_attempts.is_some())
+            most_specific_policy(&routes, &request, |policy| policy.max_attempts.is_some())
                 .and_then(|policy| policy.max_attempts);
         prop_assert_eq!(resolved.timeout_ms, timeout_ms.or(Some(9.0)));
         prop_assert_eq!(resolved.max_attempts, max_attempts.or(Some(9)));
