--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -173,7 +173,7 @@
     }
 
     /// Records that the engine starts to report a result. Returns false, and changes nothing, if
-    /// the attempt is not in one of the phases in which a result can start.
+    /// the attempt is queued, is being cancelled, has a result already or has ended.
     pub fn begin_result(&mut self) -> bool {
         let is_expected = matches!(self.0, Phase::Writing { .. } | Phase::Sent);
         if is_expected {
@@ -260,7 +260,7 @@
     AttemptInFlight,
     /// The request is non-idempotent and may have run.
     MayHaveRun,
-    /// The limit of attempts is reached.
+    /// The limit on attempts is reached.
     AttemptsExhausted,
 }
 
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of requests: the checks before a request enters the table, and the disconnection of its client.
+//! Admission of requests: the checks before a request enters the table, and the disconnection of
+//! its client.
 
 use super::requests::RequestState;
 use super::timers::Timer;
--- a/src/core/attempt_end.rs
+++ b/src/core/attempt_end.rs
@@ -200,9 +200,9 @@
     }
 
     /// Cancels an attempt of an idempotent request if its engine has reported nothing about it for
-    /// `attempt_silence_timeout_ms`, for example because the engine's machine failed without resetting its
-    /// connections. Attempts of other requests are not cancelled, because no further attempt may
-    /// follow them.
+    /// `attempt_silence_timeout_ms`, for example because the engine's machine failed without
+    /// resetting its connections. Attempts of other requests are not cancelled, because no further
+    /// attempt may follow them.
     pub(super) fn check_attempt_silence(
         &mut self,
         now: Millis,
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list in the core: updates are passed to the engines' actors, the metrics and the
-//! dispatcher. The roster decides whether the dispatcher gets the complete list or a subset. A
-//! change of the settings may change the subset too.
+//! dispatcher. The roster decides whether the dispatcher is notified of all engines or of a subset.
+//! A change of the settings may change the subset too.
 
 use super::roster::SubsetChange;
 use super::{Core, EnginePort, Event, Membership, Millis, Settings};
@@ -17,15 +17,15 @@
             .iter()
             .for_each(|id| self.engines.engine_removed(*id));
         for record in &update.records {
-            // Actors stop sending to a draining or removed engine even while the dispatcher still
-            // assumes that it is ready.
+            // An actor stops sending to a draining or removed engine even while the engine is still
+            // ready in the dispatcher's list.
             self.engines.engine_listed(record);
             if self
                 .dispatcher
                 .manual_ejections()
                 .contains(&record.entry.engine)
             {
-                // A record with a new address creates a new actor, which has to be told about the
+                // A record with a new address creates a new actor, which must be notified of the
                 // ejection.
                 self.engines.set_manually_ejected(record.entry.engine, true);
             }
@@ -119,7 +119,7 @@
     }
 }
 
-/// Logs an event. The records of a complete list are not logged, only their number, as there may be
+/// Logs an event. The records of a full list are not logged, only their number, as there may be
 /// thousands of them.
 fn log_list_event(event: &EndpointListEvent) {
     let (number, kind) = (event.number, event.kind);
--- a/src/core/manual_ejection.rs
+++ b/src/core/manual_ejection.rs
@@ -1,4 +1,5 @@
-//! Manual ejections: on-call staff, or the peer process of a hot restart, take an engine out of service or return it.
+//! Manual ejections: on-call staff, or the peer process of a hot restart, take an engine out of
+//! service or return it.
 
 use super::{Core, EnginePort, Event, Millis};
 use crate::decision::EngineId;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,6 @@
-//! The core: requests, their attempts, deadlines and timers, without wire types or sockets. It drives the dispatcher
-//! (the decision module) and carries out its actions through one port for clients and one for engines.
+//! The core: requests, their attempts, deadlines and timers, without wire types or sockets. It
+//! drives the dispatcher (the decision module) and carries out its actions through one port for
+//! clients and one for engines.
 //!
 //! Whatever the dispatcher, a client or an engine does, the core ensures that each request gets one
 //! final answer, that it has at most one attempt in flight, and that a non-idempotent request is
--- a/src/core/ports.rs
+++ b/src/core/ports.rs
@@ -1,4 +1,5 @@
-//! The core's messages and ports: requests and answers, attempts and their events, settings and manual ejections.
+//! The core's messages and ports: requests and answers, attempts and their events, settings and
+//! manual ejections.
 
 use crate::attempt::AttemptEnd;
 use crate::decision::{EngineId, LoadReport, Millis, Outcome, Progress, RequestId, Settings};
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,4 +1,5 @@
-//! The table of requests: every accepted request, until its last attempt has ended and its client has the answer.
+//! The table of requests: every accepted request, until its last attempt has ended and its client
+//! has the answer.
 
 use super::{AcceptedRequest, CancellationFlag};
 use crate::attempt::AttemptHistory;
--- a/src/core/tests/engine_subsets.rs
+++ b/src/core/tests/engine_subsets.rs
@@ -202,7 +202,7 @@
     );
 }
 
-/// The metrics of a subset, of a list that is used whole, and of an ordinal out of range.
+/// The metrics of a subset, of a list that is used completely, and of an ordinal out of range.
 #[test]
 fn metrics_show_subset_sizes_complete_lists_and_ordinals_out_of_range() {
     let mut manager = Manager::new(100, 7);
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,4 +1,5 @@
-//! The core's timers: one heap for the dispatcher's timers, the requests' deadlines and the checks of attempts.
+//! The core's timers: one heap for the dispatcher's timers, the requests' deadlines and the checks
+//! of attempts.
 
 use super::requests::RequestTable;
 use super::{Core, EnginePort, Event, Millis, RequestId};
--- a/src/retry_policy/attempt_policy.rs
+++ b/src/retry_policy/attempt_policy.rs
@@ -145,7 +145,7 @@
     pub timeout_ms: Option<Millis>,
     /// Timeout of one attempt, in ms.
     pub attempt_timeout_ms: Option<Millis>,
-    /// Limit of attempts, including the first.
+    /// Limit on attempts, including the first.
     pub max_attempts: Option<u32>,
     /// The outcomes after which an attempt may be retried.
     pub retry_on: Option<OutcomeSet>,
@@ -171,7 +171,7 @@
 pub enum RetryDecision {
     /// A retry may start after this delay in ms.
     RetryAfter(Millis),
-    /// No retry: the limit of attempts is reached, or the outcome is not in `retry_on`.
+    /// No retry: the limit on attempts is reached, or the outcome is not in `retry_on`.
     NotRetryable,
     /// No retry at this time: the budget is exhausted.
     BudgetExhausted,
--- a/src/retry_policy/budget.rs
+++ b/src/retry_policy/budget.rs
@@ -51,7 +51,8 @@
         self.with_usage(|usage| usage.try_record_retry(self, now))
     }
 
-    /// Copies the usage of an earlier budget of the same table and settings, so that a reload does not refill it.
+    /// Copies the usage of an earlier budget of the same table and settings, so that a reload does
+    /// not refill it.
     pub fn carry_over(&self, earlier: &Budget) {
         if self == earlier {
             let earlier_usage = earlier.with_usage(|usage| usage.clone());
--- a/src/retry_policy/policy.rs
+++ b/src/retry_policy/policy.rs
@@ -94,8 +94,8 @@
         })
     }
 
-    /// Returns the position of a member, which routes match, by its name. An unknown member has
-    /// `usize::MAX`, which no route matches by value.
+    /// Returns the position of the member with this name, by which routes match it. An unknown
+    /// member has `usize::MAX`, which no route matches by value.
     pub fn member_position(&self, name: &[u8]) -> usize {
         self.members
             .iter()
--- a/src/retry_policy/route_errors.rs
+++ b/src/retry_policy/route_errors.rs
@@ -3,7 +3,7 @@
 use super::routes::Route;
 use thiserror::Error;
 
-/// Limit of the number of combinations of matcher values of all routes together. It bounds the
+/// Limit on the number of combinations of matcher values of all routes together. It bounds the
 /// memory of the index.
 const MAX_COMBINATIONS: usize = 1 << 18;
 
--- a/src/retry_policy/route_match.rs
+++ b/src/retry_policy/route_match.rs
@@ -19,7 +19,8 @@
     ];
 }
 
-/// The attributes of a request that routes can match. Classes and members are given by their positions in the settings.
+/// The attributes of a request that routes can match. Classes and members are given by their
+/// positions in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestAttributes {
     /// The class of the request.
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -27,8 +27,9 @@
 /// closer together than that.
 const MIN_SHARES_PER_SUBSET: usize = 4;
 
-/// Smallest fraction of the target size that a manager's arcs must hold. With fewer engines, most
-/// engines on the arcs were removed at once, and the manager takes engines beyond the longest arc.
+/// Smallest fraction of the target size that a manager's arcs must hold. If they hold fewer
+/// engines, because most engines on them were removed at once, the manager also uses engines beyond
+/// the longest arc.
 const MIN_FILLED_FRACTION: f64 = 0.25;
 
 /// Largest number of managers on an arc beyond the arc's share of all managers.
@@ -39,8 +40,8 @@
 const MANAGER_BOUND_MARGIN: f64 = 1.125;
 
 /// Length of a list, relative to the longest list that is used completely, up to which the bound on
-/// an engine's managers is doubled. Some managers may still use the complete list, and these take
-/// turns in slow start in another order.
+/// an engine's managers is doubled. Some managers may still use the complete list, and in slow start
+/// they take their turns in another order.
 const NEARLY_COMPLETE_RATIO: f64 = 1.25;
 
 /// Number of steps per doubling to which the mean number of managers is rounded, so that not every
@@ -163,8 +164,8 @@
         self.rings.len()
     }
 
-    /// Number of engines that the subset should have. It gives capacity for this manager's share of
-    /// the list with headroom, and otherwise is limited by the cost of a decision.
+    /// Number of engines that the subset should have. It is large enough for this manager's share
+    /// of the list with headroom, and beyond that is limited by the cost of a decision.
     pub fn target_size(&self) -> usize {
         let min_size = (MIN_SHARES_PER_SUBSET * self.ready_engines())
             .div_ceil(self.membership.instances.max(1) as usize);
@@ -239,8 +240,8 @@
 
     /// Returns the mean number of managers of an engine, and the bound on it, if this manager's
     /// subset has `subset_engines` engines. The bound also holds while the lists of managers
-    /// differ. It is a power of two, so that turns in slow start by one bound are among the turns
-    /// by any smaller one.
+    /// differ. It is a power of two, so that a manager that has its turn in slow start under one
+    /// bound also has it under any smaller bound.
     fn managers_per_engine(&self, subset_engines: usize) -> ManagersPerEngine {
         let instances = f64::from(self.membership.instances);
         let mean = instances * subset_engines as f64 / self.ready_engines().max(1) as f64;
--- a/src/subset/tests.rs
+++ b/src/subset/tests.rs
@@ -47,6 +47,7 @@
     subsets_of(subset, 0..subset.membership.instances)
 }
 
+/// Returns for each engine of the list how each of its managers shares it.
 fn sharing_by_engine(
     subsets: &[SubsetEngines],
     list: &[(EngineId, u8)],
