--- a/src/main.rs
+++ b/src/main.rs
@@ -28,7 +28,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve clients, with the configuration file that NODE_CONFIG names (the default command).
+    /// Serve clients, with the configuration file at the path in NODE_CONFIG (the default command).
     Run,
     /// Check the operators' file. Exit with 0, or with 2 and all faults on standard error.
     Check {
@@ -124,7 +124,7 @@
     Runtime(io::Error),
     #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    #[error("NODE_CONFIG is not set; it names the configuration file")]
+    #[error("NODE_CONFIG is not set; set it to the path of the configuration file")]
     MissingConfigPath,
     #[error(transparent)]
     Config(#[from] ConfigError),
