--- a/src/core/retry/tests.rs
+++ b/src/core/retry/tests.rs
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn backoff_delays_retries_except_of_unstarted_attempts_on_another_engine() {
+fn backoff_delays_retries_except_on_another_engine_after_an_attempt_that_never_ran() {
     let mut bench = TestBench::new(
         "version = 1\n[attempts.default]\nbackoff = { base_ms = 100, max_ms = 100 }\n",
     );
--- a/src/core/tests/attempt_interleavings.rs
+++ b/src/core/tests/attempt_interleavings.rs
@@ -171,9 +171,14 @@
         match message {
             Message::Attempt(key) => {
                 let id = key.0;
-                let other = |c: &Connection| c.running.iter().any(|k| k.0 == id);
+                let runs_request = |connection: &Connection| {
+                    connection.running.iter().any(|running| running.0 == id)
+                };
                 assert!(
-                    !self.connections.iter().any(|(_, c)| other(c)),
+                    !self
+                        .connections
+                        .iter()
+                        .any(|(_, connection)| runs_request(connection)),
                     "request {id} has two attempts in flight"
                 );
                 assert!(
