--- a/src/admin.rs
+++ b/src/admin.rs
@@ -115,7 +115,7 @@
         };
         stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await?;
-        linger(stream.socket(), self.limits.linger).await;
+        linger(stream.socket(), self.limits.linger_timeout).await;
         Ok(())
     }
 
--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -86,12 +86,12 @@
 }
 
 /// Resolves once the server is to close a connection: either the connection was asked to leave and
-/// nothing has changed on it for `limits.linger`, or its first call did not arrive within
+/// nothing has changed on it for `limits.linger_timeout`, or its first call did not arrive within
 /// `limits.client_read_timeout`.
 async fn close_signal(slot: Arc<ConnectionSlot>, limits: Arc<Limits>, metrics: Arc<Metrics>) {
     // The same future is polled before and after the timeout. A new future would miss a request to
     // leave that the first one has already consumed.
-    let mut quiet_after_leave_request = pin!(slot.quiet_after_leave_request(limits.linger));
+    let mut quiet_after_leave_request = pin!(slot.quiet_after_leave_request(limits.linger_timeout));
     tokio::select! {
         () = &mut quiet_after_leave_request => return,
         () = sleep(limits.client_read_timeout) => {}
--- a/src/clients/flight/listener/tests.rs
+++ b/src/clients/flight/listener/tests.rs
@@ -20,7 +20,7 @@
     slot.record_call();
     let started_at = Instant::now();
     let signal = close_signal(slot, limits.clone(), metrics);
-    let asked_after = limits.client_read_timeout - limits.linger / 2;
+    let asked_after = limits.client_read_timeout - limits.linger_timeout / 2;
     let ask_to_leave = async {
         sleep(asked_after).await;
         slots.set_draining(true);
@@ -31,5 +31,5 @@
         closed.is_ok(),
         "the request to leave was lost when the timeout expired"
     );
-    assert!(started_at.elapsed() >= asked_after + limits.linger);
+    assert!(started_at.elapsed() >= asked_after + limits.linger_timeout);
 }
--- a/src/clients/msgpack_rpc/silence_limits.rs
+++ b/src/clients/msgpack_rpc/silence_limits.rs
@@ -16,7 +16,7 @@
     pub(super) fn not_evicted(limits: &Limits) -> SilenceLimits {
         SilenceLimits {
             read_timeout: limits.client_read_timeout,
-            linger: limits.linger,
+            linger: limits.linger_timeout,
         }
     }
 
@@ -30,7 +30,7 @@
             } else {
                 limits.evicted_client_read_timeout
             },
-            linger: limits.evicted_linger,
+            linger: limits.evicted_linger_timeout,
         }
     }
 }
--- a/src/engines/flight/result_collector.rs
+++ b/src/engines/flight/result_collector.rs
@@ -75,7 +75,7 @@
     /// arrive.
     async fn switch_to_streaming(&mut self) {
         let limits = &self.link.context().limits;
-        let (stream, remaining_chunks) = mpsc::channel(limits.flight_chunks);
+        let (stream, remaining_chunks) = mpsc::channel(limits.flight_buffered_chunks);
         let streaming = Destination::Stream(stream);
         let chunks = match std::mem::replace(&mut self.destination, streaming) {
             Destination::Buffer(chunks) => chunks,
--- a/src/limits/table.rs
+++ b/src/limits/table.rs
@@ -84,10 +84,10 @@
     client_idle_timeout: Duration = Duration::from_secs(30);
     /// Maximum time to wait until the peer closes a connection that this side has closed for
     /// writing.
-    linger: Duration = Duration::from_millis(100);
-    /// The value of `linger` for an evicted client connection. It is shorter because another
+    linger_timeout: Duration = Duration::from_millis(100);
+    /// The value of `linger_timeout` for an evicted client connection. It is shorter because another
     /// connection waits for its descriptor.
-    evicted_linger: Duration = Duration::from_millis(10);
+    evicted_linger_timeout: Duration = Duration::from_millis(10);
 
     // Results.
 
@@ -210,7 +210,7 @@
     flight_buffered_bytes: usize = 64 * KIB;
     /// Maximum number of chunks of a streamed result that are buffered between an engine and its
     /// client.
-    flight_chunks: usize = 8;
+    flight_buffered_chunks: usize = 8;
     /// Interval and timeout of the pings that detect a broken Flight SQL connection, to an engine
     /// or from a client.
     flight_keep_alive: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(2));
@@ -234,10 +234,10 @@
     /// longer client timeout counts as the first time. The platform kills the process 0.7 s after
     /// the longest client timeout; the second time is these 0.7 s less a reserve for the last
     /// answers. A hot restart gives no more time.
-    planned_shutdown: (Duration, Duration) =
+    shutdown_timeout_and_margin: (Duration, Duration) =
         (Duration::from_secs(3), Duration::from_millis(500));
     /// Maximum time for which a successor process waits for the first event of the discovery feed.
-    first_feed_event_timeout: Duration = Duration::from_millis(1200);
+    first_feed_frame_timeout: Duration = Duration::from_millis(1200);
     /// Maximum time after SIGTERM for which new requests are accepted.
     shutdown_accept_window: Duration = Duration::from_millis(1000);
 
@@ -252,7 +252,7 @@
     /// Delay after an admin connection could not be accepted.
     admin_accept_retry_delay: Duration = Duration::from_millis(10);
     /// Maximum size of one SNMP message, in bytes. A message of this size fits one Ethernet frame.
-    snmp_bytes: usize = 1472;
+    snmp_message_bytes: usize = 1472;
     /// Maximum number of variables in the answer to a GETBULK request.
-    snmp_variables: usize = 24;
+    snmp_bulk_variables: usize = 24;
 }
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -54,9 +54,9 @@
 
     /// Sends the core the time at which the process ends. The platform kills the process a short
     /// margin after the longest client timeout; a timeout counts as no longer than the maximum in
-    /// `planned_shutdown` of the limits. A request that is still open then gets no answer.
+    /// `shutdown_timeout_and_margin` of the limits. A request that is still open then gets no answer.
     async fn send_deadline_to_core(&self) {
-        let (max_timeout, margin) = self.limits.planned_shutdown;
+        let (max_timeout, margin) = self.limits.shutdown_timeout_and_margin;
         let longest_timeout_ms = self
             .current_settings
             .borrow()
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -328,7 +328,7 @@
 /// longer exist.
 async fn wait_for_first_frame(mut first_frame: watch::Receiver<bool>, limits: &Limits) {
     let received = first_frame.wait_for(|received| *received);
-    let _ = timeout(limits.first_feed_event_timeout, received).await;
+    let _ = timeout(limits.first_feed_frame_timeout, received).await;
 }
 
 /// Starts the task that accepts connections on this socket. Returns the socket's address.
--- a/src/snmp.rs
+++ b/src/snmp.rs
@@ -48,7 +48,7 @@
 
     /// Answers messages until the process ends.
     pub(crate) async fn serve(self, socket: UdpSocket) {
-        let mut buffer = vec![0; self.limits.snmp_bytes];
+        let mut buffer = vec![0; self.limits.snmp_message_bytes];
         loop {
             // An error comes from a peer's ICMP message about an earlier answer, so it is ignored.
             let Ok((length, peer)) = socket.recv_from(&mut buffer).await else {
@@ -67,8 +67,8 @@
 
     fn answer(&self, message: &[u8]) -> Option<Vec<u8>> {
         let limits = AnswerLimits {
-            max_bytes: self.limits.snmp_bytes,
-            max_variables: self.limits.snmp_variables,
+            max_bytes: self.limits.snmp_message_bytes,
+            max_variables: self.limits.snmp_bulk_variables,
         };
         answer(message, self.community.as_bytes(), limits, || self.view())
     }
