--- a/src/clients/flight/pending_response.rs
+++ b/src/clients/flight/pending_response.rs
@@ -112,7 +112,7 @@
     let class_timeout_ms = call.class.class.client_timeout_ms;
     let allowed_ms = grpc_timeout::timeout_ms(metadata)?.unwrap_or(class_timeout_ms);
     let deadline_ms = frontend.deadline_ms(now_ms, &call.class, allowed_ms);
-    let outcomes = frontend.metrics.class(&call.class.name);
+    let outcomes = frontend.metrics.outcomes_of_class(&call.class.name);
     let id = frontend.core.next_id();
     let (channel, answer) = AnswerChannel::new();
     let mut response = PendingResponse::new(frontend, id, slot);
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -85,7 +85,7 @@
     /// Returns the answer counters of a class, or `None` if there is no class of this name.
     pub(crate) fn class_outcomes(&self, class_name: &[u8]) -> Option<Arc<ClassOutcomes>> {
         self.class(class_name)
-            .map(|class| self.metrics.class(&class.name))
+            .map(|class| self.metrics.outcomes_of_class(&class.name))
     }
 
     /// Returns the deadline of a request that arrived at `now_ms`. The timeout that the client
--- a/src/metrics/table.rs
+++ b/src/metrics/table.rs
@@ -34,7 +34,7 @@
 impl Metrics {
     /// Returns the counters of the final answers to a class's requests. They are created if the
     /// class has none, and count until the end of the process unless newer classes replace them.
-    pub fn class(&self, name: &str) -> Arc<ClassOutcomes> {
+    pub fn outcomes_of_class(&self, name: &str) -> Arc<ClassOutcomes> {
         self.class_outcomes.get_or_create(name)
     }
 
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -27,9 +27,9 @@
 #[test]
 fn both_printed_forms_contain_the_counts_of_each_class() {
     let metrics = Metrics::default();
-    metrics.class("a").served.increment();
-    metrics.class("b").rejected.increment();
-    metrics.class("a").failed.add(2);
+    metrics.outcomes_of_class("a").served.increment();
+    metrics.outcomes_of_class("b").rejected.increment();
+    metrics.outcomes_of_class("a").failed.add(2);
     let figures = metrics.admin_figures();
     let expected = "node.passed.a=1\nnode.dropped.a=0\nnode.bad_gateway.a=2\n\
         node.passed.b=0\nnode.dropped.b=1\nnode.bad_gateway.b=0\n";
@@ -43,7 +43,10 @@
 fn the_oldest_class_is_removed_when_the_table_is_full() {
     let metrics = Metrics::default();
     for class in 0..=256 {
-        metrics.class(&format!("class-{class}")).served.increment();
+        metrics
+            .outcomes_of_class(&format!("class-{class}"))
+            .served
+            .increment();
     }
     let classes = metrics.class_counts();
     let names = (&classes[0].class[..], &classes[255].class[..]);
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -162,7 +162,7 @@
         let settings = (*old != *new).then(|| Box::new(new.settings.clone()));
         if settings.is_some() {
             for class in &new.classes {
-                self.metrics.class(&class.name);
+                self.metrics.outcomes_of_class(&class.name);
             }
             self.current_settings.send_replace(Arc::new(new.clone()));
             tracing::info!("new settings in force");
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -319,7 +319,7 @@
 /// Creates the metrics of each class, so that they are shown before the class's first request.
 fn register_classes(settings: &PlatformSettings, metrics: &Metrics) {
     for class in &settings.classes {
-        metrics.class(&class.name);
+        metrics.outcomes_of_class(&class.name);
     }
 }
 
