--- a/src/main.rs
+++ b/src/main.rs
@@ -164,10 +164,10 @@
     workload_manager::log::init(&operator_config.log)?;
     let name = config.name.clone();
     let node = Node::start(config, operator_config).await?;
-    let admin = node.admin.map_or(String::new(), |address| {
+    let admin = node.admin_address.map_or(String::new(), |address| {
         format!(", is operated at {address}")
     });
-    tracing::info!("{name} serves on {}{admin}", node.listen);
+    tracing::info!("{name} serves on {}{admin}", node.listen_address);
     serve_until_signalled(&node, &mut signals, path).await;
     shut_down(&node, &mut signals, path).await;
     print_metrics(&node);
--- a/src/node.rs
+++ b/src/node.rs
@@ -30,13 +30,13 @@
 /// A running workload manager.
 pub struct Node {
     /// The address at which clients of the platform's protocol connect.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The address at which Flight SQL clients connect, if that front end is on.
-    pub flight: Option<SocketAddr>,
+    pub flight_address: Option<SocketAddr>,
     /// The address of the SNMP agent, if the agent is on.
-    pub snmp: Option<SocketAddr>,
+    pub snmp_address: Option<SocketAddr>,
     /// The admin address, if there is one.
-    pub admin: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The metrics of this workload manager.
     pub metrics: Arc<Metrics>,
     limits: Arc<Limits>,
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -84,7 +84,7 @@
     let state_writer = start_peer_sync(shared_state.store, &core, &context).await;
     let policy = Arc::new(Mutex::new(operator_config.policy));
     let admin_server = context.admin_server(&core, state_writer, &policy, &settings);
-    let admin = sockets
+    let admin_address = sockets
         .admin
         .map(|bound| spawn_listener(bound, |listener| admin::serve(listener, admin_server)));
     register_classes(&settings.borrow(), &context.metrics);
@@ -93,21 +93,21 @@
     }
     let frontend = context.frontend(&core, settings);
     let flight_frontend = frontend.clone();
-    let flight = sockets
+    let flight_address = sockets
         .flight
         .map(|bound| spawn_listener(bound, |listener| flight::listen(listener, flight_frontend)));
-    let listen = spawn_listener(sockets.platform, |listener| {
+    let listen_address = spawn_listener(sockets.platform, |listener| {
         msgpack_rpc::listen(listener, frontend)
     });
-    let snmp = sockets
+    let snmp_address = sockets
         .snmp_agent
         .map(|socket| start_snmp_agent(socket, config.name, &context));
     context.lifecycle.update(|state| state.serving = true);
     Ok(Node {
-        listen,
-        flight,
-        snmp,
-        admin,
+        listen_address,
+        flight_address,
+        snmp_address,
+        admin_address,
         metrics: context.metrics,
         limits: context.limits,
         start_only_settings,
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -107,7 +107,7 @@
     /// Changes to the settings; see `apply_changes`.
     pub changes: &'a [&'a str],
     /// The operators' file.
-    pub operators: &'a str,
+    pub operator_file: &'a str,
 }
 
 /// Runs a script with this many engines of one protocol.
@@ -117,7 +117,7 @@
             engines,
             protocol,
             changes: &[],
-            operators: EMPTY_OPERATOR_FILE,
+            operator_file: EMPTY_OPERATOR_FILE,
         },
         script,
     );
@@ -153,34 +153,40 @@
             setup.changes,
         );
         let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
-        let front = FlightFrontConfig {
+        let flight_front_end = FlightFrontConfig {
             listen: "127.0.0.1:0".to_owned(),
             engines: protocol,
         };
-        let agent = SnmpAgentConfig {
+        let snmp_agent = SnmpAgentConfig {
             listen: "127.0.0.1:0".to_owned(),
             community: "public".to_owned(),
         };
-        let fronts = OptionalFronts {
-            flight: Some(front),
-            snmp: Some(agent),
+        let optional_front_ends = OptionalFronts {
+            flight: Some(flight_front_end),
+            snmp: Some(snmp_agent),
         };
         let checked = operator_config::parse_and_check(
-            setup.operators,
+            setup.operator_file,
             Some(&PlatformConstraints::from_settings(&config.settings)),
         );
         let policy = Arc::new(checked.expect("operators' file").1.unwrap_or_default());
-        let operators = OperatorConfig {
-            front_ends: fronts,
+        let operator_config = OperatorConfig {
+            front_ends: optional_front_ends,
             policy,
             ..OperatorConfig::default()
         };
-        let node = Node::start(config, operators).await.expect("node");
-        let snmp_manager = snmp_manager::Manager::new(node.snmp.expect("agent")).await;
-        let (metrics, listen_addresses) = (node.metrics.clone(), (node.listen, node.flight));
+        let node = Node::start(config, operator_config).await.expect("node");
+        let snmp_manager = snmp_manager::Manager::new(node.snmp_address.expect("agent")).await;
+        let (metrics, listen_addresses) = (
+            node.metrics.clone(),
+            (node.listen_address, node.flight_address),
+        );
         let (clients, flight_clients, admin_callers) = Default::default();
-        let (admin_address, node, shutdown_task) =
-            (node.admin.expect("operations"), Arc::new(node), None);
+        let (admin_address, node, shutdown_task) = (
+            node.admin_address.expect("operations"),
+            Arc::new(node),
+            None,
+        );
         Scene {
             node,
             shutdown_requested: false,
--- a/tests/service_guarantees/client_disconnect.rs
+++ b/tests/service_guarantees/client_disconnect.rs
@@ -36,7 +36,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         feed expect 1
@@ -67,7 +67,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         feed expect 1
@@ -101,7 +101,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: BACKOFF,
+        operator_file: BACKOFF,
     };
     let script = "
         c1 send 1 seat-check
@@ -132,7 +132,7 @@
         engines: 1,
         protocol: EngineProtocol::Lines,
         changes: SLOW_DIAL,
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         e1 hold
@@ -161,7 +161,7 @@
         engines: 1,
         protocol: EngineProtocol::Lines,
         changes: SLOW_DIAL,
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         c1 send 1 usage-report
@@ -197,7 +197,7 @@
         engines: 1,
         protocol: EngineProtocol::Flight,
         changes: SLOW_DIAL,
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         e1 hold
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -239,7 +239,7 @@
             let text = apply_changes(&configuration(at, &known), &[&instances, &place, &seed]);
             let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
             let node = Node::start(config, OptionalFronts::default()).await.expect("node");
-            tokio::spawn(client(ordinal, node.listen, mix));
+            tokio::spawn(client(ordinal, node.listen_address, mix));
             nodes.push(node);
         }
         sleep(WATCHED).await;
