--- a/tests/scenarios/process_lifecycle.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -184,10 +184,10 @@
 fn an_unusable_configuration_ends_the_program_with_a_message(
     #[case] name: &str,
     #[case] config: &str,
-    #[case] operators_file: &str,
+    #[case] operator_settings: &str,
     #[case] expected: &str,
 ) {
-    let output = start_program(name, config, operators_file)
+    let output = start_program(name, config, operator_settings)
         .wait_with_output()
         .expect("output");
     let stderr = String::from_utf8_lossy(&output.stderr);
--- a/tests/scene/child_process.rs
+++ b/tests/scene/child_process.rs
@@ -31,14 +31,14 @@
 }
 
 /// Starts the program as `program` prepares it, with its standard error in a pipe.
-pub(crate) fn start_program(name: &str, config: &str, fronts: &str) -> Child {
-    let mut program = program(name, config, fronts);
+pub(crate) fn start_program(name: &str, config: &str, operator_settings: &str) -> Child {
+    let mut program = program(name, config, operator_settings);
     program.stderr(Stdio::piped()).spawn().expect("program")
 }
 
 /// The command that runs the program with this configuration and an operators' file of version 1
 /// with this text. Both are written to files with this name.
-pub(crate) fn program(name: &str, config: &str, fronts: &str) -> Command {
+pub(crate) fn program(name: &str, config: &str, operator_settings: &str) -> Command {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = |kind: &str, text: &str| {
         let path = folder.join(format!("{name}.{kind}"));
@@ -46,10 +46,10 @@
         path
     };
     let mut program = Command::new(env!("CARGO_BIN_EXE_workload-manager"));
-    let operators = format!("version = 1\n{fronts}");
+    let operator_file = format!("version = 1\n{operator_settings}");
     program
         .env("NODE_CONFIG", file("json", config))
-        .env("MAGPIECHUTE_FILE", file("toml", &operators));
+        .env("MAGPIECHUTE_FILE", file("toml", &operator_file));
     program.env("MAGPIECHUTE_FRONTS", folder.join("no-fronts.toml"));
     for unset in ["NODE_LISTEN", "NODE_OPS", "NODE_LISTEN_FD", "TMPDIR"] {
         program.env_remove(unset);
--- a/tests/scene/engine_fleet.rs
+++ b/tests/scene/engine_fleet.rs
@@ -264,7 +264,7 @@
 
     async fn feed_step(&mut self, verb: &str, rest: &[&str]) {
         match (verb, rest) {
-            ("expect", [last]) => self.feed.expect_watch(last).await,
+            ("expect", [last]) => self.feed.expect_connection(last).await,
             ("close", _) => self.feed.close(),
             ("send", ["raw", bytes]) => self.feed.send_raw(bytes).await,
             ("send", ["only", engine]) => {
--- a/tests/scene/list_feed.rs
+++ b/tests/scene/list_feed.rs
@@ -60,7 +60,7 @@
     }
 
     /// Accepts a connection, on which the manager must send this number as its last event.
-    pub(super) async fn expect_watch(&mut self, last_event: &str) {
+    pub(super) async fn expect_connection(&mut self, last_event: &str) {
         let (mut stream, _) = self.listener.accept().await.expect("accept");
         let received = stream.read_u64().await.expect("the last event");
         assert_eq!(received.to_string(), last_event);
