--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -17,35 +17,35 @@
 #[rstest]
 fn all_limits_fit_memory_and_descriptors_together(
     #[values(64, 256, 384, 512, 1024)] sockets: usize,
-    #[values(32, 192, 256)] memory: usize,
+    #[values(32, 192, 256)] memory_mb: usize,
 ) {
     let text = r#"{"nInstances":1,"classes":[{"name":"a","effect":"once","promiseMs":1,"giveUpMs":9}],
         "guarantees":{"coldMs":1,"coldShare":0.3,"overloadForMs":1,"tipMultiple":3},
         "limits":{"attemptsCap":6}}"#;
     let limits = Limits::new(
         sockets,
-        memory,
+        memory_mb,
         true,
         &settings_json::parse(text.as_bytes()).expect("settings"),
     );
-    let shared = limits.input_bytes
+    let buffered_bytes = limits.input_bytes
         + limits.output_bytes
         + limits.partial_result_bytes
         + limits.open_statement_bytes
         + limits.flight_ticket_bytes;
-    let engine_conns = limits.engine_connections + limits.engine_connections_reserved;
-    let buffers = engine_conns * engine_connection_bytes(limits.page_bytes)
+    let engine_connections = limits.engine_connections + limits.engine_connections_reserved;
+    let connection_bytes = engine_connections * engine_connection_bytes(limits.page_bytes)
         + limits.client_connections * 4096
         + limits.feed_frame_bytes;
     // The number of records that wait for an engine slot is at most the number of slots.
-    let list =
+    let list_bytes =
         limits.engines * (ENGINE_BYTES + WAITING_RECORD_BYTES) + 2 * limits.state_bytes as usize;
     assert!(
         limits.engines >= 2 * 1024,
         "the limit is below 1,024 listed engines and as many draining ones"
     );
     assert!(
-        memory < 256 || limits.engines >= 22_000 + 22_000 / 10,
+        memory_mb < 256 || limits.engines >= 22_000 + 22_000 / 10,
         "the limit is below 22,000 listed engines and one tenth as many draining ones"
     );
     assert!(
@@ -53,48 +53,57 @@
         "the full list does not fit one frame"
     );
     // The program text takes 2 to 3 MB and is shared by two processes. The value has a reserve.
-    let program = 4 << 20;
+    let program_text_bytes = 4 << 20;
     // The state of one process takes 0.5 MB. The value has a reserve.
-    let own = 1 << 20;
-    let all = shared + buffers + list + limits.flight_message_bytes + program + own;
+    let process_state_bytes = 1 << 20;
+    let required_bytes = buffered_bytes
+        + connection_bytes
+        + list_bytes
+        + limits.flight_message_bytes
+        + program_text_bytes
+        + process_state_bytes;
     assert!(
-        all <= memory << 20,
-        "{all} bytes needed, {memory} MB available"
+        required_bytes <= memory_mb << 20,
+        "{required_bytes} bytes needed, {memory_mb} MB available"
     );
     // Two processes during a hot restart.
     assert!(!limits.set_peer_process(true) && limits.set_peer_process(true));
-    let per_process = limits.share(shared)
-        + limits.share(buffers)
+    let bytes_per_process = limits.share(buffered_bytes)
+        + limits.share(connection_bytes)
         + limits.share(limits.flight_message_bytes)
-        + list
-        + own;
-    let all = 2 * per_process + program;
+        + list_bytes
+        + process_state_bytes;
+    let required_bytes = 2 * bytes_per_process + program_text_bytes;
     assert!(
-        all <= memory << 20,
-        "both processes need {all} bytes, {memory} MB available"
+        required_bytes <= memory_mb << 20,
+        "both processes need {required_bytes} bytes, {memory_mb} MB available"
     );
-    let all = [
+    let shared_limits = [
         limits.client_connections,
         limits.flight_connections,
         limits.admin_connections,
         limits.engine_connections,
         limits.engine_connections_reserved,
     ];
-    let all = all.iter().map(|n| limits.share(*n)).sum::<usize>() + 17;
+    let descriptors_per_process = shared_limits
+        .iter()
+        .map(|limit| limits.share(*limit))
+        .sum::<usize>()
+        + 17;
     assert!(
-        sockets < 256 || 2 * all <= sockets,
-        "each process needs {all} descriptors, both together have {sockets}"
+        sockets < 256 || 2 * descriptors_per_process <= sockets,
+        "each process needs {descriptors_per_process} descriptors, both together have {sockets}"
     );
     // Descriptors for the standard streams, the runtime, signals (five), the listeners, the SNMP
     // agent, the feed (two) and files.
-    let program = 19;
-    let all = limits.client_connections
+    let process_descriptors = 19;
+    let required_descriptors = limits.client_connections
         + limits.flight_connections
         + limits.admin_connections
-        + engine_conns
-        + program;
+        + engine_connections
+        + process_descriptors;
     assert!(
-        all <= sockets,
-        "{all} descriptors needed, {sockets} available"
+        required_descriptors <= sockets,
+        "{required_descriptors} descriptors needed, {sockets} available"
     );
 }
