--- a/src/node/sockets.rs
+++ b/src/node/sockets.rs
@@ -1,6 +1,6 @@
 //! The sockets of a node. All are bound at the start, before any actor runs.
 
-use crate::node_config::{ConfigError, NodeConfig, OptionalFronts, parse_loopback_address};
+use crate::node_config::{ConfigError, NodeConfig, OptionalFrontEnds, parse_loopback_address};
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -56,7 +56,7 @@
     /// Opens all sockets that the configuration and the operators' file ask for.
     pub(super) async fn bind(
         config: &NodeConfig,
-        front_ends: OptionalFronts,
+        front_ends: OptionalFrontEnds,
     ) -> Result<Sockets, BindError> {
         let platform = match config.listen_fd {
             Some(descriptor) => inherit_listener(descriptor).await?,
--- a/src/node_config.rs
+++ b/src/node_config.rs
@@ -17,7 +17,8 @@
 };
 pub use error::ConfigError;
 pub use front_ends::{
-    EngineProtocol, FlightFrontConfig, OptionalFronts, SnmpAgentConfig, parse_loopback_address,
+    EngineProtocol, FlightFrontEndConfig, OptionalFrontEnds, SnmpAgentConfig,
+    parse_loopback_address,
 };
 
 use crate::decision::ListUpdateKind;
--- a/src/node_config/front_ends.rs
+++ b/src/node_config/front_ends.rs
@@ -9,9 +9,9 @@
 /// The configuration of the optional front ends. They are off unless a file turns them on.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OptionalFronts {
+pub struct OptionalFrontEnds {
     /// The Arrow Flight SQL front end.
-    pub flight: Option<FlightFrontConfig>,
+    pub flight: Option<FlightFrontEndConfig>,
     /// The SNMP agent, which serves the metrics.
     pub snmp: Option<SnmpAgentConfig>,
 }
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "FlightFront")]
-pub struct FlightFrontConfig {
+pub struct FlightFrontEndConfig {
     /// The loopback address and port at which it listens.
     pub listen: String,
     /// The protocol of the engines in the endpoint list.
@@ -51,17 +51,17 @@
     pub community: String,
 }
 
-impl OptionalFronts {
+impl OptionalFrontEnds {
     /// Reads the configuration file. If it does not exist, both front ends are off.
     ///
     /// # Errors
     ///
     /// The file cannot be read, or is not TOML of this format.
-    pub fn load(path: &Path) -> Result<OptionalFronts, ConfigError> {
+    pub fn load(path: &Path) -> Result<OptionalFrontEnds, ConfigError> {
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
-                return Ok(OptionalFronts::default());
+                return Ok(OptionalFrontEnds::default());
             }
             Err(source) => {
                 return Err(ConfigError::FrontEndsUnreadable {
--- a/src/operator_config/startup.rs
+++ b/src/operator_config/startup.rs
@@ -4,7 +4,7 @@
 use super::faults::Faults;
 use super::text::LogTable;
 use super::{LoadedFile, PlatformConstraints, load};
-use crate::node_config::{ConfigError, EngineProtocol, OptionalFronts};
+use crate::node_config::{ConfigError, EngineProtocol, OptionalFrontEnds};
 use crate::retry_policy::Policy;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
     /// The front ends in addition to that of the platform's protocol.
-    pub front_ends: OptionalFronts,
+    pub front_ends: OptionalFrontEnds,
     /// The retry policy; empty without an operators' file.
     pub policy: Arc<Policy>,
     /// The path of the operators' file, which each reload reads again. The file need not exist.
@@ -23,8 +23,8 @@
     pub log: LogTable,
 }
 
-impl From<OptionalFronts> for OperatorConfig {
-    fn from(front_ends: OptionalFronts) -> OperatorConfig {
+impl From<OptionalFrontEnds> for OperatorConfig {
+    fn from(front_ends: OptionalFrontEnds) -> OperatorConfig {
         OperatorConfig {
             front_ends,
             ..OperatorConfig::default()
@@ -35,7 +35,7 @@
 impl From<LoadedFile> for OperatorConfig {
     fn from(loaded: LoadedFile) -> OperatorConfig {
         OperatorConfig {
-            front_ends: OptionalFronts {
+            front_ends: OptionalFrontEnds {
                 flight: loaded.file.flight,
                 snmp: loaded.file.snmp,
             },
@@ -91,8 +91,11 @@
 
 /// Reads the older file of front ends. The log is not set up yet, so the warning goes directly to
 /// standard error.
-fn load_front_ends(path: &Path, operator_file_path: &Path) -> Result<OptionalFronts, ConfigError> {
-    let front_ends = OptionalFronts::load(path)?;
+fn load_front_ends(
+    path: &Path,
+    operator_file_path: &Path,
+) -> Result<OptionalFrontEnds, ConfigError> {
+    let front_ends = OptionalFrontEnds::load(path)?;
     if path.exists() {
         eprintln!(
             "workload-manager: {} is deprecated and read by this version only; move its tables into {}",
--- a/src/operator_config/text.rs
+++ b/src/operator_config/text.rs
@@ -26,7 +26,7 @@
     pub log: LogTable,
     /// The Arrow Flight SQL front end; disabled if left out.
     #[garde(skip)]
-    pub flight: Option<crate::node_config::FlightFrontConfig>,
+    pub flight: Option<crate::node_config::FlightFrontEndConfig>,
     /// The SNMP agent; disabled if left out.
     #[garde(skip)]
     pub snmp: Option<crate::node_config::SnmpAgentConfig>,
--- a/tests/scenarios/process_lifecycle.rs
+++ b/tests/scenarios/process_lifecycle.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr};
 use std::time::Duration;
-use workload_manager::node_config::OptionalFronts;
+use workload_manager::node_config::OptionalFrontEnds;
 
 /// Interval between two polls of the admin figures of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -352,6 +352,6 @@
 #[test]
 fn the_example_file_of_optional_front_ends_loads() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/fronts.example.toml");
-    let front_ends = OptionalFronts::load(&path).expect("file");
+    let front_ends = OptionalFrontEnds::load(&path).expect("file");
     assert!(front_ends.flight.is_some() && front_ends.snmp.is_some());
 }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -62,7 +62,7 @@
 use std::time::{Duration, Instant};
 use workload_manager::node::Node;
 use workload_manager::node_config::{
-    EngineProtocol, FlightFrontConfig, NodeConfig, OptionalFronts, SnmpAgentConfig,
+    EngineProtocol, FlightFrontEndConfig, NodeConfig, OptionalFrontEnds, SnmpAgentConfig,
 };
 use workload_manager::operator_config::{self, OperatorConfig, PlatformConstraints};
 
@@ -153,7 +153,7 @@
             setup.changes,
         );
         let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
-        let flight_front_end = FlightFrontConfig {
+        let flight_front_end = FlightFrontEndConfig {
             listen: "127.0.0.1:0".to_owned(),
             engines: protocol,
         };
@@ -161,7 +161,7 @@
             listen: "127.0.0.1:0".to_owned(),
             community: "public".to_owned(),
         };
-        let optional_front_ends = OptionalFronts {
+        let optional_front_ends = OptionalFrontEnds {
             flight: Some(flight_front_end),
             snmp: Some(snmp_agent),
         };
@@ -176,14 +176,14 @@
             ..OperatorConfig::default()
         };
         let node = Node::start(config, operator_config).await.expect("node");
-        let snmp_manager = snmp_manager::Manager::new(node.snmp_address.expect("agent")).await;
+        let snmp_manager = snmp_manager::Manager::new(node.snmp_address.expect("SNMP agent")).await;
         let (metrics, listen_addresses) = (
             node.metrics.clone(),
             (node.listen_address, node.flight_address),
         );
         let (clients, flight_clients, admin_callers) = Default::default();
         let (admin_address, node, shutdown_task) = (
-            node.admin_address.expect("operations"),
+            node.admin_address.expect("admin address"),
             Arc::new(node),
             None,
         );
@@ -207,7 +207,7 @@
         let words: Vec<&str> = step.split_whitespace().collect();
         let (who, verb, rest) = (words[0], words[1], &words[2..]);
         match (&who[..1], verb) {
-            ("w", _) => self.wait_for_counter(step, verb).await,
+            ("w", _) => self.wait_for_metric(step, verb).await,
             ("n", "send") => self.reload(rest).await,
             ("n", "close") => self.begin_shutdown(),
             ("n", _) => self.expect_shutdown(step).await,
@@ -219,12 +219,12 @@
         }
     }
 
-    async fn wait_for_counter(&self, step: &str, wanted: &str) {
+    async fn wait_for_metric(&self, step: &str, wanted: &str) {
         let (name, value) = wanted.split_once('=').expect("wait NAME=VALUE");
         let has_value = || {
-            let counters = self.metrics.all();
-            let mut counters = counters.iter();
-            counters.any(|metric| metric.name == name && metric.value.to_string() == value)
+            let metrics = self.metrics.all();
+            let mut metrics = metrics.iter();
+            metrics.any(|metric| metric.name == name && metric.value.to_string() == value)
         };
         let reached = async {
             while !has_value() {
@@ -295,7 +295,7 @@
     async fn client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
         if !self.clients.contains_key(who) {
             let address = if who.starts_with('x') {
-                self.listen_addresses.1.expect("flight front")
+                self.listen_addresses.1.expect("Flight SQL address")
             } else {
                 self.listen_addresses.0
             };
@@ -318,7 +318,7 @@
 
     async fn flight_client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
         if !self.flight_clients.contains_key(who) {
-            let address = self.listen_addresses.1.expect("flight front");
+            let address = self.listen_addresses.1.expect("Flight SQL address");
             let client = flight_client::Client::new(who, address).await;
             self.flight_clients.insert(who.to_owned(), client);
         }
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -17,7 +17,7 @@
 use tokio::time::{interval, sleep};
 use workload_manager::core::Clock;
 use workload_manager::node::Node;
-use workload_manager::node_config::{NodeConfig, OptionalFronts};
+use workload_manager::node_config::{NodeConfig, OptionalFrontEnds};
 
 /// The settings of the scene: how long an engine is cold, what it can do at first, and when it is overloaded.
 const SLOW_START_MS: f64 = 15_000.0;
@@ -238,7 +238,7 @@
             let (instances, place) = (format!("nInstances={instances}"), format!("ordinal={ordinal}"));
             let text = apply_changes(&configuration(at, &known), &[&instances, &place, &seed]);
             let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
-            let node = Node::start(config, OptionalFronts::default()).await.expect("node");
+            let node = Node::start(config, OptionalFrontEnds::default()).await.expect("node");
             tokio::spawn(client(ordinal, node.listen_address, mix));
             nodes.push(node);
         }
