--- a/tests/scene/flight_client.rs
+++ b/tests/scene/flight_client.rs
@@ -54,8 +54,9 @@
         let client = FlightServiceClient::new(self.channel.clone());
         match (verb, rest) {
             ("send", ["ticket", id, class, fields @ ..]) => {
-                let plan = self.request(class, fields, query_descriptor(class, &self.name, id));
-                let ticket = fetch_ticket(client, plan).await.expect("a ticket");
+                let info_request =
+                    self.request(class, fields, query_descriptor(class, &self.name, id));
+                let ticket = fetch_ticket(client, info_request).await.expect("a ticket");
                 self.tickets.insert((*id).to_owned(), ticket);
             }
             ("send", ["get", id, ticket_id]) => {
@@ -85,10 +86,11 @@
                 self.calls.insert((*id).to_owned(), tokio::spawn(call));
             }
             ("send", [id, class, fields @ ..]) => {
-                let plan = self.request(class, fields, query_descriptor(class, &self.name, id));
-                let timeout = plan.metadata().get("grpc-timeout").cloned();
+                let info_request =
+                    self.request(class, fields, query_descriptor(class, &self.name, id));
+                let timeout = info_request.metadata().get("grpc-timeout").cloned();
                 let call = async move {
-                    let ticket = match fetch_ticket(client.clone(), plan).await {
+                    let ticket = match fetch_ticket(client.clone(), info_request).await {
                         Ok(ticket) => ticket,
                         Err(status) => return status_text(Some(status)),
                     };
@@ -144,9 +146,9 @@
 
 async fn fetch_ticket(
     mut client: FlightServiceClient<Channel>,
-    plan: Request<FlightDescriptor>,
+    info_request: Request<FlightDescriptor>,
 ) -> Result<Ticket, Status> {
-    let info = client.get_flight_info(plan).await?.into_inner();
+    let info = client.get_flight_info(info_request).await?.into_inner();
     Ok(info.endpoint[0].ticket.clone().expect("ticket"))
 }
 
--- a/tests/scene/flight_engine.rs
+++ b/tests/scene/flight_engine.rs
@@ -135,12 +135,12 @@
         Some(count) => "many\trows\there\n".repeat(count),
         None => text.to_owned(),
     };
-    let column = |i: usize| -> (String, ArrayRef) {
+    let column = |index: usize| -> (String, ArrayRef) {
         let cells: Vec<&str> = text
             .lines()
-            .map(|line| line.split('\t').nth(i).unwrap_or_default())
+            .map(|line| line.split('\t').nth(index).unwrap_or_default())
             .collect();
-        (format!("c{i}"), Arc::new(StringArray::from(cells)))
+        (format!("c{index}"), Arc::new(StringArray::from(cells)))
     };
     let batch = RecordBatch::try_from_iter((0..3).map(column)).expect("batch");
     let data = batches_to_flight_data(&batch.schema(), [&batch]).expect("data");
--- a/tests/scene/msgpack_client.rs
+++ b/tests/scene/msgpack_client.rs
@@ -95,9 +95,9 @@
     }
 
     fn statement_call(&self, id: u64, class: &str, changes: &[&str]) -> Vec<u8> {
-        let client = self.name.bytes();
-        let client = client.fold(0u32, |hash, byte| hash * 31 + u32::from(byte));
-        let reference = format!("{client:08x}{id:08x}");
+        let name_bytes = self.name.bytes();
+        let name_hash = name_bytes.fold(0u32, |hash, byte| hash * 31 + u32::from(byte));
+        let reference = format!("{name_hash:08x}{id:08x}");
         let mut fields: Vec<(&str, &str)> = vec![
             ("ref", &reference),
             ("allow", "9000"),
--- a/tests/scene/node_settings.rs
+++ b/tests/scene/node_settings.rs
@@ -61,7 +61,7 @@
                     change(map);
                 }
             }
-            Value::Array(all) => all
+            Value::Array(elements) => elements
                 .iter_mut()
                 .for_each(|value| edit_each(value, key, change)),
             _ => {}
