--- a/src/discovery/frame.rs
+++ b/src/discovery/frame.rs
@@ -190,8 +190,7 @@
     }
 }
 
-/// Whether `position` is in the list of names. If the settings list no names, every position is
-/// accepted.
+/// Returns true if `position` is in the list of names, or if the settings list no names.
 fn is_known_position(names: &[String], position: u8) -> bool {
     names.is_empty() || usize::from(position) < names.len()
 }
--- a/src/discovery/session.rs
+++ b/src/discovery/session.rs
@@ -38,9 +38,9 @@
 ///
 /// # Errors
 ///
-/// See [`SessionError`]. If the feed is silent for longer than the time limit, the connection ends:
-/// it may have been cut off while engines drain, and an event counts as known to this process from
-/// the moment at which the feed sends it.
+/// See [`SessionError`]. If the feed is silent for longer than the time limit, the connection ends.
+/// It may have been cut off while engines drain, and every event counts as known to this process
+/// from the moment at which the feed sends it.
 pub(super) async fn run(
     feed: SocketAddr,
     last_event: &mut u64,
--- a/src/hot_restart/state_store.rs
+++ b/src/hot_restart/state_store.rs
@@ -158,8 +158,8 @@
 
     /// Records one decision and writes it together with the decisions of the peer process.
     pub(super) async fn record(&mut self, engine: EngineId, ejection: ManualEjection) {
-        // The decision is written even if the lock cannot be taken: to lose an update of the peer
-        // is less harmful than not to record this decision.
+        // The decision is written even if the lock cannot be taken. The write may then overwrite an
+        // update of the peer, which is less harmful than not recording this decision.
         let ejection = self.with_ordered_time(engine, ejection);
         let lock_held = self.lock_for_writing().await;
         self.refresh(ejection.decided_at_ms);
@@ -184,9 +184,9 @@
         }
     }
 
-    /// Returns the decision with a corrected time if the wall clock was stepped back: a time far
-    /// before the engine's previous decision was read after the clock was stepped back since the
-    /// other process started. The corrected time is just after the previous decision.
+    /// Corrects the time of a decision if the wall clock was stepped back after the other process
+    /// had started. A time that is more than [`MAX_CLOCK_SKEW_MS`] before the engine's previous
+    /// decision shows such a step. The corrected time is just after the previous decision.
     fn with_ordered_time(&self, engine: EngineId, ejection: ManualEjection) -> ManualEjection {
         let previous_ms = self
             .ejections
--- a/src/limits/table.rs
+++ b/src/limits/table.rs
@@ -83,7 +83,8 @@
     /// An idle client connection is closed after this time. Clients close idle connections earlier.
     client_idle_timeout: Duration = Duration::from_secs(30);
     /// Maximum time to wait until the peer closes a connection that this side has closed for
-    /// writing.
+    /// writing. A Flight SQL connection whose client was asked to leave is closed after this time
+    /// without a change on it.
     linger_timeout: Duration = Duration::from_millis(100);
     /// The value of `linger_timeout` for an evicted client connection. It is shorter because another
     /// connection waits for its descriptor.
@@ -102,7 +103,7 @@
     /// Maximum number of pages of one result.
     pages_per_result: usize = 256;
     /// Maximum time to wait for the next page of a result. If it does not arrive in time, the
-    /// result is given up.
+    /// attempt ends as timed out.
     page_timeout: Duration = Duration::from_millis(2000);
     /// Maximum time to wait for the rest of an engine's answer after its first bytes.
     partial_answer_timeout: Duration = Duration::from_millis(1500);
@@ -136,7 +137,8 @@
     /// carries no reference twice, so it stores every reference that it has carried.
     references_per_connection: usize = REFERENCES_PER_CONNECTION;
     /// Number of connections to an engine that may fail in a row, without an answer in between, and
-    /// still return their unsent attempts.
+    /// still return their unsent attempts, so that another connection sends them. When a further
+    /// connection fails, its unsent attempts end.
     consecutive_failed_connections: usize = 3;
     /// Maximum number of connections to one engine.
     connections_per_engine: usize = (basis.sockets / 12).clamp(1, 24);
@@ -150,8 +152,8 @@
 
     // Attempts.
 
-    /// Time before the client's deadline, in ms, at which an open attempt is given up and the
-    /// request is answered.
+    /// Time before the client's deadline, in ms, at which an open request is answered as failed and
+    /// its attempt is cancelled.
     answer_margin_ms: f64 = 10.0;
     /// Maximum time from the cancellation of an attempt until the last byte of the cancellation is
     /// written. After it, the connection is closed.
@@ -165,7 +167,7 @@
     /// Time without a confirmation of the cancellation, in ms, after which the attempt ends as
     /// timed out. Its request fails if it has no answer yet.
     cancellation_timeout_ms: f64 = 2000.0;
-    /// An attempt of an idempotent request is given up if the engine reports nothing about it for
+    /// An attempt of an idempotent request is cancelled if the engine reports nothing about it for
     /// this time, in ms. Infinite if engines send no progress reports.
     attempt_silence_ms: f64 = basis.silence_limit_ms(6.0, 3000.0);
 
@@ -230,13 +232,15 @@
     state_write_timeout: Duration = Duration::from_millis(300);
     /// Time for which the end of a manual ejection stays in the stored state.
     state_retention: Duration = Duration::from_secs(120);
-    /// Maximum client timeout after SIGTERM, and the time after it at which the process ends. A
-    /// longer client timeout counts as the first time. The platform kills the process 0.7 s after
-    /// the longest client timeout; the second time is these 0.7 s less a reserve for the last
-    /// answers. A hot restart gives no more time.
+    /// The two parts of the time from SIGTERM to the end of the process. The first part is the
+    /// longest client timeout of all classes, but at most the first value. The second value is the
+    /// margin that is added to it. The platform kills the process 0.7 s after the longest client
+    /// timeout; the margin is these 0.7 s less a reserve for the last answers. A hot restart gives
+    /// no more time.
     shutdown_timeout_and_margin: (Duration, Duration) =
         (Duration::from_secs(3), Duration::from_millis(500));
-    /// Maximum time for which a successor process waits for the first event of the discovery feed.
+    /// Maximum time for which a successor process waits for the first frame of the discovery feed,
+    /// an event or a heartbeat.
     first_feed_frame_timeout: Duration = Duration::from_millis(1200);
     /// Maximum time after SIGTERM for which new requests are accepted.
     shutdown_accept_window: Duration = Duration::from_millis(1000);
@@ -253,6 +257,6 @@
     admin_accept_retry_delay: Duration = Duration::from_millis(10);
     /// Maximum size of one SNMP message, in bytes. A message of this size fits one Ethernet frame.
     snmp_message_bytes: usize = 1472;
-    /// Maximum number of variables in the answer to a GETBULK request.
+    /// Maximum number of variables up to which the answer to a GETBULK request adds repetitions.
     snmp_bulk_variables: usize = 24;
 }
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -52,9 +52,10 @@
         }
     }
 
-    /// Sends the core the time at which the process ends. The platform kills the process a short
-    /// margin after the longest client timeout; a timeout counts as no longer than the maximum in
-    /// `shutdown_timeout_and_margin` of the limits. A request that is still open then gets no answer.
+    /// Sends the core the time at which the process ends: the longest client timeout of all classes
+    /// plus a margin. The platform kills the process soon after that time, and a request that is
+    /// still open then gets no answer. The maximum of the timeout and the margin are in
+    /// [`Limits::shutdown_timeout_and_margin`](crate::limits::Limits::shutdown_timeout_and_margin).
     async fn send_deadline_to_core(&self) {
         let (max_timeout, margin) = self.limits.shutdown_timeout_and_margin;
         let longest_timeout_ms = self
@@ -82,8 +83,8 @@
 
 impl CompletionCheck {
     /// Returns true if the shutdown is complete. The node waits no longer than the read timeout for
-    /// a client that does not read its answers, because the platform would kill the process
-    /// otherwise.
+    /// a client that does not read its answers, because the platform would otherwise kill the
+    /// process.
     fn is_complete(&mut self, now: Instant, is_idle: bool, all_answered: bool) -> bool {
         self.idle_since = match self.idle_since {
             _ if !is_idle => None,
--- a/src/snmp/request.rs
+++ b/src/snmp/request.rs
@@ -14,7 +14,7 @@
 pub(super) struct AnswerLimits {
     /// Maximum size of the encoded answer, in bytes.
     pub(super) max_bytes: usize,
-    /// Maximum number of variables up to which the answer to a GETBULK adds repetitions.
+    /// Maximum number of variables up to which the answer to a GETBULK request adds repetitions.
     pub(super) max_variables: usize,
 }
 
