--- a/tests/scenarios/connections.rs
+++ b/tests/scenarios/connections.rs
@@ -46,8 +46,8 @@
 
 /// The engine may reset an idle connection just as the next request is written. A bulk load
 /// therefore gets a new connection unless an existing one answered within `recent_answer_ms`; an
-/// idempotent query uses an idle connection. The script lets the connection idle by waiting until the manager closes
-/// a silent client.
+/// idempotent query uses an idle connection. The script lets the connection idle by waiting until
+/// the manager closes a silent client.
 #[test]
 fn a_bulk_load_gets_a_new_connection_if_the_existing_one_was_idle() {
     let served_attempt = |number: u32| {
--- a/tests/scene/flight_client.rs
+++ b/tests/scene/flight_client.rs
@@ -54,9 +54,8 @@
         let client = FlightServiceClient::new(self.channel.clone());
         match (verb, rest) {
             ("send", ["ticket", id, class, fields @ ..]) => {
-                let info_request =
-                    self.request(class, fields, query_descriptor(class, &self.name, id));
-                let ticket = fetch_ticket(client, info_request).await.expect("a ticket");
+                let query = self.request(class, fields, query_descriptor(class, &self.name, id));
+                let ticket = fetch_ticket(client, query).await.expect("a ticket");
                 self.tickets.insert((*id).to_owned(), ticket);
             }
             ("send", ["get", id, ticket_id]) => {
@@ -86,11 +85,10 @@
                 self.calls.insert((*id).to_owned(), tokio::spawn(call));
             }
             ("send", [id, class, fields @ ..]) => {
-                let info_request =
-                    self.request(class, fields, query_descriptor(class, &self.name, id));
-                let timeout = info_request.metadata().get("grpc-timeout").cloned();
+                let query = self.request(class, fields, query_descriptor(class, &self.name, id));
+                let timeout = query.metadata().get("grpc-timeout").cloned();
                 let call = async move {
-                    let ticket = match fetch_ticket(client.clone(), info_request).await {
+                    let ticket = match fetch_ticket(client.clone(), query).await {
                         Ok(ticket) => ticket,
                         Err(status) => return status_text(Some(status)),
                     };
@@ -146,9 +144,9 @@
 
 async fn fetch_ticket(
     mut client: FlightServiceClient<Channel>,
-    info_request: Request<FlightDescriptor>,
+    query: Request<FlightDescriptor>,
 ) -> Result<Ticket, Status> {
-    let info = client.get_flight_info(info_request).await?.into_inner();
+    let info = client.get_flight_info(query).await?.into_inner();
     Ok(info.endpoint[0].ticket.clone().expect("ticket"))
 }
 
