--- a/tests/scene/flight_client.rs
+++ b/tests/scene/flight_client.rs
@@ -54,8 +54,8 @@
         let client = FlightServiceClient::new(self.channel.clone());
         match (verb, rest) {
             ("send", ["ticket", id, class, fields @ ..]) => {
-                let plan = self.request(class, fields, query_descriptor(class, &self.name, id));
-                let ticket = fetch_ticket(client, plan).await.expect("a ticket");
+                let query = self.request(class, fields, query_descriptor(class, &self.name, id));
+                let ticket = fetch_ticket(client, query).await.expect("a ticket");
                 self.tickets.insert((*id).to_owned(), ticket);
             }
             ("send", ["get", id, ticket_id]) => {
@@ -85,10 +85,10 @@
                 self.calls.insert((*id).to_owned(), tokio::spawn(call));
             }
             ("send", [id, class, fields @ ..]) => {
-                let plan = self.request(class, fields, query_descriptor(class, &self.name, id));
-                let timeout = plan.metadata().get("grpc-timeout").cloned();
+                let query = self.request(class, fields, query_descriptor(class, &self.name, id));
+                let timeout = query.metadata().get("grpc-timeout").cloned();
                 let call = async move {
-                    let ticket = match fetch_ticket(client.clone(), plan).await {
+                    let ticket = match fetch_ticket(client.clone(), query).await {
                         Ok(ticket) => ticket,
                         Err(status) => return status_text(Some(status)),
                     };
@@ -144,9 +144,9 @@
 
 async fn fetch_ticket(
     mut client: FlightServiceClient<Channel>,
-    plan: Request<FlightDescriptor>,
+    query: Request<FlightDescriptor>,
 ) -> Result<Ticket, Status> {
-    let info = client.get_flight_info(plan).await?.into_inner();
+    let info = client.get_flight_info(query).await?.into_inner();
     Ok(info.endpoint[0].ticket.clone().expect("ticket"))
 }
 
@@ -209,7 +209,7 @@
 }
 
 /// The code of a status as scripts write it, followed by `RETRY` if the status has a retry delay of
-/// at most 1 s.
+/// at most 1 s. `OK` without a status.
 fn status_text(status: Option<Status>) -> String {
     let Some(status) = status else {
         return "OK".to_owned();
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,5 +1,5 @@
-//! Runs test scripts against a complete workload manager with fake clients, engines and list feed
-//! on loopback addresses.
+//! Runs test scripts against a complete workload manager with fake clients, fake engines and a fake
+//! discovery feed on loopback addresses.
 //!
 //! A script has one step a line: `WHO VERB ...`, with the verbs `send`, `expect` and `close`, and
 //! `hold` and `release` for engines; the one other step is `wait NAME=VALUE`. WHO is one of:
@@ -16,13 +16,13 @@
 //!   call so far), `e close c1.7` (breaks the connection that carries the request).
 //! - `e1`, `e2`: one engine. `e1 close` makes it refuse connections; after `e1 hold` further
 //!   connections to it are not established until `e1 release`.
-//! - `feed`: the list feed. `feed expect 1` waits for a connection of the manager whose last event
-//!   is number 1. `feed send STATE e1` changes the state of an engine to `active`, `draining` or
-//!   `gone`; `feed send listed e1` sends the record of an active engine too, but an engine that
-//!   must not get new attempts still must not get any. `feed send only e1` sends a full list with
-//!   this engine alone, `feed send again e1` repeats the last event's number, `feed send half e1`
-//!   sends the first half of an event, `feed send raw HEX` these bytes; `feed close` closes the
-//!   connection.
+//! - `feed`: the discovery feed. `feed expect 1` waits for a connection on which the manager gives
+//!   1 as the number of its last event. `feed send STATE e1` changes the state of an engine to
+//!   `active`, `draining` or `gone`; `feed send listed e1` sends the record of an active engine
+//!   too, but an engine that must not get new attempts still must not get any. `feed send only e1`
+//!   sends a full list with this engine alone, `feed send again e1` repeats the last event's
+//!   number, `feed send half e1` sends the first half of an event, `feed send raw HEX` these bytes;
+//!   `feed close` closes the connection.
 //! - `s`: an SNMP manager; `$` stands for the root of the project's objects: `s send get $.1.0`,
 //!   `s send next $`, `s send bulk 0 3 $`, `s send get@other $.1.0` (another community),
 //!   `s send v1 $.1.0` (SNMP version 1), `s expect $.1.0=2`.
@@ -30,9 +30,9 @@
 //!   (an unfinished line), `o1 expect 200`, `o1 expect lines node.loads=0`, `o1 close`. The next
 //!   `o1` after `expect` or `close` is a new caller.
 //! - `n`: the workload manager. `n close` requests a graceful shutdown, `n expect closed` waits for
-//!   its end. `n send settings CHANGE ...` passes a configuration with other settings, see
-//!   `apply_changes`; `n send moved` one with the feed at another address; `n send {` one whose
-//!   whole text is `{`.
+//!   its end. `n send settings CHANGE ...` reloads a configuration with other settings, see
+//!   `apply_changes`; `n send moved` reloads one with the feed at another address; `n send {`
+//!   reloads one whose whole text is `{`.
 //! - `wait requests_accepted=3` waits until a metric has that value.
 //!
 //! No step waits for a fixed time: each waits for its event, and fails if the event does not come
@@ -80,7 +80,7 @@
         .unwrap_or_else(|_| panic!("timed out waiting for: {description}"))
 }
 
-/// A workload manager with its fake clients, engines and list feed.
+/// A workload manager with its fake clients, engines and discovery feed.
 pub(crate) struct Scene {
     node: Arc<Node>,
     shutdown_requested: bool,
@@ -106,8 +106,8 @@
     pub protocol: EngineProtocol,
     /// Changes to the settings; see `apply_changes`.
     pub changes: &'a [&'a str],
-    /// The operators' file.
-    pub operators: &'a str,
+    /// The text of the operators' file.
+    pub operator_file: &'a str,
 }
 
 /// Runs a script with this many engines of one protocol.
@@ -117,7 +117,7 @@
             engines,
             protocol,
             changes: &[],
-            operators: EMPTY_OPERATOR_FILE,
+            operator_file: EMPTY_OPERATOR_FILE,
         },
         script,
     );
@@ -153,34 +153,40 @@
             setup.changes,
         );
         let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
-        let front = FlightFrontEndConfig {
+        let flight_front_end = FlightFrontEndConfig {
             listen: "127.0.0.1:0".to_owned(),
             engines: protocol,
         };
-        let agent = SnmpAgentConfig {
+        let snmp_agent = SnmpAgentConfig {
             listen: "127.0.0.1:0".to_owned(),
             community: "public".to_owned(),
         };
-        let fronts = OptionalFrontEnds {
-            flight: Some(front),
-            snmp: Some(agent),
+        let optional_front_ends = OptionalFrontEnds {
+            flight: Some(flight_front_end),
+            snmp: Some(snmp_agent),
         };
         let checked = operator_config::parse_and_check(
-            setup.operators,
+            setup.operator_file,
             Some(&PlatformConstraints::from_settings(&config.settings)),
         );
         let policy = Arc::new(checked.expect("operators' file").1.unwrap_or_default());
-        let operators = OperatorConfig {
-            front_ends: fronts,
+        let operator_config = OperatorConfig {
+            front_ends: optional_front_ends,
             policy,
             ..OperatorConfig::default()
         };
-        let node = Node::start(config, operators).await.expect("node");
-        let snmp_manager = snmp_manager::Manager::new(node.snmp.expect("agent")).await;
-        let (metrics, listen_addresses) = (node.metrics.clone(), (node.listen, node.flight));
+        let node = Node::start(config, operator_config).await.expect("node");
+        let snmp_manager = snmp_manager::Manager::new(node.snmp_address.expect("SNMP agent")).await;
+        let (metrics, listen_addresses) = (
+            node.metrics.clone(),
+            (node.listen_address, node.flight_address),
+        );
         let (clients, flight_clients, admin_callers) = Default::default();
-        let (admin_address, node, shutdown_task) =
-            (node.admin.expect("operations"), Arc::new(node), None);
+        let (admin_address, node, shutdown_task) = (
+            node.admin_address.expect("admin address"),
+            Arc::new(node),
+            None,
+        );
         Scene {
             node,
             shutdown_requested: false,
@@ -201,7 +207,7 @@
         let words: Vec<&str> = step.split_whitespace().collect();
         let (who, verb, rest) = (words[0], words[1], &words[2..]);
         match (&who[..1], verb) {
-            ("w", _) => self.wait_for_counter(step, verb).await,
+            ("w", _) => self.wait_for_metric(step, verb).await,
             ("n", "send") => self.reload(rest).await,
             ("n", "close") => self.begin_shutdown(),
             ("n", _) => self.expect_shutdown(step).await,
@@ -213,12 +219,12 @@
         }
     }
 
-    async fn wait_for_counter(&self, step: &str, wanted: &str) {
+    async fn wait_for_metric(&self, step: &str, wanted: &str) {
         let (name, value) = wanted.split_once('=').expect("wait NAME=VALUE");
         let has_value = || {
-            let counters = self.metrics.all();
-            let mut counters = counters.iter();
-            counters.any(|metric| metric.name == name && metric.value.to_string() == value)
+            let metrics = self.metrics.all();
+            let mut metrics = metrics.iter();
+            metrics.any(|metric| metric.name == name && metric.value.to_string() == value)
         };
         let reached = async {
             while !has_value() {
@@ -228,7 +234,7 @@
         within_timeout(step, reached).await;
     }
 
-    /// Passes another configuration to the manager.
+    /// Makes the manager reload another configuration.
     async fn reload(&mut self, words: &[&str]) {
         let text = match words {
             ["settings", changes @ ..] => {
@@ -289,7 +295,7 @@
     async fn client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
         if !self.clients.contains_key(who) {
             let address = if who.starts_with('x') {
-                self.listen_addresses.1.expect("flight front")
+                self.listen_addresses.1.expect("Flight SQL address")
             } else {
                 self.listen_addresses.0
             };
@@ -312,7 +318,7 @@
 
     async fn flight_client_step(&mut self, step: &str, who: &str, verb: &str, rest: &[&str]) {
         if !self.flight_clients.contains_key(who) {
-            let address = self.listen_addresses.1.expect("flight front");
+            let address = self.listen_addresses.1.expect("Flight SQL address");
             let client = flight_client::Client::new(who, address).await;
             self.flight_clients.insert(who.to_owned(), client);
         }
--- a/tests/scene/msgpack_client.rs
+++ b/tests/scene/msgpack_client.rs
@@ -29,7 +29,7 @@
         Client::with_stream(name, stream)
     }
 
-    /// Connects to a manager; none if that fails.
+    /// Connects to a manager; `None` if that fails.
     pub(crate) async fn try_new(name: &str, address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).await.ok()?;
         Some(Client::with_stream(name, stream))
@@ -95,9 +95,9 @@
     }
 
     fn statement_call(&self, id: u64, class: &str, changes: &[&str]) -> Vec<u8> {
-        let client = self.name.bytes();
-        let client = client.fold(0u32, |hash, byte| hash * 31 + u32::from(byte));
-        let reference = format!("{client:08x}{id:08x}");
+        let name_bytes = self.name.bytes();
+        let name_hash = name_bytes.fold(0u32, |hash, byte| hash * 31 + u32::from(byte));
+        let reference = format!("{name_hash:08x}{id:08x}");
         let mut fields: Vec<(&str, &str)> = vec![
             ("ref", &reference),
             ("allow", "9000"),
@@ -143,7 +143,7 @@
     }
 
     /// An answer that the test has not taken, with the id of its request. Waits for one if there is
-    /// none; none at the end of the connection.
+    /// none. `None` at the end of the connection.
     pub(crate) async fn next_answer_or_end(&mut self) -> Option<(u64, String)> {
         loop {
             if let Some(id) = self.answers.keys().next().copied() {
@@ -200,8 +200,8 @@
     message
 }
 
-/// The id, the text as scripts write it and the length in bytes of the first answer; none while it
-/// is incomplete.
+/// The id, the text as scripts write it and the length in bytes of the first answer; `None` while
+/// it is incomplete.
 fn read_answer(bytes: &[u8]) -> Option<(u64, String, usize)> {
     let mut cursor = Cursor::new(bytes);
     let read_text = |cursor: &mut Cursor<&[u8]>| {
--- a/tests/service_guarantees/client_disconnect.rs
+++ b/tests/service_guarantees/client_disconnect.rs
@@ -48,7 +48,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         feed expect 1
@@ -79,7 +79,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         feed expect 1
@@ -113,7 +113,7 @@
         engines: 2,
         protocol: EngineProtocol::Lines,
         changes: &[],
-        operators: BACKOFF_OPERATOR_FILE,
+        operator_file: BACKOFF_OPERATOR_FILE,
     };
     let script = "
         c1 send 1 seat-check
@@ -144,7 +144,7 @@
         engines: 1,
         protocol: EngineProtocol::Lines,
         changes: LONG_CONNECT_TIMEOUT,
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         e1 hold
@@ -174,7 +174,7 @@
         engines: 1,
         protocol: EngineProtocol::Lines,
         changes: LONG_CONNECT_TIMEOUT,
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         c1 send 1 usage-report
@@ -210,7 +210,7 @@
         engines: 1,
         protocol: EngineProtocol::Flight,
         changes: LONG_CONNECT_TIMEOUT,
-        operators: EMPTY_OPERATOR_FILE,
+        operator_file: EMPTY_OPERATOR_FILE,
     };
     let script = "
         e1 hold
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -287,7 +287,7 @@
             );
             let config = NodeConfig::parse(text.as_bytes()).expect("configuration");
             let node = Node::start(config, OptionalFrontEnds::default()).await.expect("node");
-            tokio::spawn(run_client(ordinal, node.listen, mix));
+            tokio::spawn(run_client(ordinal, node.listen_address, mix));
             nodes.push(node);
         }
         sleep(TEST_DURATION).await;
