--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -122,9 +122,9 @@
     ///
     /// Errors of the socket.
     pub(super) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
-        let written_before = self.outbox.written();
+        let written_before = self.outbox.written_bytes();
         self.outbox.flush(stream)?;
-        if self.outbox.is_empty() || self.outbox.written() > written_before {
+        if self.outbox.is_empty() || self.outbox.written_bytes() > written_before {
             self.last_progress = Instant::now();
         }
         Ok(())
--- a/src/engines/line_protocol/connection/attempt_ends.rs
+++ b/src/engines/line_protocol/connection/attempt_ends.rs
@@ -64,10 +64,10 @@
 
     /// Ends the sent attempts of a closed connection.
     pub(super) fn end_sent_attempts(&mut self) {
-        let written = self.output.written();
+        let written_bytes = self.output.written_bytes();
         for (_, mut sent) in std::mem::take(&mut self.sent_attempts) {
             let was_cancelled = sent.state.is_cancelling();
-            let event = match sent.state.connection_closed(written) {
+            let event = match sent.state.connection_closed(written_bytes) {
                 end if was_cancelled => AttemptEvent::Cancelled(end),
                 // An attempt that was not written completely provably never ran. Any other may have
                 // run.
--- a/src/engines/line_protocol/connection/cancellations.rs
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -95,9 +95,9 @@
         Some(self.pending.drain(..=last).collect())
     }
 
-    /// Removes the cancellations that are complete once `written` bytes are written.
-    fn take_written(&mut self, written: u64) -> Vec<Cancellation> {
-        let is_written = |cancellation: &mut Cancellation| cancellation.end_mark <= written;
+    /// Removes the cancellations that are complete once `written_bytes` bytes are written.
+    fn take_written(&mut self, written_bytes: u64) -> Vec<Cancellation> {
+        let is_written = |cancellation: &mut Cancellation| cancellation.end_mark <= written_bytes;
         std::iter::from_fn(|| self.pending.pop_front_if(is_written)).collect()
     }
 
@@ -161,7 +161,7 @@
     /// Removes an attempt that an answer has ended, with its cancellations. They are no longer
     /// needed, so the connection must not be closed because they are overdue.
     pub(super) fn remove_answered_attempt(&mut self, reference: &Bytes) -> Option<SentAttempt> {
-        self.uneventful_answers = 0;
+        self.answers_since_attempt_end = 0;
         self.cancellations.remove_attempt(reference);
         self.sent_attempts.remove(reference)
     }
@@ -183,11 +183,11 @@
     /// Updates the attempts for the output written so far: marks completely written attempts as
     /// sent, and ends attempts whose written cancellation needs no confirmation.
     pub(super) fn process_written_bytes(&mut self) {
-        let written = self.output.written();
+        let written_bytes = self.output.written_bytes();
         let mut unconfirmed = VecDeque::new();
-        for cancellation in self.cancellations.take_written(written) {
+        for cancellation in self.cancellations.take_written(written_bytes) {
             let sent = self.sent_attempts.get_mut(&cancellation.reference);
-            match sent.and_then(|sent| sent.state.wrote(written)) {
+            match sent.and_then(|sent| sent.state.wrote(written_bytes)) {
                 Some(end) => self.end_cancelled(&cancellation.reference, end),
                 None if cancellation.tag.is_some() => unconfirmed.push_back(cancellation),
                 None => {}
@@ -196,11 +196,11 @@
         self.cancellations.requeue_unconfirmed(unconfirmed);
         let completed = self
             .partly_written
-            .take_if(|partly| partly.end_mark <= written);
+            .take_if(|partly| partly.end_mark <= written_bytes);
         if let Some(completed) = completed {
             self.context.metrics.attempts_written.increment();
             if let Some(sent) = self.sent_attempts.get_mut(&completed.reference) {
-                sent.state.wrote(written);
+                sent.state.wrote(written_bytes);
             }
         }
     }
--- a/src/net.rs
+++ b/src/net.rs
@@ -36,7 +36,7 @@
 
 impl Outbox {
     /// Queues a chunk. Returns the total number of bytes queued so far. The chunk has been written
-    /// once [`written`](Outbox::written) reaches this number.
+    /// once [`written_bytes`](Outbox::written_bytes) reaches this number.
     pub(crate) fn push(&mut self, chunk: impl Into<Bytes>) -> u64 {
         let chunk = chunk.into();
         self.queued_bytes += chunk.len() as u64;
@@ -47,7 +47,7 @@
     }
 
     /// Total number of bytes written to the socket so far.
-    pub(crate) fn written(&self) -> u64 {
+    pub(crate) fn written_bytes(&self) -> u64 {
         self.written_bytes
     }
 
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -21,5 +21,5 @@
             unwritten
         );
     }
-    assert!(outbox.is_empty() && outbox.written() == 11);
+    assert!(outbox.is_empty() && outbox.written_bytes() == 11);
 }
