--- a/src/engines/line_protocol/answer.rs
+++ b/src/engines/line_protocol/answer.rs
@@ -33,7 +33,7 @@
     #[error("a page of a result does not consist of complete rows of text")]
     PageText,
     #[error("too many answers since the last end of an attempt: weighted count {count}")]
-    TooManyUneventfulAnswers { count: usize },
+    TooManyAnswersSinceAttemptEnd { count: usize },
     #[error("the rest of an answer did not arrive in time")]
     Incomplete,
 }
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -118,8 +118,8 @@
     /// Since when the input has held an incomplete answer.
     partial_answer_since: Option<Instant>,
     /// Answers since the last one that ended an attempt, counted as for
-    /// `Limits::uneventful_answers`.
-    uneventful_answers: usize,
+    /// `Limits::answers_since_attempt_end`.
+    answers_since_attempt_end: usize,
     /// When the connection is closed even with open attempts, because its engine was removed from
     /// the list or its mailbox was closed.
     removal_grace_ends_at: Option<Instant>,
@@ -153,7 +153,7 @@
             output: Outbox::default(),
             idle_since: Instant::now(),
             partial_answer_since: None,
-            uneventful_answers: 0,
+            answers_since_attempt_end: 0,
             removal_grace_ends_at: None,
         }
     }
--- a/src/engines/line_protocol/connection/answers.rs
+++ b/src/engines/line_protocol/connection/answers.rs
@@ -31,9 +31,9 @@
             self.handle_answer(answer).await?;
             // An engine that sends answers without ending any attempt would keep the attempts in
             // flight and the core busy.
-            let count = self.uneventful_answers;
-            if count > self.context.limits.uneventful_answers {
-                return Err(AnswerError::TooManyUneventfulAnswers { count }.into());
+            let count = self.answers_since_attempt_end;
+            if count > self.context.limits.answers_since_attempt_end {
+                return Err(AnswerError::TooManyAnswersSinceAttemptEnd { count }.into());
             }
         }
         if self.input.is_empty() {
@@ -133,7 +133,7 @@
         };
         let attempt = AttemptId::from(&*sent.request);
         self.context.metrics.progress_notes.increment();
-        self.uneventful_answers += 1;
+        self.answers_since_attempt_end += 1;
         let event = AttemptEvent::Progress(parse_progress(answer));
         self.context
             .send_event(self.engine, attempt, answer.load_report(), event)
@@ -192,7 +192,7 @@
     pub(super) fn ignore_answer(&mut self, answer: &Answer, reason: IgnoredAnswerReason) {
         self.log_ignored_answer(answer, reason);
         self.context.metrics.engine_unexpected_answers.increment();
-        self.uneventful_answers += self.context.limits.unexpected_answer_weight;
+        self.answers_since_attempt_end += self.context.limits.unexpected_answer_weight;
     }
 
     /// Releases results whose next page did not arrive in time.
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -150,7 +150,7 @@
 
 /// Endless unexpected answers or progress reports close their connection and end its attempts.
 #[test]
-fn uneventful_answers_past_the_limit_close_the_connection() {
+fn answers_past_the_limit_without_an_attempt_end_close_the_connection() {
     run_test(async {
         for (answer, repetitions) in [
             ("00000000000000aa served batches=1", 129),
--- a/src/limits/table.rs
+++ b/src/limits/table.rs
@@ -109,8 +109,8 @@
     /// Maximum number of answers on an engine connection since the last one that ended an attempt.
     /// Above it, the connection is closed. The progress reports of the longest query stay far below
     /// it.
-    uneventful_answers: usize = 16_384;
-    /// One unexpected answer counts as this number of answers towards `uneventful_answers`.
+    answers_since_attempt_end: usize = 16_384;
+    /// One unexpected answer counts as this number of answers towards `answers_since_attempt_end`.
     unexpected_answer_weight: usize = 128;
 
     // Connections to engines.
