--- a/src/engines/admission.rs
+++ b/src/engines/admission.rs
@@ -12,12 +12,12 @@
 /// Relaxed ordering is enough: each flag is independent of the other and guards no other memory,
 /// and all readers run on the single thread of the runtime.
 #[derive(Debug, Default)]
-pub(crate) struct Admission {
+pub(crate) struct AttemptAdmission {
     manually_ejected: AtomicBool,
     not_ready: AtomicBool,
 }
 
-impl Admission {
+impl AttemptAdmission {
     /// Records that the on-call staff ejected the engine (true) or returned it to service (false).
     pub(crate) fn set_manually_ejected(&self, ejected: bool) {
         self.manually_ejected.store(ejected, Ordering::Relaxed);
--- a/src/engines/context.rs
+++ b/src/engines/context.rs
@@ -75,7 +75,7 @@
     /// The engine has this state in the endpoint list.
     StateChanged(EngineState),
     /// The on-call staff ejected the engine or returned it to service; see
-    /// [`Admission`](super::admission::Admission).
+    /// [`AttemptAdmission`](super::admission::AttemptAdmission).
     ManualEjectionChanged,
 }
 
--- a/src/engines/fleet.rs
+++ b/src/engines/fleet.rs
@@ -1,6 +1,6 @@
 //! All engines of the endpoint list, with an actor for each engine in use.
 
-use super::admission::Admission;
+use super::admission::AttemptAdmission;
 use super::context::{AttemptId, EngineContext, EngineMessage};
 use super::{flight, line_protocol};
 use crate::core::{AttemptRequest, EnginePort};
@@ -17,7 +17,7 @@
     /// The mailbox of the engine's actor; `None` before the first attempt. The actor ends when its
     /// last connection closes, and its mailbox closes too; the next attempt starts a new actor.
     mailbox: Option<mpsc::Sender<EngineMessage>>,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
 }
 
 impl FleetEntry {
@@ -53,7 +53,7 @@
 
     /// Sends a message to the engine's actor, if there is one. If the mailbox is full, the message
     /// is dropped: the core repeats a cancellation, and a new state or a manual ejection takes
-    /// effect through [`Admission`].
+    /// effect through [`AttemptAdmission`].
     fn send_to_actor(&self, engine: EngineId, message: EngineMessage) {
         let entry = self.entries.get(&engine);
         if let Some(mailbox) = entry.and_then(|entry| entry.mailbox.as_ref()) {
--- a/src/engines/flight/engine.rs
+++ b/src/engines/flight/engine.rs
@@ -7,7 +7,7 @@
 use super::http2_connection::Http2Connection;
 use crate::core::AttemptRequest;
 use crate::decision::{EngineId, EngineState};
-use crate::engines::admission::Admission;
+use crate::engines::admission::AttemptAdmission;
 use crate::engines::context::{AfterCancellation, AttemptId, EngineContext, EngineMessage};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     address: SocketAddr,
     mut messages: mpsc::Receiver<EngineMessage>,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
 ) {
     let link = EngineLink::new(engine, address, context, admission);
     let mut engine = Engine::new(link);
--- a/src/engines/flight/engine_link.rs
+++ b/src/engines/flight/engine_link.rs
@@ -4,7 +4,7 @@
 use super::http2_connection::Http2Connection;
 use crate::core::AttemptEvent;
 use crate::decision::{EngineId, LoadReport, Millis};
-use crate::engines::admission::Admission;
+use crate::engines::admission::AttemptAdmission;
 use crate::engines::connection_load::{ConnectionLoad, ConnectionUse};
 use crate::engines::connection_slots::SlotPurpose;
 use crate::engines::context::{AttemptId, EngineContext};
@@ -60,7 +60,7 @@
     engine: EngineId,
     address: SocketAddr,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
     current: Mutex<Option<CurrentConnection>>,
 }
 
@@ -69,7 +69,7 @@
         engine: EngineId,
         address: SocketAddr,
         context: EngineContext,
-        admission: Arc<Admission>,
+        admission: Arc<AttemptAdmission>,
     ) -> EngineLink {
         EngineLink {
             engine,
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -19,7 +19,7 @@
 use crate::attempt::AttemptState;
 use crate::core::AttemptRequest;
 use crate::decision::EngineId;
-use crate::engines::admission::Admission;
+use crate::engines::admission::AttemptAdmission;
 use crate::engines::connection_load::ConnectionLoad;
 use crate::engines::connection_slots::ConnectionSlot;
 use crate::engines::context::{AttemptId, EngineContext, EngineMessage};
@@ -97,7 +97,7 @@
     /// Identifies the connection in the log.
     number: u64,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
     load: Arc<ConnectionLoad>,
     /// Sends events to the engine's actor, such as the return of an unsent attempt.
     event_sender: ConnectionEventSender,
@@ -133,7 +133,7 @@
         event_sender: ConnectionEventSender,
         load: Arc<ConnectionLoad>,
         context: EngineContext,
-        admission: Arc<Admission>,
+        admission: Arc<AttemptAdmission>,
     ) -> Connection {
         Connection {
             engine,
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -5,7 +5,7 @@
 use super::unsent_attempts::{ConnectionEvent, ConnectionEventSender};
 use crate::core::{AttemptEvent, AttemptRequest};
 use crate::decision::{EngineId, Outcome};
-use crate::engines::admission::Admission;
+use crate::engines::admission::AttemptAdmission;
 use crate::engines::carried_references::CarriedReferences;
 use crate::engines::connection_choice::{ConnectionChoice, ConnectionEntry, choose_connection};
 use crate::engines::connection_load::{ConnectionLoad, ConnectionUse};
@@ -22,7 +22,7 @@
     address: SocketAddr,
     mut messages: mpsc::Receiver<EngineMessage>,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
 ) {
     let (event_sender, mut connection_events) = ConnectionEventSender::new();
     let mut engine = Engine {
@@ -67,7 +67,7 @@
     id: EngineId,
     address: SocketAddr,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
     event_sender: ConnectionEventSender,
     connections: Vec<ConnectionEntry>,
 }
--- a/src/engines/tests/test_bench.rs
+++ b/src/engines/tests/test_bench.rs
@@ -7,7 +7,7 @@
     StatementKind,
 };
 use crate::decision::{EngineEntry, EngineId, EngineState, Outcome, RequestId};
-use crate::engines::admission::Admission;
+use crate::engines::admission::AttemptAdmission;
 use crate::engines::context::{AfterCancellation, AttemptId, EngineContext, EngineMessage};
 use crate::engines::{flight, line_protocol};
 use crate::limits::Limits;
@@ -32,7 +32,7 @@
     mailbox: mpsc::Sender<EngineMessage>,
     core_messages: Mailbox,
     pub(in crate::engines) context: EngineContext,
-    pub(in crate::engines) admission: Arc<Admission>,
+    pub(in crate::engines) admission: Arc<AttemptAdmission>,
 }
 
 impl EngineTestBench {
@@ -50,7 +50,7 @@
         let (core, core_messages) = Handle::new(64, Clock::new());
         let mut context = EngineContext::for_tests(core);
         change(Arc::make_mut(&mut context.limits));
-        let admission = Arc::<Admission>::default();
+        let admission = Arc::<AttemptAdmission>::default();
         let (mailbox, messages) = mpsc::channel(64);
         let engine = EngineId::default();
         let (actor_context, actor_admission) = (context.clone(), admission.clone());
