--- a/src/engines/context.rs
+++ b/src/engines/context.rs
@@ -63,7 +63,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// Whether another attempt may follow.
-        after: AfterCancellation,
+        after_cancellation: AfterCancellation,
     },
     /// Change the priority of an attempt.
     SetPriority {
--- a/src/engines/fleet.rs
+++ b/src/engines/fleet.rs
@@ -109,7 +109,7 @@
     ) {
         let cancellation = EngineMessage::CancelAttempt {
             attempt: AttemptId { request, number },
-            after: retry_may_follow.into(),
+            after_cancellation: retry_may_follow.into(),
         };
         self.send_to_actor(engine, cancellation);
     }
--- a/src/engines/flight/attempt.rs
+++ b/src/engines/flight/attempt.rs
@@ -66,8 +66,8 @@
             if let Some(connection) = used_connection.get()
                 && failure.may_leave_call_open()
             {
-                let after = AfterCancellation::RetryMayFollow;
-                confirm_reset(&link, connection.clone(), after).await;
+                let after_cancellation = AfterCancellation::RetryMayFollow;
+                confirm_reset(&link, connection.clone(), after_cancellation).await;
             }
             (failure.outcome(), None)
         }
--- a/src/engines/flight/cancellation.rs
+++ b/src/engines/flight/cancellation.rs
@@ -20,10 +20,10 @@
     used_connection: Arc<OnceLock<Http2Connection>>,
     cancelled: Option<AfterCancellation>,
 ) {
-    let after = cancelled.unwrap_or(AfterCancellation::NoRetry);
+    let after_cancellation = cancelled.unwrap_or(AfterCancellation::NoRetry);
     let end = match used_connection.get() {
-        None => end_without_connection(after),
-        Some(connection) => confirm_reset(&link, connection.clone(), after).await,
+        None => end_without_connection(after_cancellation),
+        Some(connection) => confirm_reset(&link, connection.clone(), after_cancellation).await,
     };
     let event = match (cancelled, end) {
         (Some(_), end) => AttemptEvent::Cancelled(end),
@@ -34,10 +34,10 @@
 }
 
 /// The end of an attempt that was aborted before it had a connection.
-fn end_without_connection(after: AfterCancellation) -> AttemptEnd {
+fn end_without_connection(after_cancellation: AfterCancellation) -> AttemptEnd {
     let nothing_to_send = || 0;
     AttemptState::default()
-        .cancel(after.retry_may_follow(), nothing_to_send)
+        .cancel(after_cancellation.retry_may_follow(), nothing_to_send)
         .unwrap_or(AttemptEnd::NeverSent)
 }
 
@@ -47,7 +47,7 @@
 pub(super) async fn confirm_reset(
     link: &EngineLink,
     mut connection: Http2Connection,
-    after: AfterCancellation,
+    after_cancellation: AfterCancellation,
 ) -> AttemptEnd {
     let limits = &link.context().limits;
     let mut state = AttemptState::default();
@@ -55,14 +55,14 @@
     // It is not known when the attempt was sent. It may have been sent as soon as it had a
     // connection.
     state.begin_writing(0);
-    state.cancel(after.retry_may_follow(), || reset_mark);
+    state.cancel(after_cancellation.retry_may_follow(), || reset_mark);
     let flushed = connection.wait_for_flush(reset_mark);
     let was_flushed = timeout(limits.cancellation_write_timeout, flushed).await;
     let mut end = match was_flushed {
         Ok(true) => state.wrote(reset_mark),
         _ => None,
     };
-    if end.is_none() && after.retry_may_follow() {
+    if end.is_none() && after_cancellation.retry_may_follow() {
         let confirmed = connection.confirm_read();
         let was_confirmed = timeout(limits.cancellation_confirm_timeout, confirmed).await;
         if was_confirmed == Ok(true) {
--- a/src/engines/flight/engine.rs
+++ b/src/engines/flight/engine.rs
@@ -91,7 +91,10 @@
     fn handle_message(&mut self, message: EngineMessage) {
         match message {
             EngineMessage::StartAttempt(request) => self.start_attempt(*request),
-            EngineMessage::CancelAttempt { attempt, after } => self.cancel_attempt(attempt, after),
+            EngineMessage::CancelAttempt {
+                attempt,
+                after_cancellation,
+            } => self.cancel_attempt(attempt, after_cancellation),
             // Flight SQL has no message that changes a priority. Each attempt checks the admission
             // itself.
             EngineMessage::SetPriority { .. } | EngineMessage::ManualEjectionChanged => {}
@@ -114,10 +117,10 @@
         self.attempts.insert(task.handle.id(), task);
     }
 
-    fn cancel_attempt(&mut self, attempt: AttemptId, after: AfterCancellation) {
+    fn cancel_attempt(&mut self, attempt: AttemptId, after_cancellation: AfterCancellation) {
         let tasks = self.attempts.values_mut();
         for task in tasks.filter(|task| task.attempt == attempt) {
-            task.cancelled = task.cancelled.or(Some(after));
+            task.cancelled = task.cancelled.or(Some(after_cancellation));
             task.handle.abort();
         }
     }
--- a/src/engines/line_protocol/connection/attempt_queue.rs
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -13,9 +13,12 @@
     pub(super) fn handle_message(&mut self, message: EngineMessage) {
         match message {
             EngineMessage::StartAttempt(attempt) => self.queue_attempt(attempt),
-            EngineMessage::CancelAttempt { attempt, after } => {
-                self.cancel_queued(attempt, after);
-                self.cancel_sent(attempt, after);
+            EngineMessage::CancelAttempt {
+                attempt,
+                after_cancellation,
+            } => {
+                self.cancel_queued(attempt, after_cancellation);
+                self.cancel_sent(attempt, after_cancellation);
             }
             EngineMessage::SetPriority { attempt, priority } => {
                 self.set_priority(attempt, priority);
--- a/src/engines/line_protocol/connection/cancellations.rs
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -45,12 +45,12 @@
         &mut self,
         command: Command,
         reference: &Bytes,
-        after: AfterCancellation,
+        after_cancellation: AfterCancellation,
         output: &mut Outbox,
         limits: &Limits,
     ) -> u64 {
         let end_mark = output.push(command.encode(reference));
-        let (tag, timeout) = match after {
+        let (tag, timeout) = match after_cancellation {
             AfterCancellation::RetryMayFollow => {
                 let tag = self.next_tag();
                 output.push(Command::Confirm.encode(&tag));
@@ -110,20 +110,29 @@
 
 impl Connection {
     /// Cancels a queued attempt, of which nothing has been written yet.
-    pub(super) fn cancel_queued(&mut self, attempt: AttemptId, after: AfterCancellation) {
+    pub(super) fn cancel_queued(
+        &mut self,
+        attempt: AttemptId,
+        after_cancellation: AfterCancellation,
+    ) {
         let mut queued = self.queued_attempts.iter();
         let Some(index) = queued.position(|request| AttemptId::from(&**request) == attempt) else {
             return;
         };
         let nothing_to_send = || 0;
-        let end = AttemptState::default().cancel(after.retry_may_follow(), nothing_to_send);
+        let end =
+            AttemptState::default().cancel(after_cancellation.retry_may_follow(), nothing_to_send);
         if let (Some(end), Some(request)) = (end, self.queued_attempts.remove(index)) {
             self.end_attempt(request, AttemptEvent::Cancelled(end));
         }
     }
 
     /// Cancels an attempt that was written at least in part.
-    pub(super) fn cancel_sent(&mut self, attempt: AttemptId, after: AfterCancellation) {
+    pub(super) fn cancel_sent(
+        &mut self,
+        attempt: AttemptId,
+        after_cancellation: AfterCancellation,
+    ) {
         let Some(reference) = self.reference_of(attempt) else {
             return;
         };
@@ -137,15 +146,17 @@
         } else {
             Command::Cancel
         };
-        let end = sent.state.cancel(after.retry_may_follow(), || {
-            self.cancellations.queue(
-                command,
-                &reference,
-                after,
-                &mut self.output,
-                &self.context.limits,
-            )
-        });
+        let end = sent
+            .state
+            .cancel(after_cancellation.retry_may_follow(), || {
+                self.cancellations.queue(
+                    command,
+                    &reference,
+                    after_cancellation,
+                    &mut self.output,
+                    &self.context.limits,
+                )
+            });
         if let Some(end) = end {
             self.end_cancelled(&reference, end);
         }
--- a/src/engines/tests/test_bench.rs
+++ b/src/engines/tests/test_bench.rs
@@ -188,10 +188,10 @@
 /// Returns the message that cancels the only attempt of this request.
 pub(in crate::engines) fn cancel_message(
     request: RequestId,
-    after: AfterCancellation,
+    after_cancellation: AfterCancellation,
 ) -> EngineMessage {
     EngineMessage::CancelAttempt {
         attempt: AttemptId { request, number: 0 },
-        after,
+        after_cancellation,
     }
 }
