--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -122,7 +122,7 @@
     answers_since_attempt_end: usize,
     /// When the connection is closed even with open attempts, because its engine was removed from
     /// the list or its mailbox was closed.
-    removal_grace_ends_at: Option<Instant>,
+    close_at: Option<Instant>,
 }
 
 impl Connection {
@@ -154,7 +154,7 @@
             idle_since: Instant::now(),
             partial_answer_since: None,
             answers_since_attempt_end: 0,
-            removal_grace_ends_at: None,
+            close_at: None,
         }
     }
 
@@ -289,7 +289,7 @@
                 Some(message) => self.handle_message(message),
                 None => {
                     self.mailbox_closed = true;
-                    self.start_removal_grace();
+                    self.close_after_grace();
                 }
             },
             ready = stream.writable(), if !self.output.is_empty() => ready?,
@@ -343,7 +343,7 @@
             .filter_map(|sent| sent.pages.as_ref());
         Timers {
             idle: self.is_idle().then_some(idle_until),
-            removal: self.removal_grace_ends_at,
+            grace_period: self.close_at,
             partial_answer: self
                 .partial_answer_since
                 .map(|since| since + limits.partial_answer_timeout),
@@ -354,7 +354,7 @@
 
     /// Handles the timers that are due.
     fn handle_timers(&mut self, timers: &Timers, now: Instant) -> Result<Flow, ConnectionError> {
-        if is_due(timers.removal, now) {
+        if is_due(timers.grace_period, now) {
             return Ok(Flow::Close(CloseReason::EngineRemoved));
         }
         if is_due(timers.idle, now) {
@@ -375,10 +375,9 @@
 
     /// Starts the grace period for open attempts, after which a removed engine's connection is
     /// closed.
-    fn start_removal_grace(&mut self) {
+    fn close_after_grace(&mut self) {
         let grace = self.context.limits.removed_engine_grace;
-        self.removal_grace_ends_at
-            .get_or_insert_with(|| Instant::now() + grace);
+        self.close_at.get_or_insert_with(|| Instant::now() + grace);
     }
 
     /// Queues a command for the engine.
--- a/src/engines/line_protocol/connection/attempt_queue.rs
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -28,13 +28,13 @@
                     self.end_queued_attempts();
                 }
             }
-            EngineMessage::StateChanged(EngineState::Ready) => self.removal_grace_ends_at = None,
+            EngineMessage::StateChanged(EngineState::Ready) => self.close_at = None,
             EngineMessage::StateChanged(state) => {
                 // A draining engine must not be sent an attempt of which nothing has been written
                 // yet.
                 self.end_queued_attempts();
                 if state == EngineState::Removed {
-                    self.start_removal_grace();
+                    self.close_after_grace();
                 }
             }
         }
--- a/src/engines/line_protocol/connection/timers.rs
+++ b/src/engines/line_protocol/connection/timers.rs
@@ -8,7 +8,7 @@
     pub(super) idle: Option<Instant>,
     /// When the grace period for the open attempts of an engine that was removed from the endpoint
     /// list is over.
-    pub(super) removal: Option<Instant>,
+    pub(super) grace_period: Option<Instant>,
     /// When the rest of an incomplete answer must have arrived.
     pub(super) partial_answer: Option<Instant>,
     /// When a cancellation must have been written and confirmed.
@@ -22,7 +22,7 @@
     pub(super) fn first(&self) -> Option<Instant> {
         let all = [
             self.idle,
-            self.removal,
+            self.grace_period,
             self.partial_answer,
             self.cancellation,
             self.page,
