--- a/src/clients/connection_slots.rs
+++ b/src/clients/connection_slots.rs
@@ -18,7 +18,7 @@
 
 /// The number of slots is divided by this to get the number that is reserved for connections that
 /// were asked to leave and are still open.
-const LEAVING_SLOTS_DIVISOR: usize = 8;
+const CLOSING_SLOTS_DIVISOR: usize = 8;
 
 /// The connection slots of one front end.
 pub(crate) struct ConnectionSlots {
@@ -51,49 +51,49 @@
     open_requests: u32,
     /// When this state was last updated.
     last_change: Instant,
-    asked_to_leave: bool,
+    asked_to_close: bool,
     /// Notified when the connection is asked to leave.
-    leave_request: Arc<Notify>,
+    close_request: Arc<Notify>,
 }
 
 impl ConnectionState {
-    fn new(leave_request: Arc<Notify>) -> ConnectionState {
+    fn new(close_request: Arc<Notify>) -> ConnectionState {
         ConnectionState {
             was_served: false,
             has_called: false,
             open_requests: 0,
             last_change: Instant::now(),
-            asked_to_leave: false,
-            leave_request,
+            asked_to_close: false,
+            close_request,
         }
     }
 
     /// Whether the connection may be evicted: it has no open request and has not been asked to
     /// leave yet.
     fn is_evictable(&self) -> bool {
-        self.open_requests == 0 && !self.asked_to_leave
+        self.open_requests == 0 && !self.asked_to_close
     }
 
-    fn ask_to_leave(&mut self) {
-        self.asked_to_leave = true;
-        self.leave_request.notify_one();
+    fn ask_to_close(&mut self) {
+        self.asked_to_close = true;
+        self.close_request.notify_one();
     }
 
     /// Asks the connection to leave if it has no open request. A connection without a call is not
     /// asked, because its first call may be on the way.
-    fn ask_to_leave_for_drain(&mut self) {
+    fn ask_to_close_for_drain(&mut self) {
         if self.has_called && self.is_evictable() {
-            self.ask_to_leave();
+            self.ask_to_close();
         }
     }
 }
 
 impl Registry {
     /// The connections that have not been asked to leave.
-    fn staying(&self) -> impl Iterator<Item = &ConnectionState> {
+    fn staying_open(&self) -> impl Iterator<Item = &ConnectionState> {
         self.connections
             .values()
-            .filter(|connection| !connection.asked_to_leave)
+            .filter(|connection| !connection.asked_to_close)
     }
 
     /// Asks one idle connection to leave. Connections that were never served are chosen first, and
@@ -108,7 +108,7 @@
             .min_by_key(|connection| (connection.was_served, connection.last_change));
         let found = victim.is_some();
         if let Some(victim) = victim {
-            victim.ask_to_leave();
+            victim.ask_to_close();
         }
         found
     }
@@ -155,20 +155,20 @@
     /// Connections that were never served may take half of the slots outside the reserve. Above
     /// that, only connections of this kind are evicted, so that a flood of them does not evict
     /// clients that were served. A connection that was asked to leave counts until it is closed,
-    /// because it keeps its file descriptor until then. [`LEAVING_SLOTS_DIVISOR`] sets the reserve
+    /// because it keeps its file descriptor until then. [`CLOSING_SLOTS_DIVISOR`] sets the reserve
     /// for such connections, so that a new connection seldom has to wait.
     fn try_free_slot(&self) -> bool {
         let mut registry = self.registry();
         let capacity = self.limits.share(self.capacity);
-        let max_staying = capacity - capacity.div_ceil(LEAVING_SLOTS_DIVISOR);
-        let max_unserved = max_staying.div_ceil(2);
-        let staying = registry.staying().count();
+        let max_staying_open = capacity - capacity.div_ceil(CLOSING_SLOTS_DIVISOR);
+        let max_unserved = max_staying_open.div_ceil(2);
+        let staying_open = registry.staying_open().count();
         let unserved = registry
-            .staying()
+            .staying_open()
             .filter(|connection| !connection.was_served)
             .count();
         let unserved_only = unserved >= max_unserved;
-        if unserved_only || staying >= max_staying {
+        if unserved_only || staying_open >= max_staying_open {
             self.evict(&mut registry, unserved_only);
         }
         registry.connections.len() < capacity
@@ -195,7 +195,7 @@
             registry
                 .connections
                 .values_mut()
-                .for_each(ConnectionState::ask_to_leave_for_drain);
+                .for_each(ConnectionState::ask_to_close_for_drain);
         }
     }
 
@@ -216,15 +216,15 @@
     pub(crate) fn take_slot(self: &Arc<ConnectionSlots>) -> ConnectionSlot {
         let mut registry = self.registry();
         let id = registry.next_id;
-        let leave_request = Arc::new(Notify::new());
+        let close_request = Arc::new(Notify::new());
         registry.next_id += 1;
         registry
             .connections
-            .insert(id, ConnectionState::new(leave_request.clone()));
+            .insert(id, ConnectionState::new(close_request.clone()));
         ConnectionSlot {
             slots: self.clone(),
             id,
-            leave_request,
+            close_request,
         }
     }
 }
@@ -233,7 +233,7 @@
 pub(crate) struct ConnectionSlot {
     slots: Arc<ConnectionSlots>,
     id: u64,
-    leave_request: Arc<Notify>,
+    close_request: Arc<Notify>,
 }
 
 impl ConnectionSlot {
@@ -250,7 +250,7 @@
             connection.last_change = Instant::now();
             change(connection);
             if draining {
-                connection.ask_to_leave_for_drain();
+                connection.ask_to_close_for_drain();
             }
         }
     }
@@ -301,8 +301,8 @@
     }
 
     /// Resolves once the connection is asked to leave.
-    pub(crate) async fn asked_to_leave(&self) {
-        self.leave_request.notified().await;
+    pub(crate) async fn asked_to_close(&self) {
+        self.close_request.notified().await;
     }
 
     /// Resolves once the connection has been asked to leave and its state has then stayed unchanged
@@ -312,14 +312,14 @@
     /// Used for connections whose answers are written by another task. When a request ends there,
     /// its answer may not be written completely yet, and a statement that was planned may not be
     /// fetched yet.
-    pub(crate) async fn quiet_after_leave_request(&self, quiet: Duration) {
+    pub(crate) async fn quiet_after_close_request(&self, quiet: Duration) {
         loop {
-            self.asked_to_leave().await;
+            self.asked_to_close().await;
             loop {
                 let before = self.activity();
                 sleep(quiet).await;
                 match before {
-                    Some((1.., _)) => break self.withdraw_leave_request(),
+                    Some((1.., _)) => break self.withdraw_close_request(),
                     _ if before == self.activity() => return,
                     _ => {}
                 }
@@ -335,8 +335,8 @@
 
     /// Withdraws the request to leave because the client has become active again. The connection
     /// may be asked again later.
-    pub(crate) fn withdraw_leave_request(&self) {
-        self.update(|connection| connection.asked_to_leave = false);
+    pub(crate) fn withdraw_close_request(&self) {
+        self.update(|connection| connection.asked_to_close = false);
         // Wakes a new connection that waits for this slot, so that another connection is evicted
         // for it.
         self.slots.slot_freed.notify_one();
--- a/src/clients/connection_slots/tests.rs
+++ b/src/clients/connection_slots/tests.rs
@@ -6,7 +6,7 @@
 /// Draining asks a connection to leave if it has sent a call and has no open request, and asks no
 /// other.
 #[test]
-fn draining_asks_only_idle_connections_that_have_called_to_leave() {
+fn draining_asks_only_idle_connections_that_have_called_to_close() {
     let limits =
         crate::engines::EngineContext::for_tests(crate::core::Handle::new(1, Default::default()).0)
             .limits;
@@ -14,7 +14,7 @@
     let [idle, busy, without_call] = [(); 3].map(|()| slots.take_slot());
     idle.record_call();
     busy.request_opened();
-    let asked = |slot: &ConnectionSlot| slot.asked_to_leave().now_or_never().is_some();
+    let asked = |slot: &ConnectionSlot| slot.asked_to_close().now_or_never().is_some();
     slots.set_draining(true);
     assert!(asked(&idle) && !asked(&busy) && !asked(&without_call));
     busy.request_closed();
@@ -23,7 +23,7 @@
         "the connection is asked to leave once, after its last request has ended"
     );
     busy.request_opened();
-    busy.withdraw_leave_request();
+    busy.withdraw_close_request();
     slots.set_draining(false);
     busy.request_closed();
     assert!(
--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -91,13 +91,13 @@
 async fn close_signal(slot: Arc<ConnectionSlot>, limits: Arc<Limits>, metrics: Arc<Metrics>) {
     // The same future is polled before and after the timeout. A new future would miss a request to
     // leave that the first one has already consumed.
-    let mut quiet_after_leave_request = pin!(slot.quiet_after_leave_request(limits.linger));
+    let mut quiet_after_close_request = pin!(slot.quiet_after_close_request(limits.linger));
     tokio::select! {
-        () = &mut quiet_after_leave_request => return,
+        () = &mut quiet_after_close_request => return,
         () = sleep(limits.client_read_timeout) => {}
     }
     if slot.has_called() {
-        return quiet_after_leave_request.await;
+        return quiet_after_close_request.await;
     }
     tracing::debug!(
         connection = slot.connection_id(),
--- a/src/clients/flight/listener/tests.rs
+++ b/src/clients/flight/listener/tests.rs
@@ -12,7 +12,7 @@
 /// must not lose this request when the timeout expires: the connection is closed after it has been
 /// quiet for the linger time.
 #[tokio::test(start_paused = true)]
-async fn leave_request_outlasts_the_first_call_timeout() {
+async fn close_request_outlasts_the_first_call_timeout() {
     let context = EngineContext::for_tests(Handle::new(1, Clock::new()).0);
     let (limits, metrics) = (context.limits, context.metrics);
     let slots = ConnectionSlots::new(4, limits.clone(), metrics.clone());
@@ -21,11 +21,11 @@
     let started_at = Instant::now();
     let signal = close_signal(slot, limits.clone(), metrics);
     let asked_after = limits.client_read_timeout - limits.linger / 2;
-    let ask_to_leave = async {
+    let ask_to_close = async {
         sleep(asked_after).await;
         slots.set_draining(true);
     };
-    let close_and_ask = async { tokio::join!(signal, ask_to_leave) };
+    let close_and_ask = async { tokio::join!(signal, ask_to_close) };
     let closed = tokio::time::timeout(Duration::from_secs(60), close_and_ask).await;
     assert!(
         closed.is_ok(),
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -154,8 +154,8 @@
                 }
                 // While draining, the rest of an incomplete message is awaited up to the idle
                 // deadline.
-                () = self.slot.asked_to_leave(), if idle && (self.input.is_empty() || !draining) => {
-                    if self.handle_leave_request(draining).await? {
+                () = self.slot.asked_to_close(), if idle && (self.input.is_empty() || !draining) => {
+                    if self.handle_close_request(draining).await? {
                         return Ok(if draining { CloseReason::Draining } else { CloseReason::Evicted });
                     }
                 }
@@ -176,7 +176,7 @@
     /// Handles the request to leave. Returns whether the connection can be closed at once. An
     /// evicted connection with an incomplete message stays open until the rest arrives or the time
     /// limit for it is over.
-    async fn handle_leave_request(&mut self, draining: bool) -> Result<bool, ConnectionError> {
+    async fn handle_close_request(&mut self, draining: bool) -> Result<bool, ConnectionError> {
         self.receive_before_close().await?;
         let idle = self.is_idle();
         self.evicted = !draining && idle;
@@ -184,7 +184,7 @@
             return Ok(true);
         }
         if !self.evicted {
-            self.slot.withdraw_leave_request();
+            self.slot.withdraw_close_request();
         }
         Ok(false)
     }
@@ -224,8 +224,8 @@
         self.slot.set_open_requests(open_requests);
         // A graceful shutdown waits for the rest of an incomplete message, and for the orderly
         // close of a connection that is drained.
-        let leaving = self.last_message_id > 0 && self.is_draining();
-        self.set_pending(!self.is_idle() || !self.input.is_empty() || leaving);
+        let being_drained = self.last_message_id > 0 && self.is_draining();
+        self.set_pending(!self.is_idle() || !self.input.is_empty() || being_drained);
     }
 
     fn set_pending(&mut self, pending: bool) {
--- a/src/clients/msgpack_rpc/connection/calls.rs
+++ b/src/clients/msgpack_rpc/connection/calls.rs
@@ -101,7 +101,7 @@
         self.idle_since = Instant::now();
         self.input.record_complete_call();
         if std::mem::take(&mut self.evicted) {
-            self.slot.withdraw_leave_request();
+            self.slot.withdraw_close_request();
         }
         Ok(())
     }
