--- a/src/clients/flight/pending_response.rs
+++ b/src/clients/flight/pending_response.rs
@@ -110,8 +110,8 @@
 ) -> Result<(ResultBody, PendingResponse), Status> {
     let now_ms = frontend.core.now();
     let class_timeout_ms = call.class.class.client_timeout_ms;
-    let allowed_ms = grpc_timeout::timeout_ms(metadata)?.unwrap_or(class_timeout_ms);
-    let deadline_ms = frontend.deadline_ms(now_ms, &call.class, allowed_ms);
+    let requested_timeout_ms = grpc_timeout::timeout_ms(metadata)?.unwrap_or(class_timeout_ms);
+    let deadline_ms = frontend.deadline_ms(now_ms, &call.class, requested_timeout_ms);
     let outcomes = frontend.metrics.class(&call.class.name);
     let id = frontend.core.next_id();
     let (channel, answer) = AnswerChannel::new();
--- a/src/clients/flight/statement_call.rs
+++ b/src/clients/flight/statement_call.rs
@@ -94,7 +94,7 @@
 fn parse_class(frontend: &Frontend, metadata: &MetadataMap) -> Result<Arc<NamedClass>, CallError> {
     let name = metadata_value(metadata, CLASS).ok_or(CallError::MissingMetadata(CLASS))?;
     let class = frontend
-        .class(name)
+        .find_class(name)
         .ok_or(CallError::UnknownMetadataValue(CLASS))?;
     if class.class.ordered_by_key {
         return Err(CallError::OrderKeyRequired);
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -73,7 +73,7 @@
     }
 
     /// Finds a class in the current settings by its name.
-    pub(crate) fn class(&self, name: &[u8]) -> Option<Arc<NamedClass>> {
+    pub(crate) fn find_class(&self, name: &[u8]) -> Option<Arc<NamedClass>> {
         self.settings
             .borrow()
             .classes
@@ -84,7 +84,7 @@
 
     /// Returns the answer counters of a class, or `None` if there is no class of this name.
     pub(crate) fn class_outcomes(&self, class_name: &[u8]) -> Option<Arc<ClassOutcomes>> {
-        self.class(class_name)
+        self.find_class(class_name)
             .map(|class| self.metrics.class(&class.name))
     }
 
--- a/src/clients/msgpack_rpc/call.rs
+++ b/src/clients/msgpack_rpc/call.rs
@@ -69,7 +69,7 @@
     client: Arc<dyn ClientPort>,
 ) -> Result<AcceptedRequest, CallError> {
     let class = frontend
-        .class(&call.method)
+        .find_class(&call.method)
         .ok_or(CallError::UnknownMethod)?;
     let (Some(fields), Some(statement)) = (call.fields, call.body) else {
         return Err(CallError::UnexpectedParameters);
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -186,7 +186,7 @@
         slot: &mut ConnectionSlot,
     ) -> Option<TcpStream> {
         let connect_timeout = self.context.limits.engine_connect_timeout;
-        let give_up_at = Instant::now() + connect_timeout;
+        let connect_deadline = Instant::now() + connect_timeout;
         let descriptor_ready = slot.descriptor_ready();
         let connect = async move {
             descriptor_ready.await;
@@ -201,7 +201,7 @@
                 Some(message) = self.mailbox.recv() => self.handle_message(message),
             }
             self.report_ended_attempts().await;
-            if self.queued_attempts.is_empty() && Instant::now() > give_up_at {
+            if self.queued_attempts.is_empty() && Instant::now() > connect_deadline {
                 return None;
             }
         }
--- a/src/engines/tests.rs
+++ b/src/engines/tests.rs
@@ -21,7 +21,7 @@
 /// descriptors than engines and many other engines drain. An engine that cannot be reached would
 /// still be selected, and would get most requests of a fleet without any of them being sent.
 #[test]
-fn every_listed_engine_takes_attempts_beyond_the_descriptors() {
+fn attempts_start_on_every_ready_engine_with_more_engines_than_descriptors() {
     run_test(async {
         let (core, _core_messages) = Handle::new(64, Clock::new());
         let mut fleet = Fleet::new(EngineContext::for_tests(core));
--- a/src/engines/tests/connection_reuse.rs
+++ b/src/engines/tests/connection_reuse.rs
@@ -56,7 +56,7 @@
 
 /// A retry is not sent on the connection of its first attempt; other requests are.
 #[test]
-fn a_retry_takes_another_connection_and_other_requests_share_both() {
+fn a_retry_is_sent_on_another_connection_and_other_requests_share_both() {
     run_test(async {
         let mut bench = EngineTestBench::new(EngineProtocol::Lines).await;
         bench.send(start_message(attempt(1))).await;
--- a/src/engines/tests/engines_beyond_descriptors.rs
+++ b/src/engines/tests/engines_beyond_descriptors.rs
@@ -225,7 +225,7 @@
 /// While an engine accepts no connection, an attempt ends unsent and holds no descriptor. Once the
 /// engine accepts connections, it serves attempts like any other engine.
 #[test]
-fn engine_that_accepts_late_fails_unsent_attempts_then_serves() {
+fn attempts_end_unsent_until_their_engine_accepts_connections() {
     run_test(async {
         let mut bench = FleetTestBench::new(0, None).await;
         let socket = TcpSocket::new_v4().expect("socket");
