--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -15,7 +15,7 @@
 
 use super::answer::AnswerError;
 use super::command::Command;
-use super::unsent_attempts::ConnectionEventSender;
+use super::connection_event_sender::ConnectionEventSender;
 use crate::attempt::AttemptState;
 use crate::core::AttemptRequest;
 use crate::decision::EngineId;
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -2,7 +2,7 @@
 //! the last connection has closed.
 
 use super::connection::Connection;
-use super::unsent_attempts::{ConnectionEvent, ConnectionEventSender};
+use super::connection_event_sender::{ConnectionEvent, ConnectionEventSender};
 use crate::core::{AttemptEvent, AttemptRequest};
 use crate::decision::{EngineId, Outcome};
 use crate::engines::admission::AttemptAdmission;
--- a/src/engines/line_protocol/mod.rs
+++ b/src/engines/line_protocol/mod.rs
@@ -7,8 +7,8 @@
 mod answer;
 mod command;
 mod connection;
+mod connection_event_sender;
 mod engine;
-mod unsent_attempts;
 
 pub(crate) use engine::run;
 
