--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -9,7 +9,7 @@
 mod attempt_ends;
 mod attempt_queue;
 mod cancellations;
-mod events_log;
+mod log_events;
 mod result_pages;
 mod timers;
 
--- a/src/engines/line_protocol/connection/answers.rs
+++ b/src/engines/line_protocol/connection/answers.rs
@@ -1,7 +1,7 @@
 //! How a connection handles the answers of its engine: ends of attempts, pages of results and
 //! progress reports.
 
-use super::events_log::IgnoredAnswerReason;
+use super::log_events::IgnoredAnswerReason;
 use super::result_pages::{PageInsertion, ResultPages};
 use super::{Connection, ConnectionError, SentAttempt};
 use crate::attempt::{AttemptEnd, never_ran};
--- a/src/engines/line_protocol/connection/cancellations.rs
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -6,7 +6,7 @@
 //! cancellation that is only written. The commands of one connection are read in order, so the
 //! answer to a command sent after the cancellation is the confirmation.
 
-use super::events_log::IgnoredAnswerReason;
+use super::log_events::IgnoredAnswerReason;
 use super::{Connection, SentAttempt};
 use crate::attempt::{AttemptEnd, AttemptState};
 use crate::core::AttemptEvent;
