--- a/src/clients/flight/listener.rs
+++ b/src/clients/flight/listener.rs
@@ -74,7 +74,7 @@
                 Ok(TrackedConnection::new(stream, slot, Box::pin(signal)))
             }
             Err(error) => {
-                tracing::debug!(%error, "failed to accept a client connection; will retry");
+                tracing::debug!(%error, "failed to accept a client connection; retrying after a pause");
                 if is_out_of_resources(&error) {
                     self.slots.evict_idle();
                 }
@@ -85,12 +85,12 @@
     }
 }
 
-/// Resolves once the server is to close a connection: either the connection was asked to leave and
+/// Resolves once the server is to close a connection: either the connection was asked to close and
 /// nothing has changed on it for `limits.linger`, or its first call did not arrive within
 /// `limits.client_read_timeout`.
 async fn close_signal(slot: Arc<ConnectionSlot>, limits: Arc<Limits>, metrics: Arc<Metrics>) {
     // The same future is polled before and after the timeout. A new future would miss a request to
-    // leave that the first one has already consumed.
+    // close that the first one has already consumed.
     let mut quiet_after_close_request = pin!(slot.quiet_after_close_request(limits.linger));
     tokio::select! {
         () = &mut quiet_after_close_request => return,
@@ -101,7 +101,7 @@
     }
     tracing::debug!(
         connection = slot.connection_id(),
-        "closing a client connection: no call arrived within the read timeout"
+        "client connection is being closed: no call arrived within the read timeout"
     );
     metrics.client_read_timeouts.increment();
 }
--- a/src/clients/msgpack_rpc/listener.rs
+++ b/src/clients/msgpack_rpc/listener.rs
@@ -30,7 +30,7 @@
                 tokio::task::yield_now().await;
             }
             Err(error) => {
-                tracing::debug!(%error, "client connection not accepted; retrying after a pause");
+                tracing::debug!(%error, "failed to accept a client connection; retrying after a pause");
                 if is_out_of_resources(&error) {
                     slots.evict_idle();
                 }
