--- a/src/admin/answer.rs
+++ b/src/admin/answer.rs
@@ -17,7 +17,7 @@
     EngineDisabled,
     /// The engine is no longer ejected manually.
     EngineEnabled,
-    /// The workload manager drains: it asks clients to leave.
+    /// The workload manager drains its client connections.
     Draining,
     /// On-call staff have ended the draining, so clients may connect again.
     DrainEnded,
--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -21,7 +21,8 @@
     Disable(EngineId),
     /// `ENABLE ID`: end the manual ejection of an engine.
     Enable(EngineId),
-    /// `DRAIN`: ask clients to leave.
+    /// `DRAIN`: drain the client connections. Each one that has sent a call is closed as soon as it
+    /// has no open request.
     Drain,
     /// `UNDRAIN`: end the draining, so that clients may connect again.
     Undrain,
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -1,5 +1,5 @@
 //! Tests of parsing commands and formatting answers. Calls on real connections are tested in
-//! `tests/scenarios/operations.rs`.
+//! `tests/scenarios/admin_address.rs`.
 
 use super::answer::{AdminAnswer, AdminError};
 use super::command::{AdminCommand, ParseCommandError};
--- a/src/clients/connection_slots.rs
+++ b/src/clients/connection_slots.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 /// The number of slots is divided by this to get the number that is reserved for connections that
-/// were asked to leave and are still open.
+/// were asked to close and are still open.
 const CLOSING_SLOTS_DIVISOR: usize = 8;
 
 /// The connection slots of one front end.
@@ -35,7 +35,7 @@
 /// The open connections.
 #[derive(Default)]
 struct Registry {
-    /// Whether connections are being drained: each one that has sent a call is asked to leave as
+    /// Whether connections are being drained: each one that has sent a call is asked to close as
     /// soon as it has no open request.
     draining: bool,
     next_id: u64,
@@ -52,7 +52,7 @@
     /// When this state was last updated.
     last_change: Instant,
     asked_to_close: bool,
-    /// Notified when the connection is asked to leave.
+    /// Notified when the connection is asked to close.
     close_request: Arc<Notify>,
 }
 
@@ -69,7 +69,7 @@
     }
 
     /// Whether the connection may be evicted: it has no open request and has not been asked to
-    /// leave yet.
+    /// close yet.
     fn is_evictable(&self) -> bool {
         self.open_requests == 0 && !self.asked_to_close
     }
@@ -79,7 +79,7 @@
         self.close_request.notify_one();
     }
 
-    /// Asks the connection to leave if it has no open request. A connection without a call is not
+    /// Asks the connection to close if it has no open request. A connection without a call is not
     /// asked, because its first call may be on the way.
     fn ask_to_close_for_drain(&mut self) {
         if self.has_called && self.is_evictable() {
@@ -89,14 +89,14 @@
 }
 
 impl Registry {
-    /// The connections that have not been asked to leave.
+    /// The connections that have not been asked to close.
     fn staying_open(&self) -> impl Iterator<Item = &ConnectionState> {
         self.connections
             .values()
             .filter(|connection| !connection.asked_to_close)
     }
 
-    /// Asks one idle connection to leave. Connections that were never served are chosen first, and
+    /// Asks one idle connection to close. Connections that were never served are chosen first, and
     /// among equals the one that has been idle for longest. Returns whether an idle connection was
     /// found.
     fn evict_idle(&mut self, unserved_only: bool) -> bool {
@@ -135,8 +135,8 @@
     }
 
     /// Waits until there is a slot for a new connection, and evicts an idle connection if
-    /// necessary. Returns at once unless every connection has an open request or is already
-    /// leaving.
+    /// necessary. Returns at once unless every connection has an open request or has already been
+    /// asked to close.
     pub(crate) async fn wait_for_slot(&self) {
         loop {
             // `notify_one` stores a permit, so a slot that is freed between the check and the wait
@@ -154,7 +154,7 @@
     ///
     /// Connections that were never served may take half of the slots outside the reserve. Above
     /// that, only connections of this kind are evicted, so that a flood of them does not evict
-    /// clients that were served. A connection that was asked to leave counts until it is closed,
+    /// clients that were served. A connection that was asked to close counts until it is closed,
     /// because it keeps its file descriptor until then. [`CLOSING_SLOTS_DIVISOR`] sets the reserve
     /// for such connections, so that a new connection seldom has to wait.
     fn try_free_slot(&self) -> bool {
@@ -187,7 +187,7 @@
     }
 
     /// Starts or stops draining. During draining, a connection that has sent a call is asked to
-    /// leave as soon as it has no open request.
+    /// close as soon as it has no open request.
     pub(crate) fn set_draining(&self, draining: bool) {
         let mut registry = self.registry();
         registry.draining = draining;
@@ -242,7 +242,7 @@
         self.id
     }
 
-    /// Changes the connection's state, and asks it to leave if draining now requires that.
+    /// Changes the connection's state, and asks it to close if draining now requires that.
     fn update(&self, change: impl FnOnce(&mut ConnectionState)) {
         let mut registry = self.slots.registry();
         let draining = registry.draining;
@@ -300,18 +300,18 @@
         self.update(|connection| connection.was_served = true);
     }
 
-    /// Resolves once the connection is asked to leave.
+    /// Resolves once the connection is asked to close.
     pub(crate) async fn asked_to_close(&self) {
         self.close_request.notified().await;
     }
 
-    /// Resolves once the connection has been asked to leave and its state has then stayed unchanged
-    /// for `quiet`. If a request is open, the request to leave is withdrawn and the wait starts
+    /// Resolves once the connection has been asked to close and its state has then stayed unchanged
+    /// for `quiet`. If a request is open, the request to close is withdrawn and the wait starts
     /// again.
     ///
-    /// Used for connections whose answers are written by another task. When a request ends there,
-    /// its answer may not be written completely yet, and a statement that was planned may not be
-    /// fetched yet.
+    /// Used for connections whose answers are written by another task. When a request on such a
+    /// connection ends, its answer may not be written completely yet, and the client may not have
+    /// fetched the result of a planned statement yet.
     pub(crate) async fn quiet_after_close_request(&self, quiet: Duration) {
         loop {
             self.asked_to_close().await;
@@ -333,7 +333,7 @@
         self.read(|connection| (connection.open_requests, connection.last_change))
     }
 
-    /// Withdraws the request to leave because the client has become active again. The connection
+    /// Withdraws the request to close because the client has become active again. The connection
     /// may be asked again later.
     pub(crate) fn withdraw_close_request(&self) {
         self.update(|connection| connection.asked_to_close = false);
--- a/src/clients/connection_slots/tests.rs
+++ b/src/clients/connection_slots/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use futures::FutureExt;
 
-/// Draining asks a connection to leave if it has sent a call and has no open request, and asks no
+/// Draining asks a connection to close if it has sent a call and has no open request, and asks no
 /// other.
 #[test]
 fn draining_asks_only_idle_connections_that_have_called_to_close() {
@@ -20,7 +20,7 @@
     busy.request_closed();
     assert!(
         asked(&busy) && !asked(&busy),
-        "the connection is asked to leave once, after its last request has ended"
+        "the connection is asked to close once, after its last request has ended"
     );
     busy.request_opened();
     busy.withdraw_close_request();
@@ -28,6 +28,6 @@
     busy.request_closed();
     assert!(
         !asked(&busy),
-        "the connection is not asked to leave after draining has stopped"
+        "the connection is not asked to close after draining has stopped"
     );
 }
--- a/src/clients/flight/listener/tests.rs
+++ b/src/clients/flight/listener/tests.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A connection is asked to leave shortly before the timeout for its first call expires. The signal
+/// A connection is asked to close shortly before the timeout for its first call expires. The signal
 /// must not lose this request when the timeout expires: the connection is closed after it has been
 /// quiet for the linger time.
 #[tokio::test(start_paused = true)]
@@ -29,7 +29,7 @@
     let closed = tokio::time::timeout(Duration::from_secs(60), close_and_ask).await;
     assert!(
         closed.is_ok(),
-        "the request to leave was lost when the timeout expired"
+        "the request to close was lost when the timeout expired"
     );
     assert!(started_at.elapsed() >= asked_after + limits.linger);
 }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -49,7 +49,7 @@
     pub(crate) settings: watch::Receiver<Arc<PlatformSettings>>,
     pub(crate) limits: Arc<Limits>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Whether this process accepts clients, and whether connected clients are asked to leave.
+    /// Whether this process accepts clients, and whether its client connections are drained.
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) buffer_pools: Arc<BufferPools>,
 }
--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Unread answers may take the bytes of this many results of the largest size. Above that, no more
+/// Limit of the unread answers of one client, in results of the largest size. Above it, no more
 /// calls are read from the client.
 const MAX_UNREAD_RESULTS: u64 = 2;
 
--- a/src/clients/msgpack_rpc/connection.rs
+++ b/src/clients/msgpack_rpc/connection.rs
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     ///
-    /// If the connection is lost, or is dropped because the client does not read its answers or sends
-    /// too many bytes after an invalid message.
+    /// If the connection is lost, or is dropped because the client does not read its answers or
+    /// sends too many bytes after an invalid message.
     async fn serve(&mut self) -> Result<CloseReason, ConnectionError> {
         loop {
             self.answer_queue.flush(&self.stream)?;
@@ -173,7 +173,7 @@
         Ok(silent)
     }
 
-    /// Handles the request to leave. Returns whether the connection can be closed at once. An
+    /// Handles the request to close. Returns whether the connection can be closed at once. An
     /// evicted connection with an incomplete message stays open until the rest arrives or the time
     /// limit for it is over.
     async fn handle_close_request(&mut self, draining: bool) -> Result<bool, ConnectionError> {
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -9,7 +9,7 @@
     /// Startup is complete: the listeners and the core are running, and the core has an endpoint
     /// list.
     pub(crate) serving: bool,
-    /// On-call staff have drained the node, so that clients are asked to leave.
+    /// On-call staff have drained the node, so that its client connections are closed.
     pub(crate) drained: bool,
     /// A graceful shutdown has begun.
     pub(crate) shutting_down: bool,
@@ -24,7 +24,8 @@
         self.serving && !self.is_draining()
     }
 
-    /// Returns whether clients are asked to leave. Requests that still arrive are served.
+    /// Returns whether client connections are drained: each one that has sent a call is closed as
+    /// soon as it has no open request. Requests that still arrive are served.
     pub(crate) fn is_draining(self) -> bool {
         self.drained || self.shutting_down
     }
