--- a/src/engines/carried_references.rs
+++ b/src/engines/carried_references.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 
 /// The references that one connection has carried, up to a limit. A connection that has reached the
-/// limit takes no further attempts. No reference is dropped to make room, because there is no bound
+/// limit gets no further attempts. No reference is dropped to make room, because there is no bound
 /// on how late an answer can arrive.
 #[derive(Debug)]
 pub(super) struct CarriedReferences {
@@ -37,7 +37,7 @@
         !self.is_full() && !self.numbers.contains(&parse_reference(reference))
     }
 
-    /// Whether the limit is reached, so that the connection takes no further attempts.
+    /// Whether the limit is reached, so that the connection gets no further attempts.
     pub(super) fn is_full(&self) -> bool {
         self.numbers.len() >= self.limit
     }
--- a/src/engines/connection_load.rs
+++ b/src/engines/connection_load.rs
@@ -50,7 +50,7 @@
     /// Unix time in ms at which the connection last became busy; 0 before the first attempt. It is
     /// not updated if the engine has not answered since then.
     busy_since_ms: AtomicU64,
-    /// Whether the connection was evicted and takes no further attempts.
+    /// Whether the connection was evicted and gets no further attempts.
     evicted: AtomicBool,
 }
 
--- a/src/engines/flight/cancellation.rs
+++ b/src/engines/flight/cancellation.rs
@@ -41,9 +41,9 @@
         .unwrap_or(AttemptEnd::NeverSent)
 }
 
-/// Waits until the end of an attempt is confirmed whose calls on this connection have been dropped.
-/// The wait has a timeout, after which the connection is closed. The other attempts on it then end
-/// as on any connection that failed.
+/// Waits until the end of an attempt is confirmed. The calls of the attempt on this connection have
+/// already been dropped. The wait has a timeout, after which the connection is closed. The other
+/// attempts on it then end as on any connection that failed.
 pub(super) async fn confirm_reset(
     link: &EngineLink,
     mut connection: Http2Connection,
--- a/src/engines/flight/connection_driver.rs
+++ b/src/engines/flight/connection_driver.rs
@@ -49,8 +49,8 @@
         let mut in_flight: Option<PingInFlight> = None;
         let mut next_ping_at = Instant::now() + self.keep_alive.interval;
         loop {
-            // No periodic pings while no call is open: servers close a connection that sends them
-            // then.
+            // No periodic pings are sent while no call is open, because servers close a connection
+            // that sends pings without an open call.
             if !self.signals.has_open_calls() {
                 next_ping_at = next_ping_at.max(Instant::now() + self.keep_alive.interval);
             }
--- a/src/engines/flight/metadata.rs
+++ b/src/engines/flight/metadata.rs
@@ -19,7 +19,7 @@
 const MEMORY_MB: &str = "magpiechute-memory-mb";
 /// Priority of the statement, 0 to 3.
 const PRIORITY: &str = "magpiechute-priority";
-/// Idempotency key, by which an engine recognizes a repeated statement.
+/// Idempotency key, by which an engine recognises a repeated statement.
 const IDEMPOTENCY_KEY: &str = "magpiechute-key";
 
 /// Shortest timeout sent with a call, in ms.
--- a/src/engines/flight/result_collector.rs
+++ b/src/engines/flight/result_collector.rs
@@ -95,7 +95,7 @@
 
     /// Ends the result after its last chunk. Returns the result, or `None` if it was streamed. Only
     /// this method marks a streamed result as complete: if the task fails or is aborted before, the
-    /// client learns that the result is cut off.
+    /// client gets an error after the chunks that have arrived.
     ///
     /// # Errors
     /// Fails if the client of a streamed result has disconnected.
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -78,7 +78,7 @@
 /// An attempt that has been written to this connection, or is being written.
 struct SentAttempt {
     request: Box<AttemptRequest>,
-    /// Marks of the state are counts of bytes written to this connection.
+    /// The state of the attempt. Its marks are counts of bytes written to this connection.
     state: AttemptState,
     /// Pages of the result, once the first page has arrived.
     pages: Option<ResultPages>,
@@ -102,7 +102,7 @@
     /// Sends events to the engine's actor, such as the return of an unsent attempt.
     event_sender: ConnectionEventSender,
     mailbox: mpsc::Receiver<EngineMessage>,
-    /// The engine's actor has closed the mailbox, so no more messages arrive.
+    /// Whether the engine's actor has closed the mailbox, so that no more messages arrive.
     mailbox_closed: bool,
     /// Attempts of which nothing has been written yet.
     queued_attempts: VecDeque<Box<AttemptRequest>>,
@@ -117,8 +117,8 @@
     idle_since: Instant,
     /// Since when the input has held an incomplete answer.
     partial_answer_since: Option<Instant>,
-    /// Answers since the last one that ended an attempt, counted as for
-    /// `Limits::answers_since_attempt_end`.
+    /// Progress reports and unexpected answers since the last answer that ended an attempt. An
+    /// unexpected answer counts as `Limits::unexpected_answer_weight` answers.
     answers_since_attempt_end: usize,
     /// When the connection is closed even with open attempts, because its engine was removed from
     /// the list or its mailbox was closed.
@@ -177,9 +177,9 @@
         self.event_sender.report_closed();
     }
 
-    /// Connects. Returns `None` if connecting fails or takes too long, or if no attempt waits for
-    /// the connection any more. Messages are handled meanwhile, so that an attempt is not sent if
-    /// it is cancelled or its engine starts to drain.
+    /// Connects. Returns `None` if connecting fails or takes too long, or if the connection is
+    /// evicted. Messages are handled meanwhile, so that an attempt is not sent if it is cancelled
+    /// or its engine starts to drain.
     async fn connect(
         &mut self,
         address: SocketAddr,
@@ -373,8 +373,8 @@
         Ok(Flow::Continue)
     }
 
-    /// Starts the grace period for open attempts, after which a removed engine's connection is
-    /// closed.
+    /// Schedules the closing of the connection after a grace period, in which its attempts may end.
+    /// Called if the engine was removed from the list or the mailbox was closed.
     fn close_after_grace(&mut self) {
         let grace = self.context.limits.removed_engine_grace;
         self.close_at.get_or_insert_with(|| Instant::now() + grace);
--- a/src/engines/line_protocol/connection/timers.rs
+++ b/src/engines/line_protocol/connection/timers.rs
@@ -6,8 +6,8 @@
 pub(super) struct Timers {
     /// When the connection has been idle for long enough to be closed.
     pub(super) idle: Option<Instant>,
-    /// When the grace period for the open attempts of an engine that was removed from the endpoint
-    /// list is over.
+    /// When the grace period for open attempts is over. It starts if the engine is removed from the
+    /// endpoint list or the mailbox is closed.
     pub(super) grace_period: Option<Instant>,
     /// When the rest of an incomplete answer must have arrived.
     pub(super) partial_answer: Option<Instant>,
--- a/src/engines/tests/connection_reuse.rs
+++ b/src/engines/tests/connection_reuse.rs
@@ -100,7 +100,7 @@
     });
 }
 
-/// A connection that has reached its limit of references takes no further attempts and is closed
+/// A connection that has reached its limit of references gets no further attempts and is closed
 /// once it is idle.
 #[test]
 fn a_connection_is_replaced_once_it_can_keep_no_further_reference() {
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -15,7 +15,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::unix::pipe;
 
-/// What the program does on a signal.
+/// A signal that the program handles, with its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGHUP: reload the configuration.
