--- a/src/engines/connection_choice.rs
+++ b/src/engines/connection_choice.rs
@@ -28,7 +28,7 @@
 
 impl ConnectionEntry {
     /// Whether the connection is idle and can carry no further attempt, so that it is to be closed.
-    pub(super) fn should_retire(&self) -> bool {
+    pub(super) fn should_close(&self) -> bool {
         self.carried.is_full() && self.load.is_idle()
     }
 }
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -77,7 +77,7 @@
     /// further attempts. Removing the entry of an idle connection closes it.
     fn remove_unusable_connections(&mut self) {
         self.connections
-            .retain(|connection| !connection.mailbox.is_closed() && !connection.should_retire());
+            .retain(|connection| !connection.mailbox.is_closed() && !connection.should_close());
     }
 
     /// Closes an idle connection: its actor ends once its mailbox is closed. Returns false if no
