--- a/src/engines/line_protocol/connection/log_events.rs
+++ b/src/engines/line_protocol/connection/log_events.rs
@@ -83,7 +83,7 @@
             connection = self.number,
             status = ?answer.status,
             has_pages = sent.pages.is_some(),
-            "answer without a result"
+            "attempt ended by an answer without a result"
         );
     }
 
@@ -94,7 +94,7 @@
             r#ref = %lossy_text(&answer.reference),
             status = ?answer.status,
             ?reason,
-            "answer ignored"
+            "answer of an engine ignored"
         );
     }
 
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -464,9 +464,12 @@
             (&queued_for_writing["connection"], &queued_for_writing["id"]),
             (&number, &1.into())
         );
-        let ignored = event("answer ignored");
+        let ignored = event("answer of an engine ignored");
         assert_eq!(ignored["reason"], "NoSuchAttempt");
-        assert_eq!(event("answer without a result")["status"], "Failed");
+        assert_eq!(
+            event("attempt ended by an answer without a result")["status"],
+            "Failed"
+        );
         let ended = event("attempt ended on its connection");
         assert_eq!((&ended["connection"], &ended["id"]), (&number, &1.into()));
         assert_eq!(event(closed)["reason"], "ClosedByEngine");
