--- a/src/clients/connection_slots.rs
+++ b/src/clients/connection_slots.rs
@@ -17,8 +17,8 @@
 use tokio::time::{Instant, sleep};
 
 /// The number of slots is divided by this to get the number that is reserved for connections that
-/// were asked to leave and are still open.
-const LEAVING_SLOTS_DIVISOR: usize = 8;
+/// were asked to close and are still open.
+const CLOSING_SLOTS_DIVISOR: usize = 8;
 
 /// The connection slots of one front end.
 pub(crate) struct ConnectionSlots {
@@ -35,7 +35,7 @@
 /// The open connections.
 #[derive(Default)]
 struct Registry {
-    /// Whether connections are being drained: each one that has sent a call is asked to leave as
+    /// Whether connections are being drained: each one that has sent a call is asked to close as
     /// soon as it has no open request.
     draining: bool,
     next_id: u64,
@@ -51,52 +51,52 @@
     open_requests: u32,
     /// When this state was last updated.
     last_change: Instant,
-    asked_to_leave: bool,
-    /// Notified when the connection is asked to leave.
-    leave_request: Arc<Notify>,
+    asked_to_close: bool,
+    /// Notified when the connection is asked to close.
+    close_request: Arc<Notify>,
 }
 
 impl ConnectionState {
-    fn new(leave_request: Arc<Notify>) -> ConnectionState {
+    fn new(close_request: Arc<Notify>) -> ConnectionState {
         ConnectionState {
             was_served: false,
             has_called: false,
             open_requests: 0,
             last_change: Instant::now(),
-            asked_to_leave: false,
-            leave_request,
+            asked_to_close: false,
+            close_request,
         }
     }
 
     /// Whether the connection may be evicted: it has no open request and has not been asked to
-    /// leave yet.
+    /// close yet.
     fn is_evictable(&self) -> bool {
-        self.open_requests == 0 && !self.asked_to_leave
+        self.open_requests == 0 && !self.asked_to_close
     }
 
-    fn ask_to_leave(&mut self) {
-        self.asked_to_leave = true;
-        self.leave_request.notify_one();
+    fn ask_to_close(&mut self) {
+        self.asked_to_close = true;
+        self.close_request.notify_one();
     }
 
-    /// Asks the connection to leave if it has no open request. A connection without a call is not
+    /// Asks the connection to close if it has no open request. A connection without a call is not
     /// asked, because its first call may be on the way.
-    fn ask_to_leave_for_drain(&mut self) {
+    fn ask_to_close_for_drain(&mut self) {
         if self.has_called && self.is_evictable() {
-            self.ask_to_leave();
+            self.ask_to_close();
         }
     }
 }
 
 impl Registry {
-    /// The connections that have not been asked to leave.
-    fn staying(&self) -> impl Iterator<Item = &ConnectionState> {
+    /// The connections that have not been asked to close.
+    fn staying_open(&self) -> impl Iterator<Item = &ConnectionState> {
         self.connections
             .values()
-            .filter(|connection| !connection.asked_to_leave)
+            .filter(|connection| !connection.asked_to_close)
     }
 
-    /// Asks one idle connection to leave. Connections that were never served are chosen first, and
+    /// Asks one idle connection to close. Connections that were never served are chosen first, and
     /// among equals the one that has been idle for longest. Returns whether an idle connection was
     /// found.
     fn evict_idle(&mut self, unserved_only: bool) -> bool {
@@ -108,7 +108,7 @@
             .min_by_key(|connection| (connection.was_served, connection.last_change));
         let found = victim.is_some();
         if let Some(victim) = victim {
-            victim.ask_to_leave();
+            victim.ask_to_close();
         }
         found
     }
@@ -135,8 +135,8 @@
     }
 
     /// Waits until there is a slot for a new connection, and evicts an idle connection if
-    /// necessary. Returns at once unless every connection has an open request or is already
-    /// leaving.
+    /// necessary. Returns at once unless every connection has an open request or has already been
+    /// asked to close.
     pub(crate) async fn wait_for_slot(&self) {
         loop {
             // `notify_one` stores a permit, so a slot that is freed between the check and the wait
@@ -154,21 +154,21 @@
     ///
     /// Connections that were never served may take half of the slots outside the reserve. Above
     /// that, only connections of this kind are evicted, so that a flood of them does not evict
-    /// clients that were served. A connection that was asked to leave counts until it is closed,
-    /// because it keeps its file descriptor until then. [`LEAVING_SLOTS_DIVISOR`] sets the reserve
+    /// clients that were served. A connection that was asked to close counts until it is closed,
+    /// because it keeps its file descriptor until then. [`CLOSING_SLOTS_DIVISOR`] sets the reserve
     /// for such connections, so that a new connection seldom has to wait.
     fn try_free_slot(&self) -> bool {
         let mut registry = self.registry();
         let capacity = self.limits.share(self.capacity);
-        let max_staying = capacity - capacity.div_ceil(LEAVING_SLOTS_DIVISOR);
-        let max_unserved = max_staying.div_ceil(2);
-        let staying = registry.staying().count();
+        let max_staying_open = capacity - capacity.div_ceil(CLOSING_SLOTS_DIVISOR);
+        let max_unserved = max_staying_open.div_ceil(2);
+        let staying_open = registry.staying_open().count();
         let unserved = registry
-            .staying()
+            .staying_open()
             .filter(|connection| !connection.was_served)
             .count();
         let unserved_only = unserved >= max_unserved;
-        if unserved_only || staying >= max_staying {
+        if unserved_only || staying_open >= max_staying_open {
             self.evict(&mut registry, unserved_only);
         }
         registry.connections.len() < capacity
@@ -187,7 +187,7 @@
     }
 
     /// Starts or stops draining. During draining, a connection that has sent a call is asked to
-    /// leave as soon as it has no open request.
+    /// close as soon as it has no open request.
     pub(crate) fn set_draining(&self, draining: bool) {
         let mut registry = self.registry();
         registry.draining = draining;
@@ -195,7 +195,7 @@
             registry
                 .connections
                 .values_mut()
-                .for_each(ConnectionState::ask_to_leave_for_drain);
+                .for_each(ConnectionState::ask_to_close_for_drain);
         }
     }
 
@@ -216,15 +216,15 @@
     pub(crate) fn take_slot(self: &Arc<ConnectionSlots>) -> ConnectionSlot {
         let mut registry = self.registry();
         let id = registry.next_id;
-        let leave_request = Arc::new(Notify::new());
+        let close_request = Arc::new(Notify::new());
         registry.next_id += 1;
         registry
             .connections
-            .insert(id, ConnectionState::new(leave_request.clone()));
+            .insert(id, ConnectionState::new(close_request.clone()));
         ConnectionSlot {
             slots: self.clone(),
             id,
-            leave_request,
+            close_request,
         }
     }
 }
@@ -233,7 +233,7 @@
 pub(crate) struct ConnectionSlot {
     slots: Arc<ConnectionSlots>,
     id: u64,
-    leave_request: Arc<Notify>,
+    close_request: Arc<Notify>,
 }
 
 impl ConnectionSlot {
@@ -242,7 +242,7 @@
         self.id
     }
 
-    /// Changes the connection's state, and asks it to leave if draining now requires that.
+    /// Changes the connection's state, and asks it to close if draining now requires that.
     fn update(&self, change: impl FnOnce(&mut ConnectionState)) {
         let mut registry = self.slots.registry();
         let draining = registry.draining;
@@ -250,7 +250,7 @@
             connection.last_change = Instant::now();
             change(connection);
             if draining {
-                connection.ask_to_leave_for_drain();
+                connection.ask_to_close_for_drain();
             }
         }
     }
@@ -300,26 +300,26 @@
         self.update(|connection| connection.was_served = true);
     }
 
-    /// Resolves once the connection is asked to leave.
-    pub(crate) async fn asked_to_leave(&self) {
-        self.leave_request.notified().await;
+    /// Resolves once the connection is asked to close.
+    pub(crate) async fn asked_to_close(&self) {
+        self.close_request.notified().await;
     }
 
-    /// Resolves once the connection has been asked to leave and its state has then stayed unchanged
-    /// for `quiet`. If a request is open, the request to leave is withdrawn and the wait starts
+    /// Resolves once the connection has been asked to close and its state has then stayed unchanged
+    /// for `quiet`. If a request is open, the request to close is withdrawn and the wait starts
     /// again.
     ///
-    /// Used for connections whose answers are written by another task. When a request ends there,
-    /// its answer may not be written completely yet, and a statement that was planned may not be
-    /// fetched yet.
-    pub(crate) async fn quiet_after_leave_request(&self, quiet: Duration) {
+    /// Used for connections whose answers are written by another task. When a request on such a
+    /// connection ends, its answer may not be written completely yet, and the client may not have
+    /// fetched the result of a planned statement yet.
+    pub(crate) async fn quiet_after_close_request(&self, quiet: Duration) {
         loop {
-            self.asked_to_leave().await;
+            self.asked_to_close().await;
             loop {
                 let before = self.activity();
                 sleep(quiet).await;
                 match before {
-                    Some((1.., _)) => break self.withdraw_leave_request(),
+                    Some((1.., _)) => break self.withdraw_close_request(),
                     _ if before == self.activity() => return,
                     _ => {}
                 }
@@ -333,10 +333,10 @@
         self.read(|connection| (connection.open_requests, connection.last_change))
     }
 
-    /// Withdraws the request to leave because the client has become active again. The connection
+    /// Withdraws the request to close because the client has become active again. The connection
     /// may be asked again later.
-    pub(crate) fn withdraw_leave_request(&self) {
-        self.update(|connection| connection.asked_to_leave = false);
+    pub(crate) fn withdraw_close_request(&self) {
+        self.update(|connection| connection.asked_to_close = false);
         // Wakes a new connection that waits for this slot, so that another connection is evicted
         // for it.
         self.slots.slot_freed.notify_one();
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -49,7 +49,7 @@
     pub(crate) settings: watch::Receiver<Arc<PlatformSettings>>,
     pub(crate) limits: Arc<Limits>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Whether this process accepts clients, and whether connected clients are asked to leave.
+    /// Whether this process accepts clients, and whether its client connections are drained.
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) buffer_pools: Arc<BufferPools>,
 }
@@ -73,7 +73,7 @@
     }
 
     /// Finds a class in the current settings by its name.
-    pub(crate) fn class(&self, name: &[u8]) -> Option<Arc<NamedClass>> {
+    pub(crate) fn find_class(&self, name: &[u8]) -> Option<Arc<NamedClass>> {
         self.settings
             .borrow()
             .classes
@@ -84,7 +84,7 @@
 
     /// Returns the answer counters of a class, or `None` if there is no class of this name.
     pub(crate) fn class_outcomes(&self, class_name: &[u8]) -> Option<Arc<ClassOutcomes>> {
-        self.class(class_name)
+        self.find_class(class_name)
             .map(|class| self.metrics.outcomes_of_class(&class.name))
     }
 
--- a/src/clients/msgpack_rpc/answers.rs
+++ b/src/clients/msgpack_rpc/answers.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Unread answers may take the bytes of this many results of the largest size. Above that, no more
+/// Limit of the unread answers of one client, in results of the largest size. Above it, no more
 /// calls are read from the client.
 const MAX_UNREAD_RESULTS: u64 = 2;
 
@@ -122,9 +122,9 @@
     ///
     /// Errors of the socket.
     pub(super) fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
-        let written_before = self.outbox.written();
+        let written_before = self.outbox.written_bytes();
         self.outbox.flush(stream)?;
-        if self.outbox.is_empty() || self.outbox.written() > written_before {
+        if self.outbox.is_empty() || self.outbox.written_bytes() > written_before {
             self.last_progress = Instant::now();
         }
         Ok(())
--- a/src/engines/line_protocol/connection.rs
+++ b/src/engines/line_protocol/connection.rs
@@ -9,17 +9,17 @@
 mod attempt_ends;
 mod attempt_queue;
 mod cancellations;
-mod events_log;
+mod log_events;
 mod result_pages;
 mod timers;
 
 use super::answer::AnswerError;
 use super::command::Command;
-use super::unsent_attempts::ConnectionEventSender;
+use super::connection_event_sender::ConnectionEventSender;
 use crate::attempt::AttemptState;
 use crate::core::AttemptRequest;
 use crate::decision::EngineId;
-use crate::engines::admission::Admission;
+use crate::engines::admission::AttemptAdmission;
 use crate::engines::connection_load::ConnectionLoad;
 use crate::engines::connection_slots::ConnectionSlot;
 use crate::engines::context::{AttemptId, EngineContext, EngineMessage};
@@ -78,7 +78,7 @@
 /// An attempt that has been written to this connection, or is being written.
 struct SentAttempt {
     request: Box<AttemptRequest>,
-    /// Marks of the state are counts of bytes written to this connection.
+    /// The state of the attempt. Its marks are counts of bytes written to this connection.
     state: AttemptState,
     /// Pages of the result, once the first page has arrived.
     pages: Option<ResultPages>,
@@ -97,12 +97,12 @@
     /// Identifies the connection in the log.
     number: u64,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
     load: Arc<ConnectionLoad>,
     /// Sends events to the engine's actor, such as the return of an unsent attempt.
     event_sender: ConnectionEventSender,
     mailbox: mpsc::Receiver<EngineMessage>,
-    /// The engine's actor has closed the mailbox, so no more messages arrive.
+    /// Whether the engine's actor has closed the mailbox, so that no more messages arrive.
     mailbox_closed: bool,
     /// Attempts of which nothing has been written yet.
     queued_attempts: VecDeque<Box<AttemptRequest>>,
@@ -117,12 +117,12 @@
     idle_since: Instant,
     /// Since when the input has held an incomplete answer.
     partial_answer_since: Option<Instant>,
-    /// Answers since the last one that ended an attempt, counted as for
-    /// `Limits::uneventful_answers`.
-    uneventful_answers: usize,
+    /// Progress reports and unexpected answers since the last answer that ended an attempt. An
+    /// unexpected answer counts as `Limits::unexpected_answer_weight` answers.
+    answers_since_attempt_end: usize,
     /// When the connection is closed even with open attempts, because its engine was removed from
     /// the list or its mailbox was closed.
-    removal_grace_ends_at: Option<Instant>,
+    close_at: Option<Instant>,
 }
 
 impl Connection {
@@ -133,7 +133,7 @@
         event_sender: ConnectionEventSender,
         load: Arc<ConnectionLoad>,
         context: EngineContext,
-        admission: Arc<Admission>,
+        admission: Arc<AttemptAdmission>,
     ) -> Connection {
         Connection {
             engine,
@@ -153,8 +153,8 @@
             output: Outbox::default(),
             idle_since: Instant::now(),
             partial_answer_since: None,
-            uneventful_answers: 0,
-            removal_grace_ends_at: None,
+            answers_since_attempt_end: 0,
+            close_at: None,
         }
     }
 
@@ -177,16 +177,16 @@
         self.event_sender.report_closed();
     }
 
-    /// Connects. Returns `None` if connecting fails or takes too long, or if no attempt waits for
-    /// the connection any more. Messages are handled meanwhile, so that an attempt is not sent if
-    /// it is cancelled or its engine starts to drain.
+    /// Connects. Returns `None` if connecting fails or takes too long, or if the connection is
+    /// evicted. Messages are handled meanwhile, so that an attempt is not sent if it is cancelled
+    /// or its engine starts to drain.
     async fn connect(
         &mut self,
         address: SocketAddr,
         slot: &mut ConnectionSlot,
     ) -> Option<TcpStream> {
         let connect_timeout = self.context.limits.engine_connect_timeout;
-        let give_up_at = Instant::now() + connect_timeout;
+        let connect_deadline = Instant::now() + connect_timeout;
         let descriptor_ready = slot.descriptor_ready();
         let connect = async move {
             descriptor_ready.await;
@@ -201,7 +201,7 @@
                 Some(message) = self.mailbox.recv() => self.handle_message(message),
             }
             self.report_ended_attempts().await;
-            if self.queued_attempts.is_empty() && Instant::now() > give_up_at {
+            if self.queued_attempts.is_empty() && Instant::now() > connect_deadline {
                 return None;
             }
         }
@@ -289,7 +289,7 @@
                 Some(message) => self.handle_message(message),
                 None => {
                     self.mailbox_closed = true;
-                    self.start_removal_grace();
+                    self.close_after_grace();
                 }
             },
             ready = stream.writable(), if !self.output.is_empty() => ready?,
@@ -343,7 +343,7 @@
             .filter_map(|sent| sent.pages.as_ref());
         Timers {
             idle: self.is_idle().then_some(idle_until),
-            removal: self.removal_grace_ends_at,
+            grace_period: self.close_at,
             partial_answer: self
                 .partial_answer_since
                 .map(|since| since + limits.partial_answer_timeout),
@@ -354,7 +354,7 @@
 
     /// Handles the timers that are due.
     fn handle_timers(&mut self, timers: &Timers, now: Instant) -> Result<Flow, ConnectionError> {
-        if is_due(timers.removal, now) {
+        if is_due(timers.grace_period, now) {
             return Ok(Flow::Close(CloseReason::EngineRemoved));
         }
         if is_due(timers.idle, now) {
@@ -373,12 +373,11 @@
         Ok(Flow::Continue)
     }
 
-    /// Starts the grace period for open attempts, after which a removed engine's connection is
-    /// closed.
-    fn start_removal_grace(&mut self) {
+    /// Schedules the closing of the connection after a grace period, in which its attempts may end.
+    /// Called if the engine was removed from the list or the mailbox was closed.
+    fn close_after_grace(&mut self) {
         let grace = self.context.limits.removed_engine_grace;
-        self.removal_grace_ends_at
-            .get_or_insert_with(|| Instant::now() + grace);
+        self.close_at.get_or_insert_with(|| Instant::now() + grace);
     }
 
     /// Queues a command for the engine.
--- a/src/engines/line_protocol/connection/attempt_queue.rs
+++ b/src/engines/line_protocol/connection/attempt_queue.rs
@@ -13,9 +13,12 @@
     pub(super) fn handle_message(&mut self, message: EngineMessage) {
         match message {
             EngineMessage::StartAttempt(attempt) => self.queue_attempt(attempt),
-            EngineMessage::CancelAttempt { attempt, after } => {
-                self.cancel_queued(attempt, after);
-                self.cancel_sent(attempt, after);
+            EngineMessage::CancelAttempt {
+                attempt,
+                after_cancellation,
+            } => {
+                self.cancel_queued(attempt, after_cancellation);
+                self.cancel_sent(attempt, after_cancellation);
             }
             EngineMessage::SetPriority { attempt, priority } => {
                 self.set_priority(attempt, priority);
@@ -25,13 +28,13 @@
                     self.end_queued_attempts();
                 }
             }
-            EngineMessage::StateChanged(EngineState::Ready) => self.removal_grace_ends_at = None,
+            EngineMessage::StateChanged(EngineState::Ready) => self.close_at = None,
             EngineMessage::StateChanged(state) => {
                 // A draining engine must not be sent an attempt of which nothing has been written
                 // yet.
                 self.end_queued_attempts();
                 if state == EngineState::Removed {
-                    self.start_removal_grace();
+                    self.close_after_grace();
                 }
             }
         }
--- a/src/engines/line_protocol/connection/cancellations.rs
+++ b/src/engines/line_protocol/connection/cancellations.rs
@@ -6,7 +6,7 @@
 //! cancellation that is only written. The commands of one connection are read in order, so the
 //! answer to a command sent after the cancellation is the confirmation.
 
-use super::events_log::IgnoredAnswerReason;
+use super::log_events::IgnoredAnswerReason;
 use super::{Connection, SentAttempt};
 use crate::attempt::{AttemptEnd, AttemptState};
 use crate::core::AttemptEvent;
@@ -45,12 +45,12 @@
         &mut self,
         command: Command,
         reference: &Bytes,
-        after: AfterCancellation,
+        after_cancellation: AfterCancellation,
         output: &mut Outbox,
         limits: &Limits,
     ) -> u64 {
         let end_mark = output.push(command.encode(reference));
-        let (tag, timeout) = match after {
+        let (tag, timeout) = match after_cancellation {
             AfterCancellation::RetryMayFollow => {
                 let tag = self.next_tag();
                 output.push(Command::Confirm.encode(&tag));
@@ -95,9 +95,9 @@
         Some(self.pending.drain(..=last).collect())
     }
 
-    /// Removes the cancellations that are complete once `written` bytes are written.
-    fn take_written(&mut self, written: u64) -> Vec<Cancellation> {
-        let is_written = |cancellation: &mut Cancellation| cancellation.end_mark <= written;
+    /// Removes the cancellations that are complete once `written_bytes` bytes are written.
+    fn take_written(&mut self, written_bytes: u64) -> Vec<Cancellation> {
+        let is_written = |cancellation: &mut Cancellation| cancellation.end_mark <= written_bytes;
         std::iter::from_fn(|| self.pending.pop_front_if(is_written)).collect()
     }
 
@@ -110,20 +110,29 @@
 
 impl Connection {
     /// Cancels a queued attempt, of which nothing has been written yet.
-    pub(super) fn cancel_queued(&mut self, attempt: AttemptId, after: AfterCancellation) {
+    pub(super) fn cancel_queued(
+        &mut self,
+        attempt: AttemptId,
+        after_cancellation: AfterCancellation,
+    ) {
         let mut queued = self.queued_attempts.iter();
         let Some(index) = queued.position(|request| AttemptId::from(&**request) == attempt) else {
             return;
         };
         let nothing_to_send = || 0;
-        let end = AttemptState::default().cancel(after.retry_may_follow(), nothing_to_send);
+        let end =
+            AttemptState::default().cancel(after_cancellation.retry_may_follow(), nothing_to_send);
         if let (Some(end), Some(request)) = (end, self.queued_attempts.remove(index)) {
             self.end_attempt(request, AttemptEvent::Cancelled(end));
         }
     }
 
     /// Cancels an attempt that was written at least in part.
-    pub(super) fn cancel_sent(&mut self, attempt: AttemptId, after: AfterCancellation) {
+    pub(super) fn cancel_sent(
+        &mut self,
+        attempt: AttemptId,
+        after_cancellation: AfterCancellation,
+    ) {
         let Some(reference) = self.reference_of(attempt) else {
             return;
         };
@@ -137,15 +146,17 @@
         } else {
             Command::Cancel
         };
-        let end = sent.state.cancel(after.retry_may_follow(), || {
-            self.cancellations.queue(
-                command,
-                &reference,
-                after,
-                &mut self.output,
-                &self.context.limits,
-            )
-        });
+        let end = sent
+            .state
+            .cancel(after_cancellation.retry_may_follow(), || {
+                self.cancellations.queue(
+                    command,
+                    &reference,
+                    after_cancellation,
+                    &mut self.output,
+                    &self.context.limits,
+                )
+            });
         if let Some(end) = end {
             self.end_cancelled(&reference, end);
         }
@@ -161,7 +172,7 @@
     /// Removes an attempt that an answer has ended, with its cancellations. They are no longer
     /// needed, so the connection must not be closed because they are overdue.
     pub(super) fn remove_answered_attempt(&mut self, reference: &Bytes) -> Option<SentAttempt> {
-        self.uneventful_answers = 0;
+        self.answers_since_attempt_end = 0;
         self.cancellations.remove_attempt(reference);
         self.sent_attempts.remove(reference)
     }
@@ -183,11 +194,11 @@
     /// Updates the attempts for the output written so far: marks completely written attempts as
     /// sent, and ends attempts whose written cancellation needs no confirmation.
     pub(super) fn process_written_bytes(&mut self) {
-        let written = self.output.written();
+        let written_bytes = self.output.written_bytes();
         let mut unconfirmed = VecDeque::new();
-        for cancellation in self.cancellations.take_written(written) {
+        for cancellation in self.cancellations.take_written(written_bytes) {
             let sent = self.sent_attempts.get_mut(&cancellation.reference);
-            match sent.and_then(|sent| sent.state.wrote(written)) {
+            match sent.and_then(|sent| sent.state.wrote(written_bytes)) {
                 Some(end) => self.end_cancelled(&cancellation.reference, end),
                 None if cancellation.tag.is_some() => unconfirmed.push_back(cancellation),
                 None => {}
@@ -196,11 +207,11 @@
         self.cancellations.requeue_unconfirmed(unconfirmed);
         let completed = self
             .partly_written
-            .take_if(|partly| partly.end_mark <= written);
+            .take_if(|partly| partly.end_mark <= written_bytes);
         if let Some(completed) = completed {
             self.context.metrics.attempts_written.increment();
             if let Some(sent) = self.sent_attempts.get_mut(&completed.reference) {
-                sent.state.wrote(written);
+                sent.state.wrote(written_bytes);
             }
         }
     }
--- a/src/engines/line_protocol/engine.rs
+++ b/src/engines/line_protocol/engine.rs
@@ -2,10 +2,10 @@
 //! the last connection has closed.
 
 use super::connection::Connection;
-use super::unsent_attempts::{ConnectionEvent, ConnectionEventSender};
+use super::connection_event_sender::{ConnectionEvent, ConnectionEventSender};
 use crate::core::{AttemptEvent, AttemptRequest};
 use crate::decision::{EngineId, Outcome};
-use crate::engines::admission::Admission;
+use crate::engines::admission::AttemptAdmission;
 use crate::engines::carried_references::CarriedReferences;
 use crate::engines::connection_choice::{ConnectionChoice, ConnectionEntry, choose_connection};
 use crate::engines::connection_load::{ConnectionLoad, ConnectionUse};
@@ -22,7 +22,7 @@
     address: SocketAddr,
     mut messages: mpsc::Receiver<EngineMessage>,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
 ) {
     let (event_sender, mut connection_events) = ConnectionEventSender::new();
     let mut engine = Engine {
@@ -67,7 +67,7 @@
     id: EngineId,
     address: SocketAddr,
     context: EngineContext,
-    admission: Arc<Admission>,
+    admission: Arc<AttemptAdmission>,
     event_sender: ConnectionEventSender,
     connections: Vec<ConnectionEntry>,
 }
@@ -77,7 +77,7 @@
     /// further attempts. Removing the entry of an idle connection closes it.
     fn remove_unusable_connections(&mut self) {
         self.connections
-            .retain(|connection| !connection.mailbox.is_closed() && !connection.should_retire());
+            .retain(|connection| !connection.mailbox.is_closed() && !connection.should_close());
     }
 
     /// Closes an idle connection: its actor ends once its mailbox is closed. Returns false if no
--- a/src/engines/line_protocol/tests.rs
+++ b/src/engines/line_protocol/tests.rs
@@ -150,7 +150,7 @@
 
 /// Endless unexpected answers or progress reports close their connection and end its attempts.
 #[test]
-fn uneventful_answers_past_the_limit_close_the_connection() {
+fn answers_past_the_limit_without_an_attempt_end_close_the_connection() {
     run_test(async {
         for (answer, repetitions) in [
             ("00000000000000aa served batches=1", 129),
@@ -464,9 +464,12 @@
             (&queued_for_writing["connection"], &queued_for_writing["id"]),
             (&number, &1.into())
         );
-        let ignored = event("answer ignored");
+        let ignored = event("answer of an engine ignored");
         assert_eq!(ignored["reason"], "NoSuchAttempt");
-        assert_eq!(event("answer without a result")["status"], "Failed");
+        assert_eq!(
+            event("attempt ended by an answer without a result")["status"],
+            "Failed"
+        );
         let ended = event("attempt ended on its connection");
         assert_eq!((&ended["connection"], &ended["id"]), (&number, &1.into()));
         assert_eq!(event(closed)["reason"], "ClosedByEngine");
