--- a/tests/fault_soak/engine.rs
+++ b/tests/fault_soak/engine.rs
@@ -1,4 +1,4 @@
-//! A fake engine that fails in the ways in which engines fail. A seeded random number chooses what
+//! A fake engine that fails in the same ways as real engines. A seeded random number chooses what
 //! it does with each attempt.
 
 use crate::draws::SeededRandom;
@@ -14,8 +14,8 @@
 use tokio::sync::{Mutex, Notify};
 use tokio::time::sleep;
 
-/// Longest time by which an engine may read the close of a connection after an attempt that the
-/// manager has sent after the close.
+/// Longest time from the receipt of an attempt until the engine notices that the manager had
+/// closed another connection before it sent this attempt.
 const MAX_CLOSE_DELAY: Duration = Duration::from_millis(150);
 
 /// What the engine does with an attempt.
--- a/tests/fault_soak/faults.c
+++ b/tests/fault_soak/faults.c
@@ -1,10 +1,12 @@
-/* Fault injection for the program in the soak test: wrappers of system calls that fail in the ways that Linux documents.
- * The library is loaded before the C library (LD_PRELOAD).
+/* Fault injection for the program in the soak test: wrappers of system calls that fail in the ways
+ * that Linux documents. The library is loaded before the C library (LD_PRELOAD).
  *
- * FAULT_SEED is the seed of the random choices. Waits are interrupted. accept, socket and connect fail at random.
- * Reads and writes on sockets are short. Connections that the program opened break with ETIMEDOUT or EHOSTUNREACH.
- * CLOCK_STEP_S is the number of seconds by which the wall clock is stepped, CLOCK_STEP_AFTER_MS the time of the step in
- * ms after the start; the monotonic clock is not changed. */
+ * The following faults occur at random, and FAULT_SEED is the seed of the random choices. Waits are
+ * interrupted. accept, socket and connect fail. Reads and writes on sockets are short. Connections
+ * that the program opened break with ETIMEDOUT or EHOSTUNREACH.
+ *
+ * CLOCK_STEP_S is the number of seconds by which the wall clock is stepped. CLOCK_STEP_AFTER_MS is
+ * the time of the step in ms after the start. The monotonic clock is not changed. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -17,7 +19,7 @@
 #include <unistd.h>
 
 #define MAX_DESCRIPTORS 4096
-/* The function of this name that the C library defines. */
+/* The C library's own function of this name. */
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 static uint64_t random_state;
@@ -102,8 +104,8 @@
     return real(fd, events, max_events, timeout);
 }
 
-/* Breaks a connection that the program opened, with a probability of one in 400. Its peer sees the end of the connection.
- * Returns 1 and sets errno if the connection is broken. */
+/* Breaks a connection that the program opened, with a probability of one in 400. Its peer sees the
+ * end of the connection. Returns 1 and sets errno if the connection is broken. */
 static int break_connection(int fd) {
     if (fd < 0 || fd >= MAX_DESCRIPTORS || !is_outgoing[fd] || !happens_one_in(400))
         return 0;
--- a/tests/fault_soak/main.rs
+++ b/tests/fault_soak/main.rs
@@ -51,8 +51,8 @@
 /// Time after SIGTERM during which clients still open new connections.
 const CONNECT_TIME_AFTER_TERM: Duration = Duration::from_millis(300);
 
-/// Time after SIGTERM at which the platform kills the process: the longest deadline, which counts
-/// as 3 s, and 0.7 s.
+/// Time after SIGTERM at which the platform kills the process: the sum of the longest deadline,
+/// which counts as 3 s, and 0.7 s.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
 
 /// Result of one run: the violations of the rules, and the numbers of attempts and of retries among
@@ -95,7 +95,8 @@
     seeds.lock().expect("seeds").pop()
 }
 
-/// The seeds of this test run in descending order, so that the lowest one is taken first.
+/// The seeds of this test in descending order. [`next_seed`] takes the last one, which is the
+/// lowest.
 fn chosen_seeds() -> Vec<u64> {
     let range = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1-12".to_owned());
     let (first, last) = range
@@ -199,7 +200,8 @@
 }
 
 /// Stops the manager with several signals in a row, while clients keep sending on their open
-/// connections. Kills the manager at the earliest time at which the platform would kill it.
+/// connections. Kills the manager if it has not exited with status 0 by the earliest time at which
+/// the platform would kill it.
 async fn stop_manager(child: &mut Child, rules: &Rules, connecting: &watch::Sender<bool>) {
     let killed_at = Instant::now() + KILL_AFTER_TERM;
     for (name, pause) in [("TERM", 100), ("HUP", 100), ("TERM", 100), ("USR1", 0)] {
@@ -209,7 +211,9 @@
     sleep_until(killed_at - KILL_AFTER_TERM + CONNECT_TIME_AFTER_TERM).await;
     connecting.send_replace(false);
     if !has_succeeded_by(child, killed_at).await {
-        rules.add_violation("the manager had to be killed".to_owned());
+        rules.add_violation(
+            "the manager did not exit with status 0 before the platform would kill it".to_owned(),
+        );
         let _ = child.kill();
     }
 }
--- a/tests/fault_soak/rules.rs
+++ b/tests/fault_soak/rules.rs
@@ -9,7 +9,7 @@
 const PATIENCE_SLACK: Duration = Duration::from_millis(500);
 
 /// Longest time after the beginning of draining at which an engine may still receive an attempt:
-/// 250 ms, and 1000 ms for the resumption of a broken connection to the feed and the delay of this
+/// 250 ms, plus 1000 ms for the resumption of a broken connection to the feed and the delay of this
 /// process.
 const MAX_START_AFTER_DRAIN: Duration = Duration::from_millis(250 + 1000);
 
