--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -38,7 +38,7 @@
 }
 
 /// The sum of the work that many managers send to an engine in slow start stays below its overload
-/// bound. The managers also use a quarter of that bound at least, so that the engine warms up.
+/// bound. The managers also use at least a quarter of that bound, so that the engine warms up.
 #[test]
 fn light_queries_use_but_do_not_exceed_the_slow_start_budget() {
     let window_ms = 1000.0;
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -16,7 +16,8 @@
 //! Evidence: in the incident, each of these pairs was sent within 1 ms to the engine of the
 //! previous attempt, 0 to 2 ms after that attempt had ended well. The engine was ejected for errors
 //! that it had not returned. At log level `debug`, a reproduction shows two lines
-//! `answer without a result` on one connection where the engine meant one answer for each attempt.
+//! `attempt ended by an answer without a result` on one connection where the engine meant one
+//! answer for each attempt.
 
 #[allow(dead_code)] // uses the scene's manager process and clients, but not its scripts
 mod scene;
@@ -56,13 +57,13 @@
 
 /// An event of the engine's connection tasks.
 enum EngineEvent {
-    /// A new connection, by its write half.
+    /// The write half of a new connection.
     Connected(OwnedWriteHalf),
     /// A command on a connection.
     Received(Command),
 }
 
-/// A fake engine that answers only when the test tells it to.
+/// A fake engine that sends an answer only when the test calls [`FakeEngine::answer`].
 struct FakeEngine {
     address: SocketAddr,
     events: mpsc::UnboundedReceiver<EngineEvent>,
@@ -277,7 +278,7 @@
     },
 ];
 
-/// Plays one case and checks that the late answer does not end the retry.
+/// Runs one case and checks that the late answer does not end the retry.
 async fn check_late_answer(number: usize, case: &Case) {
     let mut setup = TestSetup::start(&number.to_string()).await;
     let mut client = Client::new("c1", setup.manager.address).await;
--- a/tests/service_guarantees/slow_start.rs
+++ b/tests/service_guarantees/slow_start.rs
@@ -31,7 +31,7 @@
 /// Number of cores of the engine.
 const CORES: f64 = 8.0;
 
-/// Multiple of the engine's present capacity above which it is overloaded.
+/// Multiple of the engine's current capacity above which it is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 
 /// Time within which the engine's requests are counted for an overload.
