--- a/src/core/order_leases.rs
+++ b/src/core/order_leases.rs
@@ -14,12 +14,12 @@
 use crate::decision::{Millis, RequestId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// How long a lease admits new requests while a peer process runs, in ms. Requests that arrive later
-/// wait for the next lease.
+/// How long a lease admits new requests while a peer process runs, in ms. Requests that arrive
+/// later wait for the next lease.
 const MAX_LEASE_MS: Millis = 500.0;
 
-/// How long a process that has released a key does not acquire it again for waiting requests, in ms.
-/// A peer tries to acquire the key every 50 ms and so gets it first.
+/// How long a process that has released a key does not acquire it again for waiting requests, in
+/// ms. A peer tries to acquire the key every 50 ms and so gets it first.
 const REACQUIRE_DELAY_MS: Millis = 120.0;
 
 /// A set of peer processes of one workload manager, with one bit for each process slot in the lock
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -58,7 +58,7 @@
         self.shed_load(actions);
         self.send_health_checks(id, actions);
         self.dispatch_queue(actions);
-        // A client with a short deadline may give up before the next tick, and would get its answer
+        // A short deadline may pass before the next tick, and the client would then get its answer
         // too late (18f1f014).
         if self.is_too_late(id) {
             self.reject_or_fail(id, EndReason::TooLate, actions);
@@ -182,8 +182,8 @@
         backlog
     }
 
-    /// Whether the client may be told to try again: the request has not run, or a repeat is
-    /// harmless on all engines.
+    /// Whether the request may be rejected, which allows the client to try again: the request has
+    /// not run, or a repeat is harmless on all engines.
     fn may_reject(&self, request: &QueuedRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let is_repeatable_anywhere = matches!(
--- a/src/decision/attempt_end.rs
+++ b/src/decision/attempt_end.rs
@@ -16,8 +16,8 @@
 /// Bounds on the natural logarithm of latency over work.
 const MIN_LOG_SLOWDOWN: f64 = -3.0;
 const MAX_LOG_SLOWDOWN: f64 = 5.0;
-/// Upper bound on the thread time of a very long attempt in the fits, in multiples of the thread
-/// time that its work takes at the mean slowdown.
+/// Upper bound on the thread time of a very long attempt in the parabola fits, in multiples of the
+/// thread time that its work takes at the mean slowdown.
 const MAX_FIT_TIME_MULTIPLE: f64 = 4.0;
 
 /// An ended attempt, with the values from which the estimates are updated.
--- a/src/decision/concurrency_limit.rs
+++ b/src/decision/concurrency_limit.rs
@@ -205,7 +205,7 @@
     /// Whether one more query of the class stays within the engine's concurrency limit.
     ///
     /// If this manager's share of the engine is smaller than a query of the widest class, that is,
-    /// of the class that uses the most threads, one of two other limits must hold as well: its
+    /// of the class that uses the most threads, one of two other limits must be met as well: its
     /// threads on all engines stay within the sum of its limits, or the engine's reported threads
     /// stay within the limit for all managers. Either is enough, because a manager that sends no
     /// queries gets no new information about the engines (ecd87ede).
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -69,9 +69,9 @@
 pub enum ListUpdateKind {
     /// Only the entries that have changed.
     Delta,
-    /// The complete list.
+    /// The full list.
     Full,
-    /// The complete list from the cache; it may be stale.
+    /// The full list from the cache; it may be stale.
     Cached,
     /// A poll failed; the dispatcher keeps the list that it holds.
     PollFailed,
--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -32,7 +32,7 @@
     Error,
     /// The engine rejected the attempt; it never ran.
     Rejected,
-    /// No answer arrived before the time-out; the attempt may have run or may still run.
+    /// No answer arrived before the timeout; the attempt may have run or may still run.
     TimedOut,
     /// No connection to the engine; the attempt never ran.
     NoConnection,
@@ -69,7 +69,7 @@
     pub class: usize,
     /// Its order key; 0 for none.
     pub order_key: u64,
-    /// Time at which the client gives up.
+    /// Its deadline, after which its client no longer waits.
     pub deadline_ms: Millis,
     /// Estimated work in ms, summed over all threads, if the client gives it.
     pub estimated_work_ms: Option<f64>,
@@ -243,7 +243,7 @@
         id: RequestId,
         /// The engine to send it to.
         engine: EngineId,
-        /// Time-out of the attempt; if `None`, the attempt may last until the client gives up.
+        /// Timeout of the attempt; if `None`, the attempt may last until the request's deadline.
         timeout_ms: Option<Millis>,
     },
     /// Sets the memory grant and the priority of a request's next attempts.
--- a/src/decision/health_checks.rs
+++ b/src/decision/health_checks.rs
@@ -135,7 +135,7 @@
         self.saved = (self.saved + 1.0).min(MAX_SAVED_CHECKS);
     }
 
-    /// Whether so many health checks are saved that checks of the whole fleet are a small share of
+    /// Whether enough health checks are saved that checks of the whole fleet are a small share of
     /// the traffic.
     pub(super) fn allows_fleet_check(&self) -> bool {
         self.saved > MAX_SAVED_CHECKS * MIN_SAVED_SHARE_FOR_FLEET
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -132,8 +132,8 @@
         };
         let engine_id = attempt.engine;
         match progress {
-            // A wait for memory shows that the engine is crowded, whatever its report says of its
-            // cores.
+            // A wait for memory shows that the engine is saturated, even if its load report shows
+            // free cores.
             Progress::WaitingForMemory => self.mark_saturated(engine_id),
             Progress::ShareDone(share) if self.has_bad_plan(id, share) => {
                 self.cancel_attempt(id, actions);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -212,8 +212,8 @@
         &self.manual_ejections
     }
 
-    /// Numbers of all requests, of queued requests, of order keys and of engines that are held, in
-    /// this order.
+    /// Numbers of all requests, of queued requests, of order keys and of engines in the
+    /// dispatcher's state, in this order.
     pub fn state_sizes(&self) -> [usize; 4] {
         [
             self.requests.len(),
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -66,7 +66,7 @@
     /// When the latency objective starts: at its arrival, or earlier if its client has already
     /// waited.
     pub(super) objective_start_ms: Millis,
-    /// When its client gives up.
+    /// Its deadline, after which its client no longer waits.
     pub(super) deadline_ms: Millis,
     /// The client's estimate of its work, summed over its threads, in ms.
     pub(super) estimated_work_ms: Option<f64>,
--- a/src/discovery/session.rs
+++ b/src/discovery/session.rs
@@ -1,5 +1,5 @@
-//! One connection to the discovery feed. It sends the number of the last known event, then reads
-//! frames until an error.
+//! One connection to the discovery feed. The manager sends the number of the last known event, then
+//! reads frames until an error.
 
 use super::FollowerContext;
 use super::frame::{self, Frame, FrameError};
@@ -39,8 +39,8 @@
 /// # Errors
 ///
 /// See [`SessionError`]. If the feed is silent for longer than the time limit, the connection ends.
-/// It may have been cut off while engines drain, and every event counts as known to this process
-/// from the moment at which the feed sends it.
+/// The connection may have been cut off while engines drain, and every event counts as known to
+/// this process from the time at which the feed sends it.
 pub(super) async fn run(
     feed: SocketAddr,
     last_event: &mut u64,
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -66,7 +66,7 @@
         stream
             .write_all(&frame(1, 1, 0..1024, 0))
             .await
-            .expect("whole list");
+            .expect("full list");
         stream
             .write_all(&frame(2, 2, 0..614, 1))
             .await
--- a/src/limits/basis.rs
+++ b/src/limits/basis.rs
@@ -31,7 +31,8 @@
 /// signals, listeners and files.
 const PROCESS_DESCRIPTORS: usize = 15;
 
-/// Maximum time in ms that a limit takes from the platform's settings: one hour.
+/// Upper bound, in ms, on the times of the platform's settings from which limits are derived: one
+/// hour.
 const MAX_PLATFORM_TIME_MS: f64 = 3_600_000.0;
 
 /// Maximum number of references that a connection to an engine carries until it is closed.
--- a/src/limits/table.rs
+++ b/src/limits/table.rs
@@ -83,8 +83,8 @@
     /// An idle client connection is closed after this time. Clients close idle connections earlier.
     client_idle_timeout: Duration = Duration::from_secs(30);
     /// Maximum time to wait until the peer closes a connection that this side has closed for
-    /// writing. A Flight SQL connection whose client was asked to leave is closed after this time
-    /// without a change on it.
+    /// writing. A Flight SQL connection that was asked to close is closed after this time without
+    /// a change on it.
     linger_timeout: Duration = Duration::from_millis(100);
     /// The value of `linger_timeout` for an evicted client connection. It is shorter because
     /// another connection waits for its descriptor.
@@ -176,13 +176,14 @@
     /// Maximum number of engines taken up from the endpoint list, draining ones included. It
     /// depends on the memory, because a listed engine needs no descriptor.
     engines: usize = basis.engines();
-    /// Maximum number of engines in an endpoint list that the dispatcher gets completely. Of a
+    /// Maximum number of engines in an endpoint list that the dispatcher gets in full. Of a
     /// longer list, it gets a subset, because the cost of a decision grows with the number of
     /// engines: `docs/subsets.md` has the figures.
     subset_engines: usize = 512;
     /// Maximum number of messages in the mailbox of an actor.
     mailbox_messages: usize = 1024;
-    /// Maximum size of one frame of the discovery feed, in bytes: four times the longest list.
+    /// Maximum size of one frame of the discovery feed, in bytes: four times that of the
+    /// longest list.
     feed_frame_bytes: usize = (4 * basis.engines() * RECORD_BYTES).max(256 * KIB);
     /// Silence of the discovery feed after which its connection is replaced. The feed sends a
     /// heartbeat each second.
--- a/src/metrics/text.rs
+++ b/src/metrics/text.rs
@@ -1,6 +1,6 @@
-//! The two printed forms of the table. Their names are published and must not change: the `node.`
-//! figures have the names in the operators' documentation, and the line of counters has the names
-//! of the table.
+//! The two text formats of the metrics table. The names in them are published and must not change:
+//! the `node.` figures have the names in the operators' documentation, and the line of counters has
+//! the names of the table.
 
 use super::Metrics;
 use std::fmt::{self, Write};
--- a/src/node_config.rs
+++ b/src/node_config.rs
@@ -3,7 +3,7 @@
 //!
 //! [`NodeConfig`] is the checked configuration, and [`json`] defines the format of the file.
 //! [`endpoint_list`] has the types that configuration and discovery share, and [`front_ends`] the
-//! front ends that operators may turn on. A configuration that cannot be used gives a
+//! front ends that operators may enable. A configuration that cannot be used gives a
 //! [`ConfigError`].
 
 mod endpoint_list;
--- a/src/node_config/front_ends.rs
+++ b/src/node_config/front_ends.rs
@@ -1,4 +1,4 @@
-//! The configuration of the front ends that operators may turn on.
+//! The configuration of the front ends that operators may enable.
 
 use super::ConfigError;
 use serde::Deserialize;
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -27,9 +27,9 @@
 /// closer together than that.
 const MIN_SHARES_PER_SUBSET: usize = 4;
 
-/// Smallest fraction of the target size that a manager's arcs must hold. If they hold fewer
-/// engines, because most engines on them were removed at once, the manager also uses engines beyond
-/// the longest arc.
+/// Smallest fraction of the target size that a manager's arcs must contain. If they contain
+/// fewer engines, because most engines on them were removed at once, the manager also uses engines
+/// beyond the longest arc.
 const MIN_FILLED_FRACTION: f64 = 0.25;
 
 /// Largest number of managers on an arc beyond the arc's share of all managers.
@@ -39,9 +39,9 @@
 /// duplicate ordinals.
 const MANAGER_BOUND_MARGIN: f64 = 1.125;
 
-/// Length of a list, relative to the longest list that is used completely, up to which the bound on
-/// an engine's managers is doubled. Some managers may still use the complete list, and in slow start
-/// they take their turns in another order.
+/// Length of a list, relative to the longest list of which all engines are used, up to which the
+/// bound on an engine's managers is doubled. Some managers may still use all engines, and in slow
+/// start they take their turns in another order.
 const NEARLY_COMPLETE_RATIO: f64 = 1.25;
 
 /// Number of steps per doubling to which the mean number of managers is rounded, so that not every
