--- a/src/clients/flight/listener/tests.rs
+++ b/src/clients/flight/listener/tests.rs
@@ -9,8 +9,8 @@
 use tokio::time::{Instant, sleep};
 
 /// A connection is asked to close shortly before the timeout for its first call expires. The signal
-/// must not lose this request when the timeout expires: the connection is closed after it has been
-/// quiet for the linger time.
+/// must not lose this request when the timeout expires: the connection is closed once its state
+/// has not changed for the linger timeout.
 #[tokio::test(start_paused = true)]
 async fn close_request_outlasts_the_first_call_timeout() {
     let context = EngineContext::for_tests(Handle::new(1, Clock::new()).0);
--- a/src/decision/hung_attempts.rs
+++ b/src/decision/hung_attempts.rs
@@ -101,8 +101,8 @@
     ///
     /// If neither progress reports nor measured work show bad plans, elapsed time does, once it
     /// exceeds the error of the estimates. This also covers lost answers and slow engines. The rule
-    /// does harm if latency rises faster than the answers show, because attempts on crowded engines
-    /// are then cancelled (0f513397).
+    /// does harm if latency rises faster than the answers show, because attempts on saturated
+    /// engines are then cancelled (0f513397).
     fn bad_plan_multiple(&self, request: &QueuedRequest) -> f64 {
         if request.estimated_work_ms.is_none() {
             return HUNG_MULTIPLE;
--- a/src/decision/slowdown.rs
+++ b/src/decision/slowdown.rs
@@ -7,12 +7,12 @@
 pub(super) const LATENCY_GAIN: f64 = 0.08;
 /// Amount by which each outcome raises the best log ratio, so that an old best value expires.
 const BEST_RISE_PER_ATTEMPT: f64 = 0.0002;
-/// Slowdown, relative to the best one measured, above which the concurrency limit binds.
+/// Slowdown, relative to the best one measured, above which the concurrency limit applies.
 const PRESSURE_SLOWDOWN: f64 = 1.6;
 /// Threads per core, of this and the other managers' queries, above which the concurrency limit
-/// binds.
+/// applies.
 const PRESSURE_THREADS_PER_CORE: f64 = 1.3;
-/// Reported share of busy cores above which the concurrency limit binds.
+/// Reported share of busy cores above which the concurrency limit applies.
 pub(super) const PRESSURE_BUSY_SHARE: f64 = 0.92;
 /// Bounds on an engine's slowness relative to the median engine.
 const MIN_SLOWNESS: f64 = 0.6;
@@ -132,14 +132,14 @@
         self.slowdown.relative_slowness(&engine.slowdown)
     }
 
-    /// Whether the concurrency limit binds: the engine is crowded, busy or slow, or has been
-    /// ejected since it last served a query.
+    /// Whether the concurrency limit applies: the engine has many threads per core, is busy or
+    /// slow, or has been ejected since it last served a query.
     pub(super) fn is_under_pressure(&self, engine: &Engine) -> bool {
-        let is_crowded = self.estimated_threads(engine)
+        let has_many_threads = self.estimated_threads(engine)
             > PRESSURE_THREADS_PER_CORE * self.available_cores(engine);
         let log_slowdown = self.slowdown.log_ratio + self.slowness(engine).ln();
         let is_slow = log_slowdown > self.slowdown.best_log_ratio + PRESSURE_SLOWDOWN.ln();
         let busy = engine.load.busy_share() * engine.load.report_weight(self.now_ms);
-        is_slow || is_crowded || busy > PRESSURE_BUSY_SHARE || engine.outlier.was_ejected()
+        is_slow || has_many_threads || busy > PRESSURE_BUSY_SHARE || engine.outlier.was_ejected()
     }
 }
