--- a/src/node_config/front_ends.rs
+++ b/src/node_config/front_ends.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The configuration of the optional front ends. They are off unless a file turns them on.
+/// The configuration of the optional front ends. They are disabled unless a file enables them.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OptionalFrontEnds {
