--- a/Makefile
+++ b/Makefile
@@ -16,15 +16,15 @@
 
 check: lint build test
 
-# Runs the scale tests listed in TESTS, or all of them if it is empty. If OUT is set, their rows are
-# also written to that file.
+# Runs the scale tests listed in TESTS, or all of them if it is empty. If OUT is set, their rows
+# are also written to that file.
 TESTS ?=
 OUT ?=
 scale:
 	cargo bench --locked --bench scale -- $(TESTS) $(if $(OUT),--out $(abspath $(OUT)))
 
-# Copies the sites that the bench reads from the folder KIT to deploy/sites, beside the variants that
-# are kept there.
+# Copies the sites that the bench reads from the folder KIT to deploy/sites, beside the variants
+# that are kept there.
 KIT ?= ../given/kit/sites
 sites:
 	install -m 644 $(KIT)/*.json $(KIT)/unlock.txt deploy/sites/
--- a/src/limits/table.rs
+++ b/src/limits/table.rs
@@ -86,8 +86,8 @@
     /// writing. A Flight SQL connection whose client was asked to leave is closed after this time
     /// without a change on it.
     linger_timeout: Duration = Duration::from_millis(100);
-    /// The value of `linger_timeout` for an evicted client connection. It is shorter because another
-    /// connection waits for its descriptor.
+    /// The value of `linger_timeout` for an evicted client connection. It is shorter because
+    /// another connection waits for its descriptor.
     evicted_linger_timeout: Duration = Duration::from_millis(10);
 
     // Results.
--- a/tests/order_keys_hot_restart.rs
+++ b/tests/order_keys_hot_restart.rs
@@ -226,8 +226,8 @@
     });
 }
 
-/// In the other direction: the old process holds back its request of the key while one of the
-/// successor process is in flight, and answers it at its deadline without an attempt.
+/// The old process holds back its request of the key while one of the successor process is in
+/// flight, and answers it at its deadline without an attempt.
 #[test]
 fn the_old_process_waits_for_the_request_of_its_successor() {
     block_on(async {
--- a/tests/scenarios/connections.rs
+++ b/tests/scenarios/connections.rs
@@ -44,9 +44,10 @@
     );
 }
 
-/// The engine may reset an idle connection just as the next request is written. So a bulk load gets
-/// a new connection unless an existing one answered just before it; an idempotent query uses an
-/// idle connection. The idle times of the script are the times until a silent client is closed.
+/// The engine may reset an idle connection just as the next request is written. A bulk load
+/// therefore gets a new connection unless an existing one answered within `recent_answer_ms`; an
+/// idempotent query uses an idle connection. The script lets the connection idle by waiting until the manager closes
+/// a silent client.
 #[test]
 fn a_bulk_load_gets_a_new_connection_if_the_existing_one_was_idle() {
     let served_attempt = |number: u32| {
@@ -74,8 +75,8 @@
 }
 
 /// If the machine of an engine fails, its connections stay open and silent. New attempts therefore
-/// get another connection. The time of silence in the script is the time until a silent client is
-/// closed.
+/// get another connection. The script lets the connection be silent by waiting until the manager
+/// closes a silent client.
 #[test]
 fn a_silent_connection_gets_no_new_attempts() {
     // The estimated work is so large that the attempt does not count as hung within this time.
--- a/tests/scene/child_process.rs
+++ b/tests/scene/child_process.rs
@@ -30,14 +30,14 @@
     }
 }
 
-/// Starts the program as `program` prepares it, with its standard error in a pipe.
+/// Starts the command that `program` returns, with its standard error in a pipe.
 pub(crate) fn start_program(name: &str, config: &str, operator_settings: &str) -> Child {
     let mut program = program(name, config, operator_settings);
     program.stderr(Stdio::piped()).spawn().expect("program")
 }
 
 /// The command that runs the program with this configuration and an operators' file of version 1
-/// with this text. Both are written to files with this name.
+/// with these settings. Both are written to files with this name.
 pub(crate) fn program(name: &str, config: &str, operator_settings: &str) -> Command {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = |kind: &str, text: &str| {
--- a/tests/scene/engine_fleet.rs
+++ b/tests/scene/engine_fleet.rs
@@ -42,7 +42,7 @@
 /// The channel over which the scene answers a call.
 #[derive(Clone)]
 pub(crate) enum ReplyChannel {
-    /// The writing half of the connection; none once the connection is broken.
+    /// The writing half of the connection; `None` once the connection is broken.
     Line(Arc<tokio::sync::Mutex<Option<OwnedWriteHalf>>>),
     /// Takes the first word of an answer (`served`, `rows`, `overload` and so on) and its text.
     Flight(mpsc::UnboundedSender<(String, String)>),
@@ -63,7 +63,7 @@
     _port: TcpSocket,
 }
 
-/// All engines of a scene, with the list feed that lists them.
+/// All engines of a scene, with the discovery feed that lists them.
 pub(crate) struct Fleet {
     engines: Vec<Engine>,
     calls: mpsc::UnboundedReceiver<ReceivedCall>,
@@ -82,7 +82,7 @@
 }
 
 impl Fleet {
-    /// Starts this many engines and the list feed.
+    /// Starts this many engines and the discovery feed.
     pub(crate) async fn new(count: usize, protocol: EngineProtocol) -> Fleet {
         let (sender, calls) = mpsc::unbounded_channel();
         let engines = (0..count).map(|number| Engine::start(number, protocol, sender.clone()));
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The event that lists all engines, in the JSON of the configuration.
+    /// The first event of the list, with all engines, in the JSON of the configuration.
     pub(crate) fn first_list_event(&self) -> String {
         let instance = |(number, engine): (usize, &Engine)| {
             format!(
--- a/tests/scene/engine_listener.rs
+++ b/tests/scene/engine_listener.rs
@@ -7,7 +7,7 @@
 /// Length of an engine listener's backlog. The operating system establishes one connection more.
 pub(super) const BACKLOG: u32 = 64;
 
-/// A socket that is bound to this address and lets other sockets share the port.
+/// A socket that is bound to this address and lets other sockets bind to it too.
 fn bind_shared_port(address: SocketAddr) -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_reuseport(true).expect("option");
@@ -34,7 +34,7 @@
 }
 
 impl GatedListener {
-    /// The next connection; none once the scene has ended.
+    /// The next connection; `None` once the scene has ended.
     pub(super) async fn accept(&mut self) -> Option<TcpStream> {
         loop {
             self.accepting.wait_for(|accepting| *accepting).await.ok()?;
--- a/tests/scene/flight_client.rs
+++ b/tests/scene/flight_client.rs
@@ -211,7 +211,7 @@
 }
 
 /// The code of a status as scripts write it, followed by `RETRY` if the status has a retry delay of
-/// at most 1 s.
+/// at most 1 s. `OK` without a status.
 fn status_text(status: Option<Status>) -> String {
     let Some(status) = status else {
         return "OK".to_owned();
--- a/tests/scene/line_engine.rs
+++ b/tests/scene/line_engine.rs
@@ -11,7 +11,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{Mutex, mpsc};
 
-/// The writing half of a connection; none once the connection is broken.
+/// The writing half of a connection; `None` once the connection is broken.
 type SharedWriter = Arc<Mutex<Option<OwnedWriteHalf>>>;
 
 /// The manager must send only numbers below this to an engine, whatever the client sent.
@@ -141,7 +141,7 @@
     }
 }
 
-/// The fields after the first one, split into name and value; none for a field without `=`.
+/// The fields after the first one, split into name and value; `None` for a field without `=`.
 fn fields(fields: &str) -> impl Iterator<Item = Option<(&str, &str)>> {
     fields.split(',').skip(1).map(|field| field.split_once('='))
 }
--- a/tests/scene/list_feed.rs
+++ b/tests/scene/list_feed.rs
@@ -1,4 +1,4 @@
-//! The fake list feed. It accepts the manager's connection and sends the frames that a script
+//! The fake discovery feed. It accepts the manager's connection and sends the frames that a script
 //! requests.
 
 use super::from_hex;
@@ -28,7 +28,7 @@
     pub address: SocketAddr,
 }
 
-/// The list feed, with at most one connection.
+/// The discovery feed, with at most one connection.
 pub(crate) struct Feed {
     /// Address at which the feed listens.
     pub address: SocketAddr,
@@ -59,7 +59,7 @@
         self.address
     }
 
-    /// Accepts a connection, on which the manager must send this number as its last event.
+    /// Accepts a connection, on which the manager must send this number as that of its last event.
     pub(super) async fn expect_connection(&mut self, last_event: &str) {
         let (mut stream, _) = self.listener.accept().await.expect("accept");
         let received = stream.read_u64().await.expect("the last event");
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,5 +1,5 @@
-//! Runs test scripts against a complete workload manager with fake clients, engines and list feed
-//! on loopback addresses.
+//! Runs test scripts against a complete workload manager with fake clients, fake engines and a fake
+//! discovery feed on loopback addresses.
 //!
 //! A script has one step a line: `WHO VERB ...`, with the verbs `send`, `expect` and `close`, and
 //! `hold` and `release` for engines; the one other step is `wait NAME=VALUE`. WHO is one of:
@@ -16,13 +16,13 @@
 //!   call so far), `e close c1.7` (breaks the connection that carries the request).
 //! - `e1`, `e2`: one engine. `e1 close` makes it refuse connections; after `e1 hold` further
 //!   connections to it are not established until `e1 release`.
-//! - `feed`: the list feed. `feed expect 1` waits for a connection of the manager whose last event
-//!   is number 1. `feed send STATE e1` changes the state of an engine to `active`, `draining` or
-//!   `gone`; `feed send listed e1` sends the record of an active engine too, but an engine that
-//!   must not get new attempts still must not get any. `feed send only e1` sends a full list with
-//!   this engine alone, `feed send again e1` repeats the last event's number, `feed send half e1`
-//!   sends the first half of an event, `feed send raw HEX` these bytes; `feed close` closes the
-//!   connection.
+//! - `feed`: the discovery feed. `feed expect 1` waits for a connection on which the manager gives
+//!   1 as the number of its last event. `feed send STATE e1` changes the state of an engine to
+//!   `active`, `draining` or `gone`; `feed send listed e1` sends the record of an active engine
+//!   too, but an engine that must not get new attempts still must not get any. `feed send only e1`
+//!   sends a full list with this engine alone, `feed send again e1` repeats the last event's
+//!   number, `feed send half e1` sends the first half of an event, `feed send raw HEX` these bytes;
+//!   `feed close` closes the connection.
 //! - `s`: an SNMP manager; `$` stands for the root of the project's objects: `s send get $.1.0`,
 //!   `s send next $`, `s send bulk 0 3 $`, `s send get@other $.1.0` (another community),
 //!   `s send v1 $.1.0` (SNMP version 1), `s expect $.1.0=2`.
@@ -30,9 +30,9 @@
 //!   (an unfinished line), `o1 expect 200`, `o1 expect lines node.loads=0`, `o1 close`. The next
 //!   `o1` after `expect` or `close` is a new caller.
 //! - `n`: the workload manager. `n close` requests a graceful shutdown, `n expect closed` waits for
-//!   its end. `n send settings CHANGE ...` passes a configuration with other settings, see
-//!   `apply_changes`; `n send moved` one with the feed at another address; `n send {` one whose
-//!   whole text is `{`.
+//!   its end. `n send settings CHANGE ...` reloads a configuration with other settings, see
+//!   `apply_changes`; `n send moved` reloads one with the feed at another address; `n send {`
+//!   reloads one whose whole text is `{`.
 //! - `wait requests_accepted=3` waits until a metric has that value.
 //!
 //! No step waits for a fixed time: each waits for its event, and fails if the event does not come
@@ -80,7 +80,7 @@
         .unwrap_or_else(|_| panic!("timed out waiting for: {description}"))
 }
 
-/// A workload manager with its fake clients, engines and list feed.
+/// A workload manager with its fake clients, engines and discovery feed.
 pub(crate) struct Scene {
     node: Arc<Node>,
     shutdown_requested: bool,
@@ -106,7 +106,7 @@
     pub protocol: EngineProtocol,
     /// Changes to the settings; see `apply_changes`.
     pub changes: &'a [&'a str],
-    /// The operators' file.
+    /// The text of the operators' file.
     pub operator_file: &'a str,
 }
 
@@ -234,7 +234,7 @@
         within_timeout(step, reached).await;
     }
 
-    /// Passes another configuration to the manager.
+    /// Makes the manager reload another configuration.
     async fn reload(&mut self, words: &[&str]) {
         let text = match words {
             ["settings", changes @ ..] => {
--- a/tests/scene/msgpack_client.rs
+++ b/tests/scene/msgpack_client.rs
@@ -29,7 +29,7 @@
         Client::with_stream(name, stream)
     }
 
-    /// Connects to a manager; none if that fails.
+    /// Connects to a manager; `None` if that fails.
     pub(crate) async fn try_new(name: &str, address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).await.ok()?;
         Some(Client::with_stream(name, stream))
@@ -143,7 +143,7 @@
     }
 
     /// An answer that the test has not taken, with the id of its request. Waits for one if there is
-    /// none; none at the end of the connection.
+    /// none. `None` at the end of the connection.
     pub(crate) async fn next_answer_or_end(&mut self) -> Option<(u64, String)> {
         loop {
             if let Some(id) = self.answers.keys().next().copied() {
@@ -200,8 +200,8 @@
     message
 }
 
-/// The id, the text as scripts write it and the length in bytes of the first answer; none while it
-/// is incomplete.
+/// The id, the text as scripts write it and the length in bytes of the first answer; `None` while
+/// it is incomplete.
 fn read_answer(bytes: &[u8]) -> Option<(u64, String, usize)> {
     let mut cursor = Cursor::new(bytes);
     let read_text = |cursor: &mut Cursor<&[u8]>| {
